--- a/benchmarks/coldreturn.py
+++ b/benchmarks/coldreturn.py
@@ -20,8 +20,8 @@
 from benchmarks.fleetmodel import Case, Fleet, over_budget
 from benchmarks.manyrelays import Make, earlier_brain
 from benchmarks.process import run
-from mulleinlead.brain import Brain
-from mulleinlead.interface import Result
+from loftrelay.decisions.interface import Result
+from loftrelay.decisions.scheduler import Brain
 
 BEFORE = "1dd4122"
 
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from benchmarks.process import BEFORE_GROWTH, ROOT, cpu_seconds, earlier_program, run
-from loftrelay.delivery.pools import Limits, Pools, Use
+from loftrelay.delivery.connection_pool import Limits, Pools, Use
 from tests.program.test_connections import LIMITS, STRICT, plan
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 from tests.standins.platform import SETTINGS, World
--- a/benchmarks/fleet_peers.py
+++ b/benchmarks/fleet_peers.py
@@ -11,11 +11,11 @@
 import sys
 from typing import Any
 
-from loftrelay.fleet.membership import Known, Membership, Peer, Timing
-from loftrelay.fleet.node import Node
-from loftrelay.fleet.settings import FleetSettings
-from loftrelay.fleet.verdicts import Calls
-from loftrelay.lab.links import MS, SECOND
+from loftrelay.gossip.operator_overrides import Calls
+from loftrelay.gossip.settings import FleetSettings
+from loftrelay.gossip.swim import Known, Membership, Peer, Timing
+from loftrelay.gossip.transport import Node
+from loftrelay.simulation.links import MS, SECOND
 
 SETTINGS = FleetSettings("fleet", ("127.0.0.1", 0), None, (), Timing(200 * MS, SECOND))
 Told = list[Any]
--- a/benchmarks/fleetmodel.py
+++ b/benchmarks/fleetmodel.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from mulleinlead import interface as api
-from mulleinlead.adapter import read_settings
-from mulleinlead.brain import Brain
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.simulator import read_settings
 
 SECOND = 1_000_000
 START = 1_000 * SECOND
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -24,11 +24,11 @@
 from typing import Any
 
 from benchmarks.process import cpu_seconds, run
-from loftrelay.fleet.membership import Datagram, Timing
-from loftrelay.fleet.wire import encode
-from loftrelay.lab.links import MS, SECOND, Fleet, Links
-from loftrelay.lab.proxy import Faults, Proxy
+from loftrelay.gossip.codec import encode
+from loftrelay.gossip.swim import Datagram, Timing
 from loftrelay.net.address import Address
+from loftrelay.simulation.links import MS, SECOND, Fleet, Links
+from loftrelay.simulation.proxy import Faults, Proxy
 from tests.standins.partner import Behaviour, Doing, Partner
 from tests.standins.platform import Peer, World, deliver, free_port
 from tests.standins.traffic import Account, Order, hand_in_all
--- a/benchmarks/manyrelays.py
+++ b/benchmarks/manyrelays.py
@@ -14,8 +14,8 @@
 
 from benchmarks.fleetmodel import Case, Decider, Fleet, Told
 from benchmarks.process import earlier_program, run
-from mulleinlead.brain import Brain
-from mulleinlead.interface import Result, Settings
+from loftrelay.decisions.interface import Result, Settings
+from loftrelay.decisions.scheduler import Brain
 
 BEFORE = "86abfef"
 FLEETS = (1, 10, 40)
--- a/benchmarks/misses.py
+++ b/benchmarks/misses.py
@@ -21,13 +21,13 @@
 
 from benchmarks.process import run
 from benchmarks.registry import process
-from loftrelay.core.ports import Slice
-from loftrelay.membership.settings import load_subscription
-from loftrelay.membership.subscriber import Subscriber
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.simulator import read_settings
+from loftrelay.discovery.settings import load_subscription
+from loftrelay.discovery.subscriber import Subscriber
 from loftrelay.net.address import Address
-from mulleinlead import interface as api
-from mulleinlead.adapter import read_settings
-from mulleinlead.brain import Brain
+from loftrelay.relay.ports import Slice
 
 AT_ONCE = (1, 2, 10, 100, 363)
 EACH = 40  # calls of each size, or as many as the destinations allow
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -29,9 +29,9 @@
 from typing import Any
 
 from benchmarks.process import cpu_seconds, run
-from loftrelay.record.rules import About, Answer, Change, Entry, Kind
-from loftrelay.record.sqlite import SQLiteStore
-from loftrelay.record.store import Query
+from loftrelay.store.backend import Query
+from loftrelay.store.sqlite import SQLiteStore
+from loftrelay.store.state_machine import About, Answer, Change, Entry, Kind
 from tests.program.test_connections import LIMITS
 from tests.standins.partner import Partner
 from tests.standins.platform import SETTINGS, World
@@ -108,7 +108,7 @@
 async def agree_cut(folder: Path, count: int) -> dict[str, int | None]:
     """So many work orders while the connection to a stand-in for PostgreSQL is cut at random bytes."""
     try:
-        from loftrelay.record.postgres import PostgresStore
+        from loftrelay.store.postgres import PostgresStore
     except ImportError:
         return {"messages": 0, "cuts": None, "disagreements": 0, "duplicates": 0}
     from tests.standins.postgres import Faults, PostgresStandIn, cut
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -26,15 +26,15 @@
 from benchmarks.scale.children import work
 from benchmarks.scale.discovery import host
 from benchmarks.scale.links import CountingLoop, Links, whose
-from loftrelay.core.ports import Slice
-from loftrelay.fleet.membership import State
-from loftrelay.fleet.node import Node
-from loftrelay.membership.settings import SubscriptionSettings, load_subscription
-from loftrelay.membership.subscriber import Subscriber
+from loftrelay.decisions.interface import LetGo, Listing, SetTimer, Timer, WatchList
+from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.simulator import read_settings
+from loftrelay.discovery.settings import SubscriptionSettings, load_subscription
+from loftrelay.discovery.subscriber import Subscriber
+from loftrelay.gossip.swim import State
+from loftrelay.gossip.transport import Node
 from loftrelay.net.address import Address
-from mulleinlead.adapter import read_settings
-from mulleinlead.brain import Brain
-from mulleinlead.interface import LetGo, Listing, SetTimer, Timer, WatchList
+from loftrelay.relay.ports import Slice
 from tests.standins.platform import SETTINGS
 
 LOOK = 0.02  # seconds between looks at who has a change
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -35,9 +35,9 @@
 from benchmarks.scale.fleet import Fleet, cpu_time
 from benchmarks.scale.real import RealRelay
 from benchmarks.scale.slopes import Slopes, plot, short
-from mulleinlead.adapter import read_settings
-from mulleinlead.brain import Brain
-from mulleinlead.interface import Entry, Form, Listing, State
+from loftrelay.decisions.interface import Entry, Form, Listing, State
+from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.simulator import read_settings
 from tests.standins.platform import SETTINGS
 
 SHARED = 8  # destinations that all hollow relays serve
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -28,18 +28,18 @@
 from benchmarks import fleet_peers
 from benchmarks.process import ROOT, cpu_seconds
 from benchmarks.watch_server import row
-from loftrelay.app import build
-from loftrelay.config import Config
-from loftrelay.core.engine import Engine
-from loftrelay.fleet.membership import Datagram, Membership, Peer, Probe, State, Timing
-from loftrelay.fleet.wire import decode, encode
-from loftrelay.lab.links import MS, SECOND, Fleet, Node
-from loftrelay.membership.caller import Caller
-from loftrelay.membership.discovery import Discovery, read_list
+from loftrelay.config.platform import Config
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.simulator import read_settings
+from loftrelay.discovery.client import Discovery, read_list
+from loftrelay.discovery.http_client import Caller
+from loftrelay.gossip.codec import decode, encode
+from loftrelay.gossip.swim import Datagram, Membership, Peer, Probe, State, Timing
 from loftrelay.net.address import Address
-from mulleinlead import interface as api
-from mulleinlead.adapter import read_settings
-from mulleinlead.brain import Brain
+from loftrelay.relay.engine import Engine
+from loftrelay.service.assembly import build
+from loftrelay.simulation.links import MS, SECOND, Fleet, Node
 from tests.standins.platform import SETTINGS, World, deliver, free_port
 from tests.standins.platform import Peer as Host
 from tests.standins.traffic import Account, Client, Order
--- a/loftrelay/__main__.py
+++ b/loftrelay/__main__.py
@@ -13,15 +13,15 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from loftrelay.config import Config, load_config
-from loftrelay.delivery.pools import Limits
-from loftrelay.service import Service
-from loftrelay.settings.checked import SettingsError
+from loftrelay.config.platform import Config, load_config
+from loftrelay.config.toml_file import SettingsError
+from loftrelay.delivery.connection_pool import Limits
+from loftrelay.service.lifecycle import Service
 
 if TYPE_CHECKING:  # what an operator's file asks for is loaded with it: a start should cost little
-    from loftrelay.fleet.settings import FleetSettings
-    from loftrelay.membership.settings import SubscriptionSettings
-    from loftrelay.record.settings import RecordSettings
+    from loftrelay.discovery.settings import SubscriptionSettings
+    from loftrelay.gossip.settings import FleetSettings
+    from loftrelay.store.settings import RecordSettings
 
 log = logging.getLogger("loftrelay")
 
@@ -99,19 +99,19 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     given = sys.argv[1:] if arguments is None else list(arguments)
     if given[:1] == ["record"]:
-        from loftrelay.commands import record as command  # a relay without a store knows no sqlite3
+        from loftrelay.cli import record as command  # a relay without a store knows no sqlite3
 
         return command.main(given[1:])
     if given[:1] == ["demo"]:
-        from loftrelay.commands import demo
+        from loftrelay.cli import demo
 
         return demo.main(given[1:])
     if given[:1] == ["ctl"]:
-        from loftrelay.commands import ctl
+        from loftrelay.cli import ctl
 
         return ctl.main(given[1:])
     if given[:1] == ["registry"]:
-        from loftrelay.commands import registry
+        from loftrelay.cli import registry
 
         start_log()
         return registry.main(given[1:])
@@ -125,15 +125,15 @@
 
             connections = load_limits(asked.connections)
         if asked.record:
-            from loftrelay.record.settings import load_record
+            from loftrelay.store.settings import load_record
 
             record = load_record(asked.record)
         if asked.fleet:
-            from loftrelay.fleet.settings import load_fleet
+            from loftrelay.gossip.settings import load_fleet
 
             fleet = load_fleet(asked.fleet, os.environ)
         if asked.subscription:
-            from loftrelay.membership.settings import load_subscription
+            from loftrelay.discovery.settings import load_subscription
 
             subscription = load_subscription(asked.subscription)
         asyncio.run(serve(config, connections, record, fleet, subscription))
--- a/loftrelay/commands/demo.py
+++ b/loftrelay/cli/demo.py
@@ -16,12 +16,12 @@
 from pathlib import Path
 from typing import Any, TextIO
 
-from loftrelay.commands.record import print_table
+from loftrelay.cli.record import print_table
 from loftrelay.demo.clients import TIME, Account, Client, Message
 from loftrelay.demo.peers import Discovery, Partner, Peer
-from loftrelay.record.rules import Answer, Entry
-from loftrelay.record.sqlite import SQLiteStore
-from loftrelay.record.store import Query, StoreError
+from loftrelay.store.backend import Query, StoreError
+from loftrelay.store.sqlite import SQLiteStore
+from loftrelay.store.state_machine import Answer, Entry
 
 CLIENTS = 16
 START, END = 30.0, 10.0  # seconds for the relay to listen, and to end
--- a/loftrelay/commands/record.py
+++ b/loftrelay/cli/record.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 from typing import Any, TextIO
 
-from loftrelay.record.opening import opener
-from loftrelay.record.rules import Answer, Entry
-from loftrelay.record.settings import load_record
-from loftrelay.record.sqlite import SQLiteStore
-from loftrelay.record.store import Query, Store, StoreError
-from loftrelay.settings.checked import SettingsError
+from loftrelay.config.toml_file import SettingsError
+from loftrelay.store.backend import Query, Store, StoreError
+from loftrelay.store.factory import opener
+from loftrelay.store.settings import load_record
+from loftrelay.store.sqlite import SQLiteStore
+from loftrelay.store.state_machine import Answer, Entry
 
 COLUMNS = ("taken on", "message", "class", "tenant", "to", "state", "answer", "attempts", "answered")
 
--- a/loftrelay/commands/registry.py
+++ b/loftrelay/cli/registry.py
@@ -9,9 +9,9 @@
 from collections.abc import Sequence
 from pathlib import Path
 
+from loftrelay.config.toml_file import SettingsError
 from loftrelay.registry.service import Registry
 from loftrelay.registry.settings import RegistrySettings, load_registry
-from loftrelay.settings.checked import SettingsError
 
 OK, CANT_START, BAD_FILE = 0, 1, 2  # exit status
 
--- a/loftrelay/config.py
+++ b/loftrelay/config/platform.py
@@ -12,13 +12,13 @@
 from pathlib import Path
 from typing import Any
 
+from loftrelay.config.toml_file import SettingsError
+from loftrelay.config.validation import check_change, check_settings
+from loftrelay.decisions.interface import Settings
+from loftrelay.decisions.simulator import read_settings
 from loftrelay.net.address import Address, parse_address
-from loftrelay.settings.checked import SettingsError
-from loftrelay.settings.platform import check_change, check_settings
-from loftrelay.state.files import ROOM, ROOM_FOR_CALLS
-from loftrelay.state.last_file import LastFile
-from mulleinlead.adapter import read_settings
-from mulleinlead.interface import Settings
+from loftrelay.state.atomic_file import ROOM, ROOM_FOR_CALLS
+from loftrelay.state.last_config import LastFile
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/loftrelay/decisions/__init__.py
@@ -0,0 +1,5 @@
+"""Decides when to send, wait, retry, refuse or give up a message to an outside destination."""
+
+from loftrelay.decisions.scheduler import Brain
+
+__all__ = ["Brain"]
--- a/mulleinlead/interface.py
+++ b/loftrelay/decisions/interface.py
@@ -263,8 +263,21 @@
 
 
 Event = (
-    Listing | Submit | Recovered | KeyRest | Noticed | Doubted | Outcome | Started | Withdrawn | Timer
-    | ProbeResult | TakenOut | BroughtBack | LetGo | Retuned
+    Listing
+    | Submit
+    | Recovered
+    | KeyRest
+    | Noticed
+    | Doubted
+    | Outcome
+    | Started
+    | Withdrawn
+    | Timer
+    | ProbeResult
+    | TakenOut
+    | BroughtBack
+    | LetGo
+    | Retuned
 )
 
 # Actions
--- a/mulleinlead/brain.py
+++ b/loftrelay/decisions/scheduler.py
@@ -1,4 +1,4 @@
-"""Every decision of mulleinlead. Its types, events, actions and settings: mulleinlead/interface.py.
+"""Every decision on messages. Its types, events, actions and settings: decisions/interface.py.
 
 A message goes out at once when its destination's window has a free slot. After a failed try it waits a
 base times a growing power of two, up to the told attempt cap or until its time runs short (docs/design.md).
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field, fields
 from itertools import islice
 
-from mulleinlead import interface as api
-from mulleinlead.interface import Effect, Form, Result, State
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.interface import Effect, Form, Result, State
 
 SECOND = 1_000_000
 # Retry waits: BASE x 2^depth, with a little jitter so that relays fall out of step.
--- a/mulleinlead/adapter.py
+++ b/loftrelay/decisions/simulator.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from mulleinlead import interface as api
-from mulleinlead.brain import Brain
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.scheduler import Brain
 
 RESULTS = {
     200: api.Result.OK, 500: api.Result.ERROR, 503: api.Result.FULL, 504: api.Result.TIMEOUT,
--- a/mulleinlead/snapshot.py
+++ b/loftrelay/decisions/snapshot.py
@@ -18,8 +18,8 @@
 from enum import Enum
 from typing import Any
 
-from mulleinlead import brain, interface
-from mulleinlead.brain import Brain
+from loftrelay.decisions import interface, scheduler
+from loftrelay.decisions.scheduler import Brain
 
 VERSION = 1
 
@@ -38,8 +38,8 @@
     }
 
 
-RECORDS = _listed(interface, object) | _listed(brain, object)
-WORDS = _listed(interface, Enum) | _listed(brain, Enum)
+RECORDS = _listed(interface, object) | _listed(scheduler, object)
+WORDS = _listed(interface, Enum) | _listed(scheduler, Enum)
 MODULE = "Brain"
 FIELDS = {name: [f.name for f in dataclasses.fields(record)] for name, record in RECORDS.items()}
 # What a Brain holds, beside what its settings say: all it learned, and all it has open.
@@ -149,7 +149,7 @@
 def write(module: Brain, events: Iterable[interface.Event] = ()) -> str:
     """The module, and events that it has not seen yet. Alarms of what is over are let go first: they hold all
     messages of the last seconds, and would only wake the module for nothing."""
-    module.alarms = [a for a in module.alarms if not (isinstance(a[2], brain.Message) and a[2].over)]
+    module.alarms = [a for a in module.alarms if not (isinstance(a[2], scheduler.Message) and a[2].over)]
     heapq.heapify(module.alarms)
     told = _Writer().whole((module, list(events)))
     return json.dumps({"shape": shape(), **told}, separators=(",", ":"))
@@ -168,5 +168,5 @@
         raise SnapshotError(f"it can't be read: {error!r}") from error
     if not isinstance(module, Brain) or not isinstance(events, list):
         raise SnapshotError("it holds no module")
-    module.actions, module.armed = [], brain.NEVER
+    module.actions, module.armed = [], scheduler.NEVER
     return module, events
--- a/loftrelay/delivery/outcomes.py
+++ b/loftrelay/delivery/call_outcome.py
@@ -7,9 +7,9 @@
 import re
 from collections.abc import Sequence
 
-from loftrelay.core.ports import Ending
+from loftrelay.decisions.interface import Result
 from loftrelay.net.http import Answer, Headers
-from mulleinlead.interface import Result
+from loftrelay.relay.ports import Ending
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/delivery/hosts.py
+++ b/loftrelay/delivery/host_client.py
@@ -12,16 +12,16 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.message import Held
-from loftrelay.core.ports import Ending, JournalFull, Terms
-from loftrelay.core.pulse import Pulse
-from loftrelay.core.steps import reached
-from loftrelay.delivery import pools
-from loftrelay.delivery.outcomes import read_batch, read_single, tells_of_others, told_wait
+from loftrelay.decisions.interface import Result
+from loftrelay.delivery import connection_pool
+from loftrelay.delivery.call_outcome import read_batch, read_single, tells_of_others, told_wait
 from loftrelay.net.address import Address
 from loftrelay.net.http import Answer, AnswerSpoilt, Connection, ConnectionBroken, Headers, Unasked, Unusable
-from mulleinlead.interface import Result
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.fault_points import reached
+from loftrelay.relay.message import Held
+from loftrelay.relay.ports import Ending, JournalFull, Terms
+from loftrelay.relay.stall_detector import Pulse
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
 class Denied(Exception):
     """No connection carries the call."""
 
-    def __init__(self, why: pools.Denied) -> None:
+    def __init__(self, why: connection_pool.Denied) -> None:
         super().__init__(why.name)
         self.why = why
 
@@ -72,7 +72,7 @@
     at: float  # when it was decided (the loop's seconds)
     asked: bool = False
     idle: int | None = None
-    granted: asyncio.Future[pools.Use] | None = None
+    granted: asyncio.Future[connection_pool.Use] | None = None
     line: Line | None = None  # that carries it, from its first byte on
     wait: int = 0  # told in the head of its answer, microseconds
     recalled: bool = False
@@ -110,7 +110,7 @@
         connect_timeout: int | None,
         idle_limit: int | None,
         most_connections: int,
-        limits: pools.Limits,
+        limits: connection_pool.Limits,
         seed: int,
         tried: Callable[[Held, str], None],
         ended: Callable[[Held, str, Ending], None],
@@ -128,7 +128,7 @@
             idle_limit=min(limits.idle_limit or most_idle, most_idle),
             most_in_all=min(limits.most_in_all or most_connections, most_connections),
         )
-        self.pools = pools.Pools(limits, seed)
+        self.pools = connection_pool.Pools(limits, seed)
         self.connect_timeout = connect_timeout / 1e6 if connect_timeout else NO_CONNECT
         self.tried = tried
         self.ended = ended
@@ -254,7 +254,7 @@
                     call.asked, call.line = False, None
                     await self._find_why(number)
                     if call.idle == 0:
-                        raise Denied(pools.Denied.NO_CONNECTION) from None
+                        raise Denied(connection_pool.Denied.NO_CONNECTION) from None
             return self._answered(call, number, answer, ids)
         except JournalFull:
             self._do(self.pools.unused(number, self._now()))
@@ -268,7 +268,7 @@
             bound = isinstance(why, Bound)
             return dict.fromkeys(ids, Ending(Result.NOT_SENT, stale=not bound, held=bound))
         except Denied as denied:
-            no_room = denied.why is pools.Denied.NO_ROOM
+            no_room = denied.why is connection_pool.Denied.NO_ROOM
             return dict.fromkeys(ids, Ending(Result.NOT_SENT if no_room else Result.NO_CONNECTION))
         except TimeoutError:
             now = asyncio.get_running_loop().time()
@@ -294,7 +294,7 @@
             self.waiting[call.number] = call
             most_idle = call.terms.most_idle
             self._do(self.pools.want(call.number, call.host, call.terms.unsafe, most_idle, self._now()))
-            use: pools.Use | None = None
+            use: connection_pool.Use | None = None
             try:
                 use = await call.granted
                 if use.after:
@@ -311,7 +311,7 @@
                 return use.connection
             await self._find_why(use.connection)
             if use.idle == 0:  # it came up and ended at once: as good as refused
-                raise Denied(pools.Denied.NO_CONNECTION)
+                raise Denied(connection_pool.Denied.NO_CONNECTION)
 
     async def _find_why(self, number: int) -> None:
         """A kept connection turned out to be of no use: what has come there is read, to know what it was."""
@@ -445,30 +445,30 @@
     def _now(self) -> int:
         return int(asyncio.get_running_loop().time() * 1e6)
 
-    def _do(self, actions: list[pools.Action]) -> None:
+    def _do(self, actions: list[connection_pool.Action]) -> None:
         """In order. The pools are asked again only when all is done: `actions` is theirs."""
         given_back = []
         for action in actions:
             match action:
-                case pools.Use(number, connection):
+                case connection_pool.Use(number, connection):
                     call = self.waiting.pop(number)
                     assert call.granted is not None
                     if not call.granted.done():
                         call.granted.set_result(action)
                     else:  # its time ran out a moment ago, and its task has not run since
                         given_back.append(connection)
-                case pools.Deny(number, why):
+                case connection_pool.Deny(number, why):
                     call = self.waiting.pop(number)
                     assert call.granted is not None
                     if not call.granted.done():
                         call.granted.set_exception(Denied(why))
-                case pools.Open(host, number):
+                case connection_pool.Open(host, number):
                     self.opening[number] = asyncio.create_task(self._open(host, number))
-                case pools.Close(number):
+                case connection_pool.Close(number):
                     self._forget(number)
                     if task := self.opening.pop(number, None):
                         task.cancel()
-                case pools.Say(text):
+                case connection_pool.Say(text):
                     log.warning("%s", text)
         for connection in given_back:
             self._do(self.pools.unused(connection, self._now()))
@@ -484,14 +484,14 @@
         self._do(self.pools.tick(max(self._now(), self.clock_due)))
 
     async def _open(self, host: str, number: int) -> None:
-        why = pools.Lost.REFUSED
+        why = connection_pool.Lost.REFUSED
         try:
             connection = await self._connected(host)
         except TimeoutError:
-            why = pools.Lost.SILENT
+            why = connection_pool.Lost.SILENT
         except OSError as error:
             if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                why = pools.Lost.DESCRIPTORS
+                why = connection_pool.Lost.DESCRIPTORS
         else:
             self.opening.pop(number, None)
             self.lines[number] = Line(host, connection)
--- a/loftrelay/delivery/settings.py
+++ b/loftrelay/delivery/settings.py
@@ -4,8 +4,8 @@
 
 from pathlib import Path
 
-from loftrelay.delivery.pools import MS, SECOND, Distrust, Limits, Order
-from loftrelay.settings.checked import Key, SettingsError, read_toml
+from loftrelay.config.toml_file import Key, SettingsError, read_toml
+from loftrelay.delivery.connection_pool import MS, SECOND, Distrust, Limits, Order
 
 DAY = 86_400.0
 KEYS = (
--- a/loftrelay/membership/discovery.py
+++ b/loftrelay/discovery/client.py
@@ -16,10 +16,10 @@
 except ImportError:  # the extra `lists`
     msgspec = None  # type: ignore[assignment]
 
-from loftrelay.membership.caller import Caller
+from loftrelay.decisions.interface import Entry, Form, Listing, State
+from loftrelay.discovery.http_client import Caller
 from loftrelay.net.address import Address, parse_address
 from loftrelay.net.http import AnswerTooLong, ConnectionBroken
-from mulleinlead.interface import Entry, Form, Listing, State
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/membership/notices.py
+++ b/loftrelay/discovery/status_reporter.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from loftrelay.membership.caller import Caller
+from loftrelay.discovery.http_client import Caller
 from loftrelay.net.address import Address
 from loftrelay.net.http import ConnectionBroken
 
--- a/loftrelay/membership/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -10,10 +10,11 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Any
 
-from loftrelay.core.ports import Slice
-from loftrelay.membership.caller import Caller
-from loftrelay.membership.discovery import CONNECT, MOST_PARSED, PATIENCE, read_list
-from loftrelay.membership.interest import (
+from loftrelay.decisions.interface import Form, Listing
+from loftrelay.discovery.client import CONNECT, MOST_PARSED, PATIENCE, read_list
+from loftrelay.discovery.http_client import Caller
+from loftrelay.discovery.settings import SubscriptionSettings
+from loftrelay.discovery.subscription import (
     Action,
     Call,
     Channel,
@@ -25,11 +26,10 @@
     Sliced,
     Tell,
 )
-from loftrelay.membership.settings import SubscriptionSettings
 from loftrelay.net.address import Address
 from loftrelay.net.http import Answer, AnswerTooLong, ConnectionBroken
 from loftrelay.registry.protocol import read_answer
-from mulleinlead.interface import Form, Listing
+from loftrelay.relay.ports import Slice
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/membership/interest.py
+++ b/loftrelay/discovery/subscription.py
@@ -18,7 +18,7 @@
 from enum import Enum, auto
 from hashlib import blake2b
 
-from loftrelay.core.ports import Slice
+from loftrelay.decisions.interface import Entry, State
 from loftrelay.net.address import Address
 from loftrelay.registry.protocol import (
     FORBIDDEN,
@@ -31,7 +31,7 @@
     checksum,
     target,
 )
-from mulleinlead.interface import Entry, State
+from loftrelay.relay.ports import Slice
 
 GATHER = 0.003  # seconds for which first messages are gathered into one call
 DROP_AFTER = 1.0  # for which what was let go waits for a call that goes anyway
--- a/loftrelay/fleet/wire.py
+++ b/loftrelay/gossip/codec.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from loftrelay.fleet.membership import Answer, Datagram, Peer, Probe, ProbeFor, State
-from loftrelay.fleet.verdicts import MOST_STAMP, Call
+from loftrelay.gossip.operator_overrides import MOST_STAMP, Call
+from loftrelay.gossip.swim import Answer, Datagram, Peer, Probe, ProbeFor, State
 
 MAGIC, VERSION = b"LR", 1
 MOST_BYTES = 1_200
--- a/loftrelay/fleet/verdicts.py
+++ b/loftrelay/gossip/operator_overrides.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from loftrelay.fleet.spread import Spread
+from loftrelay.gossip.broadcast_queue import Spread
 
 MOST = 2_048  # hosts of which something is known
 MOST_STAMP = 1 << 53  # a later one is no time
--- a/loftrelay/fleet/settings.py
+++ b/loftrelay/gossip/settings.py
@@ -8,9 +8,9 @@
 from ipaddress import ip_address
 from pathlib import Path
 
-from loftrelay.fleet.membership import Timing
+from loftrelay.config.toml_file import Key, SettingsError, read_toml
+from loftrelay.gossip.swim import Timing
 from loftrelay.net.address import Address, parse_address
-from loftrelay.settings.checked import Key, SettingsError, read_toml
 
 TABLE, VARIABLE = "fleet", "RELAY_FLEET_LISTEN"
 KEYS = (
--- a/loftrelay/fleet/node.py
+++ b/loftrelay/gossip/transport.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any, cast
 
-from loftrelay.fleet.membership import Action, Changed, Contested, Membership, Peer, State, Tell
-from loftrelay.fleet.settings import MOST_NAME, FleetSettings
-from loftrelay.fleet.verdicts import Call, Calls
-from loftrelay.fleet.wire import VersionError, WireError, decode, encode
+from loftrelay.gossip.codec import VersionError, WireError, decode, encode
+from loftrelay.gossip.operator_overrides import Call, Calls
+from loftrelay.gossip.settings import MOST_NAME, FleetSettings
+from loftrelay.gossip.swim import Action, Changed, Contested, Membership, Peer, State, Tell
 from loftrelay.net.address import Address
 
 log = logging.getLogger(__name__)
--- a/loftrelay/journal/journal.py
+++ b/loftrelay/journal/journal.py
@@ -21,11 +21,11 @@
 from pathlib import Path
 from typing import Any
 
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.message import Held, Remembered
-from loftrelay.core.ports import JournalFull
-from mulleinlead.brain import DOUBTFUL
-from mulleinlead.interface import Result
+from loftrelay.decisions.interface import Result
+from loftrelay.decisions.scheduler import DOUBTFUL
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.message import Held, Remembered
+from loftrelay.relay.ports import JournalFull
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/registry/service.py
+++ b/loftrelay/registry/service.py
@@ -8,12 +8,12 @@
 from dataclasses import replace
 from pathlib import Path
 
+from loftrelay.config.toml_file import SettingsError
 from loftrelay.registry.catalog import Catalog
 from loftrelay.registry.server import Server
 from loftrelay.registry.settings import RegistrySettings, load_registry
 from loftrelay.registry.subscriptions import Subscriptions
 from loftrelay.registry.upstream import Upstream
-from loftrelay.settings.checked import SettingsError
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/registry/settings.py
+++ b/loftrelay/registry/settings.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from loftrelay.config.toml_file import Key, SettingsError, read_toml
 from loftrelay.net.address import Address, parse_address
 from loftrelay.registry.protocol import MOST_NAME
-from loftrelay.settings.checked import Key, SettingsError, read_toml
 
 TABLE = "registry"
 KEYS = (
--- a/loftrelay/core/engine.py
+++ b/loftrelay/relay/engine.py
@@ -10,12 +10,18 @@
 from functools import partial
 from typing import Any
 
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.handover import Handed, tell
-from loftrelay.core.life import Lives, Stage
-from loftrelay.core.message import Held
-from loftrelay.core.parking import Parked, Parking
-from loftrelay.core.ports import (
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.scheduler import Brain
+from loftrelay.metrics.registry import End, Figures, Gauges
+from loftrelay.net.address import Address
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.fault_points import reached
+from loftrelay.relay.handover import Handed, tell
+from loftrelay.relay.message import Held
+from loftrelay.relay.message_state import Lives, Stage
+from loftrelay.relay.message_terms import Accepted, may_repeat, never_harms, unpack
+from loftrelay.relay.pending_submissions import Parked, Parking
+from loftrelay.relay.ports import (
     Away,
     Delivery,
     Directory,
@@ -31,13 +37,7 @@
     Terms,
     Watcher,
 )
-from loftrelay.core.pulse import STALL, Pulse
-from loftrelay.core.steps import reached
-from loftrelay.core.terms import Accepted, may_repeat, never_harms, unpack
-from loftrelay.figures.registry import End, Figures, Gauges
-from loftrelay.net.address import Address
-from mulleinlead import interface as api
-from mulleinlead.brain import Brain
+from loftrelay.relay.stall_detector import STALL, Pulse
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/core/steps.py
+++ b/loftrelay/relay/fault_points.py
@@ -39,6 +39,8 @@
 GIVING_STEPS = ("frozen", "told state", "giving", "given", "handed over")
 TAKING_STEPS = ("loaded", "yours", "taken over")
 
+ALL_STEPS = STEPS + NOTICE_STEPS + GIVING_STEPS + TAKING_STEPS
+
 listener: Callable[[str], None] | None = None
 
 
--- a/loftrelay/core/handover.py
+++ b/loftrelay/relay/handover.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from loftrelay.core.ports import Ending
+from loftrelay.decisions import interface as api
+from loftrelay.decisions import snapshot
+from loftrelay.decisions.scheduler import Brain
 from loftrelay.net.address import Address
-from mulleinlead import interface as api
-from mulleinlead import snapshot
-from mulleinlead.brain import Brain
+from loftrelay.relay.ports import Ending
 
 
 class HandoverError(ValueError):
--- a/loftrelay/core/terms.py
+++ b/loftrelay/relay/message_terms.py
@@ -9,7 +9,7 @@
 from functools import lru_cache
 from typing import Any
 
-from mulleinlead import interface as api
+from loftrelay.decisions import interface as api
 
 HARMLESS = (api.Effect.SAFE.name, api.Effect.KEYED.name)
 # Clients go on using a class that was dropped until they have heard of it, and then hand in once more what
--- a/loftrelay/core/parking.py
+++ b/loftrelay/relay/pending_submissions.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from loftrelay.core.message import Held
+from loftrelay.relay.message import Held
 
 Answer = Callable[[int, int], None]  # a status, and when to come back (ms)
 
--- a/loftrelay/core/ports.py
+++ b/loftrelay/relay/ports.py
@@ -8,9 +8,9 @@
 from enum import Enum, auto
 from typing import Any, Protocol
 
-from loftrelay.core.message import Held, Remembered
+from loftrelay.decisions.interface import Entry, Result
 from loftrelay.net.address import Address
-from mulleinlead.interface import Entry, Result
+from loftrelay.relay.message import Held, Remembered
 
 
 class JournalFull(Exception):
--- a/loftrelay/fronts/control/relay.py
+++ b/loftrelay/server/admin/commands.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from loftrelay.core.engine import Engine
-from loftrelay.figures.registry import Figures, Gauges
-from loftrelay.fronts.control.server import Done
+from loftrelay.metrics.registry import Figures, Gauges
+from loftrelay.relay.engine import Engine
+from loftrelay.server.admin.server import Done
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/fronts/control/server.py
+++ b/loftrelay/server/admin/server.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from loftrelay.fronts.control import protocol
 from loftrelay.net.address import Address
+from loftrelay.server.admin import protocol
 
 MOST_CALLERS = 24  # beyond it the one that has been silent longest goes
 LINE_TIME = 10.0  # seconds for a whole line
--- a/loftrelay/fronts/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -19,12 +19,12 @@
 
 import h11
 
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.engine import REFUSED_HERE_MS, Engine
-from loftrelay.core.message import Held
-from loftrelay.core.terms import Accepted
 from loftrelay.net.address import Address
 from loftrelay.net.http import unread
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.engine import REFUSED_HERE_MS, Engine
+from loftrelay.relay.message import Held
+from loftrelay.relay.message_terms import Accepted
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/app.py
+++ b/loftrelay/service/assembly.py
@@ -4,19 +4,19 @@
 
 from typing import TYPE_CHECKING
 
-from loftrelay.config import Config
-from loftrelay.core.engine import Engine
-from loftrelay.core.handover import Handed
-from loftrelay.core.ports import Directory, Record, Slices
-from loftrelay.delivery.hosts import Hosts
-from loftrelay.delivery.pools import Limits
+from loftrelay.config.platform import Config
+from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.host_client import Hosts
+from loftrelay.discovery.client import Discovery
+from loftrelay.discovery.status_reporter import Notices
 from loftrelay.journal.journal import Journal
-from loftrelay.membership.discovery import Discovery
-from loftrelay.membership.notices import Notices
+from loftrelay.relay.engine import Engine
+from loftrelay.relay.handover import Handed
+from loftrelay.relay.ports import Directory, Record, Slices
 from loftrelay.state.hosts_out import HostsOut
 
 if TYPE_CHECKING:
-    from loftrelay.membership.settings import SubscriptionSettings
+    from loftrelay.discovery.settings import SubscriptionSettings
 
 DEFAULT_LIMITS = Limits()
 
@@ -50,7 +50,7 @@
             where, config.settings.ask_every, engine.listed, lambda: engine.entries, engine.list_refused
         )
     else:
-        from loftrelay.membership.subscriber import Subscriber  # only where it is used
+        from loftrelay.discovery.subscriber import Subscriber  # only where it is used
 
         discovery = slices = Subscriber(
             subscription, config.name, where, engine.listed, engine.sliced, engine.let_go
--- a/loftrelay/joining.py
+++ b/loftrelay/service/gossip_member.py
@@ -9,15 +9,15 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.engine import Engine
-from loftrelay.core.message import Held
-from loftrelay.core.ports import Ending
-from loftrelay.fleet.membership import State
-from loftrelay.fleet.node import Node
-from loftrelay.fleet.settings import FleetSettings
-from loftrelay.fleet.verdicts import MOST_STAMP, Call, Calls
-from loftrelay.state.files import write_whole
+from loftrelay.gossip.operator_overrides import MOST_STAMP, Call, Calls
+from loftrelay.gossip.settings import FleetSettings
+from loftrelay.gossip.swim import State
+from loftrelay.gossip.transport import Node
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.engine import Engine
+from loftrelay.relay.message import Held
+from loftrelay.relay.ports import Ending
+from loftrelay.state.atomic_file import write_whole
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/service.py
+++ b/loftrelay/service/lifecycle.py
@@ -9,27 +9,27 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from loftrelay.app import build
-from loftrelay.config import Config, ConfigError, reload
-from loftrelay.core.engine import Engine
-from loftrelay.core.last_phase import last_phase
-from loftrelay.core.steps import reached
-from loftrelay.delivery.pools import Limits
-from loftrelay.fronts.control.relay import Relay
-from loftrelay.fronts.control.server import Door
-from loftrelay.fronts.http.server import Server
+from loftrelay.config.platform import Config, ConfigError, reload
+from loftrelay.delivery.connection_pool import Limits
 from loftrelay.journal.journal import Journal
+from loftrelay.relay.engine import Engine
+from loftrelay.relay.fault_points import reached
+from loftrelay.relay.shutdown_schedule import last_phase
+from loftrelay.server.admin.commands import Relay
+from loftrelay.server.admin.server import Door
+from loftrelay.server.http.server import Server
+from loftrelay.service.assembly import build
 from loftrelay.state.hosts_out import HostsOut
-from loftrelay.state.last_file import LastFile
+from loftrelay.state.last_config import LastFile
 from loftrelay.upgrade.lock import Lock
 from loftrelay.upgrade.predecessor import Giver
 from loftrelay.upgrade.successor import Taker
 
 if TYPE_CHECKING:
-    from loftrelay.fleet.settings import FleetSettings
-    from loftrelay.joining import Joined
-    from loftrelay.membership.settings import SubscriptionSettings
-    from loftrelay.record.settings import RecordSettings
+    from loftrelay.discovery.settings import SubscriptionSettings
+    from loftrelay.gossip.settings import FleetSettings
+    from loftrelay.service.gossip_member import Joined
+    from loftrelay.store.settings import RecordSettings
 
 log = logging.getLogger("loftrelay")
 
@@ -87,7 +87,7 @@
         self.told = change.told
         self.last.save(change.told)
         if self.record is not None:
-            from loftrelay.recording import modes
+            from loftrelay.service.store_setup import modes
 
             self.recorder.modes = {**self.recorder.modes, **modes(change.settings, self.record)}
         engine.retune(change.settings, change.discovery)
@@ -115,8 +115,8 @@
         assert lock is not None
         recorder = None
         if self.record is not None:
-            from loftrelay.record.store import StoreError  # with its database, only where it is used
-            from loftrelay.recording import open_record
+            from loftrelay.service.store_setup import open_record
+            from loftrelay.store.backend import StoreError  # with its database, only where it is used
 
             try:
                 recorder = self.recorder = await open_record(config, self.record, journal)
@@ -192,7 +192,7 @@
     async def _subscribe(self, engine: Engine, handed: bool) -> None:
         """It serves once a registry has answered. With none that does it serves all the same after a while:
         what it holds it goes on with, and first messages are refused with when to come back."""
-        from loftrelay.membership.subscriber import Subscriber
+        from loftrelay.discovery.subscriber import Subscriber
 
         subscriber = engine.slices
         assert isinstance(subscriber, Subscriber)
@@ -223,7 +223,7 @@
 
     async def _join(self, engine: Engine) -> asyncio.Task[None]:
         """Takes part in the fleet; beside a process that ends, once that has given its socket up."""
-        from loftrelay.joining import Joined  # with its encoding, only where it is used
+        from loftrelay.service.gossip_member import Joined  # with its encoding, only where it is used
 
         assert self.fleet is not None
         config, beside = self.config, self.config.accept is not None
--- a/loftrelay/recording.py
+++ b/loftrelay/service/store_setup.py
@@ -5,15 +5,15 @@
 import asyncio
 import logging
 
-from loftrelay.config import Config
+from loftrelay.config.platform import Config
+from loftrelay.decisions.interface import Effect, Settings
 from loftrelay.journal.journal import Journal
-from loftrelay.record.opening import opener
-from loftrelay.record.recorder import Recorder
-from loftrelay.record.rules import Mode
-from loftrelay.record.settings import RecordSettings
-from loftrelay.record.store import Unavailable
-from loftrelay.record.writer import Writer
-from mulleinlead.interface import Effect, Settings
+from loftrelay.store.backend import Unavailable
+from loftrelay.store.factory import opener
+from loftrelay.store.recorder import Recorder
+from loftrelay.store.settings import RecordSettings
+from loftrelay.store.state_machine import Mode
+from loftrelay.store.writer import Writer
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/lab/links.py
+++ b/loftrelay/simulation/links.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from loftrelay.fleet.membership import Changed, Contested, Datagram, Membership, State, Tell, Timing
+from loftrelay.gossip.swim import Changed, Contested, Datagram, Membership, State, Tell, Timing
 from loftrelay.net.address import Address
 
 MS = 1_000
--- a/loftrelay/state/hosts_out.py
+++ b/loftrelay/state/hosts_out.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from loftrelay.state.files import write_whole
+from loftrelay.state.atomic_file import write_whole
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/state/last_file.py
+++ b/loftrelay/state/last_config.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from loftrelay.state.files import write_whole
+from loftrelay.state.atomic_file import write_whole
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/record/store.py
+++ b/loftrelay/store/backend.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from loftrelay.record.rules import Answer, Change, Entry
+from loftrelay.store.state_machine import Answer, Change, Entry
 
 
 class StoreError(Exception):
--- a/loftrelay/record/group.py
+++ b/loftrelay/store/group_commit.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from loftrelay.record import rules
-from loftrelay.record.rules import Change, Entry, Kind
+from loftrelay.store import state_machine
+from loftrelay.store.state_machine import Change, Entry, Kind
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,13 +47,13 @@
         first = seen.get(change.message)
         entry = group.after.get(change.message, first)
         if entry is not None:
-            found = rules.resolve(change, entry)
-            if found is rules.Found.APPLIED:
+            found = state_machine.resolve(change, entry)
+            if found is state_machine.Found.APPLIED:
                 continue  # stored before, by a commit whose outcome was not known
-            if found is rules.Found.TAKEN_ELSEWHERE:
+            if found is state_machine.Found.TAKEN_ELSEWHERE:
                 group.kept[place] = entry
                 continue
-        after = rules.apply(entry, change)
+        after = state_machine.apply(entry, change)
         group.before.setdefault(change.message, first)
         group.after[change.message] = after
         tried = change.kind in (Kind.INTEND, Kind.OUTCOME, Kind.END) and after.attempts
--- a/loftrelay/record/postgres.py
+++ b/loftrelay/store/postgres.py
@@ -15,10 +15,10 @@
 
 import psycopg
 
-from loftrelay.record.group import Group, fold
-from loftrelay.record.rows import COLUMNS, MISCOUNTED, conditions, entry_of, miscounted, row_of, wrong_in
-from loftrelay.record.rules import Change, Entry
-from loftrelay.record.store import Ambiguous, Query, StoreError, Unavailable, Unusable
+from loftrelay.store.backend import Ambiguous, Query, StoreError, Unavailable, Unusable
+from loftrelay.store.group_commit import Group, fold
+from loftrelay.store.rows import COLUMNS, MISCOUNTED, conditions, entry_of, miscounted, row_of, wrong_in
+from loftrelay.store.state_machine import Change, Entry
 
 MIGRATIONS: tuple[tuple[str, ...], ...] = (
     (
--- a/loftrelay/record/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass
 from functools import partial
 
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.message import Held
-from loftrelay.record import rules
-from loftrelay.record.rules import About, Answer, Change, Entry, Kind, Known, Mode, State
-from loftrelay.record.store import Query, Store, StoreError
-from loftrelay.record.writer import Away, Elsewhere, Writer
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.message import Held
+from loftrelay.store import state_machine
+from loftrelay.store.backend import Query, Store, StoreError
+from loftrelay.store.state_machine import About, Answer, Change, Entry, Kind, Known, Mode, State
+from loftrelay.store.writer import Away, Elsewhere, Writer
 
 log = logging.getLogger(__name__)
 
@@ -43,15 +43,17 @@
         return STATUSES[self.known]
 
 
-def stand(held: Held) -> rules.Held:
+def stand(held: Held) -> state_machine.Held:
     """What the journal tells of a message at a start."""
     if held.notice is not None:
-        return rules.Held.DELIVERED if held.notice["status"] == "delivered" else rules.Held.ENDED
+        return (
+            state_machine.Held.DELIVERED if held.notice["status"] == "delivered" else state_machine.Held.ENDED
+        )
     if held.tried_at is not None:
-        return rules.Held.OUT
+        return state_machine.Held.OUT
     if held.ran_at is not None:
-        return rules.Held.DOUBTFUL
-    return rules.Held.TRIED if held.attempts else rules.Held.TAKEN
+        return state_machine.Held.DOUBTFUL
+    return state_machine.Held.TRIED if held.attempts else state_machine.Held.TAKEN
 
 
 @dataclass(slots=True)
@@ -105,15 +107,15 @@
         return [name for name, entry in self.entries.items() if name not in held and entry.told_at is None]
 
     def recover(self, held: Held | None, message: str, unsafe: bool) -> str:
-        """What is to be done with a message at a start (rules.Mend, by name). Its record goes on then."""
+        """What is to be done with a message at a start (`Mend`, by name). Its record goes on then."""
         entry = self.entries.pop(message, None)
         class_name = (
             held.class_name if held is not None else entry.about.class_name if entry is not None else ""
         )
         mode = self.modes.get(class_name, Mode.REQUIRED)
-        stands = rules.Held.NOTHING if held is None else stand(held)
-        mend = rules.reconcile(stands, entry, unsafe, mode)
-        if mend in (rules.Mend.AGREE, rules.Mend.FORGET):
+        stands = state_machine.Held.NOTHING if held is None else stand(held)
+        mend = state_machine.reconcile(stands, entry, unsafe, mode)
+        if mend in (state_machine.Mend.AGREE, state_machine.Mend.FORGET):
             return mend.name
         track = self.tracks[message] = Track(mode)
         if entry is not None:
@@ -122,9 +124,9 @@
             self._take(held, track, 1, lambda verdict: None, optional=False)
             if held.attempts:  # as far as the journal tells
                 self._post(message, track, Kind.INTEND, host=held.tried_on or held.ran_on)
-                if stands is not rules.Held.DELIVERED:
-                    self.outcome(message, "NOT_SENT" if stands is rules.Held.TRIED else "BROKEN")
-        if track.state is State.OUT and mend in (rules.Mend.TAKE_UP, rules.Mend.FAIL):
+                if stands is not state_machine.Held.DELIVERED:
+                    self.outcome(message, "NOT_SENT" if stands is state_machine.Held.TRIED else "BROKEN")
+        if track.state is State.OUT and mend in (state_machine.Mend.TAKE_UP, state_machine.Mend.FAIL):
             self.outcome(message, "BROKEN")
         return mend.name
 
@@ -195,7 +197,7 @@
             done(Verdict())
             return
         if isinstance(error, Elsewhere):
-            verdict = rules.known(error.entry, wall_clock(), self.memory)
+            verdict = state_machine.known(error.entry, wall_clock(), self.memory)
             if verdict is Known.NEW and track.number == 1:
                 self._take(held, track, error.entry.run + 1, done)
                 return
@@ -279,7 +281,7 @@
         answer: Answer | None = None,
     ) -> Change:  # fmt: skip
         track.number += 1
-        track.state = rules.LEADS_TO[kind]
+        track.state = state_machine.LEADS_TO[kind]
         return Change(message, track.run, track.number, kind, wall_clock(), None, host, result, answer)
 
     def _post(
--- a/loftrelay/record/rows.py
+++ b/loftrelay/store/rows.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
-from loftrelay.record.rules import About, Answer, Entry, State
-from loftrelay.record.store import Query
+from loftrelay.store.backend import Query
+from loftrelay.store.state_machine import About, Answer, Entry, State
 
 COLUMNS = (
     "id, run, number, state, instance, class, tenant, destination, key, sha256, deadline, taken_at, "
--- a/loftrelay/record/settings.py
+++ b/loftrelay/store/settings.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from loftrelay.record.rules import Mode
-from loftrelay.settings.checked import Key, SettingsError, read_toml
+from loftrelay.config.toml_file import Key, SettingsError, read_toml
+from loftrelay.store.state_machine import Mode
 
 DAY = 86_400.0
 MODES = tuple(mode.value for mode in Mode)
--- a/loftrelay/record/sqlite.py
+++ b/loftrelay/store/sqlite.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from loftrelay.record.group import fold
-from loftrelay.record.rows import COLUMNS, MISCOUNTED, conditions, entry_of, miscounted, row_of, wrong_in
-from loftrelay.record.rules import Change, Entry
-from loftrelay.record.store import Ambiguous, Query, Unavailable, Unusable
+from loftrelay.store.backend import Ambiguous, Query, Unavailable, Unusable
+from loftrelay.store.group_commit import fold
+from loftrelay.store.rows import COLUMNS, MISCOUNTED, conditions, entry_of, miscounted, row_of, wrong_in
+from loftrelay.store.state_machine import Change, Entry
 
 MIGRATIONS = (
     """
--- a/loftrelay/record/writer.py
+++ b/loftrelay/store/writer.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from loftrelay.core import steps
-from loftrelay.record.rules import Change, Entry, RuleBroken
-from loftrelay.record.store import Ambiguous, Store, StoreError, Unusable
+from loftrelay.relay import fault_points
+from loftrelay.store.backend import Ambiguous, Store, StoreError, Unusable
+from loftrelay.store.state_machine import Change, Entry, RuleBroken
 
 log = logging.getLogger(__name__)
 
@@ -155,9 +155,9 @@
         return kept
 
     def _reached(self, side: str, changes: Sequence[Change]) -> None:
-        if steps.listener is not None:
+        if fault_points.listener is not None:
             for change in changes:
-                steps.reached(f"{side} {change.kind.value}")
+                fault_points.reached(f"{side} {change.kind.value}")
 
     # The loop's side
 
--- a/loftrelay/upgrade/predecessor.py
+++ b/loftrelay/upgrade/predecessor.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from loftrelay.core.engine import Engine
-from loftrelay.core.handover import read_ending, tell_ending
-from loftrelay.core.ports import Ending
-from loftrelay.core.steps import reached
+from loftrelay.relay.engine import Engine
+from loftrelay.relay.fault_points import reached
+from loftrelay.relay.handover import read_ending, tell_ending
+from loftrelay.relay.ports import Ending
 from loftrelay.upgrade.channel import Channel, Listener
 from loftrelay.upgrade.lock import Lock
-from loftrelay.upgrade.rules import LONGEST_STILL, Do, Predecessor, Stage
+from loftrelay.upgrade.state_machine import LONGEST_STILL, Do, Predecessor, Stage
 
 log = logging.getLogger(__name__)
 
--- a/loftrelay/upgrade/successor.py
+++ b/loftrelay/upgrade/successor.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 from typing import Any
 
-from loftrelay.core.engine import Engine
-from loftrelay.core.handover import Handed, HandoverError, read, read_ending
-from loftrelay.core.steps import reached
 from loftrelay.journal.journal import Journal
+from loftrelay.relay.engine import Engine
+from loftrelay.relay.fault_points import reached
+from loftrelay.relay.handover import Handed, HandoverError, read, read_ending
 from loftrelay.upgrade.channel import Channel, reach
 from loftrelay.upgrade.lock import Lock
-from loftrelay.upgrade.rules import RETRY, Next, Step, Successor
+from loftrelay.upgrade.state_machine import RETRY, Next, Step, Successor
 
 log = logging.getLogger(__name__)
 
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -12,8 +12,8 @@
 from benchmarks.process import ROOT
 from benchmarks.slopes import CASES, SLOPES, Case, Slope, judged, measure, run_once, table
 from benchmarks.watch_server import row
-from loftrelay.fleet.membership import Timing
-from loftrelay.lab.links import MS, SECOND
+from loftrelay.gossip.swim import Timing
+from loftrelay.simulation.links import MS, SECOND
 from tests.standins.platform import HANG
 
 
--- a/tests/commands/test_ctl.py
+++ b/tests/cli/test_ctl.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from loftrelay.commands import ctl
+from loftrelay.cli import ctl
 
 
 def answering(answer: bytes) -> tuple[str, threading.Thread]:
--- a/tests/commands/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from loftrelay.commands.demo import Result, main, report
-from loftrelay.record.rules import Answer, Entry, apply
-from tests.record.test_sqlite import life
+from loftrelay.cli.demo import Result, main, report
+from loftrelay.store.state_machine import Answer, Entry, apply
 from tests.standins.platform import ROOT
+from tests.store.test_sqlite import life
 
 LAST = re.compile(r"taken (\d+) delivered (\d+) refused (\d+) failed (\d+) duplicates (\d+)")
 
--- a/tests/commands/test_record.py
+++ b/tests/cli/test_record.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from loftrelay.commands.record import main, moment
-from loftrelay.record.rules import Answer
-from loftrelay.record.sqlite import SQLiteStore
-from tests.record.test_sqlite import life
+from loftrelay.cli.record import main, moment
+from loftrelay.store.sqlite import SQLiteStore
+from loftrelay.store.state_machine import Answer
 from tests.standins.platform import ROOT
+from tests.store.test_sqlite import life
 
 DAY = 86_400_000_000
 
--- a/tests/settings/test_platform.py
+++ b/tests/config/test_platform.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from loftrelay.config import ConfigError, load_config, reload
-from loftrelay.settings.platform import Wrong, check_change, check_settings
+from loftrelay.config.platform import ConfigError, load_config, reload
+from loftrelay.config.validation import Wrong, check_change, check_settings
 from tests.standins.platform import SETTINGS
 
 FILE: dict[str, Any] = {
--- a/tests/mulleinlead/test_adapter.py
+++ b/tests/decisions/test_adapter.py
@@ -28,7 +28,7 @@
 def talk(*lines: Any) -> subprocess.CompletedProcess[str]:
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines)
     return subprocess.run(
-        [sys.executable, "-m", "mulleinlead.adapter"], input=text, capture_output=True, text=True
+        [sys.executable, "-m", "loftrelay.decisions.simulator"], input=text, capture_output=True, text=True
     )
 
 
--- a/tests/mulleinlead/test_directory.py
+++ b/tests/decisions/test_directory.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from mulleinlead import interface as api
-from mulleinlead.brain import Brain
-from tests.mulleinlead.world import SETTINGS, S, entry
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.scheduler import Brain
+from tests.decisions.world import SETTINGS, S, entry
 
 CALLERS = 200
 EACH = 8 * S // CALLERS  # what one call costs
--- a/tests/mulleinlead/test_let_go.py
+++ b/tests/decisions/test_let_go.py
@@ -14,12 +14,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mulleinlead import interface as api
-from mulleinlead import snapshot
-from mulleinlead.brain import FADE, KEPT, Brain
-from mulleinlead.interface import Result
-from tests.mulleinlead.test_rules import outage
-from tests.mulleinlead.world import MS, SETTINGS, START, Driver, S, entry, sends
+from loftrelay.decisions import interface as api
+from loftrelay.decisions import snapshot
+from loftrelay.decisions.interface import Result
+from loftrelay.decisions.scheduler import FADE, KEPT, Brain
+from tests.decisions.test_rules import outage
+from tests.decisions.world import MS, SETTINGS, START, Driver, S, entry, sends
 from tests.standins.work import Walked, steps
 
 
--- a/tests/mulleinlead/test_long_lists.py
+++ b/tests/decisions/test_long_lists.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from mulleinlead import interface as api
-from mulleinlead.brain import LEAST_LOOKS, Brain
-from mulleinlead.interface import Result
-from tests.mulleinlead.world import SETTINGS, START, Driver, S, entry
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.interface import Result
+from loftrelay.decisions.scheduler import LEAST_LOOKS, Brain
+from tests.decisions.world import SETTINGS, START, Driver, S, entry
 from tests.standins.work import Walked, steps
 
 FEW, MANY = 1_000, 50_000
--- a/tests/mulleinlead/test_many_relays.py
+++ b/tests/decisions/test_many_relays.py
@@ -6,7 +6,7 @@
 
 from benchmarks.coldreturn import HINTS, LOADS, case
 from benchmarks.fleetmodel import Case, Fleet, over_budget, over_capacity
-from mulleinlead.interface import Result
+from loftrelay.decisions.interface import Result
 
 SEEDS = (1, 2, 3)
 
--- a/tests/mulleinlead/test_ordinary_path.py
+++ b/tests/decisions/test_ordinary_path.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from mulleinlead import interface as api
-from tests.mulleinlead.world import MS, Driver, S, ends, entry, sends
+from loftrelay.decisions import interface as api
+from tests.decisions.world import MS, Driver, S, ends, entry, sends
 
 
 def test_first_send_is_immediate() -> None:
--- a/tests/mulleinlead/test_out_of_service.py
+++ b/tests/decisions/test_out_of_service.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from mulleinlead import interface as api
-from tests.mulleinlead.world import MS, Driver, S, entry
+from loftrelay.decisions import interface as api
+from tests.decisions.world import MS, Driver, S, entry
 
 HOST, OTHER = entry("h", kind="apart"), entry("other", kind="apart")
 STEPS: dict[str, api.Event] = {
--- a/tests/mulleinlead/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -11,9 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mulleinlead import interface as api
-from mulleinlead.interface import Effect, Result
-from tests.mulleinlead.world import CLASSES, MS, Driver, S, entry
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.interface import Effect, Result
+from tests.decisions.world import CLASSES, MS, Driver, S, entry
 
 PROVEN = (Result.FULL, Result.NO_CONNECTION, Result.NOT_SENT)
 ENTRIES = [
@@ -172,7 +172,7 @@
 
 
 SCRIPT = """
-from tests.mulleinlead.test_properties import Referee, Result
+from tests.decisions.test_properties import Referee, Result
 kinds, results = ["submit", "answer", "answer", "pass", "list"], list(Result)
 steps = [(kinds[i * 7 % 5], i * 37 % 1000, i * 90001 % 700000, results[i * 5 % 8]) for i in range(200)]
 print(Referee(steps).trace)
--- a/tests/mulleinlead/test_recorded_decisions.py
+++ b/tests/decisions/test_recorded_decisions.py
@@ -2,7 +2,7 @@
 
 The batches cover the events that the simulator's wire lacks: recovery, release, disputed outcomes, operators'
 calls, new settings and snapshots. `recorded/decisions.json` holds one hash a seed, written by commit 32c0038.
-`python -m tests.mulleinlead.test_recorded_decisions` prints the hashes of the module as it is now.
+`python -m tests.decisions.test_recorded_decisions` prints the hashes of the module as it is now.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 import pytest
 
-from mulleinlead import interface as api
-from mulleinlead import snapshot
-from mulleinlead.brain import Brain
-from tests.mulleinlead.world import CLASSES, MS, SETTINGS, START, S
+from loftrelay.decisions import interface as api
+from loftrelay.decisions import snapshot
+from loftrelay.decisions.scheduler import Brain
+from tests.decisions.world import CLASSES, MS, SETTINGS, START, S
 
 RECORDED = Path(__file__).parent / "recorded" / "decisions.json"
 SEEDS = range(1, 41)
--- a/tests/mulleinlead/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from mulleinlead import interface as api
-from mulleinlead.interface import Result
-from tests.mulleinlead.world import CLASSES, MS, Driver, S, ends, entry, sends
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.interface import Result
+from tests.decisions.world import CLASSES, MS, Driver, S, ends, entry, sends
 
 PROVEN = {Result.FULL, Result.NO_CONNECTION, Result.NOT_SENT}
 FAILURES = [r for r in Result if r is not Result.OK]
--- a/tests/mulleinlead/test_scale.py
+++ b/tests/decisions/test_scale.py
@@ -4,9 +4,9 @@
 
 import random
 
-from mulleinlead import interface as api
-from mulleinlead.interface import Result
-from tests.mulleinlead.world import MS, Driver, S, entry, sends
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.interface import Result
+from tests.decisions.world import MS, Driver, S, entry, sends
 
 
 def sick_fleet(relays: int, seconds: int, result: Result) -> int:
--- a/tests/mulleinlead/test_settings_and_list.py
+++ b/tests/decisions/test_settings_and_list.py
@@ -5,10 +5,10 @@
 import re
 from pathlib import Path
 
-from mulleinlead import interface as api
-from mulleinlead.adapter import read_settings
-from mulleinlead.brain import Brain
-from tests.mulleinlead.world import MS, Driver, S, ends, entry, sends
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.simulator import read_settings
+from tests.decisions.world import MS, Driver, S, ends, entry, sends
 
 ROOT = Path(__file__).parents[2]
 
@@ -72,10 +72,10 @@
 
 
 def test_size_of_the_module() -> None:
-    lines = (ROOT / "mulleinlead" / "brain.py").read_text().splitlines()
+    lines = (ROOT / "loftrelay" / "decisions" / "scheduler.py").read_text().splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 1200
     assert max(map(len, lines)) <= 110
-    assert "mulleinlead/interface.py" in lines[0]
+    assert "decisions/interface.py" in lines[0]
 
 
 def test_readme_example_runs(capsys: object) -> None:
--- a/tests/mulleinlead/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from mulleinlead import interface as api
-from mulleinlead import snapshot
-from mulleinlead.brain import Brain
-from tests.mulleinlead.world import CLASSES, MS, SETTINGS, START, S, entry
+from loftrelay.decisions import interface as api
+from loftrelay.decisions import snapshot
+from loftrelay.decisions.scheduler import Brain
+from tests.decisions.world import CLASSES, MS, SETTINGS, START, S, entry
 
 RESULTS = list(api.Result)
 HOSTS = [
--- a/tests/mulleinlead/test_told_waits.py
+++ b/tests/decisions/test_told_waits.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from mulleinlead import interface as api
-from mulleinlead.interface import Result
-from tests.mulleinlead.world import MS, Driver, S, ends, entry, sends
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.interface import Result
+from tests.decisions.world import MS, Driver, S, ends, entry, sends
 
 
 @pytest.mark.parametrize("kind", ["plain", "apart"])
--- a/tests/mulleinlead/world.py
+++ b/tests/decisions/world.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import Any
 
-from mulleinlead import interface as api
-from mulleinlead.brain import Brain
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.scheduler import Brain
 
 MS, S = 1_000, 1_000_000
 START = 5_000 * S
--- a/tests/delivery/driver.py
+++ b/tests/delivery/driver.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from loftrelay.delivery.pools import (
+from loftrelay.delivery.connection_pool import (
     MS,
     SECOND,
     Action,
--- a/tests/delivery/sender.py
+++ b/tests/delivery/sender.py
@@ -7,12 +7,12 @@
 from collections.abc import Mapping
 from typing import Any
 
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.message import Held
-from loftrelay.core.ports import Ending, Terms
-from loftrelay.delivery.hosts import Hosts
-from loftrelay.delivery.pools import Limits
+from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.host_client import Hosts
 from loftrelay.net.address import Address
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.message import Held
+from loftrelay.relay.ports import Ending, Terms
 
 
 class Sender:
--- a/tests/delivery/test_cut_answers.py
+++ b/tests/delivery/test_cut_answers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mulleinlead.interface import Result
+from loftrelay.decisions.interface import Result
 from tests.delivery.sender import Sender
 from tests.standins.partner import ABORT
 from tests.standins.platform import reply
--- a/tests/delivery/test_decided_and_not_begun.py
+++ b/tests/delivery/test_decided_and_not_begun.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from loftrelay.core.message import Held
-from mulleinlead import interface as api
-from mulleinlead.interface import Result
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.interface import Result
+from loftrelay.relay.message import Held
+from tests.decisions.world import MS, Driver, S, ends, entry, sends
 from tests.delivery.sender import Sender
 from tests.delivery.test_waits import Gate, run
-from tests.mulleinlead.world import MS, Driver, S, ends, entry, sends
 from tests.standins.partner import Partner
 
 WINDOW = 0.15  # seconds
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from loftrelay.core.ports import Terms
-from loftrelay.delivery import hosts as hosts_module
-from loftrelay.delivery.hosts import Call as HostsCall
+from loftrelay.decisions.interface import Result
+from loftrelay.delivery import host_client as hosts_module
+from loftrelay.delivery.host_client import Call as HostsCall
 from loftrelay.net.address import Address
 from loftrelay.net.http import Connection
-from mulleinlead.interface import Result
+from loftrelay.relay.ports import Terms
 from tests.delivery.sender import Sender
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
--- a/tests/delivery/test_misattribution.py
+++ b/tests/delivery/test_misattribution.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from loftrelay.core import steps
-from loftrelay.core.ports import Ending
-from mulleinlead.interface import Result
+from loftrelay.decisions.interface import Result
+from loftrelay.relay import fault_points
+from loftrelay.relay.ports import Ending
 from tests.delivery.sender import Sender
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
@@ -144,7 +144,7 @@
 
             def listen(at: str) -> None:
                 if at == step:
-                    monkeypatch.setattr(steps, "listener", None)
+                    monkeypatch.setattr(fault_points, "listener", None)
                     transport = partner.open[0].transport
                     transport.write(partner.open[0].last)
                     (line,) = sender.hosts.lines.values()
@@ -153,7 +153,7 @@
                     poll.register(line.connection.transport.get_extra_info("socket"), select.POLLIN)
                     assert poll.poll(60_000)
 
-            monkeypatch.setattr(steps, "listener", listen)
+            monkeypatch.setattr(fault_points, "listener", listen)
             assert (await sender.send("second", unsafe=True)).result is Result.OK
             assert sender.hosts.pools.surpluses == 1 and partner.effects["second"] == 1
 
--- a/tests/delivery/test_pools.py
+++ b/tests/delivery/test_pools.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from loftrelay.delivery.pools import MS, SECOND, Denied, Distrust, Lost, Order, Wear
+from loftrelay.delivery.connection_pool import MS, SECOND, Denied, Distrust, Lost, Order, Wear
 from tests.delivery.driver import Driver
 
 
--- a/tests/delivery/test_pools_properties.py
+++ b/tests/delivery/test_pools_properties.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from loftrelay.delivery.pools import MS, SECOND, Denied, Lost, Order, Phase
+from loftrelay.delivery.connection_pool import MS, SECOND, Denied, Lost, Order, Phase
 from tests.delivery.driver import Driver
 
 SERVERS = st.sampled_from(["a", "b", "c"])
--- a/tests/delivery/test_settings.py
+++ b/tests/delivery/test_settings.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from loftrelay.delivery.pools import MS, SECOND, Distrust, Limits, Order
+from loftrelay.config.toml_file import SettingsError
+from loftrelay.delivery.connection_pool import MS, SECOND, Distrust, Limits, Order
 from loftrelay.delivery.settings import KEYS, load_limits
-from loftrelay.settings.checked import SettingsError
 from tests.standins.platform import ROOT
 
 SHIPPED = ROOT / "deploy" / "connections.toml"
--- a/tests/delivery/test_waits.py
+++ b/tests/delivery/test_waits.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from loftrelay.core.message import Held
-from loftrelay.core.ports import Ending
-from loftrelay.delivery.outcomes import told_wait
+from loftrelay.decisions.interface import Result
+from loftrelay.delivery.call_outcome import told_wait
 from loftrelay.net.address import Address
 from loftrelay.net.http import Connection
-from mulleinlead.interface import Result
+from loftrelay.relay.message import Held
+from loftrelay.relay.ports import Ending
 from tests.delivery.sender import Sender
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
--- a/tests/delivery/test_waits_properties.py
+++ b/tests/delivery/test_waits_properties.py
@@ -16,17 +16,17 @@
 
 import pytest
 
-from loftrelay.core.engine import Engine
-from loftrelay.core.message import Held
-from loftrelay.core.ports import Ending
-from loftrelay.delivery import hosts as hosts_module
-from loftrelay.delivery.hosts import Hosts
-from loftrelay.delivery.pools import Limits
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.simulator import read_settings
+from loftrelay.delivery import host_client as hosts_module
+from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.host_client import Hosts
 from loftrelay.journal.journal import Journal
 from loftrelay.net.address import Address
 from loftrelay.net.http import Answer, AnswerSpoilt, ConnectionBroken, Headers, Unusable
-from mulleinlead import interface as api
-from mulleinlead.adapter import read_settings
+from loftrelay.relay.engine import Engine
+from loftrelay.relay.message import Held
+from loftrelay.relay.ports import Ending
 from tests.standins.platform import SETTINGS
 
 HOSTS = {"a": (1, "plain"), "b": (1, "plain"), "c": (2, "apart"), "d": (2, "apart")}  # and its destination
--- a/tests/membership/registries.py
+++ b/tests/discovery/registries.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from loftrelay.core.ports import Slice
-from loftrelay.membership.interest import (
+from loftrelay.decisions.interface import Entry, State
+from loftrelay.discovery.subscription import (
     Action,
     Call,
     Channel,
@@ -24,7 +24,7 @@
 )
 from loftrelay.net.address import Address
 from loftrelay.registry.protocol import GONE, UNAVAILABLE, Answer, Change, Watch, checksum, read_target
-from mulleinlead.interface import Entry, State
+from loftrelay.relay.ports import Slice
 
 PATIENCE = 2.2  # seconds for an answer beyond a call's own wait
 FLEET = "windwacht"
--- a/tests/membership/test_interest.py
+++ b/tests/discovery/test_interest.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loftrelay.core.ports import Slice
-from loftrelay.membership.interest import RETURN, Channel, Mode, Timing, preference
+from loftrelay.decisions.interface import State
+from loftrelay.discovery.subscription import RETURN, Channel, Mode, Timing, preference
 from loftrelay.registry.protocol import MOST_CELLS, Answer, Change, Watch, read_target, target
-from mulleinlead.interface import State
-from tests.membership.registries import FLEET, List, Registry, Relay
+from loftrelay.relay.ports import Slice
+from tests.discovery.registries import FLEET, List, Registry, Relay
 
 PLACES = [("10.0.0.1", 7500), ("10.0.0.2", 7500), ("10.0.0.3", 7500)]
 
--- a/tests/membership/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from loftrelay.membership import discovery as module
-from loftrelay.membership.discovery import AT_ONCE, MOST_LIST, PIECE, Discovery
+from loftrelay.decisions.interface import Entry, Form, Listing, State
+from loftrelay.discovery import client as module
+from loftrelay.discovery.client import AT_ONCE, MOST_LIST, PIECE, Discovery
 from loftrelay.net import http
 from loftrelay.net.address import Address
 from loftrelay.net.http import MOST_BODY, AnswerTooLong, Connection
-from mulleinlead.interface import Entry, Form, Listing, State
 from tests.standins.platform import Request, World, deliver, never, reply, run
 
 LONG = 5 * PIECE + 7
--- a/tests/membership/test_subscriber.py
+++ b/tests/discovery/test_subscriber.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from loftrelay.core.ports import Slice
-from loftrelay.membership.interest import Timing, preference
-from loftrelay.membership.settings import SubscriptionSettings
-from loftrelay.membership.subscriber import Subscriber
+from loftrelay.decisions.interface import Form, Listing
+from loftrelay.discovery.settings import SubscriptionSettings
+from loftrelay.discovery.subscriber import Subscriber
+from loftrelay.discovery.subscription import Timing, preference
 from loftrelay.net.address import Address, parse_address
 from loftrelay.registry.protocol import PATH, Answer, Change, Watch, checksum, read_target, write_answer
-from mulleinlead.interface import Form, Listing
+from loftrelay.relay.ports import Slice
 from tests.standins.platform import HANG, Peer, Request, World, never, reply
 
 FLEET = "windwacht"
--- a/tests/membership/test_told_in_time.py
+++ b/tests/discovery/test_told_in_time.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from loftrelay.membership.discovery import Discovery
-from mulleinlead.interface import Form, Listing
+from loftrelay.decisions.interface import Form, Listing
+from loftrelay.discovery.client import Discovery
 from tests.standins.platform import SETTINGS, Peer, Request, World, deliver, never, reply, run
 
 TOLD = 6.0  # seconds
--- a/tests/fleet/test_calls.py
+++ b/tests/gossip/test_calls.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loftrelay.fleet.membership import Answer, Datagram, Peer, Probe, ProbeFor, State
-from loftrelay.fleet.settings import load_fleet
-from loftrelay.fleet.verdicts import MOST, Call, Calls
-from loftrelay.fleet.wire import MOST_BYTES, VersionError, WireError, decode, encode
-from loftrelay.settings.checked import SettingsError
+from loftrelay.config.toml_file import SettingsError
+from loftrelay.gossip.codec import MOST_BYTES, VersionError, WireError, decode, encode
+from loftrelay.gossip.operator_overrides import MOST, Call, Calls
+from loftrelay.gossip.settings import load_fleet
+from loftrelay.gossip.swim import Answer, Datagram, Peer, Probe, ProbeFor, State
 
 
 @pytest.mark.parametrize("seed", range(60))
--- a/tests/fleet/test_joining.py
+++ b/tests/gossip/test_joining.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from loftrelay import joining
-from loftrelay.fleet.membership import Timing
-from loftrelay.fleet.settings import FleetSettings
-from loftrelay.fleet.verdicts import Call
+from loftrelay.gossip.operator_overrides import Call
+from loftrelay.gossip.settings import FleetSettings
+from loftrelay.gossip.swim import Timing
+from loftrelay.service import gossip_member
 
 TOLD = FleetSettings("f", ("127.0.0.1", 0), None, (), Timing(200_000, 1_000_000))
 
@@ -37,11 +37,11 @@
 def test_a_call_that_can_not_hold_yet_holds_later_and_after_a_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(joining, "HOLD_AGAIN", 0.001)
+    monkeypatch.setattr(gossip_member, "HOLD_AGAIN", 0.001)
 
     async def main() -> None:
         engine = Stands()
-        joined = joining.Joined(TOLD, "a", tmp_path, cast(Any, engine), engine.change)
+        joined = gossip_member.Joined(TOLD, "a", tmp_path, cast(Any, engine), engine.change)
         await joined.start(wait=False)
         call = Call("h", True, 7, "b")
         joined._heard(joined.calls.heard([call]))
@@ -53,11 +53,11 @@
         joined.close()
         engine = Stands()
         engine.refusals = 0
-        later = joining.Joined(TOLD, "a", tmp_path, cast(Any, engine), engine.change)
+        later = gossip_member.Joined(TOLD, "a", tmp_path, cast(Any, engine), engine.change)
         await later.start(wait=False)
         assert engine.out == {"h"} and later.calls.known == {"h": call}
         later.close()
-        (tmp_path / joining.NAME).write_text('[["h", true, -1, "b"]]')
+        (tmp_path / gossip_member.NAME).write_text('[["h", true, -1, "b"]]')
         assert later._load() == []
 
     asyncio.run(main())
--- a/tests/fleet/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from loftrelay.fleet.membership import State, Timing
-from loftrelay.lab.links import MS, SECOND, Fleet, Links
+from loftrelay.gossip.swim import State, Timing
+from loftrelay.simulation.links import MS, SECOND, Fleet, Links
 
 BEAT, SUSPECT = 200 * MS, 1000 * MS
 TIMING = Timing(BEAT, SUSPECT)
--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.message import Held
-from loftrelay.core.ports import JournalFull
+from loftrelay.decisions.interface import Result
 from loftrelay.journal import journal as module
 from loftrelay.journal.journal import Journal
-from mulleinlead.interface import Result
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.message import Held
+from loftrelay.relay.ports import JournalFull
 
 MB = 1_000_000
 
--- a/tests/figures/test_registry.py
+++ b/tests/metrics/test_registry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loftrelay.figures.registry import End, Figures, Gauges
+from loftrelay.metrics.registry import End, Figures, Gauges
 
 GAUGES = Gauges(outstanding=14, discovered=5, ejected=1)
 
--- a/tests/program/test_fault_points.py
+++ b/tests/program/test_fault_points.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from loftrelay.core.steps import NOTICE_STEPS, STEPS, TAKING_STEPS
-from loftrelay.record.rules import Answer, State
+from loftrelay.relay.fault_points import NOTICE_STEPS, STEPS, TAKING_STEPS
+from loftrelay.store.state_machine import Answer, State
 from tests.program.test_record import entries, until, with_store
 from tests.standins.platform import HANG, SETTINGS, Request, World, reply, run
 
@@ -96,7 +96,7 @@
 TRACED = """
 import sys
 from loftrelay.__main__ import main
-from loftrelay.core import steps
+from loftrelay.relay import steps
 steps.listener = lambda step: print("step", step, file=sys.stderr, flush=True)
 sys.exit(main(sys.argv[1:]))
 """
--- a/tests/program/test_fleet.py
+++ b/tests/program/test_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 
 from benchmarks.links import Processes
-from loftrelay.lab.proxy import Faults
+from loftrelay.simulation.proxy import Faults
 from tests.program.test_stalls import go_on, stop, stopped
 from tests.standins.platform import HANG
 
--- a/tests/program/test_record.py
+++ b/tests/program/test_record.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from loftrelay.record.rules import Answer, Entry, State
-from loftrelay.record.sqlite import VERSION, SQLiteStore
-from loftrelay.record.store import Query
+from loftrelay.store.backend import Query
+from loftrelay.store.sqlite import VERSION, SQLiteStore
+from loftrelay.store.state_machine import Answer, Entry, State
 from tests.standins.platform import HANG, SETTINGS, Request, World, deliver, message, never, reply, run
 
 FAST = {**SETTINGS["policy_limits"], "most_held": 2000}
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -12,9 +12,9 @@
 
 psycopg = pytest.importorskip("psycopg", reason="the extra `postgres` is not installed")
 
-from loftrelay.record.postgres import PostgresStore  # noqa: E402
-from loftrelay.record.rules import Answer, Entry, State  # noqa: E402
-from loftrelay.record.store import Query  # noqa: E402
+from loftrelay.store.backend import Query  # noqa: E402
+from loftrelay.store.postgres import PostgresStore  # noqa: E402
+from loftrelay.store.state_machine import Answer, Entry, State  # noqa: E402
 from tests.program.test_connections import LIMITS  # noqa: E402
 from tests.program.test_record import given_to_two  # noqa: E402
 from tests.standins.partner import Partner  # noqa: E402
--- a/tests/program/test_recovered.py
+++ b/tests/program/test_recovered.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.message import Held
-from loftrelay.core.terms import pack
+from loftrelay.decisions.interface import Effect, MessageClass
 from loftrelay.journal.journal import Journal
-from mulleinlead.interface import Effect, MessageClass
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.message import Held
+from loftrelay.relay.message_terms import pack
 from tests.standins.platform import SETTINGS, Request, World, deliver, failed, never, reply, run
 
 ALARM = {
--- a/tests/program/test_size.py
+++ b/tests/program/test_size.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from loftrelay.fleet.settings import load_fleet
-from loftrelay.fleet.verdicts import Call, Calls
-from loftrelay.joining import MOST
+from loftrelay.gossip.operator_overrides import Call, Calls
+from loftrelay.gossip.settings import load_fleet
+from loftrelay.service.gossip_member import MOST
 from tests.standins.platform import SETTINGS, World, deliver, run
 
 MANY = 1_024
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from loftrelay.record.rules import Answer, State
+from loftrelay.store.state_machine import Answer, State
 from tests.program.test_record import until, with_store
 from tests.standins.platform import HANG, Peer, Request, World, deliver, failed, message, reply, run
 from tests.standins.registries import Registries
@@ -481,7 +481,7 @@
 
 
 def test_the_deploy_file_is_taken_and_so_are_many_registries(tmp_path: Path) -> None:
-    from loftrelay.membership.settings import load_subscription
+    from loftrelay.discovery.settings import load_subscription
 
     told = load_subscription(Path(__file__).parents[2] / "deploy" / "subscription.toml")
     assert told.fleet == "windwacht" and len(told.registries) == 2 and told.timing.wait == 0.2
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from loftrelay.core.steps import GIVING_STEPS
-from loftrelay.record.rules import Answer, State
+from loftrelay.relay.fault_points import GIVING_STEPS
+from loftrelay.store.state_machine import Answer, State
 from tests.program.test_record import until, with_store
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 from tests.standins.platform import HANG, Request, World, deliver, failed, message, reply, run
--- a/tests/program/test_upgrade.py
+++ b/tests/program/test_upgrade.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from loftrelay.core.steps import GIVING_STEPS, TAKING_STEPS
+from loftrelay.relay.fault_points import GIVING_STEPS, TAKING_STEPS
 from tests.standins.platform import (
     HANG,
     Request,
--- a/tests/registry/test_settings.py
+++ b/tests/registry/test_settings.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from loftrelay.config.toml_file import SettingsError, read_toml
 from loftrelay.registry.settings import KEYS, RegistrySettings, load_registry
-from loftrelay.settings.checked import SettingsError, read_toml
 
 ROOT = Path(__file__).parents[2]
 GOOD = {"listen": '"127.0.0.1:7500"', "discovery": '"disco.example:8500"'}
--- a/tests/core/conftest.py
+++ b/tests/relay/conftest.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from loftrelay.core import engine, pulse
+from loftrelay.relay import engine, stall_detector
 
 
 @pytest.fixture(autouse=True)
@@ -23,4 +23,4 @@
 def no_stalls(monkeypatch: pytest.MonkeyPatch) -> None:
     """That the loop does not run meanwhile is no sign that the process stood still."""
     monkeypatch.setattr(engine, "STALL", math.inf)
-    monkeypatch.setattr(pulse, "STALL", math.inf)
+    monkeypatch.setattr(stall_detector, "STALL", math.inf)
--- a/tests/core/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -10,18 +10,18 @@
 
 import pytest
 
-from loftrelay.app import build
-from loftrelay.config import Config
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.engine import Engine
-from loftrelay.core.handover import HandoverError, read, read_ending, tell_ending
-from loftrelay.core.life import Stage
-from loftrelay.core.message import Held
-from loftrelay.core.ports import Ending
-from loftrelay.figures.registry import End
+from loftrelay.config.platform import Config
+from loftrelay.decisions.interface import Result
+from loftrelay.decisions.simulator import read_settings
 from loftrelay.journal.journal import Journal
-from mulleinlead.adapter import read_settings
-from mulleinlead.interface import Result
+from loftrelay.metrics.registry import End
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.engine import Engine
+from loftrelay.relay.handover import HandoverError, read, read_ending, tell_ending
+from loftrelay.relay.message import Held
+from loftrelay.relay.message_state import Stage
+from loftrelay.relay.ports import Ending
+from loftrelay.service.assembly import build
 from tests.standins.platform import SETTINGS
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
--- a/tests/core/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -10,16 +10,16 @@
 
 import pytest
 
-from loftrelay.app import build
-from loftrelay.config import Config
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.engine import Engine
-from loftrelay.core.message import Held
-from loftrelay.core.ports import Ending, Taken, Terms
-from loftrelay.fronts.http.server import Server
-from mulleinlead import interface as api
-from mulleinlead.adapter import read_settings
-from mulleinlead.interface import Result
+from loftrelay.config.platform import Config
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.interface import Result
+from loftrelay.decisions.simulator import read_settings
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.engine import Engine
+from loftrelay.relay.message import Held
+from loftrelay.relay.ports import Ending, Taken, Terms
+from loftrelay.server.http.server import Server
+from loftrelay.service.assembly import build
 from tests.standins.platform import SETTINGS
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
--- a/tests/core/test_last_phase.py
+++ b/tests/relay/test_last_phase.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from loftrelay.core.last_phase import last_phase
-from mulleinlead.interface import Effect, MessageClass
+from loftrelay.decisions.interface import Effect, MessageClass
+from loftrelay.relay.shutdown_schedule import last_phase
 from tests.standins.platform import HANG, SETTINGS, World, deliver, message, read_message, run
 
 ABOUT = MessageClass("x", Effect.SAFE, None, None, None, 1_000_000, 1.0, 0.5, False)
--- a/tests/core/test_life.py
+++ b/tests/relay/test_life.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loftrelay.core.life import NEXT, Lives, Stage
+from loftrelay.relay.message_state import NEXT, Lives, Stage
 
 STEPS: dict[str, Callable[[Lives, str], object]] = {
     "ask": lambda lives, m: lives.ask(m, lambda status, again: None),
--- a/tests/core/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from loftrelay.app import build
-from loftrelay.core.engine import Engine
-from loftrelay.delivery.pools import Group, Server
-from loftrelay.membership.discovery import read_rows
+from loftrelay.decisions.interface import Entry, Form, LetGo, Listing, State
+from loftrelay.decisions.scheduler import Destination, Endpoint
+from loftrelay.delivery.connection_pool import Group, Server
+from loftrelay.discovery.client import read_rows
 from loftrelay.net.address import Address
-from mulleinlead.brain import Destination, Endpoint
-from mulleinlead.interface import Entry, Form, LetGo, Listing, State
-from tests.core.test_counts import close, config
+from loftrelay.relay.engine import Engine
+from loftrelay.service.assembly import build
+from tests.relay.test_counts import close, config
 from tests.standins.work import Walked, steps
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
--- a/tests/core/test_pulse.py
+++ b/tests/relay/test_pulse.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loftrelay.core.pulse import LATE, STALL, WAKING, Pulse
+from loftrelay.relay.stall_detector import LATE, STALL, WAKING, Pulse
 
 
 @pytest.mark.parametrize(("late", "stalled"), [(STALL - 0.01, False), (STALL + 0.01, True), (6.0, True)])
--- a/tests/core/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -11,20 +11,20 @@
 
 import pytest
 
-from loftrelay.app import build
-from loftrelay.config import Config
-from loftrelay.core import handover
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.engine import Engine
-from loftrelay.core.message import Held
-from loftrelay.core.ports import Ending, Slice
-from loftrelay.delivery.hosts import Hosts
-from loftrelay.delivery.pools import Limits
+from loftrelay.config.platform import Config
+from loftrelay.decisions import interface as api
+from loftrelay.decisions.simulator import read_settings
+from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.host_client import Hosts
+from loftrelay.discovery.status_reporter import Notices
 from loftrelay.journal.journal import Journal
-from loftrelay.membership.notices import Notices
 from loftrelay.net.address import Address
-from mulleinlead import interface as api
-from mulleinlead.adapter import read_settings
+from loftrelay.relay import handover
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.engine import Engine
+from loftrelay.relay.message import Held
+from loftrelay.relay.ports import Ending, Slice
+from loftrelay.service.assembly import build
 from tests.standins.platform import SETTINGS
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
--- a/tests/fronts/control/test_door.py
+++ b/tests/server/admin/test_door.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from loftrelay.fronts.control.server import MOST_CALLERS, Caller, Done, Door
+from loftrelay.server.admin.server import MOST_CALLERS, Caller, Done, Door
 from tests.standins.platform import HANG, ROOT, World, deliver, free_port, reply, run
 
 
--- a/tests/fronts/control/test_protocol.py
+++ b/tests/server/admin/test_protocol.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from loftrelay.fronts.control.protocol import MOST_LINE, BadCall, Call, LineReader, no, parse, stat
+from loftrelay.server.admin.protocol import MOST_LINE, BadCall, Call, LineReader, no, parse, stat
 
 CALLS = [
     (b"ready\n", Call("ready")),
--- a/tests/fronts/http/test_endings.py
+++ b/tests/server/http/test_endings.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from loftrelay.core.engine import Engine
-from loftrelay.fronts.http import server as front
-from loftrelay.fronts.http.server import Client, Server
-from tests.core.test_engine import make_engine
+from loftrelay.relay.engine import Engine
+from loftrelay.server.http import server as front
+from loftrelay.server.http.server import Client, Server
+from tests.relay.test_engine import make_engine
 from tests.standins.platform import (
     HANG,
     World,
--- a/tests/standins/killed.py
+++ b/tests/standins/killed.py
@@ -8,19 +8,19 @@
 import sys
 
 from loftrelay.__main__ import main
-from loftrelay.core import steps
+from loftrelay.relay import fault_points
 
 
 def kill_at(step: str) -> None:
     """Raises SystemExit for a step that isn't there: nothing would ever be killed."""
-    if step not in steps.STEPS + steps.NOTICE_STEPS + steps.GIVING_STEPS + steps.TAKING_STEPS:
+    if step not in fault_points.ALL_STEPS:
         raise SystemExit(f"there is no step {step!r}")
 
     def listen(reached: str) -> None:
         if reached == step:
             os.kill(os.getpid(), signal.SIGKILL)
 
-    steps.listener = listen
+    fault_points.listener = listen
 
 
 if __name__ == "__main__":
--- a/tests/standins/registries.py
+++ b/tests/standins/registries.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from loftrelay.membership.interest import preference
+from loftrelay.discovery.subscription import preference
 from loftrelay.net.address import parse_address
 from tests.standins.platform import HANG, ROOT, World, free_port
 
--- a/tests/standins/slowed.py
+++ b/tests/standins/slowed.py
@@ -8,7 +8,7 @@
 import time
 
 from loftrelay.__main__ import main
-from loftrelay.core import steps
+from loftrelay.relay import fault_points
 
 LONG, SHORT = (0.8, 2.0, 5.0), (0.1, 0.3)  # seconds: of each long one there is one
 ONE_IN = 12
@@ -26,7 +26,7 @@
             print(f"a commit takes {seconds} s", file=sys.stderr, flush=True)
             time.sleep(seconds)
 
-    steps.listener = listen
+    fault_points.listener = listen
 
 
 if __name__ == "__main__":
--- a/tests/standins/stalled.py
+++ b/tests/standins/stalled.py
@@ -9,23 +9,23 @@
 import time
 
 from loftrelay.__main__ import main
-from loftrelay.core import steps
+from loftrelay.relay import fault_points
 
 
 def stop_at(step: str, shift: float) -> None:
     """Raises SystemExit for a step that isn't there: nothing would ever stop."""
-    if step not in steps.STEPS + steps.NOTICE_STEPS + steps.GIVING_STEPS + steps.TAKING_STEPS:
+    if step not in fault_points.ALL_STEPS:
         raise SystemExit(f"there is no step {step!r}")
     true = time.time_ns
 
     def listen(reached: str) -> None:
         if reached == step:
-            steps.listener = None
+            fault_points.listener = None
             if shift:
                 time.time_ns = lambda: true() + int(shift * 1e9)
             os.kill(os.getpid(), signal.SIGSTOP)
 
-    steps.listener = listen
+    fault_points.listener = listen
 
 
 if __name__ == "__main__":
--- a/tests/state/test_files.py
+++ b/tests/state/test_files.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from loftrelay.state.files import write_whole
+from loftrelay.state.atomic_file import write_whole
 from loftrelay.state.hosts_out import HostsOut
-from loftrelay.state.last_file import MOST, LastFile
+from loftrelay.state.last_config import MOST, LastFile
 
 
 def test_what_can_not_be_written_leaves_what_stood_there(tmp_path: Path) -> None:
--- a/tests/record/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -9,11 +9,11 @@
 
 psycopg = pytest.importorskip("psycopg", reason="the extra `postgres` is not installed")
 
-from loftrelay.record.postgres import VERSION, PostgresStore  # noqa: E402
-from loftrelay.record.rules import Answer, RuleBroken, State  # noqa: E402
-from loftrelay.record.store import Ambiguous, Query, Unavailable, Unusable  # noqa: E402
-from tests.record.test_sqlite import life  # noqa: E402
+from loftrelay.store.backend import Ambiguous, Query, Unavailable, Unusable  # noqa: E402
+from loftrelay.store.postgres import VERSION, PostgresStore  # noqa: E402
+from loftrelay.store.state_machine import Answer, RuleBroken, State  # noqa: E402
 from tests.standins.postgres import PostgresStandIn  # noqa: E402
+from tests.store.test_sqlite import life  # noqa: E402
 
 
 @pytest.fixture
--- a/tests/record/test_postgres_cuts.py
+++ b/tests/store/test_postgres_cuts.py
@@ -16,12 +16,12 @@
 
 psycopg = pytest.importorskip("psycopg", reason="the extra `postgres` is not installed")
 
-from loftrelay.record.postgres import PostgresStore  # noqa: E402
-from loftrelay.record.rules import Found, State, resolve  # noqa: E402
-from loftrelay.record.store import Ambiguous, Query, StoreError, Unavailable  # noqa: E402
-from loftrelay.record.writer import Writer  # noqa: E402
-from tests.record.test_sqlite import life  # noqa: E402
+from loftrelay.store.backend import Ambiguous, Query, StoreError, Unavailable  # noqa: E402
+from loftrelay.store.postgres import PostgresStore  # noqa: E402
+from loftrelay.store.state_machine import Found, State, resolve  # noqa: E402
+from loftrelay.store.writer import Writer  # noqa: E402
 from tests.standins.postgres import Faults, PostgresStandIn, cut  # noqa: E402
+from tests.store.test_sqlite import life  # noqa: E402
 
 
 @pytest.fixture
--- a/tests/record/test_recorder.py
+++ b/tests/store/test_recorder.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from loftrelay.core.message import Held
-from loftrelay.record import recorder as module
-from loftrelay.record.recorder import Recorder, Verdict
-from loftrelay.record.rules import Answer, Entry, Known, Mode, State
-from loftrelay.record.store import Query
-from loftrelay.record.writer import Writer
-from tests.record.test_writer import Faulty
+from loftrelay.relay.message import Held
+from loftrelay.store import recorder as module
+from loftrelay.store.backend import Query
+from loftrelay.store.recorder import Recorder, Verdict
+from loftrelay.store.state_machine import Answer, Entry, Known, Mode, State
+from loftrelay.store.writer import Writer
+from tests.store.test_writer import Faulty
 
 HOUR = 3_600_000_000
 AT = 1_800_000_000_000_000
--- a/tests/record/test_rules.py
+++ b/tests/store/test_rules.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from loftrelay.record.rules import (
+from loftrelay.store.state_machine import (
     About,
     Answer,
     Change,
--- a/tests/record/test_settings.py
+++ b/tests/store/test_settings.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from loftrelay.record.rules import Mode
-from loftrelay.record.settings import KEYS, load_record
-from loftrelay.settings.checked import SettingsError
+from loftrelay.config.toml_file import SettingsError
+from loftrelay.store.settings import KEYS, load_record
+from loftrelay.store.state_machine import Mode
 from tests.standins.platform import ROOT
 
 SHIPPED = ROOT / "deploy" / "record.toml"
--- a/tests/record/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from loftrelay.record.rules import About, Answer, Change, Entry, Kind, RuleBroken, State
-from loftrelay.record.sqlite import MIGRATIONS, VERSION, SQLiteStore
-from loftrelay.record.store import Query, Unavailable, Unusable
+from loftrelay.store.backend import Query, Unavailable, Unusable
+from loftrelay.store.sqlite import MIGRATIONS, VERSION, SQLiteStore
+from loftrelay.store.state_machine import About, Answer, Change, Entry, Kind, RuleBroken, State
 from tests.standins.platform import ROOT
 
 S = 1_000_000
--- a/tests/record/test_writer.py
+++ b/tests/store/test_writer.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from loftrelay.record import writer as module
-from loftrelay.record.rules import Change, Entry, RuleBroken, State
-from loftrelay.record.sqlite import SQLiteStore
-from loftrelay.record.store import Ambiguous, Query, Unavailable
-from loftrelay.record.writer import Away, Elsewhere, Writer
-from tests.record.test_sqlite import life
+from loftrelay.store import writer as module
+from loftrelay.store.backend import Ambiguous, Query, Unavailable
+from loftrelay.store.sqlite import SQLiteStore
+from loftrelay.store.state_machine import Change, Entry, RuleBroken, State
+from loftrelay.store.writer import Away, Elsewhere, Writer
+from tests.store.test_sqlite import life
 
 
 class Faulty:
--- a/tests/upgrade/test_rules.py
+++ b/tests/upgrade/test_rules.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loftrelay.upgrade.rules import LONGEST_STILL, Do, Next, Predecessor, Stage, Step, Successor
+from loftrelay.upgrade.state_machine import LONGEST_STILL, Do, Next, Predecessor, Stage, Step, Successor
 
 
 @dataclass
--- a/tests/upgrade/test_successor.py
+++ b/tests/upgrade/test_successor.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from loftrelay.core.clock import wall_clock
-from loftrelay.core.message import Held
-from loftrelay.fronts.http.server import Given, Kind, Server
 from loftrelay.journal.journal import Journal
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.message import Held
+from loftrelay.server.http.server import Given, Kind, Server
 from loftrelay.upgrade.successor import Taker
-from tests.core.test_engine import make_engine
+from tests.relay.test_engine import make_engine
 
 
 def test_a_segment_dropped_while_it_is_read_ahead_stops_nothing(
