--- a/benchmarks/misses.py
+++ b/benchmarks/misses.py
@@ -21,7 +21,7 @@
 
 from benchmarks.process import run
 from benchmarks.registry import process
-from loftrelay.decisions import interface as api
+from loftrelay.decisions.events import EndpointListReceived
 from loftrelay.decisions.scheduler import Brain
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.discovery.settings import load_subscription
@@ -44,7 +44,7 @@
         told = load_subscription(file)
         self.subscriber = Subscriber(told, "n1", ("127.0.0.1", 9), self.listed, self.sliced, self.let_go)
 
-    def listed(self, listing: api.Listing, addresses: Mapping[str, Address]) -> None:
+    def listed(self, listing: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
         self.brain.handle(int(asyncio.get_running_loop().time() * 1e6), [listing])
 
     def sliced(self, destination: int, state: Slice) -> None:
--- a/benchmarks/scale/links.py
+++ b/benchmarks/scale/links.py
@@ -158,9 +158,10 @@
 
         # By the instance: the classes stay as the program has them, for who is not counted.
         for owner, name, new in (
-            (transport, "write", counted_write), (protocol, "data_received", counted_received),
+            (transport, "write", counted_write),
+            (protocol, "data_received", counted_received),
             (protocol, "connection_lost", ended),
-        ):  # fmt: skip
+        ):
             setattr(owner, name, new)
 
 
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -48,10 +48,11 @@
         if len(self.points) > 1:
             line = self.line
             told |= {
-                "constant": short(line.constant), "slope": short(line.slope),
+                "constant": short(line.constant),
+                "slope": short(line.slope),
                 "at_target": short(self.at_target()),
                 "extrapolated": round(max(1.0, self.target / self.points[-1][0]), 2),
-            }  # fmt: skip
+            }
         return told
 
 
--- a/loftrelay/__main__.py
+++ b/loftrelay/__main__.py
@@ -70,23 +70,31 @@
         "RELAY_LISTEN and RELAY_DISCOVERY go before what the file says. SIGHUP reads the file again.",
     )
     about.add_argument(
-        "--connections", type=Path, metavar="FILE",
+        "--connections",
+        type=Path,
+        metavar="FILE",
         help="limits of connections to hosts (as deploy/connections.toml); without it the platform's alone",
-    )  # fmt: skip
+    )
     about.add_argument(
-        "--record", type=Path, metavar="FILE",
+        "--record",
+        type=Path,
+        metavar="FILE",
         help="the store of record (as deploy/record.toml); without it the journal alone",
-    )  # fmt: skip
+    )
     about.add_argument(
-        "--fleet", type=Path, metavar="FILE",
+        "--fleet",
+        type=Path,
+        metavar="FILE",
         help="the relays that this one knows (as deploy/fleet.toml); needs the extra `fleet`; without it "
         "none. RELAY_FLEET_LISTEN goes before its `listen`",
-    )  # fmt: skip
+    )
     about.add_argument(
-        "--subscription", type=Path, metavar="FILE",
+        "--subscription",
+        type=Path,
+        metavar="FILE",
         help="the registries that tell this relay the destinations it serves (as deploy/subscription.toml); "
         "without it discovery tells all",
-    )  # fmt: skip
+    )
     return about
 
 
--- a/loftrelay/cli/ctl.py
+++ b/loftrelay/cli/ctl.py
@@ -21,9 +21,11 @@
         epilog="Exit status: 0 for YES or figures, 1 for NO, 2 for a bad command line, 3 without an answer.",
     )
     about.add_argument(
-        "--address", default=os.environ.get("RELAY_CONTROL"), metavar="HOST:PORT",
+        "--address",
+        default=os.environ.get("RELAY_CONTROL"),
+        metavar="HOST:PORT",
         help="the door's address; without it what RELAY_CONTROL says",
-    )  # fmt: skip
+    )
     about.add_argument("--timeout", type=float, default=5.0, metavar="SECONDS", help="for the answer (5)")
     about.add_argument("call", choices=("ready", "show-stat", "disable-server", "enable-server"))
     about.add_argument("id", nargs="?", help="of the host, for the last two")
--- a/loftrelay/cli/demo.py
+++ b/loftrelay/cli/demo.py
@@ -29,18 +29,27 @@
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "status", "effect": "idempotent", "deadline": 24_000_000, "on_time": 3_000_000, "worth": 1},
-        {"name": "order", "effect": "at_most_once", "in_order": True, "deadline": 24_000_000,
-         "on_time": 3_000_000, "worth": 3},
+        {
+            "name": "order",
+            "effect": "at_most_once",
+            "in_order": True,
+            "deadline": 24_000_000,
+            "on_time": 3_000_000,
+            "worth": 3,
+        },
     ],
     "extra": {"bundle_max": [1], "call_slots": 32, "own_limits": [False]},
     "flavors": ["plain"],
     "policy_limits": {
-        "conn_idle": 15_000_000, "connect_timeout": 1_000_000, "most_held": 2000, "most_tries": 12,
+        "conn_idle": 15_000_000,
+        "connect_timeout": 1_000_000,
+        "most_held": 2000,
+        "most_tries": 12,
     },
     "safety": {"ask_every": 10_000_000, "settle_after_doubt": 300_000},
     "tenants": [{"name": "acme", "allowance_per_s": 1000.0, "fraction": 1.0}],
     "tick": 5000,
-}  # fmt: skip
+}
 
 UNSAFE = {about["name"] for about in SETTINGS["classes"] if about["effect"] == "at_most_once"}
 
@@ -69,13 +78,19 @@
         """Raises DemoFailed if it does not come up."""
         listens: asyncio.Future[tuple[str, int]] = asyncio.get_running_loop().create_future()
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "loftrelay", "--record", str(self.folder / "record.toml"),
-            stderr=asyncio.subprocess.PIPE, cwd=Path(__file__).parents[2],
+            sys.executable,
+            "-m",
+            "loftrelay",
+            "--record",
+            str(self.folder / "record.toml"),
+            stderr=asyncio.subprocess.PIPE,
+            cwd=Path(__file__).parents[2],
             env={
-                **os.environ, "RELAY_CONFIG": str(self.folder / "config.json"),
+                **os.environ,
+                "RELAY_CONFIG": str(self.folder / "config.json"),
                 "RELAY_STATE": str(self.folder / "state"),
             },
-        )  # fmt: skip
+        )
         self.reading = asyncio.create_task(self._read(self.process, listens))
         try:
             async with asyncio.timeout(START):
@@ -189,10 +204,18 @@
     ):
         for number, peer in enumerate((a, b), 1):
             discovery.add(number, peer.address)
-        relay = Relay(folder, {
-            "name": "demo", "listen": "127.0.0.1:0", "discovery": registry.address, "seed": f"{seed:x}",
-            "limits": LIMITS, "known": discovery.whole, "settings": SETTINGS,
-        })  # fmt: skip
+        relay = Relay(
+            folder,
+            {
+                "name": "demo",
+                "listen": "127.0.0.1:0",
+                "discovery": registry.address,
+                "seed": f"{seed:x}",
+                "limits": LIMITS,
+                "known": discovery.whole,
+                "settings": SETTINGS,
+            },
+        )
         await relay.start()
         try:
             print(
@@ -211,8 +234,10 @@
                 ran = sum(sum(partner.effects.values()) for partner in partners)
                 print(
                     f"  handed in {len(account.taken):>6} of {count}   run by partners {ran:>6}   "
-                    f"told of to the platform {len(discovery.notices):>4}", file=out, flush=True,
-                )  # fmt: skip
+                    f"told of to the platform {len(discovery.notices):>4}",
+                    file=out,
+                    flush=True,
+                )
 
             shown = killed = False
             last = time.monotonic()
@@ -254,11 +279,16 @@
         of = [entry for entry in result.entries if entry.about.class_name == name]
         ends = Counter(entry.answer for entry in of)
         took = sorted((e.answered_at - e.taken_at) / 1e6 for e in of if e.answered_at is not None)
-        rows.append((
-            name, str(len(of)), *(str(ends[answer]) for answer in Answer),
-            f"{sum(e.attempts for e in of) / len(of):.2f}",
-            f"{took[len(took) // 2]:.3f} s" if took else "-", f"{took[-1]:.3f} s" if took else "-",
-        ))  # fmt: skip
+        rows.append(
+            (
+                name,
+                str(len(of)),
+                *(str(ends[answer]) for answer in Answer),
+                f"{sum(e.attempts for e in of) / len(of):.2f}",
+                f"{took[len(took) // 2]:.3f} s" if took else "-",
+                f"{took[-1]:.3f} s" if took else "-",
+            )
+        )
     print(file=out)
     head = ("class", "taken", *(answer.value for answer in Answer), "attempts each", "median", "longest")
     print_table(head, rows, out)
@@ -272,12 +302,15 @@
         print(
             f"the store's disk was slow or its file held by another, {len(result.store_said)} times (first: "
             f"{result.store_said[0]}): clients were turned away {result.turned_away} times and came again, "
-            "and messages may have run out of time", file=out,
-        )  # fmt: skip
+            "and messages may have run out of time",
+            file=out,
+        )
     print(
         f"taken {len(result.entries)} delivered {ends[Answer.DELIVERED]} refused {ends[Answer.REFUSED]} "
-        f"failed {ends[Answer.FAILED]} duplicates {result.duplicates}", file=out, flush=True,
-    )  # fmt: skip
+        f"failed {ends[Answer.FAILED]} duplicates {result.duplicates}",
+        file=out,
+        flush=True,
+    )
     return 1 if said or result.duplicates else 0
 
 
@@ -290,10 +323,12 @@
         epilog="Status 0: all agree, nothing ran twice; 1: not so; 2: it could not be run.",
     )
     about.add_argument(
-        "--folder", type=Path, metavar="DIR",
+        "--folder",
+        type=Path,
+        metavar="DIR",
         help="a new or empty folder for the store, the journal and the log (default: a new one for temporary "
         "files, which the demo names and leaves)",
-    )  # fmt: skip
+    )
     about.add_argument("--messages", type=int, default=1000, metavar="N", help="how many (default 1000)")
     about.add_argument("--seed", type=int, default=7, help="of all chance (default 7)")
     about.add_argument("--kill", action="store_true", help="kill the relay half-way, and start it again")
--- a/loftrelay/cli/record.py
+++ b/loftrelay/cli/record.py
@@ -55,9 +55,11 @@
     which = about.add_mutually_exclusive_group(required=True)
     which.add_argument("--store", type=Path, metavar="FILE", help="the SQLite file")
     which.add_argument(
-        "--settings", type=Path, metavar="FILE",
+        "--settings",
+        type=Path,
+        metavar="FILE",
         help="the relay's own settings (as deploy/record.toml): SQLite or PostgreSQL, as it says",
-    )  # fmt: skip
+    )
     commands = about.add_subparsers(dest="command", required=True)
     for name, text in (
         ("list", "a table of messages, the oldest first"),
@@ -80,11 +82,18 @@
 def table(entries: Iterable[Entry], out: TextIO) -> int:
     rows = [
         (
-            shown(e.taken_at), e.message, e.about.class_name, e.about.tenant or "-", str(e.about.destination),
-            e.state.value, e.answer.value if e.answer else "-", str(e.attempts), shown(e.answered_at),
+            shown(e.taken_at),
+            e.message,
+            e.about.class_name,
+            e.about.tenant or "-",
+            str(e.about.destination),
+            e.state.value,
+            e.answer.value if e.answer else "-",
+            str(e.attempts),
+            shown(e.answered_at),
         )
         for e in entries
-    ]  # fmt: skip
+    ]
     print_table(COLUMNS, rows, out)
     return len(rows)
 
@@ -123,9 +132,14 @@
             print(json.dumps(plain(found), indent=2) if found else f"{asked.id}: no record", file=out)
             return 0 if found else 1
         query = Query(
-            asked.class_name, asked.tenant, Answer(asked.answer) if asked.answer else None, asked.since,
-            asked.until, asked.unfinished, asked.limit,
-        )  # fmt: skip
+            asked.class_name,
+            asked.tenant,
+            Answer(asked.answer) if asked.answer else None,
+            asked.since,
+            asked.until,
+            asked.unfinished,
+            asked.limit,
+        )
         if asked.command == "list":
             return 0 if table(store.select(query), out) else 1
         count = 0
--- a/loftrelay/config/platform.py
+++ b/loftrelay/config/platform.py
@@ -14,7 +14,7 @@
 
 from loftrelay.config.toml_file import SettingsError
 from loftrelay.config.validation import check_change, check_settings
-from loftrelay.decisions.interface import Settings
+from loftrelay.decisions.settings import RelaySettings
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.net.address import Address, parse_address
 from loftrelay.state.atomic_file import ROOM, ROOM_FOR_CALLS
@@ -43,7 +43,7 @@
     most_clients: int
     most_to_hosts: int
     disk_bytes: int
-    settings: Settings
+    settings: RelaySettings
     known: Mapping[str, Any]
     control: Address | None = None  # where operators call; None: no door
     told: Mapping[str, Any] = field(default_factory=dict)  # the file, as it stands
@@ -63,12 +63,14 @@
     return told
 
 
-def read_told(told: Mapping[str, Any], path: str) -> Settings:
+def read_told(told: Mapping[str, Any], path: str) -> RelaySettings:
     """The settings of a file, checked. Raises ConfigError."""
     try:
         check_settings(told.get("settings"))
         # On sockets the list is always asked for, and a message not delivered ends by a notice.
-        return replace(read_settings(dict(told["settings"])), list_on_request=True, ends_by_notice=True)
+        return replace(
+            read_settings(dict(told["settings"])), polls_endpoint_list=True, awaits_final_status=True
+        )
     except (AttributeError, KeyError, TypeError, ValueError) as error:
         raise ConfigError(f"{path}: {error}") from error
 
@@ -78,7 +80,7 @@
     """What a file that was read again sets."""
 
     discovery: Address
-    settings: Settings
+    settings: RelaySettings
     told: Mapping[str, Any]
 
 
@@ -128,7 +130,10 @@
         discovery = parse_address(environ.get("RELAY_DISCOVERY") or told["discovery"])
         seed = int(str(told.get("seed", "0")), 16)
         settings = read_told(told, path)
-        to_hosts = min((sockets - OTHER_DESCRIPTORS) // 2, 2 * (settings.slots or sockets) + LEAST_TO_HOSTS)
+        to_hosts = min(
+            (sockets - OTHER_DESCRIPTORS) // 2,
+            2 * (settings.max_concurrent_calls or sockets) + LEAST_TO_HOSTS,
+        )
         clients = sockets - OTHER_DESCRIPTORS - to_hosts - (DOOR_DESCRIPTORS if control else 0)
         return Config(
             name=environ.get("RELAY_NAME") or str(told["name"]),
--- a/loftrelay/config/validation.py
+++ b/loftrelay/config/validation.py
@@ -57,31 +57,55 @@
 
 
 CLASS: Mapping[str, Check] = {
-    "name": text, "effect": text, "deadline": over_zero, "on_time": over_zero, "worth": amount,
-    "late_worth": share, "window": not_negative, "key_scope": text, "in_order": flag, "streamed": flag,
-}  # fmt: skip
+    "name": text,
+    "effect": text,
+    "deadline": over_zero,
+    "on_time": over_zero,
+    "worth": amount,
+    "late_worth": share,
+    "window": not_negative,
+    "key_scope": text,
+    "in_order": flag,
+    "streamed": flag,
+}
 CLASS_NEEDS = ("name", "effect", "deadline")
 # Beside these a class of a new file needs what every class in force tells; a class may do without this:
 OPTIONAL = frozenset({"in_order"})
 TENANT: Mapping[str, Check] = {"name": text, "allowance_per_s": amount, "fraction": amount}
 PARTS: Mapping[str, Mapping[str, Check]] = {
     "policy_limits": {
-        "most_tries": over_zero, "most_held": over_zero, "conn_idle": over_zero, "connect_timeout": over_zero,
-        "max_retry_after": not_negative, "cancel": flag, "probes": flag, "retry_after": flag,
+        "most_tries": over_zero,
+        "most_held": over_zero,
+        "conn_idle": over_zero,
+        "connect_timeout": over_zero,
+        "max_retry_after": not_negative,
+        "cancel": flag,
+        "probes": flag,
+        "retry_after": flag,
     },
     "safety": {
-        "ask_every": over_zero, "cold": not_negative, "cold_from": share, "fall_multiple": amount,
-        "settle_after_doubt": not_negative, "tip_after": over_zero,
+        "ask_every": over_zero,
+        "cold": not_negative,
+        "cold_from": share,
+        "fall_multiple": amount,
+        "settle_after_doubt": not_negative,
+        "tip_after": over_zero,
     },
     "extra": {"call_slots": over_zero},
-}  # fmt: skip
+}
 ALONE: Mapping[str, Check] = {
-    "tick": over_zero, "peers_total": over_zero, "over_share_worth": share, "zone": text, "discovery": text,
+    "tick": over_zero,
+    "peers_total": over_zero,
+    "over_share_worth": share,
+    "zone": text,
+    "discovery": text,
     "weight_kind": text,
-}  # fmt: skip
+}
 LISTS: Mapping[str, tuple[str, Check]] = {
-    "bundle_max": ("extra", over_zero), "own_limits": ("extra", flag), "fee_by_zone": ("extra", amount),
-}  # fmt: skip
+    "bundle_max": ("extra", over_zero),
+    "own_limits": ("extra", flag),
+    "fee_by_zone": ("extra", amount),
+}
 
 
 def check_settings(told: Any, path: str = "settings") -> None:
--- a/loftrelay/decisions/scheduler.py
+++ b/loftrelay/decisions/scheduler.py
@@ -1,4 +1,4 @@
-"""Every decision on messages. Its types, events, actions and settings: decisions/interface.py.
+"""Every decision on messages. Its types, events, actions and settings: events.py, actions.py, settings.py.
 
 A message goes out at once when its destination's window has a free slot. After a failed try it waits a
 base times a growing power of two, up to the told attempt cap or until its time runs short (docs/design.md).
@@ -15,8 +15,36 @@
 from dataclasses import dataclass, field, fields
 from itertools import islice
 
-from loftrelay.decisions import interface as api
-from loftrelay.decisions.interface import Effect, Form, Result, State
+from loftrelay.decisions.actions import (
+    Action,
+    CloseIdleConnections,
+    FailMessage,
+    RejectMessage,
+    SendAttempt,
+    SetTimer,
+    WatchEndpointList,
+    WriteLog,
+)
+from loftrelay.decisions.events import (
+    AttemptEnded,
+    AttemptStatus,
+    DestinationsReleased,
+    EndpointDisabled,
+    EndpointEnabled,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    FinalStatusReported,
+    MessageCancelled,
+    MessageRecovered,
+    MessageSubmitted,
+    OrderingKeyCooldown,
+    OutcomeDisputed,
+    SettingsChanged,
+)
+from loftrelay.decisions.settings import DeliverySemantics, MessageClass, RelaySettings
 
 SECOND = 1_000_000
 # Retry waits: BASE x 2^depth, with a little jitter so that relays fall out of step.
@@ -62,7 +90,13 @@
 WINDOW_MARGIN, LAST_TRY = SECOND // 10, SECOND // 4
 NO_COLD, NO_COLD_FROM, NO_MULTIPLE, NO_TIP = 10 * SECOND, 0.2, 2.0, 2 * SECOND
 NO_ASK, NO_HELD, NO_IDLE = 10 * SECOND, 1 << 30, 10 * SECOND
-DOUBTFUL = (Result.ERROR, Result.TIMEOUT, Result.BROKEN, Result.SPOILT, Result.CANCELLED)
+DOUBTFUL = (
+    AttemptStatus.ERROR,
+    AttemptStatus.TIMEOUT,
+    AttemptStatus.CONNECTION_LOST,
+    AttemptStatus.MALFORMED_RESPONSE,
+    AttemptStatus.CANCELLED,
+)
 # How long after its last call it still counts what was seen of a destination that was let go, short of an
 # outage; errors from so many on.
 FADE, FEW_ERRORS = 600 * SECOND, 0.01
@@ -200,7 +234,7 @@
     name: str
     destination: Destination
     gate: Gate
-    state: State
+    state: EndpointState
     zone: str | None
     kin: Kin
     bundle_max: int
@@ -216,7 +250,7 @@
 
     @property
     def serves(self) -> bool:
-        return self.state is State.LISTED and not self.out
+        return self.state is EndpointState.ACTIVE and not self.out
 
 
 @dataclass(slots=True)
@@ -242,7 +276,7 @@
 @dataclass(slots=True)
 class Message:
     name: str
-    about: api.MessageClass
+    about: MessageClass
     destination: Destination
     worth: float
     arrived: int
@@ -260,11 +294,11 @@
 class Brain:
     """One relay's decisions. Feed each batch to handle(); carry out the actions in order."""
 
-    def __init__(self, seed: int, settings: api.Settings) -> None:
+    def __init__(self, seed: int, settings: RelaySettings) -> None:
         self._tune(settings)
         self.random = random.Random(seed)
         self.now = 0
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
         self.destinations: dict[int, Destination] = {}
         self.endpoints: dict[str, Endpoint] = {}
         self.gone: dict[str, Endpoint] = {}  # those that no list names any more, and something still binds
@@ -286,23 +320,23 @@
         self.alarm_number = 0
         self.armed = NEVER
         self.wake = NEVER
-        self.ask_at = 0 if settings.list_on_request else NEVER
+        self.ask_at = 0 if settings.polls_endpoint_list else NEVER
         self.ask_failures = 0
 
-    def _tune(self, settings: api.Settings) -> None:
+    def _tune(self, settings: RelaySettings) -> None:
         """Messages keep the terms that they were taken on under, endpoints the kind they were listed as."""
         self.told = settings
-        self.slots = max(1, settings.slots or NO_SLOTS)
-        self.max_held = settings.max_held or NO_HELD
-        self.relays = max(1, settings.instances or 1)
+        self.slots = max(1, settings.max_concurrent_calls or NO_SLOTS)
+        self.max_held = settings.max_open_messages or NO_HELD
+        self.relays = max(1, settings.relay_count or 1)
         self.alone = CROWD / (CROWD + self.relays - 1)
-        self.cold = settings.cold or NO_COLD
-        self.cold_from = settings.cold_from or NO_COLD_FROM
-        self.multiple = settings.fall_multiple or NO_MULTIPLE
-        self.tip_after = settings.tip_after or NO_TIP
-        self.idle_told = settings.idle_limit or NO_IDLE
+        self.cold = settings.slow_start_duration or NO_COLD
+        self.cold_from = settings.slow_start_initial_fraction or NO_COLD_FROM
+        self.multiple = settings.overload_multiple or NO_MULTIPLE
+        self.tip_after = settings.overload_window or NO_TIP
+        self.idle_told = settings.connection_idle_timeout or NO_IDLE
 
-    def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
+    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
         """Absorbs the whole batch, so that each wait told in it is heeded, then dispatches once."""
         self.now, self.actions, self.wake = now, [], NEVER
         self.started = min(self.started, now)
@@ -310,7 +344,7 @@
             self._absorb(event)
         if now >= self.ask_at:
             self.ask_at = NEVER
-            self.actions.append(api.WatchList())
+            self.actions.append(WatchEndpointList())
         self._ring_alarms()
         self._end_told_out()
         self._make_room()
@@ -320,65 +354,69 @@
             self.armed = NEVER
         if due < self.armed:
             self.armed = max(due, now + 1)
-            self.actions.append(api.SetTimer(self.armed - now, 0))
+            self.actions.append(SetTimer(self.armed - now, 0))
         return self.actions
 
-    def _absorb(self, event: api.Event) -> None:
+    def _absorb(self, event: Event) -> None:
         match event:
-            case api.Submit():
+            case MessageSubmitted():
                 self._accept(event, 0)
-            case api.Outcome():
+            case AttemptEnded():
                 self._outcome(event)
-            case api.Listing():
+            case EndpointListReceived():
                 self._listing(event)
-            case api.Withdrawn(name):
+            case MessageCancelled(name):
                 if message := self.messages.get(name):
                     self._finish(message, None)
-            case api.Recovered():
+            case MessageRecovered():
                 self._recover(event)
-            case api.KeyRest(name, remaining):
+            case OrderingKeyCooldown(name, remaining):
                 key = self.keys.setdefault(name, Key(name))
                 key.rest_until = max(key.rest_until, self.now + remaining)
                 self._alarm(key.rest_until, key)
-            case api.Doubted():
+            case OutcomeDisputed():
                 self._doubt(event)
-            case api.TakenOut(name):
+            case EndpointDisabled(name):
                 self.out.add(name)
                 if endpoint := self.endpoints.get(name):
                     endpoint.out = True
-            case api.BroughtBack(name):
+            case EndpointEnabled(name):
                 self._bring_back(name)
-            case api.LetGo(numbers):
+            case DestinationsReleased(numbers):
                 for number in numbers:
                     self._let_go(number)
-            case api.Retuned(settings):
+            case SettingsChanged(settings):
                 self._tune(settings)
-            case api.Noticed(name):
+            case FinalStatusReported(name):
                 if message := self.unnoticed.pop(name, None):
                     self._leave_line(message)
 
     # The list
 
-    def _listing(self, event: api.Listing) -> None:
-        if event.form is Form.FAILED:
+    def _listing(self, event: EndpointListReceived) -> None:
+        if event.kind is EndpointListKind.FAILED:
             # The old list stands. Ask again, ever more slowly: a busy directory must not be hammered. Rule
             # 'drains': what it has counts as told 6 s after it can be reached, so that no wait is long.
-            if self.told.list_on_request:
-                most = min(MOST_ASK_WAIT, (self.told.ask_every or NO_ASK) // 2)
+            if self.told.polls_endpoint_list:
+                most = min(MOST_ASK_WAIT, (self.told.poll_interval or NO_ASK) // 2)
                 longest = int(most * self.random.uniform(0.7, 1))
                 self.ask_at = self.now + min(self._backoff(self.ask_failures), longest)
                 self.ask_failures += 1
             return
-        if event.form is not Form.CACHED:
+        if event.kind is not EndpointListKind.CACHED:
             self.ask_failures = 0
-        if event.form is not Form.CHANGES:
+        if event.kind is not EndpointListKind.DELTA:
             for endpoint in self.endpoints.values():
-                endpoint.state = State.GONE
+                endpoint.state = EndpointState.REMOVED
             self.gone = dict(self.endpoints)
         for entry in event.entries:
             self._entry(entry)
         # A change costs in proportion to itself, however many are listed, or gone and still bound.
-        looks = max(LEAST_LOOKS, 2 * len(event.entries)) if event.form is Form.CHANGES else len(self.gone)
+        looks = (
+            max(LEAST_LOOKS, 2 * len(event.entries))
+            if event.kind is EndpointListKind.DELTA
+            else len(self.gone)
+        )
         for name in list(islice(self.gone, looks)):
             self._forget(self.gone.pop(name))
 
@@ -392,28 +430,32 @@
         del self.endpoints[endpoint.name]
         destination.endpoints.remove(endpoint)
 
-    def _entry(self, entry: api.Entry) -> None:
-        kind = self.told.kinds.get(entry.kind or "")
-        apart = kind is not None and kind.routes_apart
+    def _entry(self, entry: EndpointEntry) -> None:
+        kind = self.told.endpoint_kinds.get(entry.kind or "")
+        apart = kind is not None and kind.has_endpoint_limits
         if (endpoint := self.endpoints.get(entry.endpoint)) is None:
             destination = self._destination(entry.destination)
             endpoint = Endpoint(
-                entry.endpoint, destination, Gate() if apart else destination.gate, entry.state, entry.zone,
+                entry.endpoint,
+                destination,
+                Gate() if apart else destination.gate,
+                entry.state,
+                entry.zone,
                 self.kinds.setdefault(entry.kind, Kin()),
-                max(1, (kind and kind.bundle_max) or 1),
-                self.told.zone_fees.get(entry.zone or "", 0.0) if apart else 0.0,
-            )  # fmt: skip
+                max(1, (kind and kind.max_batch_size) or 1),
+                self.told.zone_costs.get(entry.zone or "", 0.0) if apart else 0.0,
+            )
             endpoint.out = entry.endpoint in self.out
             self.endpoints[entry.endpoint] = endpoint
             destination.endpoints.append(endpoint)
             self._wake(endpoint)
         endpoint.state = entry.state
-        if entry.state is State.GONE:
+        if entry.state is EndpointState.REMOVED:
             self.gone[entry.endpoint] = endpoint
         else:
             self.gone.pop(entry.endpoint, None)
-        if entry.rate and self.told.told_rates in ("nominal", "rough"):
-            endpoint.rate = endpoint.gate.told = entry.rate
+        if entry.listed_rate and self.told.listed_rate_kind in ("nominal", "rough"):
+            endpoint.rate = endpoint.gate.told = entry.listed_rate
 
     def _bring_back(self, name: str) -> None:
         """Cold, like a destination after an outage: it was restarted while it was out."""
@@ -438,7 +480,7 @@
     def avoided(self) -> int:
         """Listed endpoints that are left out now, by hand or for what was seen of them."""
         return sum(
-            e.state is not State.GONE and (e.out or e.gate.outage or e.avoid_until > self.now)
+            e.state is not EndpointState.REMOVED and (e.out or e.gate.outage or e.avoid_until > self.now)
             for e in self.endpoints.values()
         )
 
@@ -544,38 +586,53 @@
 
     # A message arrives
 
-    def _accept(self, event: api.Submit, age: int) -> Message:
+    def _accept(self, event: MessageSubmitted, age: int) -> Message:
         terms = event.terms
-        about = (terms and terms.about) or self.told.classes.get(event.class_name) or api.MessageClass(
-            event.class_name, Effect.UNKNOWN, None, None, None, None, None, None, False
-        )  # fmt: skip
+        about = (
+            (terms and terms.message_class)
+            or self.told.classes.get(event.class_name)
+            or MessageClass(
+                event.class_name, DeliverySemantics.UNKNOWN, None, None, None, None, None, None, False
+            )
+        )
         most = (terms.max_attempts if terms else self.told.max_attempts) or NO_ATTEMPTS
         destination = self._destination(event.destination)
-        worth = (1.0 if about.worth is None else about.worth) * self._share_worth(event.tenant)
+        worth = (1.0 if about.priority_weight is None else about.priority_weight) * self._share_worth(
+            event.tenant
+        )
         message = Message(
-            event.message, about, destination, worth, self.now, self.now + max(0, event.remaining), None,
+            event.message_id,
+            about,
+            destination,
+            worth,
+            self.now,
+            self.now + max(0, event.time_remaining),
+            None,
             max(1, most),
-        )  # fmt: skip
-        self.messages[event.message] = message
+        )
+        self.messages[event.message_id] = message
         destination.owed += 1
         # What a restart brings back has come over longer than a moment, and passed for a rush.
         weight = LEAST_SPAN / max(LEAST_SPAN, age)
         self.arrivals.add(self.now, weight)
         destination.demand.add(self.now, weight)
-        if about.in_order and event.order_key is not None:
-            message.key = self.keys.setdefault(event.order_key, Key(event.order_key))
+        if about.is_ordered and event.ordering_key is not None:
+            message.key = self.keys.setdefault(event.ordering_key, Key(event.ordering_key))
             message.key.queue.append(message)
         self._hold(message)
         return message
 
-    def _recover(self, event: api.Recovered) -> None:
+    def _recover(self, event: MessageRecovered) -> None:
         """Takes up a message from before a restart, with all that binds what may still be done with it."""
-        message = self._accept(event.submit, event.age)
+        message = self._accept(event.submission, event.age)
         message.arrived, message.depth, message.not_before = self.now - event.age, event.attempts, self.now
-        if event.ran_ago is not None:
-            message.ran_at, message.ran_on = self.now - event.ran_ago, self.endpoints.get(event.ran_on or "")
+        if event.first_attempt_age is not None:
+            message.ran_at, message.ran_on = (
+                self.now - event.first_attempt_age,
+                self.endpoints.get(event.first_attempt_endpoint or ""),
+            )
         message.destination.waiting.pop(message.name)
-        if event.ended:
+        if event.is_ended:
             message.over = True
             self._end(message, noticed=False)
         else:
@@ -590,19 +647,21 @@
     def _share_worth(self, name: str | None) -> float:
         """Traffic beyond its tenant's allowance earns little, so it goes behind the rest."""
         tenant = self.told.tenants.get(name or "")
-        if tenant is None or tenant.allowance is None:
+        if tenant is None or tenant.quota_rate is None:
             return 1.0
-        rate = max(tenant.allowance / self.relays, (tenant.fraction or 0.0) * self.arrivals.read(self.now))
+        rate = max(
+            tenant.quota_rate / self.relays, (tenant.traffic_share or 0.0) * self.arrivals.read(self.now)
+        )
         most = max(SHARE_ROOM, SHARE_SPAN * rate)
         tokens, at = self.shares.get(tenant.name, (most, self.now))
         tokens = min(most, tokens + rate * (self.now - at) / SECOND)
         inside = tokens >= 1
         self.shares[tenant.name] = (tokens - 1 if inside else tokens, self.now)
-        return 1.0 if inside else self.told.over_share_worth or 0.1
+        return 1.0 if inside else self.told.over_quota_weight or 0.1
 
     # A message ends
 
-    def _finish(self, message: Message, action: api.Action | None) -> None:
+    def _finish(self, message: Message, action: Action | None) -> None:
         """The only way for a message to end: exactly one answer, and nothing sent after it."""
         if not message.over:
             message.over = True
@@ -610,7 +669,7 @@
             if action is not None:
                 self.actions.append(action)
         if message.call is None:
-            self._end(message, noticed=action is None or not self.told.ends_by_notice)
+            self._end(message, noticed=action is None or not self.told.awaits_final_status)
 
     def _end(self, message: Message, noticed: bool) -> None:
         if self.messages.pop(message.name, None) is None:
@@ -644,7 +703,7 @@
                 self._look_again(about)
             if isinstance(about, Message) and not about.over and about.call is None:
                 if self.now >= self._last_send(about):
-                    self._finish(about, api.Fail(about.name))  # time left covers no usual call
+                    self._finish(about, FailMessage(about.name))  # time left covers no usual call
                 else:
                     self._alarm(self._last_send(about), about)
 
@@ -654,8 +713,13 @@
 
     def _may_refuse(self, message: Message) -> bool:
         """Rule 'no effect twice': a refusal promises that coming again does no harm."""
-        about, harmless = message.about, message.ran_at is None or message.about.effect is Effect.SAFE
-        return message.call is None and (harmless or (about.effect is Effect.KEYED and about.scope == "all"))
+        about, harmless = (
+            message.about,
+            message.ran_at is None or message.about.semantics is DeliverySemantics.IDEMPOTENT,
+        )
+        return message.call is None and (
+            harmless or (about.semantics is DeliverySemantics.DEDUPLICATED and about.dedup_scope == "all")
+        )
 
     def _end_told_out(self) -> None:
         """Messages whose time covers no call any more once the waits are over that all their endpoints told:
@@ -663,11 +727,15 @@
         for destination in self.told_of.values():
             opens = min((e.gate.told_until for e in destination.endpoints if e.serves), default=0)
             if opens > self.now:
-                advice = min(opens - self.now, self.told.max_advice or 0) if self.told.can_advise else 0
+                advice = (
+                    min(opens - self.now, self.told.max_retry_after or 0)
+                    if self.told.sends_retry_after
+                    else 0
+                )
                 for message in list(destination.waiting.values()):
                     if opens >= min(self._last_send(message), self._window_end(message)):
                         harmless, name = self._may_refuse(message), message.name
-                        self._finish(message, api.Refuse(name, advice) if harmless else api.Fail(name))
+                        self._finish(message, RejectMessage(name, advice) if harmless else FailMessage(name))
         self.told_of.clear()
 
     def _make_room(self) -> None:
@@ -682,8 +750,8 @@
                 waiting = (m for m in d.waiting.values() if self._may_refuse(m))
                 options += [(m.worth / wait, -m.arrived, m, wait) for m in waiting]
         for _, _, message, wait in sorted(options, key=lambda option: option[:2])[:excess]:
-            advice = min(wait, self.told.max_advice or 0) if self.told.can_advise else 0
-            self._finish(message, api.Refuse(message.name, advice))
+            advice = min(wait, self.told.max_retry_after or 0) if self.told.sends_retry_after else 0
+            self._finish(message, RejectMessage(message.name, advice))
 
     # Choosing what to send
 
@@ -697,22 +765,35 @@
             # Trouble: it went back to a dead endpoint each time the pause was over, past a sound sibling.
             siblings = (e for e in endpoint.destination.endpoints if e.serves)
             calm = calm and (endpoint.failures == 0 or all(e.failures for e in siblings))
-            return calm or message.about.effect in (Effect.SAFE, Effect.KEYED)
-        if message.about.effect is Effect.SAFE:
+            return calm or message.about.semantics in (
+                DeliverySemantics.IDEMPOTENT,
+                DeliverySemantics.DEDUPLICATED,
+            )
+        if message.about.semantics is DeliverySemantics.IDEMPOTENT:
             return True
-        if message.about.effect is not Effect.KEYED or self.now >= self._window_end(message):
+        if message.about.semantics is not DeliverySemantics.DEDUPLICATED or self.now >= self._window_end(
+            message
+        ):
             return False
-        scope, ran_on = message.about.scope, message.ran_on
-        return scope == "all" or ran_on is endpoint or (
-            scope == "zone" and ran_on is not None and endpoint.zone == ran_on.zone
-        )  # fmt: skip
+        scope, ran_on = message.about.dedup_scope, message.ran_on
+        return (
+            scope == "all"
+            or ran_on is endpoint
+            or (scope == "zone" and ran_on is not None and endpoint.zone == ran_on.zone)
+        )
 
     def _window_end(self, message: Message) -> int:
         """Until when the destination still remembers the key; early, to be safe."""
-        if message.ran_at is None or message.about.effect is not Effect.KEYED:
+        if message.ran_at is None or message.about.semantics is not DeliverySemantics.DEDUPLICATED:
             return NEVER
-        window = message.about.window or 0
-        return message.ran_at + window - min(WINDOW_MARGIN, window // 10) - 2 * (self.told.tick or 0) - 1
+        window = message.about.dedup_window or 0
+        return (
+            message.ran_at
+            + window
+            - min(WINDOW_MARGIN, window // 10)
+            - 2 * (self.told.batch_interval or 0)
+            - 1
+        )
 
     def _in_turn(self, message: Message) -> bool:
         """Rule 'order': the earlier ones of a key are over and known; the key has rested after doubt."""
@@ -722,7 +803,9 @@
 
     def _score(self, message: Message) -> float:
         """Worth still to be won, rising with the wait so that no class or tenant starves."""
-        return message.worth * (1 + (self.now - message.arrived) / (message.about.aim or NO_AIM))
+        return message.worth * (
+            1 + (self.now - message.arrived) / (message.about.latency_objective or NO_AIM)
+        )
 
     def _opens(self, gate: Gate, destination: Destination) -> int:
         """When this gate lets the next call through; NEVER while only an outcome can open it."""
@@ -880,16 +963,19 @@
             if self._lasts(first, endpoint):
                 ready = [m for m in ready if self._lasts(m, endpoint)]
             else:
-                safe = (Effect.SAFE, Effect.KEYED)
-                ready = [m for m in ready if m.about.effect in safe or not self._lasts(m, endpoint)]
+                safe = (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED)
+                ready = [m for m in ready if m.about.semantics in safe or not self._lasts(m, endpoint)]
             members += sorted(ready, key=self._score, reverse=True)[: self._bundle_room(endpoint) - 1]
         call = Call(endpoint, self.now, 0 if endpoint.in_flight else max(0, self.now - endpoint.used_at))
         # Trouble: idle connections die unseen. A call that can be repeated may still try them, and goes on
         # showing whether they do; where a reset is a message's end, a handshake is the lesser price.
-        last = any(m.about.effect not in (Effect.SAFE, Effect.KEYED) for m in members)
+        last = any(
+            m.about.semantics not in (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED)
+            for m in members
+        )
         most_idle = self._idle_limit() if last else None
         if most_idle is not None and call.idle >= most_idle:
-            self.actions.append(api.CloseIdle(endpoint.name))
+            self.actions.append(CloseIdleConnections(endpoint.name))
             call.idle = 0
         endpoint.used_at = self.now
         endpoint.calls.add(self.now)
@@ -906,7 +992,7 @@
             timeout = max(1, min(self._patience(message, endpoint), message.deadline - self.now))
             ends = self._window_end(message)  # trouble: it waited for a connection until its window was over
             within = ends - self.now if ends < NEVER else None
-            self.actions.append(api.Send(message.name, endpoint.name, timeout, most_idle, within))
+            self.actions.append(SendAttempt(message.name, endpoint.name, timeout, most_idle, within))
         call.members = len(members)
         self.calls_out += 1
         for counter in (gate, destination, endpoint):
@@ -929,17 +1015,17 @@
             limit = int(max(least, times.usual + PATIENCE * times.deviation))
         if gate.failures == 0 and self.calls_out * 2 <= self.slots:
             limit *= 2  # trouble: slow but sound calls were cut while slots lay idle
-        if message.about.effect not in (Effect.SAFE, Effect.KEYED):
+        if message.about.semantics not in (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED):
             limit *= UNSAFE_PATIENCE  # a time-out is its end, so it waits longer
         return limit
 
     # Learning from outcomes
 
-    def _outcome(self, event: api.Outcome) -> None:
-        message = self.messages.get(event.message)
+    def _outcome(self, event: AttemptEnded) -> None:
+        message = self.messages.get(event.message_id)
         call = message.call if message is not None else None
         # Rule 'waits', whatever became of the message. Each of a bundle tells it anew, maybe a tick later.
-        self._bind(call.endpoint.name if call is not None else event.endpoint, event.wait)
+        self._bind(call.endpoint.name if call is not None else event.endpoint, event.retry_after)
         if message is None or call is None:
             return
         message.call = None
@@ -952,23 +1038,23 @@
                 self._rest(key, call.endpoint.destination)
         # The members of a bundle run out of time one by one: while others wait on, its fate is not known. A
         # call that was not begun tells nothing.
-        known = call.members == 0 or event.result is not Result.TIMEOUT
-        if known and not event.postponed and not call.learned:
+        known = call.members == 0 or event.result is not AttemptStatus.TIMEOUT
+        if known and not event.postponed_for and not call.learned:
             call.learned = True
             self._learn(call, event)
         if event.result in DOUBTFUL:
             if message.ran_at is None:
                 message.ran_at, message.ran_on = call.sent_at, call.endpoint
-            if message.key is not None and event.result is not Result.ERROR:
+            if message.key is not None and event.result is not AttemptStatus.ERROR:
                 if call.members:
                     message.key.rest_until = NEVER  # rule 'order': until nothing of this call is out any more
                     call.keys.append(message.key)
                 else:
                     self._rest(message.key, message.destination)
-        if event.over or message.over:
+        if event.is_final or message.over:
             self._finish(message, None)
-        elif event.expired:
-            self._finish(message, api.Fail(message.name))
+        elif event.is_expired:
+            self._finish(message, FailMessage(message.name))
         else:
             self._retry_later(message, event)
 
@@ -989,13 +1075,13 @@
         if gate is not None and wait > 0:
             gate.told_until = max(gate.told_until, self.now + wait)
 
-    def _doubt(self, event: api.Doubted) -> None:
+    def _doubt(self, event: OutcomeDisputed) -> None:
         """Rule 'no effect twice': the refusal it was to go again after is no proof any more."""
-        message = self.messages.get(event.message)
+        message = self.messages.get(event.message_id)
         if message is None or message.over:
             return
         if message.ran_at is None:
-            message.ran_at, message.ran_on = self.now - event.ran_ago, self.endpoints.get(event.endpoint)
+            message.ran_at, message.ran_on = self.now - event.attempt_age, self.endpoints.get(event.endpoint)
         if message.key is not None and message.key.rest_until < NEVER:
             self._rest(message.key, message.destination)
         if message.call is None:
@@ -1003,45 +1089,47 @@
             self._hold_or_end(message)
 
     def _rest(self, key: Key, destination: Destination) -> None:
-        key.rest_until = self.now + (self.told.rest_after_doubt or 0)
+        key.rest_until = self.now + (self.told.ordering_cooldown or 0)
         destination.rests_until = max(destination.rests_until, key.rest_until)
         self._alarm(key.rest_until, key)
 
-    def _learn(self, call: Call, event: api.Outcome) -> None:
+    def _learn(self, call: Call, event: AttemptEnded) -> None:
         gate, endpoint = call.endpoint.gate, call.endpoint
         endpoint.used_at = self.now
         # Trouble: a relay that stood still for seconds took all destinations for silent, and itself for new.
-        if event.late:
+        if event.is_late:
             return
         # Trouble: trials and bundles were cut off by deadlines, even before they had a connection, and that
         # was taken for a host that fails, or takes no connections.
-        if call.cut and event.result in (Result.TIMEOUT, Result.NO_CONNECTION):
+        if call.cut and event.result in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECT_FAILED):
             return
         self._close_idle(endpoint, event.result)
-        if event.idle is not None:
-            call.idle = event.idle
-        if event.result not in (Result.NO_CONNECTION, Result.NOT_SENT):
+        if event.connection_idle is not None:
+            call.idle = event.connection_idle
+        if event.result not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT):
             self._learn_wear(call.idle, event.result)
         # Trouble: the way spoils answers of sound hosts, and resets connections that were kept; destinations
         # were shut for it. A host that is down shows all the same: to new connections, or by the third in a
         # row. Harm: one that resets all it has begun, on kept connections alone, is found two calls later.
-        reset = event.result is Result.BROKEN and call.idle > (0 if event.idle is not None else LEAST_IDLE)
-        gate.strays = gate.strays + 1 if reset or event.result is Result.SPOILT else 0
+        reset = event.result is AttemptStatus.CONNECTION_LOST and call.idle > (
+            0 if event.connection_idle is not None else LEAST_IDLE
+        )
+        gate.strays = gate.strays + 1 if reset or event.result is AttemptStatus.MALFORMED_RESPONSE else 0
         if 0 < gate.strays < MANY_STRAYS:
             return
         if gate.failures and call.sent_at > gate.failed_at:
             luck = endpoint.kin.luck
-            luck[gate.refused] += ((event.result is Result.OK) - luck[gate.refused]) / 8
-        if event.result is Result.OK:
+            luck[gate.refused] += ((event.result is AttemptStatus.OK) - luck[gate.refused]) / 8
+        if event.result is AttemptStatus.OK:
             self._learn_success(gate, endpoint, event.elapsed)
-        elif event.result is not Result.NOT_SENT:
+        elif event.result is not AttemptStatus.NOT_SENT:
             self._learn_failure(gate, endpoint, call, event)
 
-    def _learn_wear(self, idle: int, result: Result) -> None:
+    def _learn_wear(self, idle: int, result: AttemptStatus) -> None:
         octave = (idle // LEAST_IDLE).bit_length()
         calls, resets = self.wear.setdefault(octave, (Rate(WEAR_SPAN), Rate(WEAR_SPAN)))
         calls.add(self.now)
-        if result is Result.BROKEN:
+        if result is AttemptStatus.CONNECTION_LOST:
             resets.add(self.now)
 
     def _idle_limit(self) -> int | None:
@@ -1057,15 +1145,15 @@
         calls, resets = (rate.read(self.now) for rate in self.wear.get(octave, (Rate(), Rate())))
         return resets / calls if resets * WEAR_SPAN / SECOND > FEW_RESETS else 0.0
 
-    def _close_idle(self, endpoint: Endpoint, result: Result) -> None:
+    def _close_idle(self, endpoint: Endpoint, result: AttemptStatus) -> None:
         """Trouble: idle connections of hundreds of relays fill a partner's table; close the rarely used."""
-        if result is Result.NO_CONNECTION:
+        if result is AttemptStatus.CONNECT_FAILED:
             endpoint.kin.scarce_until = self.now + SCARCE_SPAN
         # Where none was refused of late, they stay: a seldom used partner paid one for each message.
         scarce = endpoint.kin.scarce_until > self.now
         if scarce and endpoint.in_flight == 0 and endpoint.calls.read(self.now) * KEEP_GAP < SECOND:
             endpoint.used_at = NEVER
-            self.actions.append(api.CloseIdle(endpoint.name))
+            self.actions.append(CloseIdleConnections(endpoint.name))
 
     def _learn_success(self, gate: Gate, endpoint: Endpoint, elapsed: int) -> None:
         endpoint.failures, endpoint.avoid_until, gate.failures = 0, 0, 0
@@ -1079,17 +1167,17 @@
         if gate.outage:
             gate.outage, gate.cold_since = False, self.now
             self.actions.append(
-                api.Log(f"destination {endpoint.destination.number}: back, warming it gently")
+                WriteLog(f"destination {endpoint.destination.number}: back, warming it gently")
             )
         gate.window = max(1.0, min(gate.window + 1, float(self.slots)))
         usual = gate.times.usual
         if usual > LATENCY_RISE * gate.times.longrun and gate.narrowed_at < self.now - usual:
             gate.window, gate.narrowed_at = max(1.0, gate.window / 2), self.now
 
-    def _learn_failure(self, gate: Gate, endpoint: Endpoint, call: Call, event: api.Outcome) -> None:
+    def _learn_failure(self, gate: Gate, endpoint: Endpoint, call: Call, event: AttemptEnded) -> None:
         gate.failures += 1
         gate.failed_at = self.now
-        full = gate.refused = event.result is Result.FULL
+        full = gate.refused = event.result is AttemptStatus.REJECTED
         if not full:
             gate.errors += (1 - gate.errors) / 4
             endpoint.failures += 1
@@ -1102,7 +1190,7 @@
         gate.narrowed_at = self.now
         gate.window /= 2
         own = self._own_rate(gate, endpoint.destination)
-        unmet = event.result is Result.NO_CONNECTION
+        unmet = event.result is AttemptStatus.CONNECT_FAILED
         if full:
             # Trouble: held against messages a second, the pace of full bundles rose with each refusal. Demand
             # asks for so many calls at the least; small bundles take more, and get them as calls succeed.
@@ -1120,13 +1208,13 @@
             pause = min(int(BASE * 0.5 / gate.window), longest)
             if full:
                 # Trouble: relays that all come back when told keep a counted limit empty: waits stretch.
-                stretched = event.wait * 2 ** min(max(0, gate.failures - 3), 3)
-                pause = max(pause, min(stretched, event.wait + LONGEST_PAUSE * self.relays // 2))
+                stretched = event.retry_after * 2 ** min(max(0, gate.failures - 3), 3)
+                pause = max(pause, min(stretched, event.retry_after + LONGEST_PAUSE * self.relays // 2))
             # Trouble: many relays with few calls each keep a counted limit empty, or tip what comes back. The
             # smaller this relay's part and the worse the luck of such calls, the wider they spread.
             rate = gate.pace if full else own * self.multiple * self.cold_from
             gate.unlucky = 1 - endpoint.kin.luck[full]
-            pause = max(pause, event.wait + self._gap(gate, rate))
+            pause = max(pause, event.retry_after + self._gap(gate, rate))
             gate.open_at = self.now + int(pause * (1 + JITTER * self.random.random()))
         # Lost calls strewn among good ones are no outage; refusals take twice as long to mean 'shut'.
         gate.all_full = full and (gate.all_full or gate.failures == 1)
@@ -1141,7 +1229,7 @@
         if not gate.outage and gate.window < 1 and (streak or gate.errors > OUTAGE_ERRORS):
             gate.outage, gate.cold_since = True, None
             self.actions.append(
-                api.Log(f"destination {endpoint.destination.number}: failing, one trial at a time")
+                WriteLog(f"destination {endpoint.destination.number}: failing, one trial at a time")
             )
 
     # Trying again
@@ -1149,29 +1237,33 @@
     def _backoff(self, depth: int) -> int:
         return int(BASE * 2 ** min(depth, 16) * (1 + JITTER * self.random.random()))
 
-    def _retry_later(self, message: Message, event: api.Outcome) -> None:
+    def _retry_later(self, message: Message, event: AttemptEnded) -> None:
         """The design's wait: base times two to the depth; give up at the cap or when time runs short."""
-        if event.postponed:
+        if event.postponed_for:
             message.depth -= 1
-        wait = 0 if event.result is Result.NOT_SENT else max(self._backoff(message.depth - 1), event.wait)
+        wait = (
+            0
+            if event.result is AttemptStatus.NOT_SENT
+            else max(self._backoff(message.depth - 1), event.retry_after)
+        )
         siblings = (e for e in message.destination.endpoints if e.failures == 0 and e.serves)
-        if event.result is Result.NO_CONNECTION and any(siblings):
+        if event.result is AttemptStatus.CONNECT_FAILED and any(siblings):
             wait = 0  # trouble: endpoints gone before the list says so; a sibling takes it at once
-        message.not_before = self.now + max(wait, event.postponed)
+        message.not_before = self.now + max(wait, event.postponed_for)
         self._hold_or_end(message)
 
     def _hold_or_end(self, message: Message) -> None:
-        unsafe = message.about.effect not in (Effect.SAFE, Effect.KEYED)
+        unsafe = message.about.semantics not in (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED)
         ends = self._window_end(message)
         if message.not_before >= ends:
             # The last try that its key still covers.
-            message.not_before = max(self.now, ends - min(LAST_TRY, (message.about.window or 0) // 4))
+            message.not_before = max(self.now, ends - min(LAST_TRY, (message.about.dedup_window or 0) // 4))
         gone = (unsafe and message.ran_at is not None) or message.not_before >= min(
             ends, self._last_send(message)
         )
         if not gone and message.depth < message.max_attempts:
             self._hold(message)
         elif not gone and self._may_refuse(message):
-            self._finish(message, api.Refuse(message.name, 0))
+            self._finish(message, RejectMessage(message.name, 0))
         else:
-            self._finish(message, api.Fail(message.name))
+            self._finish(message, FailMessage(message.name))
--- a/loftrelay/decisions/simulator.py
+++ b/loftrelay/decisions/simulator.py
@@ -7,29 +7,77 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from loftrelay.decisions import interface as api
+from loftrelay.decisions.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailMessage,
+    RejectMessage,
+    SendAttempt,
+    SendProbe,
+    SetTimer,
+    WatchEndpointList,
+    WriteLog,
+)
+from loftrelay.decisions.events import (
+    AttemptEnded,
+    AttemptStatus,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    MessageCancelled,
+    MessageSubmitted,
+    ProbeResult,
+    ResponseStarted,
+    TimerFired,
+)
 from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.settings import DeliverySemantics, EndpointKind, MessageClass, RelaySettings, Tenant
 
 RESULTS = {
-    200: api.Result.OK, 500: api.Result.ERROR, 503: api.Result.FULL, 504: api.Result.TIMEOUT,
-    502: api.Result.NO_CONNECTION, 598: api.Result.BROKEN, 499: api.Result.CANCELLED,
-    410: api.Result.NOT_SENT,
-}  # fmt: skip
+    200: AttemptStatus.OK,
+    500: AttemptStatus.ERROR,
+    503: AttemptStatus.REJECTED,
+    504: AttemptStatus.TIMEOUT,
+    502: AttemptStatus.CONNECT_FAILED,
+    598: AttemptStatus.CONNECTION_LOST,
+    499: AttemptStatus.CANCELLED,
+    410: AttemptStatus.NOT_SENT,
+}
 EFFECTS = {
-    "idempotent": api.Effect.SAFE,
-    "deduplicated": api.Effect.KEYED,
-    "at_most_once": api.Effect.UNSAFE,
+    "idempotent": DeliverySemantics.IDEMPOTENT,
+    "deduplicated": DeliverySemantics.DEDUPLICATED,
+    "at_most_once": DeliverySemantics.AT_MOST_ONCE,
+}
+STATES = {
+    "IN": EndpointState.ACTIVE,
+    "LAME": EndpointState.DRAINING,
+    "OUT": EndpointState.REMOVED,
 }
-STATES = {"IN": api.State.LISTED, "LAME": api.State.DRAINING, "OUT": api.State.GONE}
 FORMS = {
-    "delta": api.Form.CHANGES, "full": api.Form.FULL,
-    "cached": api.Form.CACHED, "failed": api.Form.FAILED,
-}  # fmt: skip
+    "delta": EndpointListKind.DELTA,
+    "full": EndpointListKind.FULL,
+    "cached": EndpointListKind.CACHED,
+    "failed": EndpointListKind.FAILED,
+}
 # Values that follow the name of each message.
 COUNTS = {
-    "tick": 1, "end": 0, "page": 2, "spawn": 3, "retire": 1, "sync": 4, "accept": 11, "streaming": 5,
-    "outcome": 9, "vanished": 2, "ring": 2, "sampled": 5, "inbox": 3,
-}  # fmt: skip
+    "tick": 1,
+    "end": 0,
+    "page": 2,
+    "spawn": 3,
+    "retire": 1,
+    "sync": 4,
+    "accept": 11,
+    "streaming": 5,
+    "outcome": 9,
+    "vanished": 2,
+    "ring": 2,
+    "sampled": 5,
+    "inbox": 3,
+}
 
 
 class WireError(Exception):
@@ -40,14 +88,14 @@
     return value if isinstance(value, dict) else {}
 
 
-def read_settings(config: dict[str, Any]) -> api.Settings:
+def read_settings(config: dict[str, Any]) -> RelaySettings:
     """The told settings in the interface's terms; absent ones become None, unknown ones are passed over."""
     extra, safety = _mapping(config.get("extra")), _mapping(config.get("safety"))
     limits = _mapping(config.get("policy_limits"))
     names = config.get("flavors") or []
     bundles, apart = extra.get("bundle_max") or [], extra.get("own_limits") or []
     kinds = {
-        name: api.Kind(
+        name: EndpointKind(
             name,
             bundles[i] if i < len(bundles) else None,
             bool(apart[i]) if i < len(apart) else False,
@@ -55,104 +103,104 @@
         for i, name in enumerate(names)
     }
     classes = {
-        c["name"]: api.MessageClass(
+        c["name"]: MessageClass(
             name=c["name"],
-            effect=EFFECTS.get(c.get("effect"), api.Effect.UNKNOWN),
-            scope=c.get("key_scope"),
-            window=c.get("window"),
-            aim=c.get("on_time"),
+            semantics=EFFECTS.get(c.get("effect"), DeliverySemantics.UNKNOWN),
+            dedup_scope=c.get("key_scope"),
+            dedup_window=c.get("window"),
+            latency_objective=c.get("on_time"),
             deadline=c.get("deadline"),
-            worth=c.get("worth"),
-            late_worth=c.get("late_worth"),
-            in_order=bool(c.get("in_order")),
+            priority_weight=c.get("worth"),
+            late_priority_weight=c.get("late_worth"),
+            is_ordered=bool(c.get("in_order")),
         )
         for c in config.get("classes") or []
     }
     tenants = {
-        t["name"]: api.Tenant(t["name"], t.get("allowance_per_s"), t.get("fraction"))
+        t["name"]: Tenant(t["name"], t.get("allowance_per_s"), t.get("fraction"))
         for t in config.get("tenants") or []
     }
-    return api.Settings(
+    return RelaySettings(
         classes=classes,
         tenants=tenants,
-        kinds=kinds,
+        endpoint_kinds=kinds,
         zone=config.get("zone"),
-        zone_fees=dict(zip(config.get("localities") or [], extra.get("fee_by_zone") or [], strict=False)),
-        instances=config.get("peers_total"),
-        slots=extra.get("call_slots"),
+        zone_costs=dict(zip(config.get("localities") or [], extra.get("fee_by_zone") or [], strict=False)),
+        relay_count=config.get("peers_total"),
+        max_concurrent_calls=extra.get("call_slots"),
         max_attempts=limits.get("most_tries"),
-        max_held=limits.get("most_held"),
-        list_on_request=config.get("discovery") == "on_request",
-        ask_every=safety.get("ask_every"),
+        max_open_messages=limits.get("most_held"),
+        polls_endpoint_list=config.get("discovery") == "on_request",
+        poll_interval=safety.get("ask_every"),
         can_cancel=bool(limits.get("cancel")),
         can_probe=bool(limits.get("probes")),
-        can_advise=bool(limits.get("retry_after")),
-        max_advice=limits.get("max_retry_after"),
-        told_rates=config.get("weight_kind"),
-        over_share_worth=config.get("over_share_worth"),
-        rest_after_doubt=safety.get("settle_after_doubt"),
-        cold=safety.get("cold"),
-        cold_from=safety.get("cold_from"),
-        fall_multiple=safety.get("fall_multiple"),
-        tip_after=safety.get("tip_after"),
-        tick=config.get("tick"),
-        idle_limit=limits.get("conn_idle"),
+        sends_retry_after=bool(limits.get("retry_after")),
+        max_retry_after=limits.get("max_retry_after"),
+        listed_rate_kind=config.get("weight_kind"),
+        over_quota_weight=config.get("over_share_worth"),
+        ordering_cooldown=safety.get("settle_after_doubt"),
+        slow_start_duration=safety.get("cold"),
+        slow_start_initial_fraction=safety.get("cold_from"),
+        overload_multiple=safety.get("fall_multiple"),
+        overload_window=safety.get("tip_after"),
+        batch_interval=config.get("tick"),
+        connection_idle_timeout=limits.get("conn_idle"),
         connect_timeout=limits.get("connect_timeout"),
     )
 
 
-def _entry(row: list[Any]) -> api.Entry:
-    return api.Entry(row[0], row[4], STATES[row[3]], row[5], row[6], row[1])
+def _entry(row: list[Any]) -> EndpointEntry:
+    return EndpointEntry(row[0], row[4], STATES[row[3]], row[5], row[6], row[1])
 
 
-def _sync(v: list[Any], pages: dict[int, tuple[api.Entry, ...]]) -> api.Event:
+def _sync(v: list[Any], pages: dict[int, tuple[EndpointEntry, ...]]) -> Event:
     form = FORMS[v[1]]
-    return api.Listing(form, () if form is api.Form.FAILED else pages[v[3]])
+    return EndpointListReceived(form, () if form is EndpointListKind.FAILED else pages[v[3]])
 
 
-def _accept(v: list[Any], pages: dict[int, tuple[api.Entry, ...]]) -> api.Event:
-    return api.Submit(v[1], v[3], v[10], v[2], v[7] or 0, v[9])
+def _accept(v: list[Any], pages: dict[int, tuple[EndpointEntry, ...]]) -> Event:
+    return MessageSubmitted(v[1], v[3], v[10], v[2], v[7] or 0, v[9])
 
 
-def _outcome(v: list[Any], pages: dict[int, tuple[api.Entry, ...]]) -> api.Event:
+def _outcome(v: list[Any], pages: dict[int, tuple[EndpointEntry, ...]]) -> Event:
     report, result = _mapping(v[8]), RESULTS[v[4]]
-    wait = (v[2] or 0) * 1000 if result is api.Result.FULL else 0
-    return api.Outcome(
+    wait = (v[2] or 0) * 1000 if result is AttemptStatus.REJECTED else 0
+    return AttemptEnded(
         v[1], v[6] or 0, v[3], result, v[5] or 0, bool(v[7]), wait, report.get("x1"), report.get("x0")
     )
 
 
-EVENTS: dict[str, Callable[[list[Any], dict[int, tuple[api.Entry, ...]]], api.Event]] = {
+EVENTS: dict[str, Callable[[list[Any], dict[int, tuple[EndpointEntry, ...]]], Event]] = {
     "sync": _sync,
     "accept": _accept,
     "outcome": _outcome,
-    "streaming": lambda v, _: api.Started(v[1], v[2] or 0),
-    "vanished": lambda v, _: api.Withdrawn(v[1]),
-    "ring": lambda v, _: api.Timer(v[1]),
-    "sampled": lambda v, _: api.ProbeResult(v[3], RESULTS[v[2]], v[1] or 0),
+    "streaming": lambda v, _: ResponseStarted(v[1], v[2] or 0),
+    "vanished": lambda v, _: MessageCancelled(v[1]),
+    "ring": lambda v, _: TimerFired(v[1]),
+    "sampled": lambda v, _: ProbeResult(v[3], RESULTS[v[2]], v[1] or 0),
 }
 
 
-def write_action(name: str, action: api.Action) -> list[Any]:
+def write_action(name: str, action: Action) -> list[Any]:
     """One reply line for an action of the instance of that name."""
     match action:
-        case api.Send(message, endpoint, timeout):
+        case SendAttempt(message, endpoint, timeout):
             return ["submit_to", name, message, endpoint, timeout]
-        case api.SetTimer(delay, token):
+        case SetTimer(delay, token):
             return ["set_timer", name, delay, token]
-        case api.Fail(message):
+        case FailMessage(message):
             return ["end_failed", name, message]
-        case api.Refuse(message, retry_in):
+        case RejectMessage(message, retry_in):
             return ["refuse", name, message, retry_in]
-        case api.Cancel(message, attempt):
+        case CancelAttempt(message, attempt):
             return ["stop_attempt", name, message, attempt]
-        case api.Probe(endpoint):
+        case SendProbe(endpoint):
             return ["touch", name, endpoint]
-        case api.CloseIdle(endpoint):
+        case CloseIdleConnections(endpoint):
             return ["let_go", name, endpoint]
-        case api.WatchList():
+        case WatchEndpointList():
             return ["tail", name, True]
-        case api.Log(text):
+        case WriteLog(text):
             return ["say_log", name, text]
 
 
@@ -161,9 +209,9 @@
 
     def __init__(self) -> None:
         self.brains: dict[str, Brain] = {}
-        self.pages: dict[int, tuple[api.Entry, ...]] = {}
+        self.pages: dict[int, tuple[EndpointEntry, ...]] = {}
         self.now: int | None = None
-        self.batch: dict[str, list[api.Event]] = {}
+        self.batch: dict[str, list[Event]] = {}
 
     def read(self, value: Any) -> list[list[Any]] | None:
         """Takes one parsed line; gives the reply's lines when it closes a batch."""
--- a/loftrelay/decisions/snapshot.py
+++ b/loftrelay/decisions/snapshot.py
@@ -18,8 +18,10 @@
 from enum import Enum
 from typing import Any
 
-from loftrelay.decisions import interface, scheduler
+from loftrelay.decisions import actions, events, scheduler, settings
+from loftrelay.decisions.events import Event
 from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.settings import RelaySettings
 
 VERSION = 1
 
@@ -38,24 +40,24 @@
     }
 
 
-RECORDS = _listed(interface, object) | _listed(scheduler, object)
-WORDS = _listed(interface, Enum) | _listed(scheduler, Enum)
+RECORDS: dict[str, Any] = {}
+for _module in (settings, events, actions, scheduler):
+    RECORDS |= _listed(_module, object)
+WORDS = _listed(settings, Enum) | _listed(events, Enum) | _listed(scheduler, Enum)
 MODULE = "Brain"
 FIELDS = {name: [f.name for f in dataclasses.fields(record)] for name, record in RECORDS.items()}
 # What a Brain holds, beside what its settings say: all it learned, and all it has open.
-STATE = sorted(set(vars(Brain(0, interface.Settings(
-    {}, {}, {}, None, {}, None, None, None, None, False, None, False, False, False, None, None, None, None,
-    None, None, None, None, None, None,
-)))) - {"random"})  # fmt: skip
+STATE = sorted(set(vars(Brain(0, RelaySettings()))) - {"random"})
 
 
 def shape() -> str:
     """Changes when any field of any type in a snapshot does."""
     told = [
-        VERSION, STATE,
+        VERSION,
+        STATE,
         {name: [(f.name, str(f.type)) for f in dataclasses.fields(r)] for name, r in RECORDS.items()},
         {name: [word.name for word in words] for name, words in WORDS.items()},
-    ]  # fmt: skip
+    ]
     return hashlib.sha256(json.dumps(told).encode()).hexdigest()[:16]
 
 
@@ -146,7 +148,7 @@
         raise SnapshotError(f"no such mark: {mark!r}")
 
 
-def write(module: Brain, events: Iterable[interface.Event] = ()) -> str:
+def write(module: Brain, events: Iterable[Event] = ()) -> str:
     """The module, and events that it has not seen yet. Alarms of what is over are let go first: they hold all
     messages of the last seconds, and would only wake the module for nothing."""
     module.alarms = [a for a in module.alarms if not (isinstance(a[2], scheduler.Message) and a[2].over)]
@@ -155,7 +157,7 @@
     return json.dumps({"shape": shape(), **told}, separators=(",", ":"))
 
 
-def read(text: str, seed: int) -> tuple[Brain, list[interface.Event]]:
+def read(text: str, seed: int) -> tuple[Brain, list[Event]]:
     """Raises SnapshotError. The module is to be given a batch at once: its timers are not set."""
     try:
         told = json.loads(text)
--- a/loftrelay/delivery/call_outcome.py
+++ b/loftrelay/delivery/call_outcome.py
@@ -7,7 +7,7 @@
 import re
 from collections.abc import Sequence
 
-from loftrelay.decisions.interface import Result
+from loftrelay.decisions.events import AttemptStatus
 from loftrelay.net.http import Answer, Headers
 from loftrelay.relay.ports import Ending
 
@@ -17,13 +17,22 @@
 MOST_WAIT = 999_999_999
 
 STATUSES = {
-    200: Result.OK, 500: Result.ERROR, 429: Result.FULL, 503: Result.FULL, 504: Result.NOT_SENT,
-    410: Result.NOT_SENT, 400: Result.FULL, 413: Result.FULL,
-}  # fmt: skip
+    200: AttemptStatus.OK,
+    500: AttemptStatus.ERROR,
+    429: AttemptStatus.REJECTED,
+    503: AttemptStatus.REJECTED,
+    504: AttemptStatus.NOT_SENT,
+    410: AttemptStatus.NOT_SENT,
+    400: AttemptStatus.REJECTED,
+    413: AttemptStatus.REJECTED,
+}
 STATES = {
-    "delivered": Result.OK, "failed": Result.ERROR, "refused": Result.FULL, "over": Result.NOT_SENT,
-    "spent": Result.NOT_SENT,
-}  # fmt: skip
+    "delivered": AttemptStatus.OK,
+    "failed": AttemptStatus.ERROR,
+    "refused": AttemptStatus.REJECTED,
+    "over": AttemptStatus.NOT_SENT,
+    "spent": AttemptStatus.NOT_SENT,
+}
 
 
 def told_wait(headers: Headers) -> int:
@@ -42,9 +51,9 @@
 
     410 does not end what the relay owes: a host's clock runs some milliseconds before the relay's, which
     counts from a message's arrival. Trouble: a bundle of 19 whose time ran out there was forgotten."""
-    result = STATUSES.get(answer.status, Result.ERROR)
+    result = STATUSES.get(answer.status, AttemptStatus.ERROR)
     if answer.status == 503 and answer.headers.get(b"x-line-busy") == b"1":
-        result = Result.NOT_SENT
+        result = AttemptStatus.NOT_SENT
     wait = told_wait(answer.headers.items())
     return Ending(result, over=answer.status == 200, wait=wait, expired=answer.status == 410)
 
@@ -71,5 +80,5 @@
         }
     except (ValueError, TypeError, KeyError, RecursionError) as error:
         log.warning("a batch answer can't be read: %r", error)
-        return dict.fromkeys(ids, Ending(Result.SPOILT))
+        return dict.fromkeys(ids, Ending(AttemptStatus.MALFORMED_RESPONSE))
     return states
--- a/loftrelay/delivery/host_client.py
+++ b/loftrelay/delivery/host_client.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from loftrelay.decisions.interface import Result
+from loftrelay.decisions.events import AttemptStatus
 from loftrelay.delivery import connection_pool
 from loftrelay.delivery.call_outcome import read_batch, read_single, tells_of_others, told_wait
 from loftrelay.net.address import Address
@@ -57,8 +57,10 @@
     """One message of a batch call. Its key is that by which repeats are dropped, else that of its order."""
     key = message.idempotency_key or message.key
     return {
-        "id": message.id, **({"key": key} if key else {}), "body": base64.b64encode(message.body).decode(),
-    }  # fmt: skip
+        "id": message.id,
+        **({"key": key} if key else {}),
+        "body": base64.b64encode(message.body).decode(),
+    }
 
 
 @dataclass(slots=True)
@@ -87,7 +89,7 @@
     """What was made of an answer on a connection that had carried calls before."""
 
     message: str
-    result: Result
+    result: AttemptStatus
     sent_at: int  # wall clock, microseconds
 
 
@@ -224,7 +226,7 @@
         except Exception:
             # A fault of the program: each message is owed an outcome all the same, and none that promises.
             log.exception("a call to %s was given up", call.host)
-            result = Result.BROKEN if call.asked else Result.NOT_SENT
+            result = AttemptStatus.CONNECTION_LOST if call.asked else AttemptStatus.NOT_SENT
             endings = {message.id: Ending(result) for message in call.messages}
         if call.recalled:
             return  # it was denied, or held, in the same pass
@@ -258,7 +260,7 @@
             return self._answered(call, number, answer, ids)
         except JournalFull:
             self._do(self.pools.unused(number, self._now()))
-            return dict.fromkeys(ids, Ending(Result.NOT_SENT))
+            return dict.fromkeys(ids, Ending(AttemptStatus.NOT_SENT))
         except (Bound, Stale) as why:
             if call.line is not None:  # a part of it is written
                 self._forget(number)
@@ -266,22 +268,29 @@
             else:
                 self._do(self.pools.unused(number, self._now()))
             bound = isinstance(why, Bound)
-            return dict.fromkeys(ids, Ending(Result.NOT_SENT, stale=not bound, held=bound))
+            return dict.fromkeys(ids, Ending(AttemptStatus.NOT_SENT, stale=not bound, held=bound))
         except Denied as denied:
             no_room = denied.why is connection_pool.Denied.NO_ROOM
-            return dict.fromkeys(ids, Ending(Result.NOT_SENT if no_room else Result.NO_CONNECTION))
+            return dict.fromkeys(
+                ids, Ending(AttemptStatus.NOT_SENT if no_room else AttemptStatus.CONNECT_FAILED)
+            )
         except TimeoutError:
             now = asyncio.get_running_loop().time()
             if not call.asked and (self.pulse.since(call.at) or now >= call.begin_by):
-                return dict.fromkeys(ids, Ending(Result.NOT_SENT, stale=True))
+                return dict.fromkeys(ids, Ending(AttemptStatus.NOT_SENT, stale=True))
             if not call.asked:
                 waited = call.number in self.waiting and self.pools.waits_for_room(call.number)
-                return dict.fromkeys(ids, Ending(Result.NOT_SENT if waited else Result.NO_CONNECTION))
-            result, dead = Result.TIMEOUT, call.terms.timeout >= TELLING and not self.pulse.since(call.at)
+                return dict.fromkeys(
+                    ids, Ending(AttemptStatus.NOT_SENT if waited else AttemptStatus.CONNECT_FAILED)
+                )
+            result, dead = (
+                AttemptStatus.TIMEOUT,
+                call.terms.timeout >= TELLING and not self.pulse.since(call.at),
+            )
         except AnswerSpoilt:
-            result, dead = Result.SPOILT, False
+            result, dead = AttemptStatus.MALFORMED_RESPONSE, False
         except ConnectionBroken:
-            result, dead = Result.BROKEN, True
+            result, dead = AttemptStatus.CONNECTION_LOST, True
         finally:
             if self.waiting.pop(call.number, None) is not None and not self.closing:
                 self._do(self.pools.withdraw(call.number, self._now()))
@@ -401,7 +410,7 @@
         """The answer is whole."""
         endings = read_batch(answer, ids) if call.terms.batch else {ids[0]: read_single(answer)}
         results = {ending.result for ending in endings.values()}
-        well = results == {Result.OK}
+        well = results == {AttemptStatus.OK}
         now = self._now()
         self.pools.fared(call.host, well, call.wait, now)
         line = self.lines[number]
@@ -415,7 +424,7 @@
             connection.surplus = Unasked.ANSWER
         if connection.surplus is not None:
             self._gone(number, connection.surplus, behind=not others)
-        elif Result.SPOILT in results or not connection.usable():
+        elif AttemptStatus.MALFORMED_RESPONSE in results or not connection.usable():
             self._forget(number)
             self._do(self.pools.broken(number, False, now))
         else:
@@ -424,7 +433,7 @@
         return endings
 
     def _broken(
-        self, call: Call, number: int, ids: list[str], result: Result, dead: bool
+        self, call: Call, number: int, ids: list[str], result: AttemptStatus, dead: bool
     ) -> dict[str, Ending]:
         """No whole answer came."""
         now = self._now()
@@ -437,8 +446,8 @@
             self._forget(number)
             self._do(self.pools.broken(number, dead and connection.written, now))
         if not call.terms.batch and connection.says_delivered and connection.surplus is None:
-            return {ids[0]: Ending(Result.OK, over=True)}
-        return dict.fromkeys(ids, Ending(result if connection.written else Result.NO_CONNECTION))
+            return {ids[0]: Ending(AttemptStatus.OK, over=True)}
+        return dict.fromkeys(ids, Ending(result if connection.written else AttemptStatus.CONNECT_FAILED))
 
     # Connections
 
@@ -532,10 +541,10 @@
         line.connection.surplus = what
         self._do(self.pools.surplus(number, what is Unasked.ANSWER, self._now(), behind))
         if what is Unasked.ANSWER and line.answers:
-            names = ", ".join(f"{a.message} ({a.result.name})" for a in line.answers)
+            names = ", ".join(f"{a.message} ({a.result.value})" for a in line.answers)
             log.error(
                 "%s: a surplus answer: those before it may have been other calls': %s", line.host, names
             )
             for answered in line.answers:
-                if answered.result in (Result.FULL, Result.NOT_SENT):
+                if answered.result in (AttemptStatus.REJECTED, AttemptStatus.NOT_SENT):
                     self.doubted(answered.message, line.host, answered.sent_at)
--- a/loftrelay/demo/peers.py
+++ b/loftrelay/demo/peers.py
@@ -92,9 +92,17 @@
 
     def add(self, destination: int, address: str) -> None:
         self.members.append(
-            {"id": f"host-{destination}", "host_port": address, "locality": "a", "flavor": "plain",
-             "cell": destination, "phase": "Ready", "size": 1.0, "up_since_ms": 0}
-        )  # fmt: skip
+            {
+                "id": f"host-{destination}",
+                "host_port": address,
+                "locality": "a",
+                "flavor": "plain",
+                "cell": destination,
+                "phase": "Ready",
+                "size": 1.0,
+                "up_since_ms": 0,
+            }
+        )
 
     async def respond(self, request: Request) -> bytes:
         if request.target == "/reports":
--- a/loftrelay/discovery/client.py
+++ b/loftrelay/discovery/client.py
@@ -11,12 +11,13 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
+
 try:
     import msgspec
 except ImportError:  # the extra `lists`
     msgspec = None  # type: ignore[assignment]
 
-from loftrelay.decisions.interface import Entry, Form, Listing, State
 from loftrelay.discovery.http_client import Caller
 from loftrelay.net.address import Address, parse_address
 from loftrelay.net.http import AnswerTooLong, ConnectionBroken
@@ -41,10 +42,10 @@
 # with msgspec only cut into rows.
 MOST_PARSED, MOST_CUT = 2 << 20, 16 << 20
 MOST_LIST = MOST_PARSED if msgspec is None else MOST_CUT
-STATES = {"Ready": State.LISTED, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES = {"Ready": EndpointState.ACTIVE, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
 
 
-def read_list(told: Any) -> tuple[int, bool, list[tuple[Entry, Address]]]:
+def read_list(told: Any) -> tuple[int, bool, list[tuple[EndpointEntry, Address]]]:
     """Revision, whether the list is whole, and its entries. Raises ValueError when it can't be read."""
     if not isinstance(told, Mapping) or not isinstance(told.get("members"), list):
         raise ValueError("the list has no members")
@@ -58,7 +59,9 @@
     return sys.intern(value) if isinstance(value, str) else value
 
 
-def read_rows(rows: Iterable[Any], decode: Callable[[Any], Any] | None = None) -> list[tuple[Entry, Address]]:
+def read_rows(
+    rows: Iterable[Any], decode: Callable[[Any], Any] | None = None
+) -> list[tuple[EndpointEntry, Address]]:
     """One that can't be read is passed over. `decode`: parses it first."""
     entries = []
     for row in rows:
@@ -67,10 +70,14 @@
             size, identity, cell = row.get("size"), row["id"], row["cell"]
             if not isinstance(identity, str) or not isinstance(cell, int):
                 raise ValueError(f"id = {identity!r}, cell = {cell!r}: one is of the wrong type")
-            entry = Entry(
-                identity, cell, STATES[row["phase"]], _word(row.get("locality")), _word(row.get("flavor")),
+            entry = EndpointEntry(
+                identity,
+                cell,
+                STATES[row["phase"]],
+                _word(row.get("locality")),
+                _word(row.get("flavor")),
                 float(size) if isinstance(size, int | float) else None,
-            )  # fmt: skip
+            )
             entries.append((entry, parse_address(row["host_port"])))
         except (AttributeError, KeyError, TypeError, ValueError) as error:
             log.warning("an entry of the list is passed over: %r in %.300r", error, row)
@@ -104,7 +111,7 @@
     complete: bool
     rows: Sequence[Any]
 
-    def piece(self, first: int) -> list[tuple[Entry, Address]]:
+    def piece(self, first: int) -> list[tuple[EndpointEntry, Address]]:
         return read_rows(self.rows[first : first + PIECE], _parse if msgspec is not None else None)
 
 
@@ -123,8 +130,8 @@
         self,
         address: Address,
         ask_every: int | None,
-        tell: Callable[[Listing, Mapping[str, Address]], None],
-        in_force: Callable[[], Mapping[str, tuple[Entry, Address]]] | None = None,
+        tell: Callable[[EndpointListReceived, Mapping[str, Address]], None],
+        in_force: Callable[[], Mapping[str, tuple[EndpointEntry, Address]]] | None = None,
         refused: Callable[[], None] = lambda: None,
         most_list: int = MOST_LIST,
     ) -> None:
@@ -148,10 +155,10 @@
         except ValueError as error:
             if known:
                 log.warning("the known list is passed over: %s", error)
-            self.tell(Listing(Form.CACHED, ()), {})
+            self.tell(EndpointListReceived(EndpointListKind.CACHED, ()), {})
             return
         self.revision = revision
-        self._tell(Form.CACHED, entries)
+        self._tell(EndpointListKind.CACHED, entries)
 
     def watch(self) -> None:
         if self.task is None or self.task.done():
@@ -179,8 +186,10 @@
             self.task.cancel()
         self.caller.close()
 
-    def _tell(self, form: Form, entries: list[tuple[Entry, Address]]) -> None:
-        self.tell(Listing(form, tuple(e for e, _ in entries)), {e.endpoint: a for e, a in entries})
+    def _tell(self, form: EndpointListKind, entries: list[tuple[EndpointEntry, Address]]) -> None:
+        self.tell(
+            EndpointListReceived(form, tuple(e for e, _ in entries)), {e.endpoint: a for e, a in entries}
+        )
 
     async def _watch(self) -> None:
         """Goes on until a call fails; then the module says when to ask again. The first call after a failure
@@ -200,7 +209,7 @@
                     await self._take(open_long(answer.body), self.in_force)
                 else:
                     self.revision, complete, entries = read_list(json.loads(answer.body))
-                    self._tell(Form.FULL if complete else Form.CHANGES, entries)
+                    self._tell(EndpointListKind.FULL if complete else EndpointListKind.DELTA, entries)
                 self.asked, self.said = True, None
                 await asyncio.sleep(max(0.0, asked + LEAST_GAP - loop.time()))
         except AnswerTooLong as error:
@@ -211,9 +220,11 @@
             # A fault of the program: without a further call the relay would never hear of a drain again.
             log.exception("the watch failed")
         self.asked = False
-        self.tell(Listing(Form.FAILED, ()), {})
+        self.tell(EndpointListReceived(EndpointListKind.FAILED, ()), {})
 
-    async def _take(self, told: Long, in_force: Callable[[], Mapping[str, tuple[Entry, Address]]]) -> None:
+    async def _take(
+        self, told: Long, in_force: Callable[[], Mapping[str, tuple[EndpointEntry, Address]]]
+    ) -> None:
         """Only what differs from the list in force is told: hosts that serve or drain as they come, those
         that are gone last. The loop is free in between."""
         self.revision = None  # if this is cut off, the list is a mixture: the whole one is to be asked for
@@ -230,18 +241,20 @@
                 known = in_force()
                 missing = [host for host in hosts[first : first + PIECE] if host not in listed]
                 gone = [known[host] for host in missing if host in known]
-                await self._tell_piece([(replace(entry, state=State.GONE), at) for entry, at in gone])
+                await self._tell_piece(
+                    [(replace(entry, state=EndpointState.REMOVED), at) for entry, at in gone]
+                )
         self.revision = told.revision
         if not self.pieces:
-            self._tell(Form.CHANGES, [])  # the module hears that the call went well
+            self._tell(EndpointListKind.DELTA, [])  # the module hears that the call went well
 
-    async def _tell_piece(self, entries: list[tuple[Entry, Address]]) -> None:
+    async def _tell_piece(self, entries: list[tuple[EndpointEntry, Address]]) -> None:
         if entries:
             if self.pieces % FREEZE_EVERY == 0:
                 gc.collect(1)  # else what is garbage now would stay
                 gc.freeze()
             self.pieces += 1
-            self._tell(Form.CHANGES, entries)
+            self._tell(EndpointListKind.DELTA, entries)
         await asyncio.sleep(PAUSE if entries else 0)
 
     def _refuse(self, size: int | None, limit: int) -> None:
@@ -253,5 +266,8 @@
             hint = "" if msgspec is not None else "; the extra `lists` lifts the limit"
             log.error(
                 "the list of %s bytes is over the limit of %d bytes (the list in force stays, of %d hosts%s)",
-                told, limit, len(self.in_force()) if self.in_force is not None else 0, hint,
-            )  # fmt: skip
+                told,
+                limit,
+                len(self.in_force()) if self.in_force is not None else 0,
+                hint,
+            )
--- a/loftrelay/discovery/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Any
 
-from loftrelay.decisions.interface import Form, Listing
+from loftrelay.decisions.events import EndpointListKind, EndpointListReceived
 from loftrelay.discovery.client import CONNECT, MOST_PARSED, PATIENCE, read_list
 from loftrelay.discovery.http_client import Caller
 from loftrelay.discovery.settings import SubscriptionSettings
@@ -37,9 +37,17 @@
 HEAD = len("GET  HTTP/1.1\r\nHost: discovery\r\nContent-Length: 0\r\n\r\n")
 STATUS_LINE = len("HTTP/1.1 200 OK\r\n\r\n")
 COUNTS = (
-    "changes", "watches", "failures", "older", "overtaken", "moved", "bytes_in", "bytes_out", "cells",
+    "changes",
+    "watches",
+    "failures",
+    "older",
+    "overtaken",
+    "moved",
+    "bytes_in",
+    "bytes_out",
+    "cells",
     "let_go",
-)  # fmt: skip
+)
 
 
 class Subscriber:
@@ -51,7 +59,7 @@
         told: SubscriptionSettings,
         name: str,
         notices: Address,
-        tell: Callable[[Listing, Mapping[str, Address]], None],
+        tell: Callable[[EndpointListReceived, Mapping[str, Address]], None],
         sliced: Callable[[int, Slice], None],
         let_go: Callable[[Sequence[int]], list[int]],
     ) -> None:
@@ -72,7 +80,7 @@
     def take_known(self, known: Mapping[str, Any]) -> None:
         if known:
             log.info("the known list is passed over: the registries tell what this relay serves")
-        self.tell(Listing(Form.CACHED, ()), {})
+        self.tell(EndpointListReceived(EndpointListKind.CACHED, ()), {})
 
     def watch(self) -> None:
         self.interest.start(self._now())
@@ -152,7 +160,9 @@
                 self._hang_up()
             case Tell(rows):
                 entries = tuple(entry for entry, _ in rows)
-                self.tell(Listing(Form.CHANGES, entries), {e.endpoint: at for e, at in rows})
+                self.tell(
+                    EndpointListReceived(EndpointListKind.DELTA, entries), {e.endpoint: at for e, at in rows}
+                )
             case Sliced(destination, state):
                 self.sliced(destination, state)
             case LetGo(destinations):
--- a/loftrelay/discovery/subscription.py
+++ b/loftrelay/discovery/subscription.py
@@ -18,7 +18,7 @@
 from enum import Enum, auto
 from hashlib import blake2b
 
-from loftrelay.decisions.interface import Entry, State
+from loftrelay.decisions.events import EndpointEntry, EndpointState
 from loftrelay.net.address import Address
 from loftrelay.registry.protocol import (
     FORBIDDEN,
@@ -47,7 +47,7 @@
 MOST_ROUND = 8  # times `stale` at the most between two rounds of looks for fresher news
 FRESHER = 1.0  # seconds by which another registry's news has to be, for a move
 
-Row = tuple[Entry, Address]
+Row = tuple[EndpointEntry, Address]
 
 
 @dataclass(frozen=True, slots=True)
@@ -410,9 +410,7 @@
                 del table[number]
         add, have, drop = lists
         self.seq += 1
-        change = Change(
-            self.fleet, self.subscriber, self.seq, self.index, add, have, drop, reset=self.reset
-        )  # fmt: skip
+        change = Change(self.fleet, self.subscriber, self.seq, self.index, add, have, drop, reset=self.reset)
         self.reset = False
         gone = self.told.intersection(drop)
         self.told -= gone
@@ -575,7 +573,7 @@
         """Those that are told whole."""
         members: dict[int, list[Row]] = {number: [] for number in answer.cells}
         for row in rows:
-            if row[0].destination in members and row[0].state is not State.GONE:
+            if row[0].destination in members and row[0].state is not EndpointState.REMOVED:
                 members[row[0].destination].append(row)
         gone: list[Row] = []
         news: list[Row] = []
@@ -605,12 +603,10 @@
         """Who is gone first: a host may have left one destination for another."""
         self.actions += [Tell(tuple(told)) for told in (gone, news) if told]
 
-    def _place(
-        self, number: int, hosts: dict[str, Row], row: Row, news: list[Row], gone: list[Row]
-    ) -> None:  # fmt: skip
+    def _place(self, number: int, hosts: dict[str, Row], row: Row, news: list[Row], gone: list[Row]) -> None:
         """One row of a cell."""
         host = row[0].endpoint
-        if row[0].state is State.GONE:
+        if row[0].state is EndpointState.REMOVED:
             self._remove(number, hosts, host, gone)
             return
         if hosts.get(host) == row and not self.cells[number].doubted:
@@ -724,6 +720,13 @@
 def _gone(row: Row) -> Row:
     entry, address = row
     return (
-        Entry(entry.endpoint, entry.destination, State.GONE, entry.zone, entry.kind, entry.rate),
+        EndpointEntry(
+            entry.endpoint,
+            entry.destination,
+            EndpointState.REMOVED,
+            entry.zone,
+            entry.kind,
+            entry.listed_rate,
+        ),
         address,
     )
--- a/loftrelay/gossip/swim.py
+++ b/loftrelay/gossip/swim.py
@@ -134,9 +134,15 @@
     above an earlier one; where the wall clock went back, it hears of its earlier life and rises above it."""
 
     def __init__(
-        self, name: str, address: Address, life: int, start: int, seeds: Sequence[Address], timing: Timing,
+        self,
+        name: str,
+        address: Address,
+        life: int,
+        start: int,
+        seeds: Sequence[Address],
+        timing: Timing,
         seed: int,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.me = Peer(name, address, life, start)
         self.seeds = [place for place in seeds if place != address]
         self.timing = timing
--- a/loftrelay/journal/journal.py
+++ b/loftrelay/journal/journal.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from loftrelay.decisions.interface import Result
+from loftrelay.decisions.events import AttemptStatus
 from loftrelay.decisions.scheduler import DOUBTFUL
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import Held, Remembered
@@ -118,9 +118,9 @@
         """Before the first byte of an attempt. Raises JournalFull: then it must not be made."""
         self._write({"t": "try", "id": held.id, "n": held.attempts, "at": wall_clock(), "on": host})
 
-    def outcome(self, held: Held, result: Result) -> None:
+    def outcome(self, held: Held, result: AttemptStatus) -> None:
         """An attempt ended otherwise than by a delivery."""
-        self._note({"t": "out", "id": held.id, "n": held.attempts, "at": wall_clock(), "is": result.name})
+        self._note({"t": "out", "id": held.id, "n": held.attempts, "at": wall_clock(), "is": result.value})
 
     def doubt(self, held: Held, host: str, ran_at: int) -> None:
         """It may have run, though its attempt's outcome had said that it did not."""
@@ -176,11 +176,11 @@
         if kind == "try":
             known.attempts, known.tried_at, known.tried_on = record["n"], record["at"], record["on"]
         elif kind == "out":
-            result = Result[record["is"]]
+            result = AttemptStatus(record["is"])
             known.attempts = record["n"]
             if result in DOUBTFUL and known.ran_at is None:
                 known.ran_at, known.ran_on = known.tried_at, known.tried_on
-            if result in DOUBTFUL and result is not Result.ERROR and known.key is not None:
+            if result in DOUBTFUL and result is not AttemptStatus.ERROR and known.key is not None:
                 self.doubts.pop(known.key, None)  # in the order of time, so that the oldest go first
                 self.doubts[known.key] = record["at"]
                 if len(self.doubts) > MOST_DOUBTS:
--- a/loftrelay/registry/protocol.py
+++ b/loftrelay/registry/protocol.py
@@ -163,9 +163,15 @@
 def write_answer(answer: Answer, rows: Iterable[bytes]) -> bytes:
     """`rows`: the members, each as JSON already; `answer.members` is not looked at."""
     told = {
-        "fleet": answer.fleet, "revision": answer.revision, "complete": False, "age_ms": answer.age,
-        "seq": answer.seq, "count": answer.count, "sum": answer.sum, "cells": answer.cells,
-    }  # fmt: skip
+        "fleet": answer.fleet,
+        "revision": answer.revision,
+        "complete": False,
+        "age_ms": answer.age,
+        "seq": answer.seq,
+        "count": answer.count,
+        "sum": answer.sum,
+        "cells": answer.cells,
+    }
     head = json.dumps(told, separators=(",", ":")).encode()
     return head[:-1] + b',"members":[' + b",".join(rows) + b"]}"
 
@@ -203,6 +209,12 @@
     if not isinstance(members, list):
         raise ProtocolError("members: is no list")
     return Answer(
-        fleet, numbers["revision"], numbers["age_ms"], numbers["seq"], numbers["count"], numbers["sum"],
-        tuple(cells), members,
-    )  # fmt: skip
+        fleet,
+        numbers["revision"],
+        numbers["age_ms"],
+        numbers["seq"],
+        numbers["count"],
+        numbers["sum"],
+        tuple(cells),
+        members,
+    )
--- a/loftrelay/registry/server.py
+++ b/loftrelay/registry/server.py
@@ -298,9 +298,15 @@
 
     def _tell(self, client: Client, told: Told) -> None:
         answer = Answer(
-            self.subscriptions.fleet, self.catalog.revision, int(self.age() * 1000), told.seq, told.count,
-            told.sum, told.cells, (),
-        )  # fmt: skip
+            self.subscriptions.fleet,
+            self.catalog.revision,
+            int(self.age() * 1000),
+            told.seq,
+            told.count,
+            told.sum,
+            told.cells,
+            (),
+        )
         self.counts["told"] += 1
         client.answer(HTTPStatus.OK, protocol.write_answer(answer, told.rows))
 
@@ -405,13 +411,25 @@
     def lines(self) -> list[str]:
         counts, of = self.counts, self.subscriptions
         figures = {
-            "subscribers": len(of.of), "subscribed": of.cells, "watches": of.watches + len(self._plain),
-            "connections": len(self.clients), "cells": len(self.catalog.by_cell), "hosts": self.catalog.hosts,
-            "gone": self.catalog.tombstones, "revision": self.catalog.revision, "floor": self.catalog.floor,
-            "age_ms": int(self.age() * 1000) if self.catalog.known else -1, "changes": self.catalog.changes,
-            "woken": of.woken, "answers_200": counts["told"], "answers_400": counts["answers_400"],
-            "answers_403": counts["answers_403"], "answers_410": counts["answers_410"],
-            "answers_503": counts["answers_503"], "bytes_in": counts["bytes_in"],
-            "bytes_out": counts["bytes_out"], "pages": counts["pages"],
-        }  # fmt: skip
+            "subscribers": len(of.of),
+            "subscribed": of.cells,
+            "watches": of.watches + len(self._plain),
+            "connections": len(self.clients),
+            "cells": len(self.catalog.by_cell),
+            "hosts": self.catalog.hosts,
+            "gone": self.catalog.tombstones,
+            "revision": self.catalog.revision,
+            "floor": self.catalog.floor,
+            "age_ms": int(self.age() * 1000) if self.catalog.known else -1,
+            "changes": self.catalog.changes,
+            "woken": of.woken,
+            "answers_200": counts["told"],
+            "answers_400": counts["answers_400"],
+            "answers_403": counts["answers_403"],
+            "answers_410": counts["answers_410"],
+            "answers_503": counts["answers_503"],
+            "bytes_in": counts["bytes_in"],
+            "bytes_out": counts["bytes_out"],
+            "pages": counts["pages"],
+        }
         return [f"{name} {value}" for name, value in figures.items()]
--- a/loftrelay/registry/settings.py
+++ b/loftrelay/registry/settings.py
@@ -48,6 +48,11 @@
         except ValueError as error:
             raise SettingsError(f"{path}: {name} = {told[name]!r}: {error}") from error
     return RegistrySettings(
-        told["fleet"], places["listen"], places["discovery"], told["keep_gone"], told["forget_s"],
-        told["idle_s"], told["most_list_mb"] << 20,
-    )  # fmt: skip
+        told["fleet"],
+        places["listen"],
+        places["discovery"],
+        told["keep_gone"],
+        told["forget_s"],
+        told["idle_s"],
+        told["most_list_mb"] << 20,
+    )
--- a/loftrelay/relay/engine.py
+++ b/loftrelay/relay/engine.py
@@ -10,8 +10,39 @@
 from functools import partial
 from typing import Any
 
-from loftrelay.decisions import interface as api
+from loftrelay.decisions.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailMessage,
+    RejectMessage,
+    SendAttempt,
+    SendProbe,
+    SetTimer,
+    WatchEndpointList,
+    WriteLog,
+)
+from loftrelay.decisions.events import (
+    AttemptEnded,
+    AttemptStatus,
+    DestinationsReleased,
+    EndpointDisabled,
+    EndpointEnabled,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    FinalStatusReported,
+    MessageCancelled,
+    MessageRecovered,
+    MessageSubmitted,
+    OrderingKeyCooldown,
+    OutcomeDisputed,
+    SettingsChanged,
+    TimerFired,
+)
 from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.settings import RelaySettings
 from loftrelay.metrics.registry import End, Figures, Gauges
 from loftrelay.net.address import Address
 from loftrelay.relay.clock import wall_clock
@@ -68,7 +99,7 @@
     notices: NoticeBoard
 
     def __init__(
-        self, seed: int, settings: api.Settings, journal: Journal, record: Record | None = None
+        self, seed: int, settings: RelaySettings, journal: Journal, record: Record | None = None
     ) -> None:
         self.settings = settings
         self.journal = journal
@@ -82,10 +113,10 @@
         self.accepted = Accepted(settings)
         self.figures = Figures(settings.classes)
         self.out: set[str] = set()  # hosts that the operator leaves out
-        self.tick = (settings.tick or NO_TICK) / 1e6
+        self.tick = (settings.batch_interval or NO_TICK) / 1e6
         self.bundles: dict[str, int] = {}  # hosts in the list, and how many messages a call to them holds
-        self.entries: dict[str, tuple[api.Entry, Address]] = {}  # the list
-        self.events: list[api.Event] = []
+        self.entries: dict[str, tuple[EndpointEntry, Address]] = {}  # the list
+        self.events: list[Event] = []
         self.posted: list[float] = []  # when each of them became known
         self.turn_due = False
         self.due_at = 0.0  # that turn, from when on it could run
@@ -118,7 +149,7 @@
         self.slices = slices
         for host in out:
             self.out.add(host)
-            self._post(api.TakenOut(host))
+            self._post(EndpointDisabled(host))
         self.delivery, self.discovery, self.notices = delivery, discovery, notices
         self._recover(known)
 
@@ -128,11 +159,11 @@
 
     # Events
 
-    def hear(self, event: api.Event) -> None:
+    def hear(self, event: Event) -> None:
         """What an authority besides this relay tells the module."""
         self._post(event)
 
-    def _post(self, event: api.Event) -> None:
+    def _post(self, event: Event) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
         self.events.append(event)
@@ -186,7 +217,7 @@
             return
         ends = asyncio.get_running_loop().time() + (held.deadline - wall_clock()) / 1e6
         held.terms = self.accepted.terms(held.class_name, wall_clock())
-        full = self.settings.max_held is not None and self.open >= self.settings.max_held
+        full = self.settings.max_open_messages is not None and self.open >= self.settings.max_open_messages
         if full or held.destination not in self.destinations:
             if full or self.slices is None or self.stopped or self.away is not None:
                 self._refuse_here(held, answer)
@@ -236,7 +267,7 @@
     def _refuse_late(self, held: Held, answer: Callable[[int, int], None]) -> None:
         self._refuse_here(held, answer)
         if not self.turn_due:
-            self._post(api.Timer(0))  # a relay with nothing to do would never catch up
+            self._post(TimerFired(0))  # a relay with nothing to do would never catch up
 
     def _refuse_here(self, held: Held, answer: Callable[[int, int], None]) -> None:
         self.figures.ended(held.class_name, End.DECLINED)
@@ -250,7 +281,7 @@
             return
         self.lives.enter(held.id, answer)
         left = int((ends - asyncio.get_running_loop().time()) * 1e6)
-        self._post(replace(self._submission(held), remaining=left))
+        self._post(replace(self._submission(held), time_remaining=left))
 
     def _recorded(self, held: Held, ends: float, taken: Taken) -> None:
         """What the store of record says of a message that is to be taken on."""
@@ -305,7 +336,7 @@
             self.journal.over(message)
         if stage is Stage.UNANSWERED:
             self._record_end(message, "refused")
-            self._post(api.Withdrawn(message))
+            self._post(MessageCancelled(message))
 
     def _record_end(self, message: str, answer: str) -> None:
         """An end that nobody else is to be told."""
@@ -327,10 +358,21 @@
             self.lives.back(held.id)
             self.posted.append(asyncio.get_running_loop().time())
             self.events.append(
-                api.Outcome(
-                    held.id, held.attempts, host, api.Result.NOT_SENT, 0, False, 0, None, None, None, False, 1
+                AttemptEnded(
+                    held.id,
+                    held.attempts,
+                    host,
+                    AttemptStatus.NOT_SENT,
+                    0,
+                    False,
+                    0,
+                    None,
+                    None,
+                    None,
+                    False,
+                    1,
                 )
-            )  # fmt: skip
+            )
         self.discovery.pause()
         self.notices.close()
 
@@ -340,14 +382,21 @@
         self.brain.armed = 0  # the timer that was set is gone
         self.discovery.watch()
         self.notices.move(self.discovery.address)
-        self._post(api.Timer(0))
+        self._post(TimerFired(0))
 
     def state(self) -> dict[str, Any]:
         """What the next process needs beside the journal. To be asked while this one stands still."""
         return tell(
-            self.brain, self.events, self.entries.values(), self.discovery.revision, self.discovery.address,
-            self.destinations, self.lives.calls(), self.accepted.dropped, self.slices is not None,
-        )  # fmt: skip
+            self.brain,
+            self.events,
+            self.entries.values(),
+            self.discovery.revision,
+            self.discovery.address,
+            self.destinations,
+            self.lives.calls(),
+            self.accepted.dropped,
+            self.slices is not None,
+        )
 
     def take_over(
         self,
@@ -367,7 +416,7 @@
             self._place(entry, address)
         self.events = [self._as_of_now(event) for event in handed.events]
         self.posted = [asyncio.get_running_loop().time()] * len(self.events)
-        self._post(api.Retuned(self.settings))
+        self._post(SettingsChanged(self.settings))
         self._reconcile(handed.sent_at)
         self.slices = slices
         if slices is not None:
@@ -375,25 +424,25 @@
             slices.adopt(revision, handed.destinations, handed.entries)
         self.discovery.resume(handed.revision)
 
-    def _as_of_now(self, event: api.Event) -> api.Event:
+    def _as_of_now(self, event: Event) -> Event:
         """What another process told of, a while ago."""
-        held = self.journal.held.get(event.message) if isinstance(event, api.Submit) else None
+        held = self.journal.held.get(event.message_id) if isinstance(event, MessageSubmitted) else None
         return event if held is None else self._submission(held)
 
     def _reconcile(self, sent_at: Mapping[str, int]) -> None:
         """Every message of the journal is known to the module, and the other way round."""
-        heard = {event.message for event in self.events if isinstance(event, api.Outcome)}
-        coming = {event.message for event in self.events if isinstance(event, api.Submit)}
+        heard = {event.message_id for event in self.events if isinstance(event, AttemptEnded)}
+        coming = {event.message_id for event in self.events if isinstance(event, MessageSubmitted)}
         for message in self.brain.messages.values():
             if message.call is not None and message.name not in heard:
                 self.lives.abroad(message.name, message.call.endpoint.name, sent_at.get(message.name))
             if message.name not in self.journal.held:
-                self._post(api.Withdrawn(message.name))
+                self._post(MessageCancelled(message.name))
         now = wall_clock()
         for held in sorted(self.journal.held.values(), key=lambda held: held.number):
             abroad = self.lives.stage(held.id) is Stage.ABROAD
             if held.tried_at is not None and not abroad:
-                self.journal.outcome(held, api.Result.NOT_SENT)
+                self.journal.outcome(held, AttemptStatus.NOT_SENT)
             if held.notice is None and not abroad:
                 self.lives.wait(held.id)
             if held.notice is not None:
@@ -405,7 +454,7 @@
     def lose_abroad(self) -> None:
         """The process before this one is gone with the calls that it still had out: they may have run."""
         for message in self.lives.at(Stage.ABROAD):
-            self.heard_abroad(message, self.lives.of[message].host, Ending(api.Result.BROKEN))
+            self.heard_abroad(message, self.lives.of[message].host, Ending(AttemptStatus.CONNECTION_LOST))
 
     def heard_abroad(self, message: str, host: str, ending: Ending) -> None:
         """The outcome of a call of the process before this one."""
@@ -414,15 +463,17 @@
             return
         self.lives.over(message)
         self._post(
-            api.Outcome(message, 0, host, ending.result, 0, ending.over, ending.wait, None, None, ending.idle)
+            AttemptEnded(
+                message, 0, host, ending.result, 0, ending.over, ending.wait, None, None, ending.idle
+            )
         )
 
-    def _submission(self, held: Held) -> api.Submit:
+    def _submission(self, held: Held) -> MessageSubmitted:
         remaining = held.deadline - wall_clock()
         terms = unpack(held.class_name, held.terms) if held.terms is not None else None
-        return api.Submit(
+        return MessageSubmitted(
             held.id, held.destination, held.class_name, held.tenant, remaining, held.key, terms
-        )  # fmt: skip
+        )
 
     def _recover(self, known: Mapping[str, Any]) -> None:
         """What was held before a restart enters in its first order."""
@@ -433,11 +484,11 @@
             if held.terms is None:
                 held.terms = self.accepted.terms(held.class_name, now)
             if held.tried_at is not None:
-                self.journal.outcome(held, api.Result.BROKEN)  # the restart broke its connection
+                self.journal.outcome(held, AttemptStatus.CONNECTION_LOST)  # the restart broke its connection
         for key, doubt in self.journal.doubts.items():
-            remaining = doubt + (self.settings.rest_after_doubt or 0) - now
+            remaining = doubt + (self.settings.ordering_cooldown or 0) - now
             if remaining > 0:
-                self._post(api.KeyRest(key, remaining))
+                self._post(OrderingKeyCooldown(key, remaining))
         messages = [held for held in messages if self._mend(held)]
         self.recovered = messages
         if self.slices is None:
@@ -468,12 +519,16 @@
             if held.id in self.journal.held:  # its end may have been heard meanwhile
                 self._post(self._recovered(held, now))
 
-    def _recovered(self, held: Held, now: int) -> api.Recovered:
+    def _recovered(self, held: Held, now: int) -> MessageRecovered:
         ran_ago = None if held.ran_at is None else max(0, now - held.ran_at)
-        return api.Recovered(
-            self._submission(held), max(0, now - held.taken_at), held.attempts, ran_ago, held.ran_on,
-            ended=held.notice is not None,
-        )  # fmt: skip
+        return MessageRecovered(
+            self._submission(held),
+            max(0, now - held.taken_at),
+            held.attempts,
+            ran_ago,
+            held.ran_on,
+            is_ended=held.notice is not None,
+        )
 
     def _mend(self, held: Held) -> bool:
         """Whether a message of the journal goes on, after what the store of record tells of it."""
@@ -513,13 +568,13 @@
             self.discovery.move(discovery)
             self.notices.move(discovery)
 
-    def retune(self, settings: api.Settings, discovery: Address) -> None:
+    def retune(self, settings: RelaySettings, discovery: Address) -> None:
         """The settings and where discovery is, from now on. What was taken on before keeps its terms."""
         self.settings = settings
         self.accepted.retune(settings, wall_clock())
         self.figures.know(settings.classes)
-        self.tick = (settings.tick or NO_TICK) / 1e6
-        self._post(api.Retuned(settings))
+        self.tick = (settings.batch_interval or NO_TICK) / 1e6
+        self._post(SettingsChanged(settings))
         self.move(discovery)
 
     # What operators ask
@@ -538,7 +593,7 @@
             log.info("host %s is taken out by hand", host)
             self.out.add(host)
             self.delivery.drain(host)
-            self._post(api.TakenOut(host))
+            self._post(EndpointDisabled(host))
             for watcher in self.watchers:
                 watcher.taken_out(host)
 
@@ -548,7 +603,7 @@
             self.out.discard(host)
             if host in self.entries:
                 self._place(*self.entries[host])
-            self._post(api.BroughtBack(host))
+            self._post(EndpointEnabled(host))
             for watcher in self.watchers:
                 watcher.brought_back(host)
 
@@ -557,16 +612,16 @@
         self.figures.lists_refused += 1
         self.no_list = not self.destinations
 
-    def listed(self, listing: api.Listing, addresses: Mapping[str, Address]) -> None:
-        self.no_list = self.no_list and listing.form is api.Form.FAILED
-        if listing.form is api.Form.FULL:
+    def listed(self, listing: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
+        self.no_list = self.no_list and listing.kind is EndpointListKind.FAILED
+        if listing.kind is EndpointListKind.FULL:
             for host in set(self.bundles) - set(addresses):
                 self._forget(host)
         for entry in listing.entries:
             self.destinations.add(entry.destination)
             host = entry.endpoint
             self._unsettle(entry.destination)
-            if entry.state is api.State.GONE:
+            if entry.state is EndpointState.REMOVED:
                 self._forget(host)
                 continue
             self._place(entry, addresses[host])
@@ -580,10 +635,10 @@
         now = self._clock()
         idle = {d for d in destinations if d not in self.parking.at and self.brain.idle(now, d)}
         for event in self.events:
-            if isinstance(event, api.Submit):
+            if isinstance(event, MessageSubmitted):
                 idle.discard(event.destination)
-            elif isinstance(event, api.Recovered):
-                idle.discard(event.submit.destination)
+            elif isinstance(event, MessageRecovered):
+                idle.discard(event.submission.destination)
         if idle:
             idle.difference_update(held.destination for held in self.journal.held.values())
         if not idle:
@@ -594,17 +649,17 @@
         for destination in idle:
             self.unsettled.pop(destination, None)
         gone = sorted(idle)
-        self._post(api.LetGo(tuple(gone)))
+        self._post(DestinationsReleased(tuple(gone)))
         return gone
 
-    def _place(self, entry: api.Entry, address: Address) -> None:
+    def _place(self, entry: EndpointEntry, address: Address) -> None:
         host = entry.endpoint
         self.entries[host] = entry, address
         self.delivery.place(host, address, entry.destination)
-        if entry.state is api.State.DRAINING or host in self.out:
+        if entry.state is EndpointState.DRAINING or host in self.out:
             self.delivery.drain(host)
-        kind = self.settings.kinds.get(entry.kind or "")
-        self.bundles[host] = (kind and kind.bundle_max) or 1
+        kind = self.settings.endpoint_kinds.get(entry.kind or "")
+        self.bundles[host] = (kind and kind.max_batch_size) or 1
 
     def _unsettle(self, destination: int) -> None:
         """What was decided for it before may hold no more: a wait, a drain, a failure."""
@@ -657,18 +712,29 @@
         else:
             self.journal.outcome(held, ending.result)
             for permit in self.permits:
-                permit.outcome(held.id, ending.result.name)
+                permit.outcome(held.id, ending.result.value)
         for watcher in self.watchers:
             watcher.ended(held, host, ending)
         if not ending.over or ending.wait:
             self._unsettle(held.destination)
         elapsed = now - sent_at if sent_at is not None else 0
         self._post(
-            api.Outcome(
-                held.id, attempt, host, ending.result, elapsed, ending.over, ending.wait,
-                None, None, ending.idle, ending.expired, int(unsent), ending.late,
+            AttemptEnded(
+                held.id,
+                attempt,
+                host,
+                ending.result,
+                elapsed,
+                ending.over,
+                ending.wait,
+                None,
+                None,
+                ending.idle,
+                ending.expired,
+                int(unsent),
+                ending.late,
             )
-        )  # fmt: skip
+        )
 
     def _close(self, held: Held) -> None:
         """Delivered: nothing more is owed. The journal keeps it until the store of record has that."""
@@ -699,7 +765,7 @@
         held = self.journal.held.get(message)
         if held is not None and held.notice is None:
             self.journal.doubt(held, host, ran_at)
-            self._post(api.Doubted(message, host, max(0, wall_clock() - ran_at)))
+            self._post(OutcomeDisputed(message, host, max(0, wall_clock() - ran_at)))
 
     def noticed(self, message: str) -> None:
         reached("told")
@@ -713,11 +779,11 @@
         self.journal.over(message, FAILED if remembered else 0)
         if self.record is not None:
             self.record.told(message)
-        self._post(api.Noticed(message))
+        self._post(FinalStatusReported(message))
 
     def _ring(self, due: int) -> None:
         self.now = max(self.now, due)  # never a little early
-        self._post(api.Timer(0))
+        self._post(TimerFired(0))
 
     # Turns
 
@@ -739,27 +805,27 @@
         self.last_turn = loop.time()
         events, self.events = self._aged(self.events), []
         self.posted.clear()
-        calls: dict[str, list[api.Send]] = {}
+        calls: dict[str, list[SendAttempt]] = {}
         for action in self.brain.handle(self.now, events):
             match action:
-                case api.Send():
+                case SendAttempt():
                     calls.setdefault(action.endpoint, []).append(action)
-                case api.Refuse(message, retry_in):
+                case RejectMessage(message, retry_in):
                     self._end(message, REFUSED, retry_in // 1000)
-                case api.Fail(message):
+                case FailMessage(message):
                     self._end(message, FAILED, 0)
-                case api.SetTimer(delay, _):
+                case SetTimer(delay, _):
                     if self.timer is not None:
                         self.timer.cancel()  # the module asks for another only when it wants to wake earlier
                     due = self.now + delay
                     self.timer = asyncio.get_running_loop().call_at(due / 1e6, self._ring, due)
-                case api.CloseIdle(endpoint):
+                case CloseIdleConnections(endpoint):
                     self.delivery.close_idle(endpoint)
-                case api.WatchList():
+                case WatchEndpointList():
                     self.discovery.watch()
-                case api.Log(text):
+                case WriteLog(text):
                     log.info("%s", text)
-                case api.Cancel() | api.Probe():
+                case CancelAttempt() | SendProbe():
                     log.error("the settings of a real relay allow no %s", action)
         self._answer_taken()  # before the first byte of a first attempt
         for host, sends in calls.items():
@@ -783,23 +849,28 @@
             self.discovery.watch()
         self._turn()
 
-    def _aged(self, events: list[api.Event]) -> list[api.Event]:
+    def _aged(self, events: list[Event]) -> list[Event]:
         """With the time that messages have left as of now: a turn may come late."""
-        now, aged = asyncio.get_running_loop().time(), list[api.Event]()
+        now, aged = asyncio.get_running_loop().time(), list[Event]()
         for event, at in zip(events, self.posted, strict=True):
             spent = int((now - at) * 1e6)
-            if isinstance(event, api.Submit):
-                event = replace(event, remaining=event.remaining - spent)
-            elif isinstance(event, api.Recovered):
-                event = replace(event, submit=replace(event.submit, remaining=event.submit.remaining - spent))
+            if isinstance(event, MessageSubmitted):
+                event = replace(event, time_remaining=event.time_remaining - spent)
+            elif isinstance(event, MessageRecovered):
+                event = replace(
+                    event,
+                    submission=replace(
+                        event.submission, time_remaining=event.submission.time_remaining - spent
+                    ),
+                )
             aged.append(event)
         return aged
 
-    def _call(self, host: str, sends: list[api.Send], batch: bool) -> None:
+    def _call(self, host: str, sends: list[SendAttempt], batch: bool) -> None:
         """One call waits as long as its most patient message, and as all of its messages live: it is given up
         as a whole. Trouble: one whose time ran out was told of while the call stayed out for the rest; the
         platform counted none of what its whole answer then called delivered (19 lost, incident r1ecba7)."""
-        messages = [self.journal.held[send.message] for send in sends]
+        messages = [self.journal.held[send.message_id] for send in sends]
         for held in messages:
             held.attempts += 1
             self.lives.send(held.id, self.now)
@@ -807,9 +878,9 @@
         ends = min(self.brain.messages[held.id].deadline for held in messages)
         left = ends - self._clock() - ANSWER_MARGIN
         timeout = max(0, min(left, max(send.timeout for send in sends)))
-        limits = [send.most_idle for send in sends if send.most_idle is not None]
+        limits = [send.max_connection_idle for send in sends if send.max_connection_idle is not None]
         unsafe = any(not may_repeat(held.terms) for held in messages)
-        within = (send.begin_within / 1e6 for send in sends if send.begin_within is not None)
+        within = (send.send_within / 1e6 for send in sends if send.send_within is not None)
         terms = Terms(timeout / 1e6, batch, unsafe, min(limits, default=None), min(within, default=math.inf))
         self._ask(0, host, messages, terms)
 
@@ -836,7 +907,7 @@
             return
         for permit in self.permits[: place + 1]:
             for held in messages:
-                permit.outcome(held.id, api.Result.NOT_SENT.name)
+                permit.outcome(held.id, AttemptStatus.NOT_SENT.value)
         again = max(LATE_MS, self.permits[place].retry_ms)
         for held in messages:
             self._put_off(held, host, again)
@@ -847,11 +918,21 @@
         held.attempts -= 1
         self.lives.back(held.id)
         self._post(
-            api.Outcome(
-                held.id, held.attempts, host, api.Result.NOT_SENT, 0, False, 0, None, None, None, False,
+            AttemptEnded(
+                held.id,
+                held.attempts,
+                host,
+                AttemptStatus.NOT_SENT,
+                0,
+                False,
+                0,
+                None,
+                None,
+                None,
+                False,
                 again_ms * 1000,
             )
-        )  # fmt: skip
+        )
 
     def _end(self, message: str, status: int, again_ms: int) -> None:
         if self.record is not None:
@@ -878,7 +959,7 @@
         self.journal.over(message)
         self.lives.over(message)
         answer(status, again_ms)
-        self._post(api.Noticed(message))
+        self._post(FinalStatusReported(message))
         if self.record is not None:
             self.record.told(message)
 
--- a/loftrelay/relay/fault_points.py
+++ b/loftrelay/relay/fault_points.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 # In the order of a message's life. "commit K" is before, "committed K" right after a commit that holds a
-# change of kind K (loftrelay.record.rules.Kind), in the thread of the store and before the loop knows.
+# change of kind K (loftrelay.store.state_machine.Kind), in the thread of the store and before the loop knows.
 STEPS = (
     "journal take",  # the journal has it, the store was not asked yet
     "commit take",
--- a/loftrelay/relay/handover.py
+++ b/loftrelay/relay/handover.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from loftrelay.decisions import interface as api
 from loftrelay.decisions import snapshot
+from loftrelay.decisions.events import AttemptStatus, EndpointEntry, EndpointState, Event
 from loftrelay.decisions.scheduler import Brain
 from loftrelay.net.address import Address
 from loftrelay.relay.ports import Ending
@@ -20,8 +20,8 @@
 @dataclass(frozen=True, slots=True)
 class Handed:
     module: Brain
-    events: list[api.Event]  # that it has not seen yet
-    entries: list[tuple[api.Entry, Address]]  # the list of hosts
+    events: list[Event]  # that it has not seen yet
+    entries: list[tuple[EndpointEntry, Address]]  # the list of hosts
     revision: int | None  # of that list
     discovery: Address
     destinations: set[int]  # that a list has named
@@ -33,8 +33,8 @@
 
 def tell(
     module: Brain,
-    events: Iterable[api.Event],
-    entries: Iterable[tuple[api.Entry, Address]],
+    events: Iterable[Event],
+    entries: Iterable[tuple[EndpointEntry, Address]],
     revision: int | None,
     discovery: Address,
     destinations: Iterable[int],
@@ -47,7 +47,7 @@
     return {
         "module": snapshot.write(module, events),
         "list": [
-            [list(address), e.endpoint, e.destination, e.state.name, e.zone, e.kind, e.rate]
+            [list(address), e.endpoint, e.destination, e.state.value, e.zone, e.kind, e.listed_rate]
             for e, address in entries
         ],
         "revision": None if sliced else revision,
@@ -65,22 +65,29 @@
         module, events = snapshot.read(told["module"], seed)
         host, port = told["discovery"]
         return Handed(
-            module, events,
+            module,
+            events,
             [
-                (api.Entry(name, int(cell), api.State[state], zone, kind, rate), (str(at[0]), int(at[1])))
+                (
+                    EndpointEntry(name, int(cell), EndpointState(state), zone, kind, rate),
+                    (str(at[0]), int(at[1])),
+                )
                 for at, name, cell, state, zone, kind, rate in told["list"]
             ],
-            told["revision"], (str(host), int(port)), set(map(int, told["destinations"])),
+            told["revision"],
+            (str(host), int(port)),
+            set(map(int, told["destinations"])),
             {str(name): int(at) for name, at in told["sent_at"].items()},
             {str(name): (tuple(packed), int(until)) for name, (packed, until) in told["dropped"].items()},
-            "slice" in told, told["slice"]["revision"] if "slice" in told else None,
-        )  # fmt: skip
+            "slice" in told,
+            told["slice"]["revision"] if "slice" in told else None,
+        )
     except (snapshot.SnapshotError, KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
         raise HandoverError(f"what was handed over can't be used: {error!r}") from error
 
 
 def tell_ending(ending: Ending) -> list[Any]:
-    row = [ending.result.name, ending.over, ending.expired, ending.wait, ending.idle]
+    row = [ending.result.value, ending.over, ending.expired, ending.wait, ending.idle]
     return [*row, True] if ending.held else row  # only then: earlier programs read five
 
 
@@ -90,6 +97,6 @@
         result, over, expired, wait, idle, *more = told
         idle = None if idle is None else int(idle)
         held = bool(more and more[0])
-        return Ending(api.Result[result], bool(over), bool(expired), int(wait), idle, held=held)
+        return Ending(AttemptStatus(result), bool(over), bool(expired), int(wait), idle, held=held)
     except (KeyError, TypeError, ValueError) as error:
         raise HandoverError(f"an outcome can't be read: {error!r}") from error
--- a/loftrelay/relay/message_terms.py
+++ b/loftrelay/relay/message_terms.py
@@ -9,29 +9,36 @@
 from functools import lru_cache
 from typing import Any
 
-from loftrelay.decisions import interface as api
+from loftrelay.decisions.settings import DeliverySemantics, MessageClass, MessageTerms, RelaySettings
 
-HARMLESS = (api.Effect.SAFE.name, api.Effect.KEYED.name)
+HARMLESS = (DeliverySemantics.IDEMPOTENT.value, DeliverySemantics.DEDUPLICATED.value)
 # Clients go on using a class that was dropped until they have heard of it, and then hand in once more what
 # was refused: it is taken under its old terms for so long (microseconds).
 LEAST_GRACE = 5_000_000
 
 
-def pack(about: api.MessageClass, max_attempts: int | None) -> tuple[Any, ...]:
+def pack(about: MessageClass, max_attempts: int | None) -> tuple[Any, ...]:
     return (
-        about.effect.name, about.scope, about.window, about.aim, about.deadline, about.worth,
-        about.late_worth, about.in_order, max_attempts,
-    )  # fmt: skip
-
-
-def unpack(class_name: str, packed: Sequence[Any]) -> api.MessageTerms:
+        about.semantics.value,
+        about.dedup_scope,
+        about.dedup_window,
+        about.latency_objective,
+        about.deadline,
+        about.priority_weight,
+        about.late_priority_weight,
+        about.is_ordered,
+        max_attempts,
+    )
+
+
+def unpack(class_name: str, packed: Sequence[Any]) -> MessageTerms:
     return _unpack(class_name, tuple(packed))
 
 
 @lru_cache(maxsize=256)
-def _unpack(class_name: str, packed: tuple[Any, ...]) -> api.MessageTerms:
+def _unpack(class_name: str, packed: tuple[Any, ...]) -> MessageTerms:
     effect, *rest, max_attempts = packed
-    return api.MessageTerms(api.MessageClass(class_name, api.Effect[effect], *rest), max_attempts)
+    return MessageTerms(MessageClass(class_name, DeliverySemantics(effect), *rest), max_attempts)
 
 
 def may_repeat(packed: Sequence[Any] | None) -> bool:
@@ -42,17 +49,17 @@
 def never_harms(packed: Sequence[Any] | None) -> bool:
     """Whether a message of these terms may run again at any time. Where a destination drops repeats, it does
     so for a while alone: its id has to be known for as long as a client may hand it in again."""
-    return packed is not None and packed[0] == api.Effect.SAFE.name
+    return packed is not None and packed[0] == DeliverySemantics.IDEMPOTENT.value
 
 
 class Accepted:
     """The classes that messages may be handed in under: those in force, and for a while those dropped."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: RelaySettings) -> None:
         self.in_force = settings
         self.dropped: dict[str, tuple[tuple[Any, ...], int]] = {}  # with when it is turned away
 
-    def retune(self, settings: api.Settings, now: int) -> None:
+    def retune(self, settings: RelaySettings, now: int) -> None:
         old = self.in_force
         self.in_force = settings
         for name, about in old.classes.items():
@@ -72,8 +79,8 @@
             return None
         return packed
 
-    def about(self, class_name: str, now: int) -> api.MessageClass | None:
+    def about(self, class_name: str, now: int) -> MessageClass | None:
         if (about := self.in_force.classes.get(class_name)) is not None:
             return about
         packed = self.terms(class_name, now)
-        return unpack(class_name, packed).about if packed is not None else None
+        return unpack(class_name, packed).message_class if packed is not None else None
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 from typing import Any, Protocol
 
-from loftrelay.decisions.interface import Entry, Result
+from loftrelay.decisions.events import AttemptStatus, EndpointEntry
 from loftrelay.net.address import Address
 from loftrelay.relay.message import Held, Remembered
 
@@ -21,7 +21,7 @@
 class Ending:
     """How one attempt ended."""
 
-    result: Result
+    result: AttemptStatus
     over: bool = False  # delivered: nothing more is owed
     expired: bool = False  # its host holds that its time is up: its end is owed, and never an attempt more
     wait: int = 0  # told wait, microseconds
@@ -50,7 +50,7 @@
 
     def ended(self, message: str) -> Remembered | None: ...
     def take(self, held: Held) -> None: ...
-    def outcome(self, held: Held, result: Result) -> None: ...
+    def outcome(self, held: Held, result: AttemptStatus) -> None: ...
     def end(self, message: str, notice: dict[str, Any]) -> None: ...
     def doubt(self, held: Held, host: str, ran_at: int) -> None: ...
     def over(self, message: str, status: int = 0) -> None: ...
@@ -157,7 +157,7 @@
         """A message came for one that is held: it is not idle."""
 
     def adopt(
-        self, revision: int | None, destinations: Iterable[int], rows: Iterable[tuple[Entry, Address]]
+        self, revision: int | None, destinations: Iterable[int], rows: Iterable[tuple[EndpointEntry, Address]]
     ) -> None:
         """Before `resume`: what another process of this relay held, whole as of that revision."""
 
--- a/loftrelay/relay/shutdown_schedule.py
+++ b/loftrelay/relay/shutdown_schedule.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from loftrelay.decisions.interface import MessageClass
+from loftrelay.decisions.settings import MessageClass
 
 # Seconds from SIGTERM to SIGKILL: so many, or the longest time that a message can have and so many more. The
 # pages tell the first alone; the second was measured (docs/endings.md, "Questions").
--- a/loftrelay/server/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -40,9 +40,16 @@
 ACCEPT_PAUSE = 0.1  # seconds before more are taken after the descriptors have run out
 MOST_KEY = 256
 ONCE = {
-    b"content-length", b"host", b"idempotency-key", b"request-class", b"request-id", b"request-timeout-ms",
-    b"tenant", b"transfer-encoding", b"x-consignee",
-}  # fmt: skip
+    b"content-length",
+    b"host",
+    b"idempotency-key",
+    b"request-class",
+    b"request-id",
+    b"request-timeout-ms",
+    b"tenant",
+    b"transfer-encoding",
+    b"x-consignee",
+}
 IDEMPOTENCY_KEY = re.compile(r"[ -~]{1,256}")
 IDENTIFIER = re.compile(r"[!-~]{1,128}")
 NUMBER = re.compile(r"[0-9]{1,9}")
@@ -97,15 +104,23 @@
         raise BadRequest(400, "X-Consignee names no dest")
     if len(path) == 2 and len(path[1]) > MOST_KEY:
         raise BadRequest(400, "the key is too long")
-    key = path[1] if about.in_order and len(path) == 2 and path[1] else None
+    key = path[1] if about.is_ordered and len(path) == 2 and path[1] else None
     idempotency_key = headers.get("idempotency-key")
     if idempotency_key is not None and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
         raise BadRequest(400, "Idempotency-Key is malformed")
     deadline = arrived + int(timeout) * 1000
     return Held(
-        identity, 0, about.name, tenant, int(destination[1]), key, arrived, deadline, body,
+        identity,
+        0,
+        about.name,
+        tenant,
+        int(destination[1]),
+        key,
+        arrived,
+        deadline,
+        body,
         idempotency_key=idempotency_key,
-    )  # fmt: skip
+    )
 
 
 class Client(asyncio.Protocol):
@@ -326,9 +341,10 @@
         if self.request is not None and self.request.method == b"HEAD":
             body = b""
         head = h11.Response(
-            status_code=status, reason=HTTPStatus(status).phrase,
+            status_code=status,
+            reason=HTTPStatus(status).phrase,
             headers=[*headers, ("Content-Length", str(len(body)))],
-        )  # fmt: skip
+        )
         self._write(
             b"".join(self.wire.send(event) or b"" for event in (head, h11.Data(body), h11.EndOfMessage()))
         )
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -38,16 +38,25 @@
     journal = journal or Journal(config.state, config.disk_bytes)
     engine = Engine(config.seed, config.settings, journal, record)
     delivery = Hosts(
-        config.settings.connect_timeout, config.settings.idle_limit, config.most_to_hosts,
-        connections, config.seed, journal.tried, engine.ended, engine.doubted, engine.figures.forwarded,
-        engine.pulse, engine.told, engine.bound,
-    )  # fmt: skip
+        config.settings.connect_timeout,
+        config.settings.connection_idle_timeout,
+        config.most_to_hosts,
+        connections,
+        config.seed,
+        journal.tried,
+        engine.ended,
+        engine.doubted,
+        engine.figures.forwarded,
+        engine.pulse,
+        engine.told,
+        engine.bound,
+    )
     where = config.discovery if handed is None else handed.discovery
     discovery: Directory
     slices: Slices | None = None
     if subscription is None:
         discovery = Discovery(
-            where, config.settings.ask_every, engine.listed, lambda: engine.entries, engine.list_refused
+            where, config.settings.poll_interval, engine.listed, lambda: engine.entries, engine.list_refused
         )
     else:
         from loftrelay.discovery.subscriber import Subscriber  # only where it is used
--- a/loftrelay/service/gossip_member.py
+++ b/loftrelay/service/gossip_member.py
@@ -25,9 +25,15 @@
 HOLD_AGAIN = 1.0  # seconds between tries to make a call from elsewhere hold here
 AGAIN = 0.1  # seconds between tries for a socket that the process before still has
 COUNTS = (
-    "sent", "sent_bytes", "received", "unreadable", "of_another_version", "of_another_fleet", "not_sent",
+    "sent",
+    "sent_bytes",
+    "received",
+    "unreadable",
+    "of_another_version",
+    "of_another_fleet",
+    "not_sent",
     "stalls",
-)  # fmt: skip
+)
 
 Change = Callable[[str, bool], str | None]  # a host, and whether it is out; gives the reason why not
 
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -136,9 +136,15 @@
             taker.attach(engine, server.adopt, self.relay.change, self.read_again)
             if recorder is None:  # what the store has not said yet can't be handed over
                 self.giver = Giver(
-                    config.state, lock, engine, server, self._moved, self.relay.change, self._stop,
+                    config.state,
+                    lock,
+                    engine,
+                    server,
+                    self._moved,
+                    self.relay.change,
+                    self._stop,
                     self._take_back,
-                )  # fmt: skip
+                )
         joining = await self._join(engine) if self.fleet is not None else None
         log.info("%s listens on %s:%d", config.name, *address)
         self.relay.serving = True
--- a/loftrelay/service/store_setup.py
+++ b/loftrelay/service/store_setup.py
@@ -6,7 +6,7 @@
 import logging
 
 from loftrelay.config.platform import Config
-from loftrelay.decisions.interface import Effect, Settings
+from loftrelay.decisions.settings import DeliverySemantics, RelaySettings
 from loftrelay.journal.journal import Journal
 from loftrelay.store.backend import Unavailable
 from loftrelay.store.factory import opener
@@ -20,11 +20,11 @@
 RETRY = 0.5  # seconds between looks for a store that is away at the start
 
 
-def modes(settings: Settings, told: RecordSettings) -> dict[str, Mode]:
+def modes(settings: RelaySettings, told: RecordSettings) -> dict[str, Mode]:
     """How each class is recorded: by its effect."""
-    harmless = (Effect.SAFE, Effect.KEYED)
+    harmless = (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED)
     return {
-        name: told.repeatable if about.effect in harmless else told.unsafe
+        name: told.repeatable if about.semantics in harmless else told.unsafe
         for name, about in settings.classes.items()
     }
 
--- a/loftrelay/store/group_commit.py
+++ b/loftrelay/store/group_commit.py
@@ -24,8 +24,14 @@
     @property
     def row(self) -> tuple[object, ...]:
         return (
-            self.message, self.run, self.attempt, self.host, self.intended_at, self.result, self.result_at,
-        )  # fmt: skip
+            self.message,
+            self.run,
+            self.attempt,
+            self.host,
+            self.intended_at,
+            self.result,
+            self.result_at,
+        )
 
 
 @dataclass(slots=True)
@@ -59,7 +65,12 @@
         tried = change.kind in (Kind.INTEND, Kind.OUTCOME, Kind.END) and after.attempts
         if tried:
             group.attempts[change.message, after.run, after.attempts] = Attempt(
-                change.message, after.run, after.attempts, after.host, after.intended_at, after.result,
+                change.message,
+                after.run,
+                after.attempts,
+                after.host,
+                after.intended_at,
+                after.result,
                 after.result_at,
-            )  # fmt: skip
+            )
     return group
--- a/loftrelay/store/postgres.py
+++ b/loftrelay/store/postgres.py
@@ -53,9 +53,14 @@
 )
 # SQLSTATE classes and codes (PostgreSQL, appendix A) after which the same may succeed later:
 TRANSIENT = (
-    "08", "40", "53", "55", "57", "58",  # connection, rollback, resources, state, operator, system
+    "08",
+    "40",
+    "53",
+    "55",
+    "57",
+    "58",  # connection, rollback, resources, state, operator, system
     "25006",  # read-only: a failover left this connection at a standby
-)  # fmt: skip
+)
 
 
 class Raced(Exception):
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -27,8 +27,12 @@
 
 
 STATUSES = {
-    Known.NEW: 0, Known.IN_PROGRESS: 202, Known.DELIVERED: 200, Known.FAILED: 500, Known.REFUSED: 503,
-}  # fmt: skip
+    Known.NEW: 0,
+    Known.IN_PROGRESS: 202,
+    Known.DELIVERED: 200,
+    Known.FAILED: 500,
+    Known.REFUSED: 503,
+}
 
 
 @dataclass(slots=True)
@@ -71,9 +75,14 @@
     the store may take for a message before its client is refused (seconds)."""
 
     def __init__(
-        self, writer: Writer, instance: str, modes: Mapping[str, Mode], memory: int, keep: int | None = None,
+        self,
+        writer: Writer,
+        instance: str,
+        modes: Mapping[str, Mode],
+        memory: int,
+        keep: int | None = None,
         patience: float = 0.5,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.writer = writer
         self.instance = instance
         self.modes = modes
@@ -183,9 +192,14 @@
     ) -> None:
         track.run, track.number, track.state = run, 1, State.TAKEN
         about = About(
-            self.instance, held.class_name, held.tenant, held.destination, held.key, held.deadline,
+            self.instance,
+            held.class_name,
+            held.tenant,
+            held.destination,
+            held.key,
+            held.deadline,
             hashlib.sha256(held.body).hexdigest(),
-        )  # fmt: skip
+        )
         change = Change(held.id, run, 1, Kind.TAKE, held.taken_at, about=about)
         required = track.mode is Mode.REQUIRED
         self.writer.put(change, partial(self._taken, held, track, done), optional and required, required)
@@ -277,25 +291,41 @@
             self._post(message, track, Kind.TOLD)
 
     def _change(
-        self, message: str, track: Track, kind: Kind, host: str | None = None, result: str | None = None,
+        self,
+        message: str,
+        track: Track,
+        kind: Kind,
+        host: str | None = None,
+        result: str | None = None,
         answer: Answer | None = None,
-    ) -> Change:  # fmt: skip
+    ) -> Change:
         track.number += 1
         track.state = state_machine.LEADS_TO[kind]
         return Change(message, track.run, track.number, kind, wall_clock(), None, host, result, answer)
 
     def _post(
-        self, message: str, track: Track, kind: Kind, host: str | None = None, result: str | None = None,
+        self,
+        message: str,
+        track: Track,
+        kind: Kind,
+        host: str | None = None,
+        result: str | None = None,
         answer: Answer | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Nobody waits for it."""
         urgent = track.mode is Mode.REQUIRED and kind is not Kind.TOLD
         self.writer.put(self._change(message, track, kind, host, result, answer), urgent=urgent)
 
     def _write(
-        self, message: str, track: Track, kind: Kind, done: Callable[[], None], result: str | None = None,
-        answer: Answer | None = None, urgent: bool = True,
-    ) -> None:  # fmt: skip
+        self,
+        message: str,
+        track: Track,
+        kind: Kind,
+        done: Callable[[], None],
+        result: str | None = None,
+        answer: Answer | None = None,
+        urgent: bool = True,
+    ) -> None:
         """Calls back when it is committed, or never will be: then the log says so."""
 
         def written(error: Exception | None) -> None:
--- a/loftrelay/store/rows.py
+++ b/loftrelay/store/rows.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from typing import Any
 
 from loftrelay.store.backend import Query
 from loftrelay.store.state_machine import About, Answer, Entry, State
@@ -21,23 +22,69 @@
 def row_of(entry: Entry) -> tuple[object, ...]:
     about = entry.about
     return (
-        entry.message, entry.run, entry.number, entry.state.value, about.instance, about.class_name,
-        about.tenant, about.destination, about.key, about.sha256, about.deadline, entry.taken_at,
-        entry.attempts, entry.host, entry.intended_at, entry.result, entry.result_at,
-        entry.answer.value if entry.answer else None, entry.answered_at, entry.told_at,
-    )  # fmt: skip
+        entry.message,
+        entry.run,
+        entry.number,
+        entry.state.value,
+        about.instance,
+        about.class_name,
+        about.tenant,
+        about.destination,
+        about.key,
+        about.sha256,
+        about.deadline,
+        entry.taken_at,
+        entry.attempts,
+        entry.host,
+        entry.intended_at,
+        entry.result,
+        entry.result_at,
+        entry.answer.value if entry.answer else None,
+        entry.answered_at,
+        entry.told_at,
+    )
 
 
-def entry_of(row: Sequence[object]) -> Entry:
+def entry_of(row: Sequence[Any]) -> Entry:
     (
-        message, run, number, state, instance, class_name, tenant, destination, key, sha256, deadline,
-        taken_at, attempts, host, intended_at, result, result_at, answer, answered_at, told_at,
-    ) = row  # fmt: skip
-    about = About(instance, class_name, tenant, destination, key, deadline, sha256)  # type: ignore[arg-type]
+        message,
+        run,
+        number,
+        state,
+        instance,
+        class_name,
+        tenant,
+        destination,
+        key,
+        sha256,
+        deadline,
+        taken_at,
+        attempts,
+        host,
+        intended_at,
+        result,
+        result_at,
+        answer,
+        answered_at,
+        told_at,
+    ) = row
+    about = About(instance, class_name, tenant, destination, key, deadline, sha256)
     return Entry(
-        message, run, about, number, State(state), taken_at, attempts, host, intended_at, result, result_at,  # type: ignore[arg-type]
-        Answer(answer) if answer else None, answered_at, told_at,  # type: ignore[arg-type]
-    )  # fmt: skip
+        message,
+        run,
+        about,
+        number,
+        State(state),
+        taken_at,
+        attempts,
+        host,
+        intended_at,
+        result,
+        result_at,
+        Answer(answer) if answer else None,
+        answered_at,
+        told_at,
+    )
 
 
 def conditions(query: Query, mark: str) -> tuple[str, list[object]]:
--- a/loftrelay/store/sqlite.py
+++ b/loftrelay/store/sqlite.py
@@ -57,9 +57,14 @@
 GROW = f"UPDATE messages SET {', '.join(f'{name} = ?' for name in GROWN)} WHERE id = ?"
 PLACES = [COLUMNS.split(", ").index(name) for name in GROWN]
 TRANSIENT = (
-    sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED, sqlite3.SQLITE_FULL, sqlite3.SQLITE_IOERR,
-    sqlite3.SQLITE_CANTOPEN, sqlite3.SQLITE_NOMEM, sqlite3.SQLITE_READONLY,
-)  # fmt: skip
+    sqlite3.SQLITE_BUSY,
+    sqlite3.SQLITE_LOCKED,
+    sqlite3.SQLITE_FULL,
+    sqlite3.SQLITE_IOERR,
+    sqlite3.SQLITE_CANTOPEN,
+    sqlite3.SQLITE_NOMEM,
+    sqlite3.SQLITE_READONLY,
+)
 
 
 class SQLiteStore:
