--- a/loftrelay/store/state_machine.py
+++ b/loftrelay/store/state_machine.py
@@ -151,9 +151,21 @@
         told_at = change.at
     # Made anew field by field: `dataclasses.replace` was a third of what a commit costs in this process.
     return Entry(
-        entry.message, entry.run, entry.about, change.number, LEADS_TO[change.kind], entry.taken_at, attempts,
-        host, intended_at, result, result_at, answer, answered_at, told_at,
-    )  # fmt: skip
+        entry.message,
+        entry.run,
+        entry.about,
+        change.number,
+        LEADS_TO[change.kind],
+        entry.taken_at,
+        attempts,
+        host,
+        intended_at,
+        result,
+        result_at,
+        answer,
+        answered_at,
+        told_at,
+    )
 
 
 def free_again(entry: Entry) -> bool:
--- a/loftrelay/store/writer.py
+++ b/loftrelay/store/writer.py
@@ -83,9 +83,12 @@
         self.task = asyncio.create_task(self._run())
 
     def put(
-        self, change: Change, done: Callable[[Exception | None], None] | None = None, optional: bool = False,
+        self,
+        change: Change,
+        done: Callable[[Exception | None], None] | None = None,
+        optional: bool = False,
         urgent: bool = True,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Calls `done` with None once the change is committed, or with Away (only where `optional`),
         Elsewhere (a TAKE whose id is known) or RuleBroken; never before this returns.
 
--- a/tests/relay/test_life.py
+++ b/tests/relay/test_life.py
@@ -59,4 +59,3 @@
     assert lives.refuse("b") is answers["b"] and lives.over("c") is not None
     assert lives.take() == [answers["a"]] and lives.take() == []
     assert lives.refuse("a") is None and lives.stage("b") is Stage.REFUSING and not faults
-
