--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -11,7 +11,13 @@
 
 import pytest
 
-from loftrelay.decisions.interface import Entry, Form, LetGo, Listing, State
+from loftrelay.decisions.events import (
+    DestinationsReleased,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+)
 from loftrelay.decisions.scheduler import Destination, Endpoint
 from loftrelay.delivery.connection_pool import Group, Server
 from loftrelay.discovery.client import read_rows
@@ -27,30 +33,30 @@
 AT: Address = ("127.0.0.1", 9)
 
 
-def entry(name: str, destination: int, state: State = State.LISTED) -> Entry:
-    return Entry(name, destination, state, "here", "plain", None)
+def entry(name: str, destination: int, state: EndpointState = EndpointState.ACTIVE) -> EndpointEntry:
+    return EndpointEntry(name, destination, state, "here", "plain", None)
 
 
-def listed(engine: Engine, form: Form, *entries: Entry) -> None:
-    engine.listed(Listing(form, entries), {e.endpoint: AT for e in entries})
+def listed(engine: Engine, form: EndpointListKind, *entries: EndpointEntry) -> None:
+    engine.listed(EndpointListReceived(form, entries), {e.endpoint: AT for e in entries})
     engine._turn()
 
 
-CHANGES = [entry("h5", 5, State.DRAINING), entry("h6", 6, State.GONE), entry("new", 7)]
+CHANGES = [entry("h5", 5, EndpointState.DRAINING), entry("h6", 6, EndpointState.REMOVED), entry("new", 7)]
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_a_change_costs_what_it_brings(tmp_path: Path, change: Entry) -> None:
+def test_a_change_costs_what_it_brings(tmp_path: Path, change: EndpointEntry) -> None:
     async def scenario() -> None:
         costs = []
         for size in (FEW, MANY):
             engine, journal = build(config(tmp_path / str(size)))
-            listed(engine, Form.FULL, *(entry(f"h{i}", i) for i in range(size)))
+            listed(engine, EndpointListKind.FULL, *(entry(f"h{i}", i) for i in range(size)))
             assert len(engine.entries) == size
             brain = engine.brain
             engine.entries, engine.bundles = Walked(engine.entries), Walked(engine.bundles)
             brain.endpoints, brain.destinations = Walked(brain.endpoints), Walked(brain.destinations)
-            costs.append(steps(partial(listed, engine, Form.CHANGES, change)))
+            costs.append(steps(partial(listed, engine, EndpointListKind.DELTA, change)))
             for of in (engine.entries, engine.bundles, brain.endpoints, brain.destinations):
                 assert isinstance(of, Walked) and of.walked == 0
             close(engine)
@@ -75,11 +81,15 @@
         try:
             engine, journal = build(config(tmp_path))
             for name in ("a", "b"):
-                listed(engine, Form.CHANGES, *(entry(f"{name}{i}", i) for i in range(100)))
+                listed(engine, EndpointListKind.DELTA, *(entry(f"{name}{i}", i) for i in range(100)))
             assert more() == [201, 100, 201, 100]
-            listed(engine, Form.CHANGES, *(entry(f"a{i}", i, State.GONE) for i in range(100)))
+            listed(
+                engine,
+                EndpointListKind.DELTA,
+                *(entry(f"a{i}", i, EndpointState.REMOVED) for i in range(100)),
+            )
             assert more() == [101, 100, 101, 100]
-            engine.brain.handle(engine.brain.now + 1, [LetGo(tuple(range(100)))])
+            engine.brain.handle(engine.brain.now + 1, [DestinationsReleased(tuple(range(100)))])
             for i in range(100):
                 engine.delivery.forget(f"b{i}")
             assert more() == [0, 0, 1, 1]
@@ -101,10 +111,17 @@
     async def scenario() -> None:
         size = 2_000
         rows = [
-            {"id": f"h{i}", "host_port": "127.0.0.1:9", "cell": i, "phase": "Ready", "locality": "zone-1",
-             "flavor": "partner", "size": 1.0}
+            {
+                "id": f"h{i}",
+                "host_port": "127.0.0.1:9",
+                "cell": i,
+                "phase": "Ready",
+                "locality": "zone-1",
+                "flavor": "partner",
+                "size": 1.0,
+            }
             for i in range(size)
-        ]  # fmt: skip
+        ]
         told = json.dumps(rows)
         del rows
         engine, journal = build(config(tmp_path))
@@ -112,7 +129,7 @@
         tracemalloc.start()
         try:
             entries = read_rows(json.loads(told))
-            listing = Listing(Form.CHANGES, tuple(e for e, _ in entries))
+            listing = EndpointListReceived(EndpointListKind.DELTA, tuple(e for e, _ in entries))
             engine.listed(listing, {e.endpoint: address for e, address in entries})
             del entries, listing
             engine.events.clear()
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -12,7 +12,14 @@
 import pytest
 
 from loftrelay.config.platform import Config
-from loftrelay.decisions import interface as api
+from loftrelay.decisions.events import (
+    DestinationsReleased,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    MessageSubmitted,
+)
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.delivery.connection_pool import Limits
 from loftrelay.delivery.host_client import Hosts
@@ -51,7 +58,7 @@
         self.used.append(destination)
 
     def adopt(
-        self, revision: int | None, destinations: Iterable[int], rows: Iterable[tuple[api.Entry, Address]]
+        self, revision: int | None, destinations: Iterable[int], rows: Iterable[tuple[EndpointEntry, Address]]
     ) -> None:
         self.adopted.append((revision, sorted(destinations), [entry.endpoint for entry, _ in rows]))
 
@@ -86,9 +93,19 @@
     journal = Journal(folder, config.disk_bytes)
     engine = Engine(1, config.settings, journal)
     hosts = Hosts(
-        None, None, 10, Limits(), 1, journal.tried, engine.ended, engine.doubted, engine.figures.forwarded,
-        engine.pulse, engine.told, engine.bound,
-    )  # fmt: skip
+        None,
+        None,
+        10,
+        Limits(),
+        1,
+        journal.tried,
+        engine.ended,
+        engine.doubted,
+        engine.figures.forwarded,
+        engine.pulse,
+        engine.told,
+        engine.bound,
+    )
     notices = Notices(NOWHERE, engine.noticed)
     if handed is None:
         engine.connect(hosts, slices, notices, {}, slices=slices)
@@ -123,9 +140,9 @@
     engine.submit(held, answer)
 
 
-def listing(*hosts: str, destination: int = 1) -> tuple[api.Listing, dict[str, Address]]:
-    entries = tuple(api.Entry(h, destination, api.State.LISTED, "a", "plain", 1.0) for h in hosts)
-    return api.Listing(api.Form.CHANGES, entries), dict.fromkeys(hosts, NOWHERE)
+def listing(*hosts: str, destination: int = 1) -> tuple[EndpointListReceived, dict[str, Address]]:
+    entries = tuple(EndpointEntry(h, destination, EndpointState.ACTIVE, "a", "plain", 1.0) for h in hosts)
+    return EndpointListReceived(EndpointListKind.DELTA, entries), dict.fromkeys(hosts, NOWHERE)
 
 
 def hold(engine: Engine, destination: int = 1) -> None:
@@ -206,8 +223,8 @@
         while loop.time() < until:
             await asyncio.sleep(0.01)
         hold(engine)
-        (event,) = [e for e in engine.events if isinstance(e, api.Submit)]
-        assert event.remaining <= 4_800_000
+        (event,) = [e for e in engine.events if isinstance(e, MessageSubmitted)]
+        assert event.time_remaining <= 4_800_000
         close(engine)
 
     play(scenario)
@@ -318,7 +335,7 @@
         assert engine.let_go([1, 2, 3, 4, 5, 6, 7]) == [1, 7]
         assert 1 not in engine.destinations and set(engine.entries) == {"h2", "h3", "h4", "h5"}
         assert set(engine.bundles) == set(engine.entries)
-        assert engine.events[-1] == api.LetGo((1, 7))
+        assert engine.events[-1] == DestinationsReleased((1, 7))
         engine._turn()
         assert "h1" not in engine.brain.endpoints and "h2" in engine.brain.endpoints
         submit(engine, answers, message("again", 1))
--- a/tests/server/admin/test_door.py
+++ b/tests/server/admin/test_door.py
@@ -128,11 +128,19 @@
         figures = dict(line.split("=") for line in text.splitlines()[:-1])
         assert text.endswith("\nEND\n")
         assert figures == {
-            "app.succeeded.status": "1", "app.succeeded.order": "0", "app.declined.status": "1",
-            "app.declined.order": "0", "app.aborted.status": "0", "app.aborted.order": "0",
-            "app.forwards": "1", "app.outstanding": "0", "app.discovered": "1", "app.ejected": "0",
-            "app.sighup_applied": "0", "app.sighup_rejected": "0",
-        }  # fmt: skip
+            "app.succeeded.status": "1",
+            "app.succeeded.order": "0",
+            "app.declined.status": "1",
+            "app.declined.order": "0",
+            "app.aborted.status": "0",
+            "app.aborted.order": "0",
+            "app.forwards": "1",
+            "app.outstanding": "0",
+            "app.discovered": "1",
+            "app.ejected": "0",
+            "app.sighup_applied": "0",
+            "app.sighup_rejected": "0",
+        }
 
     run(scenario, tmp_path)
 
@@ -181,16 +189,22 @@
 
 
 @pytest.mark.parametrize(("control", "status"), [("here", 2), ("127.0.0.1:99999", 2), ("192.0.2.1:7", 1)])
-def test_an_address_that_cannot_be_used_ends_with_one_line(
-    tmp_path: Path, control: str, status: int
-) -> None:
+def test_an_address_that_cannot_be_used_ends_with_one_line(tmp_path: Path, control: str, status: int) -> None:
     world = World(tmp_path)
     path = world.configure("127.0.0.1:9")
     done = subprocess.run(
-        [sys.executable, "-m", "loftrelay"], cwd=ROOT, capture_output=True, text=True, timeout=HANG,
-        env={**os.environ, "RELAY_CONFIG": str(path), "RELAY_STATE": str(tmp_path / "s"),
-             "RELAY_CONTROL": control},
-    )  # fmt: skip
+        [sys.executable, "-m", "loftrelay"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=HANG,
+        env={
+            **os.environ,
+            "RELAY_CONFIG": str(path),
+            "RELAY_STATE": str(tmp_path / "s"),
+            "RELAY_CONTROL": control,
+        },
+    )
     assert done.returncode == status and done.stderr.count("\n") == 1
     assert done.stderr.startswith("loftrelay: ")
 
--- a/tests/server/http/test_clients.py
+++ b/tests/server/http/test_clients.py
@@ -43,9 +43,16 @@
 
 CLASSES = [
     *SETTINGS["classes"],
-    {"name": "alarm", "effect": "deduplicated", "key_scope": "all", "window": 1_000_000,
-     "deadline": 24_000_000, "on_time": 3_000_000, "worth": 2},
-]  # fmt: skip
+    {
+        "name": "alarm",
+        "effect": "deduplicated",
+        "key_scope": "all",
+        "window": 1_000_000,
+        "deadline": 24_000_000,
+        "on_time": 3_000_000,
+        "worth": 2,
+    },
+]
 BAD = [
     (message("m", path="/nowhere"), 404),
     (message("m", path="/status/a/b"), 404),
--- a/tests/standins/discovery.py
+++ b/tests/standins/discovery.py
@@ -12,9 +12,16 @@
 
 def row(host: str, cell: int, phase: str = "Ready", **more: Any) -> dict[str, Any]:
     return {
-        "id": host, "host_port": "127.0.0.1:9", "locality": "a", "flavor": "plain", "cell": cell,
-        "phase": phase, "size": 1.0, "up_since_ms": 0, **more,
-    }  # fmt: skip
+        "id": host,
+        "host_port": "127.0.0.1:9",
+        "locality": "a",
+        "flavor": "plain",
+        "cell": cell,
+        "phase": phase,
+        "size": 1.0,
+        "up_since_ms": 0,
+        **more,
+    }
 
 
 class Discovery:
--- a/tests/standins/killed.py
+++ b/tests/standins/killed.py
@@ -1,5 +1,5 @@
 """python -m tests.standins.killed STEP ARGUMENTS...: a relay that ends by SIGKILL where it first reaches the
-named step (loftrelay.core.steps)."""
+named step (loftrelay.relay.fault_points)."""
 
 from __future__ import annotations
 
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -21,18 +21,27 @@
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "status", "effect": "idempotent", "deadline": 24_000_000, "on_time": 3_000_000, "worth": 1},
-        {"name": "order", "effect": "at_most_once", "in_order": True, "deadline": 24_000_000,
-         "on_time": 3_000_000, "worth": 3},
+        {
+            "name": "order",
+            "effect": "at_most_once",
+            "in_order": True,
+            "deadline": 24_000_000,
+            "on_time": 3_000_000,
+            "worth": 3,
+        },
     ],
     "extra": {"bundle_max": [1, 20], "call_slots": 6, "own_limits": [False, False]},
     "flavors": ["plain", "bulk"],
     "policy_limits": {
-        "conn_idle": 15_000_000, "connect_timeout": 1_000_000, "most_held": 100, "most_tries": 12,
+        "conn_idle": 15_000_000,
+        "connect_timeout": 1_000_000,
+        "most_held": 100,
+        "most_tries": 12,
     },
     "safety": {"ask_every": 10_000_000, "settle_after_doubt": 300_000},
     "tenants": [{"name": "acme", "allowance_per_s": 1000.0, "fraction": 1.0}],
     "tick": 5000,
-}  # fmt: skip
+}
 
 
 @dataclass
@@ -194,9 +203,17 @@
 
     def list_host(self, dest: int, kind: str, phase: str, address: str) -> None:
         self.members.append(
-            {"id": f"h{len(self.members)}", "host_port": address, "locality": "a", "flavor": kind,
-             "cell": dest, "phase": phase, "size": 1.0, "up_since_ms": 0}
-        )  # fmt: skip
+            {
+                "id": f"h{len(self.members)}",
+                "host_port": address,
+                "locality": "a",
+                "flavor": kind,
+                "cell": dest,
+                "phase": phase,
+                "size": 1.0,
+                "up_since_ms": 0,
+            }
+        )
         self.revision += 1
         self.bump()
 
@@ -241,9 +258,14 @@
 
     def configure(self, discovery: str) -> Path:
         config = {
-            "name": self.name_, "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d2",
-            "limits": self.limits, "known": self.whole_list(), "settings": self.settings,
-        }  # fmt: skip
+            "name": self.name_,
+            "listen": "127.0.0.1:0",
+            "discovery": discovery,
+            "seed": "8c1f30d2",
+            "limits": self.limits,
+            "known": self.whole_list(),
+            "settings": self.settings,
+        }
         path = self.folder / "config.json"
         if not self.keep_file:
             path.write_text(json.dumps(config))
@@ -261,10 +283,14 @@
         if self.accept is not None:
             more["RELAY_ACCEPT_FD"], files = str(self.accept.fileno()), (self.accept.fileno(),)
         process = await asyncio.create_subprocess_exec(
-            sys.executable, *(program or self.program), *self.arguments, cwd=self.root,
-            stderr=asyncio.subprocess.PIPE, pass_fds=files,
+            sys.executable,
+            *(program or self.program),
+            *self.arguments,
+            cwd=self.root,
+            stderr=asyncio.subprocess.PIPE,
+            pass_fds=files,
             env={**os.environ, "RELAY_CONFIG": str(path), "RELAY_STATE": str(self.folder / "state"), **more},
-        )  # fmt: skip
+        )
         self.tasks.append(asyncio.create_task(self._read_log(process)))
         return process
 
@@ -395,10 +421,15 @@
     path = changes.pop("path", f"/{of}/turbine-7" if of == "order" else f"/{of}")
     method = changes.pop("method", "POST")
     headers = {
-        "Host": "app.svc", "Request-Id": name, "Request-Class": of, "Tenant": "acme",
-        "Request-Timeout-Ms": "20000", "X-Consignee": f"dest={dest}", "Content-Length": str(len(body)),
+        "Host": "app.svc",
+        "Request-Id": name,
+        "Request-Class": of,
+        "Tenant": "acme",
+        "Request-Timeout-Ms": "20000",
+        "X-Consignee": f"dest={dest}",
+        "Content-Length": str(len(body)),
         **{k.replace("_", "-"): v for k, v in changes.items()},
-    }  # fmt: skip
+    }
     lines = [f"{method} {path} HTTP/1.1", *(f"{k}: {v}" for k, v in headers.items() if v)]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
--- a/tests/standins/postgres.py
+++ b/tests/standins/postgres.py
@@ -218,8 +218,12 @@
         if self.server.password is not None and not self._scram(self.server.password):
             return False
         self.say(b"R", struct.pack(">i", 0))
-        for name, value in (("server_version", "15.0"), ("client_encoding", "UTF8"),
-                            ("standard_conforming_strings", "on"), ("integer_datetimes", "on")):  # fmt: skip
+        for name, value in (
+            ("server_version", "15.0"),
+            ("client_encoding", "UTF8"),
+            ("standard_conforming_strings", "on"),
+            ("integer_datetimes", "on"),
+        ):
             self.say(b"S", f"{name}\0{value}\0".encode())
         self.say(b"K", struct.pack(">ii", 1, 2))
         self._ready()
--- a/tests/standins/registries.py
+++ b/tests/standins/registries.py
@@ -50,9 +50,15 @@
         told = {"fleet": FLEET, "listen": address, "discovery": discovery or self.world.discovery.address}
         path.write_text("[registry]\n" + "".join(f'{key} = "{value}"\n' for key, value in told.items()))
         process = self.processes[address] = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "loftrelay", "registry", "--settings", str(path), cwd=ROOT,
+            sys.executable,
+            "-m",
+            "loftrelay",
+            "registry",
+            "--settings",
+            str(path),
+            cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+        )
         log = self.logs[address] = []
         self.tasks.append(asyncio.create_task(self._read_log(process, log)))
         await self.world.until(
--- a/tests/standins/registry.py
+++ b/tests/standins/registry.py
@@ -93,9 +93,16 @@
     async def start(self, listens: bool = True) -> None:
         self.write()
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "loftrelay", "registry", "--settings", str(self.file), cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE, env=os.environ,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "loftrelay",
+            "registry",
+            "--settings",
+            str(self.file),
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env=os.environ,
+        )
         self._reading = asyncio.create_task(self._read(self.process))
         if listens:
             said = await self.says(r"listens on .*:(\d+)$")
--- a/tests/standins/stalled.py
+++ b/tests/standins/stalled.py
@@ -1,5 +1,5 @@
 """python -m tests.standins.stalled STEP SECONDS ARGUMENTS...: a relay that stops by SIGSTOP where it first
-reaches the named step (loftrelay.core.steps). Its wall clock stands SECONDS off from then on."""
+reaches the named step (loftrelay.relay.fault_points). Its wall clock stands SECONDS off from then on."""
 
 from __future__ import annotations
 
--- a/tests/standins/traffic.py
+++ b/tests/standins/traffic.py
@@ -21,9 +21,16 @@
 WINDOW = 1.0  # seconds for which partners drop repeats of an alarm
 CLASSES = [
     *SETTINGS["classes"],
-    {"name": "alarm", "effect": "deduplicated", "key_scope": "all", "window": int(WINDOW * 1e6),
-     "deadline": 24_000_000, "on_time": 3_000_000, "worth": 2},
-]  # fmt: skip
+    {
+        "name": "alarm",
+        "effect": "deduplicated",
+        "key_scope": "all",
+        "window": int(WINDOW * 1e6),
+        "deadline": 24_000_000,
+        "on_time": 3_000_000,
+        "worth": 2,
+    },
+]
 
 
 @dataclass
@@ -133,9 +140,7 @@
             await asyncio.wait_for(world.until(lambda n=heard: len(world.notices) > n), 0.1)  # type: ignore[misc]
 
 
-def find(
-    world: World, partners: Sequence[Partner], account: Account, slack: float = 0.0
-) -> Findings:
+def find(world: World, partners: Sequence[Partner], account: Account, slack: float = 0.0) -> Findings:
     """To be called when all is over. `slack`: seconds by which this process may have read calls late."""
     effects: dict[str, int] = {}
     began: dict[str, float] = {}
@@ -168,10 +173,14 @@
         if order is not None and order.of == "order" and order.key is not None:
             keys.setdefault(order.key, []).append(name)
     places = {name: place for place, name in enumerate(account.orders)}
-    breaks = sum(
-        places[a] > places[b] for names in keys.values() for a, b in itertools.pairwise(names)
-    )
+    breaks = sum(places[a] > places[b] for names in keys.values() for a, b in itertools.pairwise(names))
     return Findings(
-        len(account.taken), sum(effects.values()), duplicates, misattributed, late, begun_late, breaks,
+        len(account.taken),
+        sum(effects.values()),
+        duplicates,
+        misattributed,
+        late,
+        begun_late,
+        breaks,
         len(world.noticed_at),
-    )  # fmt: skip
+    )
--- a/tests/store/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -27,8 +27,11 @@
     assert store.commit(life("m")) == {}
     entry = other.read(["m", "never"])["m"]
     assert (entry.state, entry.answer, entry.attempts, entry.about.instance) == (
-        State.TOLD, Answer.DELIVERED, 1, "n1",
-    )  # fmt: skip
+        State.TOLD,
+        Answer.DELIVERED,
+        1,
+        "n1",
+    )
     assert store.commit(life("m")) == {} and not store.verify()
     store.close()
     other.close()
--- a/tests/store/test_rules.py
+++ b/tests/store/test_rules.py
@@ -80,9 +80,21 @@
 def test_a_life_is_told_in_full() -> None:
     entry = record(TAKE, INTEND, OUTCOME, INTEND, END, TOLD, answer=Answer.DELIVERED)
     assert entry == Entry(
-        "m", 1, ABOUT, 6, State.TOLD, 100, attempts=2, host=None, intended_at=400, result=None, result_at=500,
-        answer=Answer.DELIVERED, answered_at=500, told_at=600,
-    )  # fmt: skip
+        "m",
+        1,
+        ABOUT,
+        6,
+        State.TOLD,
+        100,
+        attempts=2,
+        host=None,
+        intended_at=400,
+        result=None,
+        result_at=500,
+        answer=Answer.DELIVERED,
+        answered_at=500,
+        told_at=600,
+    )
 
 
 @pytest.mark.parametrize("kinds", [(TAKE,), (TAKE, INTEND, OUTCOME)])
--- a/tests/store/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -41,9 +41,21 @@
     other = SQLiteStore(path)
     (entry,) = other.read(["m", "never"]).values()
     assert entry == Entry(
-        "m", 1, About("n1", "order", "acme", 1, "k", 1000 + 9 * S, "ab" * 32), 4, State.TOLD, 1000, 1, "h1",
-        1001, "OK", 1002, Answer.DELIVERED, 1002, 1003,
-    )  # fmt: skip
+        "m",
+        1,
+        About("n1", "order", "acme", 1, "k", 1000 + 9 * S, "ab" * 32),
+        4,
+        State.TOLD,
+        1000,
+        1,
+        "h1",
+        1001,
+        "OK",
+        1002,
+        Answer.DELIVERED,
+        1002,
+        1003,
+    )
     assert not store.verify()
     assert store.database.execute("PRAGMA journal_mode").fetchone() == ("wal",)
     assert store.database.execute("PRAGMA synchronous").fetchone() == (2,)  # FULL
@@ -186,8 +198,8 @@
     text = (
         "import sys\n"
         "from pathlib import Path\n"
-        "from loftrelay.record.sqlite import SQLiteStore\n"
-        "from tests.record.test_sqlite import life\n"
+        "from loftrelay.store.sqlite import SQLiteStore\n"
+        "from tests.store.test_sqlite import life\n"
         "store = SQLiteStore(Path(sys.argv[1]))\n"
         "for i in range(100_000):\n"
         "    store.commit(life(f'm{i}'))\n"
--- a/tests/upgrade/test_channel.py
+++ b/tests/upgrade/test_channel.py
@@ -161,8 +161,10 @@
     )
     other = subprocess.Popen(
         [sys.executable, "-c", code, str(tmp_path / "new")],
-        stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
-    )  # fmt: skip
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     assert other.stdout is not None and other.stdout.readline() == "True\n"
     assert Lock.take(tmp_path / "new") is None
     other.kill()
