--- a/benchmarks/coldreturn.py
+++ b/benchmarks/coldreturn.py
@@ -21,14 +21,14 @@
 from benchmarks.manyrelays import Make, earlier_brain
 from benchmarks.process import run
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 
 BEFORE = "1dd4122"
 
 FLEETS = (2, 5, 20, 30, 230)
 LOADS = (0.6, 0.9, 1.3)
 HINTS = (None, "nominal", "rough")
-made: Make = Brain
+made: Make = Scheduler
 
 
 def case(relays: int, load: float, hints: str | None, seed: int) -> Case:
--- a/benchmarks/fleetmodel.py
+++ b/benchmarks/fleetmodel.py
@@ -26,7 +26,7 @@
     MessageSubmitted,
     TimerFired,
 )
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import RelaySettings
 from loftrelay.decisions.simulator import read_settings
 
@@ -42,7 +42,7 @@
 class Decider(Protocol):
     """What a fleet asks of the decision module, of any age."""
 
-    def handle(self, now: int, events: Iterable[Event]) -> list[Action]: ...
+    def handle_batch(self, now: int, events: Iterable[Event]) -> list[Action]: ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
 class Fleet:
     """Runs one case. `make` gives the module of one relay, from its seed and settings."""
 
-    def __init__(self, case: Case, make: Callable[[int, RelaySettings], Decider] = Brain) -> None:
+    def __init__(self, case: Case, make: Callable[[int, RelaySettings], Decider] = Scheduler) -> None:
         self.case = case
         self.make = make
         self.random = random.Random(case.seed)
@@ -220,7 +220,7 @@
             return
         calls: dict[str, list[str]] = {}
         timeouts: dict[str, int] = {}
-        for action in self.relays[relay].handle(self.now, events):
+        for action in self.relays[relay].handle_batch(self.now, events):
             match action:
                 case SendAttempt(message, endpoint, timeout):
                     calls.setdefault(endpoint, []).append(message)
--- a/benchmarks/manyrelays.py
+++ b/benchmarks/manyrelays.py
@@ -15,7 +15,7 @@
 from benchmarks.fleetmodel import Case, Decider, Fleet, Told
 from benchmarks.process import earlier_program, run
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import RelaySettings
 
 BEFORE = "86abfef"
@@ -78,7 +78,7 @@
     with tempfile.TemporaryDirectory() as folder:
         before = earlier_brain(Path(folder))
         for relays in FLEETS:
-            now = figures(Brain, relays, seeds)
+            now = figures(Scheduler, relays, seeds)
             was = figures(before, relays, seeds) if before is not None else {}
             print(f"{relays:3d} relays: {now}, before {was}")
             result[f"relays_{relays}"] = {"now": now, "before": was}
--- a/benchmarks/misses.py
+++ b/benchmarks/misses.py
@@ -22,12 +22,12 @@
 from benchmarks.process import run
 from benchmarks.registry import process
 from loftrelay.decisions.events import EndpointListReceived
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.discovery.settings import load_subscription
 from loftrelay.discovery.subscriber import Subscriber
 from loftrelay.net.address import Address
-from loftrelay.relay.ports import Slice
+from loftrelay.relay.ports import ResolutionStatus
 
 AT_ONCE = (1, 2, 10, 100, 363)
 EACH = 40  # calls of each size, or as many as the destinations allow
@@ -39,15 +39,15 @@
     """A module that holds a slice, and who waits for what."""
 
     def __init__(self, file: Path) -> None:
-        self.brain = Brain(1, read_settings({"classes": []}))
-        self.waiting: dict[int, asyncio.Future[Slice]] = {}
+        self.brain = Scheduler(1, read_settings({"classes": []}))
+        self.waiting: dict[int, asyncio.Future[ResolutionStatus]] = {}
         told = load_subscription(file)
         self.subscriber = Subscriber(told, "n1", ("127.0.0.1", 9), self.listed, self.sliced, self.let_go)
 
     def listed(self, listing: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
-        self.brain.handle(int(asyncio.get_running_loop().time() * 1e6), [listing])
+        self.brain.handle_batch(int(asyncio.get_running_loop().time() * 1e6), [listing])
 
-    def sliced(self, destination: int, state: Slice) -> None:
+    def sliced(self, destination: int, state: ResolutionStatus) -> None:
         self.waiting.pop(destination).set_result(state)
 
     def let_go(self, destinations: Sequence[int]) -> list[int]:
@@ -58,9 +58,9 @@
             self.waiting[number] = asyncio.get_running_loop().create_future()
         waiting = [self.waiting[number] for number in destinations]
         for number in destinations:
-            self.subscriber.want(number)
+            self.subscriber.resolve(number)
         states = await asyncio.gather(*waiting)
-        assert set(states) == {Slice.HELD}, states
+        assert set(states) == {ResolutionStatus.RESOLVED}, states
         assert all(number in self.brain.destinations for number in destinations)
 
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -28,14 +28,14 @@
 from benchmarks.scale.links import CountingLoop, Links, whose
 from loftrelay.decisions.actions import SetTimer, WatchEndpointList
 from loftrelay.decisions.events import DestinationsReleased, EndpointListReceived, TimerFired
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.discovery.settings import SubscriptionSettings, load_subscription
 from loftrelay.discovery.subscriber import Subscriber
 from loftrelay.gossip.swim import State
 from loftrelay.gossip.transport import Node
 from loftrelay.net.address import Address
-from loftrelay.relay.ports import Slice
+from loftrelay.relay.ports import ResolutionStatus
 from tests.standins.platform import SETTINGS
 
 LOOK = 0.02  # seconds between looks at who has a change
@@ -73,7 +73,7 @@
         self.whole: asyncio.Future[float] = asyncio.get_running_loop().create_future()
         self.began = time.monotonic()
         settings = replace(read_settings(dict(SETTINGS)), polls_endpoint_list=True, awaits_final_status=True)
-        self.brain = Brain(self.number, settings)
+        self.brain = Scheduler(self.number, settings)
         self.addresses: dict[str, Address] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.retries: set[asyncio.TimerHandle] = set()
@@ -85,14 +85,14 @@
         whose.set(self.links)
         told = self.told, self.name, self.notices
         self.subscriber = Subscriber(*told, self.listed, self.sliced, self.let_go)
-        self.subscriber.take_known({})
+        self.subscriber.load_cached({})
         self.subscriber.watch()
         self._want(list(reversed(self.cells)), pace)
 
     def _want(self, left: list[int], pace: float) -> None:
         for _ in range(max(1, round(pace * STEP)) if pace else len(left)):
             if left:
-                self.subscriber.want(left.pop())
+                self.subscriber.resolve(left.pop())
         if left:
             self._later(STEP, self._want, left, pace)
 
@@ -126,16 +126,16 @@
             if entry.destination <= self.shared and entry.endpoint in addresses:
                 self.seen.setdefault(addresses[entry.endpoint][1], now)
 
-    def sliced(self, destination: int, what: Slice) -> None:
+    def sliced(self, destination: int, what: ResolutionStatus) -> None:
         if not self.alive:
             return
-        if what is Slice.HELD:
+        if what is ResolutionStatus.RESOLVED:
             self.held.add(destination)
             if len(self.held) == len(self.cells) and not self.whole.done():
                 self.whole.set_result(time.monotonic())
             return
         self.refused += 1
-        self._later(BACK, self.subscriber.want, destination)
+        self._later(BACK, self.subscriber.resolve, destination)
 
     def let_go(self, destinations: Iterable[int]) -> list[int]:
         gone = list(destinations)
@@ -146,7 +146,7 @@
 
     def _handle(self, events: list[Any]) -> None:
         loop = asyncio.get_running_loop()
-        for action in self.brain.handle(int(loop.time() * 1e6), events):
+        for action in self.brain.handle_batch(int(loop.time() * 1e6), events):
             if isinstance(action, SetTimer):
                 if self.timer is not None:
                     self.timer.cancel()
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -36,7 +36,7 @@
 from benchmarks.scale.real import RealRelay
 from benchmarks.scale.slopes import Slopes, plot, short
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.simulator import read_settings
 from tests.standins.platform import SETTINGS
 
@@ -343,10 +343,12 @@
     def entry(n: int, state: EndpointState = EndpointState.ACTIVE) -> EndpointEntry:
         return EndpointEntry(f"h{n}", n, state, "a", "plain", 1.0)
 
-    brains = [Brain(1, read_settings(dict(SETTINGS))) for _ in listed]
+    brains = [Scheduler(1, read_settings(dict(SETTINGS))) for _ in listed]
     events = []
     for brain, count in zip(brains, listed, strict=True):
-        brain.handle(0, [EndpointListReceived(EndpointListKind.FULL, tuple(entry(n) for n in range(count)))])
+        brain.handle_batch(
+            0, [EndpointListReceived(EndpointListKind.FULL, tuple(entry(n) for n in range(count)))]
+        )
         states = [EndpointState.ACTIVE, EndpointState.DRAINING]
         rows = (entry(n * 7 % count, states[n % 2]) for n in range(CHANGES))
         events.append([EndpointListReceived(EndpointListKind.DELTA, (row,)) for row in rows])
@@ -355,7 +357,7 @@
         for at, brain in enumerate(brains):
             began = time.process_time()
             for event in events[at]:
-                brain.handle(1_000 * (n + 1), [event])
+                brain.handle_batch(1_000 * (n + 1), [event])
             least[at] = min(least[at], (time.process_time() - began) / CHANGES)
     return least
 
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -30,9 +30,9 @@
 from benchmarks.watch_server import row
 from loftrelay.config.platform import Config
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.simulator import read_settings
-from loftrelay.discovery.client import Discovery, read_list
+from loftrelay.discovery.client import DiscoveryClient, read_list
 from loftrelay.discovery.http_client import Caller
 from loftrelay.gossip.codec import decode, encode
 from loftrelay.gossip.swim import Datagram, Membership, Peer, Probe, State, Timing
@@ -69,8 +69,8 @@
         for number in range(size)
     ]
     before = uss()
-    brain = Brain(1, read_settings(SETTINGS))
-    brain.handle(SECOND, [EndpointListReceived(EndpointListKind.FULL, tuple(entries))])
+    brain = Scheduler(1, read_settings(SETTINGS))
+    brain.handle_batch(SECOND, [EndpointListReceived(EndpointListKind.FULL, tuple(entries))])
     grown = uss() - before
     spent = []
     for time_ in range(times):
@@ -80,7 +80,7 @@
         ]
         event = EndpointListReceived(EndpointListKind.DELTA, (replace(entry, state=state),))
         began = time.process_time()
-        brain.handle(2 * SECOND + time_ * SECOND, [event])
+        brain.handle_batch(2 * SECOND + time_ * SECOND, [event])
         spent.append(time.process_time() - began)
     return {"change_us": sorted(spent)[len(spent) // 2] * 1e6, "module_bytes": grown}
 
@@ -135,13 +135,13 @@
                 _, complete, entries = read_list(json.loads(told))
                 form = EndpointListKind.FULL if complete else EndpointListKind.DELTA
                 listing = EndpointListReceived(form, tuple(entry for entry, _ in entries))
-                engine.listed(listing, {entry.endpoint: address for entry, address in entries})
+                engine.endpoints_listed(listing, {entry.endpoint: address for entry, address in entries})
 
             async def taken(told: bytes, count: int) -> float:
                 began = time.process_time()
                 asyncio.get_running_loop().call_soon(take, told)
                 await asyncio.sleep(0)
-                await until(lambda: not engine.turn_due and len(engine.brain.endpoints) == count)
+                await until(lambda: not engine.turn_due and len(engine.scheduler.endpoints) == count)
                 return time.process_time() - began
 
             await taken(whole_list(10), 10)
@@ -154,7 +154,7 @@
             peak = max(0, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024 - peak)
             grown = uss() - before
             again = await taken(body, size)
-            engine.notices.close()
+            engine.status_reporter.close()
             engine.discovery.close()
             engine.delivery.close()
             return {
@@ -362,7 +362,7 @@
             told: dict[str, float] = json.loads((await counter.ask("GET", "/counts", 10)).body)
             return told
 
-        discovery = Discovery(address, None, tell)
+        discovery = DiscoveryClient(address, None, tell)
         discovery.resume(1)
         async with asyncio.timeout(60):
             await enough.wait()
--- a/loftrelay/config/validation.py
+++ b/loftrelay/config/validation.py
@@ -12,7 +12,7 @@
 Check = Callable[[Any], str | None]  # what is wrong with a value, or None
 
 
-class Wrong(ValueError):
+class InvalidSettingError(ValueError):
     """Names the key and the value."""
 
 
@@ -111,24 +111,24 @@
 def check_settings(told: Any, path: str = "settings") -> None:
     """Raises Wrong where a relay can't work by these settings. Keys that it does not know are passed over."""
     if not isinstance(told, Mapping):
-        raise Wrong(f"{path} is not an object")
+        raise InvalidSettingError(f"{path} is not an object")
     _classes(told.get("classes"), f"{path}.classes")
     for row, where in _rows(told, "tenants", path):
         _check(row, TENANT, where, needs=("name",))
     for name, keys in PARTS.items():
         part = told.get(name, {})
         if not isinstance(part, Mapping):
-            raise Wrong(f"{path}.{name} is not an object")
+            raise InvalidSettingError(f"{path}.{name} is not an object")
         _check(part, keys, f"{path}.{name}")
     _check(told, ALONE, path)
     for name, (part_name, check) in LISTS.items():
         for i, value in enumerate(_list(told.get(part_name, {}), name, f"{path}.{part_name}")):
             if (why := check(value)) is not None:
-                raise Wrong(f"{path}.{part_name}.{name}[{i}] = {value!r} {why}")
+                raise InvalidSettingError(f"{path}.{part_name}.{name}[{i}] = {value!r} {why}")
     for name in ("flavors", "localities"):
         for i, value in enumerate(_list(told, name, path)):
             if (why := text(value)) is not None:
-                raise Wrong(f"{path}.{name}[{i}] = {value!r} {why}")
+                raise InvalidSettingError(f"{path}.{name}[{i}] = {value!r} {why}")
 
 
 def check_change(old: Mapping[str, Any], new: Any) -> None:
@@ -138,36 +138,36 @@
     needed = set.intersection(*map(set, classes)) - OPTIONAL
     for i, row in enumerate(new["classes"]):
         for key in sorted(needed - row.keys()):
-            raise Wrong(f"settings.classes[{i}] tells no {key}")
+            raise InvalidSettingError(f"settings.classes[{i}] tells no {key}")
     if "tenants" in old and "tenants" not in new:
-        raise Wrong("settings tells no tenants")
+        raise InvalidSettingError("settings tells no tenants")
     tenants = [set(row) for row in old.get("tenants") or ()]
     for i, row in enumerate(new.get("tenants") or ()):
         for key in sorted((set.intersection(*tenants) if tenants else set()) - row.keys()):
-            raise Wrong(f"settings.tenants[{i}] tells no {key}")
+            raise InvalidSettingError(f"settings.tenants[{i}] tells no {key}")
 
 
 def _classes(rows: Any, path: str) -> None:
     if not isinstance(rows, list) or not rows:
-        raise Wrong(f"{path} = {rows!r} names no class")
+        raise InvalidSettingError(f"{path} = {rows!r} names no class")
     names: set[str] = set()
     for i, row in enumerate(rows):
         if not isinstance(row, Mapping):
-            raise Wrong(f"{path}[{i}] is not an object")
+            raise InvalidSettingError(f"{path}[{i}] is not an object")
         _check(row, CLASS, f"{path}[{i}]", CLASS_NEEDS)
         if row["name"] in names:
-            raise Wrong(f"{path}[{i}].name = {row['name']!r} stands there twice")
+            raise InvalidSettingError(f"{path}[{i}].name = {row['name']!r} stands there twice")
         names.add(row["name"])
 
 
 def _check(row: Mapping[str, Any], keys: Mapping[str, Check], path: str, needs: tuple[str, ...] = ()) -> None:
     for name in needs:
         if name not in row:
-            raise Wrong(f"{path} tells no {name}")
+            raise InvalidSettingError(f"{path} tells no {name}")
     for name, check in keys.items():
         # null stands for what is not told, except where it is needed
         if name in row and (row[name] is not None or name in needs) and (why := check(row[name])) is not None:
-            raise Wrong(f"{path}.{name} = {row[name]!r} {why}")
+            raise InvalidSettingError(f"{path}.{name} = {row[name]!r} {why}")
 
 
 def _list(part: Any, name: str, path: str) -> list[Any]:
@@ -175,7 +175,7 @@
     if value is None:
         return []
     if not isinstance(value, list):
-        raise Wrong(f"{path}.{name} = {value!r} is not a list")
+        raise InvalidSettingError(f"{path}.{name} = {value!r} is not a list")
     return value
 
 
@@ -183,19 +183,19 @@
     rows = _list(told, name, path)
     for i, row in enumerate(rows):
         if not isinstance(row, Mapping):
-            raise Wrong(f"{path}.{name}[{i}] is not an object")
+            raise InvalidSettingError(f"{path}.{name}[{i}] is not an object")
     return [(row, f"{path}.{name}[{i}]") for i, row in enumerate(rows)]
 
 
 def _told_too(old: Any, new: Any, path: str, skip: frozenset[str] = frozenset()) -> None:
     if isinstance(old, Mapping):
         if not isinstance(new, Mapping):
-            raise Wrong(f"{path} is not an object")
+            raise InvalidSettingError(f"{path} is not an object")
         for key, value in old.items():
             if key in skip:
                 continue
             if key not in new:
-                raise Wrong(f"{path} tells no {key}")
+                raise InvalidSettingError(f"{path} tells no {key}")
             _told_too(value, new[key], f"{path}.{key}")
     elif isinstance(old, list) != isinstance(new, list):
-        raise Wrong(f"{path} = {new!r} is of another kind than before")
+        raise InvalidSettingError(f"{path} = {new!r} is of another kind than before")
--- a/loftrelay/decisions/__init__.py
+++ b/loftrelay/decisions/__init__.py
@@ -1,5 +1,5 @@
 """Decides when to send, wait, retry, refuse or give up a message to an outside destination."""
 
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 
-__all__ = ["Brain"]
+__all__ = ["Scheduler"]
--- a/loftrelay/decisions/scheduler.py
+++ b/loftrelay/decisions/scheduler.py
@@ -90,7 +90,7 @@
 WINDOW_MARGIN, LAST_TRY = SECOND // 10, SECOND // 4
 NO_COLD, NO_COLD_FROM, NO_MULTIPLE, NO_TIP = 10 * SECOND, 0.2, 2.0, 2 * SECOND
 NO_ASK, NO_HELD, NO_IDLE = 10 * SECOND, 1 << 30, 10 * SECOND
-DOUBTFUL = (
+UNCERTAIN_STATUSES = (
     AttemptStatus.ERROR,
     AttemptStatus.TIMEOUT,
     AttemptStatus.CONNECTION_LOST,
@@ -291,7 +291,7 @@
     ran_on: Endpoint | None = None
 
 
-class Brain:
+class Scheduler:
     """One relay's decisions. Feed each batch to handle(); carry out the actions in order."""
 
     def __init__(self, seed: int, settings: RelaySettings) -> None:
@@ -336,7 +336,7 @@
         self.tip_after = settings.overload_window or NO_TIP
         self.idle_told = settings.connection_idle_timeout or NO_IDLE
 
-    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
+    def handle_batch(self, now: int, events: Iterable[Event]) -> list[Action]:
         """Absorbs the whole batch, so that each wait told in it is heeded, then dispatches once."""
         self.now, self.actions, self.wake = now, [], NEVER
         self.started = min(self.started, now)
@@ -477,7 +477,7 @@
         if (record := self.dormant.get(self.dormant_of.get(name, -1))) is not None:
             self._look_again(record)
 
-    def avoided(self) -> int:
+    def avoided_endpoint_count(self) -> int:
         """Listed endpoints that are left out now, by hand or for what was seen of them."""
         return sum(
             e.state is not EndpointState.REMOVED and (e.out or e.gate.outage or e.avoid_until > self.now)
@@ -486,7 +486,7 @@
 
     # Destinations that are let go
 
-    def idle(self, now: int, number: int) -> bool:
+    def is_idle(self, now: int, number: int) -> bool:
         """Whether nothing waits, is out or stands in line for a destination, after all events handled so far:
         what may be let go."""
         destination = self.destinations.get(number)
@@ -496,7 +496,7 @@
 
     def _let_go(self, number: int) -> None:
         destination = self.destinations.get(number)
-        if destination is None or not self.idle(self.now, number):
+        if destination is None or not self.is_idle(self.now, number):
             return
         del self.destinations[number]
         self.backlog.pop(number, None)
@@ -1042,7 +1042,7 @@
         if known and not event.postponed_for and not call.learned:
             call.learned = True
             self._learn(call, event)
-        if event.result in DOUBTFUL:
+        if event.result in UNCERTAIN_STATUSES:
             if message.ran_at is None:
                 message.ran_at, message.ran_on = call.sent_at, call.endpoint
             if message.key is not None and event.result is not AttemptStatus.ERROR:
@@ -1058,12 +1058,12 @@
         else:
             self._retry_later(message, event)
 
-    def bind(self, now: int, name: str, wait: int) -> None:
+    def apply_retry_after(self, now: int, name: str, wait: int) -> None:
         """An endpoint tells to wait so long: to be called as soon as that is heard, also between batches."""
         self.now = max(self.now, now)
         self._bind(name, wait)
 
-    def bound(self, now: int, name: str) -> bool:
+    def is_blocked(self, now: int, name: str) -> bool:
         """Whether a told wait forbids calls to an endpoint: to be asked before the first byte of each."""
         gate = endpoint.gate if (endpoint := self.endpoints.get(name)) is not None else self._kept(name)
         return gate is not None and gate.told_until > now
--- a/loftrelay/decisions/simulator.py
+++ b/loftrelay/decisions/simulator.py
@@ -33,7 +33,7 @@
     ResponseStarted,
     TimerFired,
 )
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import DeliverySemantics, EndpointKind, MessageClass, RelaySettings, Tenant
 
 RESULTS = {
@@ -208,7 +208,7 @@
     """All instances of one process. They share the parsed list pages and nothing else."""
 
     def __init__(self) -> None:
-        self.brains: dict[str, Brain] = {}
+        self.brains: dict[str, Scheduler] = {}
         self.pages: dict[int, tuple[EndpointEntry, ...]] = {}
         self.now: int | None = None
         self.batch: dict[str, list[Event]] = {}
@@ -243,7 +243,7 @@
             return
         name = v[0]
         if word == "spawn":
-            self.brains[name] = Brain(v[1], read_settings(_mapping(v[2])))
+            self.brains[name] = Scheduler(v[1], read_settings(_mapping(v[2])))
             self.batch[name] = []
             return
         if name not in self.brains:
@@ -258,7 +258,7 @@
         assert self.now is not None
         reply: list[list[Any]] = []
         for name, events in self.batch.items():
-            actions = self.brains[name].handle(self.now, events)
+            actions = self.brains[name].handle_batch(self.now, events)
             reply.extend(write_action(name, action) for action in actions)
         self.batch, self.now = {}, None
         reply.append(["ok"])
--- a/loftrelay/decisions/snapshot.py
+++ b/loftrelay/decisions/snapshot.py
@@ -20,7 +20,7 @@
 
 from loftrelay.decisions import actions, events, scheduler, settings
 from loftrelay.decisions.events import Event
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import RelaySettings
 
 VERSION = 1
@@ -47,7 +47,7 @@
 MODULE = "Brain"
 FIELDS = {name: [f.name for f in dataclasses.fields(record)] for name, record in RECORDS.items()}
 # What a Brain holds, beside what its settings say: all it learned, and all it has open.
-STATE = sorted(set(vars(Brain(0, RelaySettings()))) - {"random"})
+STATE = sorted(set(vars(Scheduler(0, RelaySettings()))) - {"random"})
 
 
 def shape() -> str:
@@ -76,7 +76,7 @@
         return {"root": root, "rows": self.rows}
 
     def _row(self, record: Any) -> list[Any]:
-        if isinstance(record, Brain):
+        if isinstance(record, Scheduler):
             return [MODULE, *(self.value(getattr(record, name)) for name in STATE)]
         name = type(record).__name__
         return [name, *(self.value(getattr(record, field)) for field in FIELDS[name])]
@@ -98,7 +98,7 @@
             return {"s": [self.value(v) for v in value]}
         if isinstance(value, list):
             return [self.value(v) for v in value]
-        if isinstance(value, Brain) or type(value).__name__ in RECORDS:
+        if isinstance(value, Scheduler) or type(value).__name__ in RECORDS:
             if (number := self.numbers.get(id(value))) is None:
                 number = self.numbers[id(value)] = len(self.objects)
                 self.objects.append(value)
@@ -122,7 +122,7 @@
         return self.value(root)
 
     def _empty(self, name: str) -> Any:
-        return Brain.__new__(Brain) if name == MODULE else object.__new__(RECORDS[name])
+        return Scheduler.__new__(Scheduler) if name == MODULE else object.__new__(RECORDS[name])
 
     def value(self, value: Any) -> Any:
         if isinstance(value, list):
@@ -148,7 +148,7 @@
         raise SnapshotError(f"no such mark: {mark!r}")
 
 
-def write(module: Brain, events: Iterable[Event] = ()) -> str:
+def write(module: Scheduler, events: Iterable[Event] = ()) -> str:
     """The module, and events that it has not seen yet. Alarms of what is over are let go first: they hold all
     messages of the last seconds, and would only wake the module for nothing."""
     module.alarms = [a for a in module.alarms if not (isinstance(a[2], scheduler.Message) and a[2].over)]
@@ -157,7 +157,7 @@
     return json.dumps({"shape": shape(), **told}, separators=(",", ":"))
 
 
-def read(text: str, seed: int) -> tuple[Brain, list[Event]]:
+def read(text: str, seed: int) -> tuple[Scheduler, list[Event]]:
     """Raises SnapshotError. The module is to be given a batch at once: its timers are not set."""
     try:
         told = json.loads(text)
@@ -168,7 +168,7 @@
         raise
     except (KeyError, IndexError, TypeError, ValueError, AttributeError, RecursionError) as error:
         raise SnapshotError(f"it can't be read: {error!r}") from error
-    if not isinstance(module, Brain) or not isinstance(events, list):
+    if not isinstance(module, Scheduler) or not isinstance(events, list):
         raise SnapshotError("it holds no module")
     module.actions, module.armed = [], scheduler.NEVER
     return module, events
--- a/loftrelay/delivery/call_outcome.py
+++ b/loftrelay/delivery/call_outcome.py
@@ -9,7 +9,7 @@
 
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.net.http import Answer, Headers
-from loftrelay.relay.ports import Ending
+from loftrelay.relay.ports import AttemptResult
 
 log = logging.getLogger(__name__)
 
@@ -46,7 +46,7 @@
     return longest * 1000
 
 
-def read_single(answer: Answer) -> Ending:
+def read_single(answer: Answer) -> AttemptResult:
     """A status that the protocol does not know may mean anything: it may have run.
 
     410 does not end what the relay owes: a host's clock runs some milliseconds before the relay's, which
@@ -55,7 +55,9 @@
     if answer.status == 503 and answer.headers.get(b"x-line-busy") == b"1":
         result = AttemptStatus.NOT_SENT
     wait = told_wait(answer.headers.items())
-    return Ending(result, over=answer.status == 200, wait=wait, expired=answer.status == 410)
+    return AttemptResult(
+        result, is_final=answer.status == 200, retry_after=wait, is_expired=answer.status == 410
+    )
 
 
 def tells_of_others(answer: Answer, ids: Sequence[str]) -> bool:
@@ -66,7 +68,7 @@
         return False
 
 
-def read_batch(answer: Answer, ids: Sequence[str]) -> dict[str, Ending]:
+def read_batch(answer: Answer, ids: Sequence[str]) -> dict[str, AttemptResult]:
     """One ending for each message. In one that is not sound in all its rows none is believed."""
     if answer.status != 200:
         return dict.fromkeys(ids, read_single(answer))
@@ -76,9 +78,12 @@
             raise ValueError("it tells of other messages than were asked for")
         wait = told_wait(answer.headers.items())
         states = {
-            name: Ending(STATES[s], over=s == "delivered", wait=wait, expired=s == "over") for name, s in rows
+            name: AttemptResult(
+                STATES[s], is_final=s == "delivered", retry_after=wait, is_expired=s == "over"
+            )
+            for name, s in rows
         }
     except (ValueError, TypeError, KeyError, RecursionError) as error:
         log.warning("a batch answer can't be read: %r", error)
-        return dict.fromkeys(ids, Ending(AttemptStatus.MALFORMED_RESPONSE))
+        return dict.fromkeys(ids, AttemptResult(AttemptStatus.MALFORMED_RESPONSE))
     return states
--- a/loftrelay/delivery/host_client.py
+++ b/loftrelay/delivery/host_client.py
@@ -18,10 +18,10 @@
 from loftrelay.net.address import Address
 from loftrelay.net.http import Answer, AnswerSpoilt, Connection, ConnectionBroken, Headers, Unasked, Unusable
 from loftrelay.relay.clock import wall_clock
-from loftrelay.relay.fault_points import reached
-from loftrelay.relay.message import Held
-from loftrelay.relay.ports import Ending, JournalFull, Terms
-from loftrelay.relay.stall_detector import Pulse
+from loftrelay.relay.fault_points import fault_point
+from loftrelay.relay.message import Message
+from loftrelay.relay.ports import AttemptResult, CallOptions, JournalFullError
+from loftrelay.relay.stall_detector import StallDetector
 
 log = logging.getLogger(__name__)
 
@@ -53,9 +53,9 @@
         self.why = why
 
 
-def batch_row(message: Held) -> dict[str, str]:
+def batch_row(message: Message) -> dict[str, str]:
     """One message of a batch call. Its key is that by which repeats are dropped, else that of its order."""
-    key = message.idempotency_key or message.key
+    key = message.idempotency_key or message.ordering_key
     return {
         "id": message.id,
         **({"key": key} if key else {}),
@@ -69,8 +69,8 @@
 
     number: int
     host: str
-    messages: list[Held]
-    terms: Terms
+    messages: list[Message]
+    terms: CallOptions
     at: float  # when it was decided (the loop's seconds)
     asked: bool = False
     idle: int | None = None
@@ -81,7 +81,7 @@
 
     @property
     def begin_by(self) -> float:
-        return self.at + self.terms.begin_within
+        return self.at + self.terms.send_within
 
 
 @dataclass(slots=True)
@@ -103,7 +103,7 @@
     answers: deque[Answered] = field(default_factory=lambda: deque(maxlen=REMEMBERED))
 
 
-class Hosts:
+class HostClient:
     """Raises nothing: each message of a call ends by one `ended`. Times given to the pools are the loop's, in
     microseconds."""
 
@@ -114,11 +114,11 @@
         most_connections: int,
         limits: connection_pool.Limits,
         seed: int,
-        tried: Callable[[Held, str], None],
-        ended: Callable[[Held, str, Ending], None],
+        tried: Callable[[Message, str], None],
+        ended: Callable[[Message, str, AttemptResult], None],
         doubted: Callable[[str, str, int], None],
         forwarded: Callable[[int], None] = lambda messages: None,
-        pulse: Pulse | None = None,
+        pulse: StallDetector | None = None,
         told: Callable[[str, int], None] = lambda host, wait: None,
         bound: Callable[[str], bool] = lambda host: False,
     ) -> None:
@@ -136,7 +136,7 @@
         self.ended = ended
         self.doubted = doubted
         self.forwarded = forwarded
-        self.pulse = pulse or Pulse()
+        self.pulse = pulse or StallDetector()
         self.told = told
         self.bound = bound
         self.addresses: dict[str, Address] = {}
@@ -152,13 +152,13 @@
 
     # What the engine asks
 
-    def place(self, host: str, address: Address, destination: int) -> None:
+    def add_host(self, host: str, address: Address, destination: int) -> None:
         """Connections to where it was lead to someone else from now on."""
         self.addresses[host] = address
         self.draining.discard(host)
         self._do(self.pools.place(host, address, destination, self._now()))
 
-    def drain(self, host: str) -> None:
+    def drain_host(self, host: str) -> None:
         """Calls of which nothing is written come back. Trouble: one that waited for its connection went out
         1.5 s after the drain was told, and some platforms allow less."""
         self.draining.add(host)
@@ -167,33 +167,33 @@
                 call.granted.set_exception(Stale())
         self._do(self.pools.drain(host, self._now()))
 
-    def forget(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         self._do(self.pools.forget(host, self._now()))
         self.addresses.pop(host, None)
         self.draining.discard(host)
 
-    def close_idle(self, host: str) -> None:
+    def close_idle_connections(self, host: str) -> None:
         self._do(self.pools.close_idle(host, self._now()))
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         return bool(self.calls)
 
-    def send(self, host: str, messages: list[Held], terms: Terms) -> None:
+    def send_call(self, host: str, messages: list[Message], terms: CallOptions) -> None:
         self.number += 1
         call = Call(self.number, host, messages, terms, asyncio.get_running_loop().time())
         task = asyncio.create_task(self._call(call))
         self.calls[task] = call
         task.add_done_callback(self.calls.pop)
 
-    def recall(self) -> list[tuple[Held, str]]:
+    def withdraw_unsent_calls(self) -> list[tuple[Message, str]]:
         back = [(task, call) for task, call in self.calls.items() if not call.asked]
         for task, call in back:
             call.recalled = True
             task.cancel()  # it ends with no outcome
         return [(message, call.host) for _, call in back for message in call.messages]
 
-    def hold(self) -> None:
+    def withdraw_blocked_calls(self) -> None:
         """A wait was told: calls that it binds go back, as long as their hosts have not the whole of them."""
         for call in self.waiting.values():
             if call.granted is not None and not call.granted.done() and self.bound(call.host):
@@ -202,7 +202,7 @@
             if call.line is not None and self.bound(call.host):
                 call.line.connection.take_back(Bound())
 
-    def close_all_idle(self) -> None:
+    def close_all_idle_connections(self) -> None:
         """Nothing more will be sent: what stands idle goes."""
         for number, line in list(self.lines.items()):
             if not line.asked:
@@ -227,17 +227,19 @@
             # A fault of the program: each message is owed an outcome all the same, and none that promises.
             log.exception("a call to %s was given up", call.host)
             result = AttemptStatus.CONNECTION_LOST if call.asked else AttemptStatus.NOT_SENT
-            endings = {message.id: Ending(result) for message in call.messages}
+            endings = {message.id: AttemptResult(result) for message in call.messages}
         if call.recalled:
             return  # it was denied, or held, in the same pass
         self.pulse.look(asyncio.get_running_loop().time())
         late = self.pulse.since(call.at)
         for message in call.messages:
             ending = endings[message.id]
-            wait = max(ending.wait, call.wait)
-            self.ended(message, call.host, replace(ending, wait=wait, idle=call.idle, late=late))
+            wait = max(ending.retry_after, call.wait)
+            self.ended(
+                message, call.host, replace(ending, retry_after=wait, connection_idle=call.idle, is_late=late)
+            )
 
-    async def _endings(self, call: Call) -> dict[str, Ending]:
+    async def _endings(self, call: Call) -> dict[str, AttemptResult]:
         """One ending for each message, by its id."""
         deadline = call.at + call.terms.timeout
         begin_by = call.at + max(self.connect_timeout, 1.0) + BEGIN_MARGIN
@@ -258,9 +260,9 @@
                     if call.idle == 0:
                         raise Denied(connection_pool.Denied.NO_CONNECTION) from None
             return self._answered(call, number, answer, ids)
-        except JournalFull:
+        except JournalFullError:
             self._do(self.pools.unused(number, self._now()))
-            return dict.fromkeys(ids, Ending(AttemptStatus.NOT_SENT))
+            return dict.fromkeys(ids, AttemptResult(AttemptStatus.NOT_SENT))
         except (Bound, Stale) as why:
             if call.line is not None:  # a part of it is written
                 self._forget(number)
@@ -268,20 +270,22 @@
             else:
                 self._do(self.pools.unused(number, self._now()))
             bound = isinstance(why, Bound)
-            return dict.fromkeys(ids, Ending(AttemptStatus.NOT_SENT, stale=not bound, held=bound))
+            return dict.fromkeys(
+                ids, AttemptResult(AttemptStatus.NOT_SENT, is_stale=not bound, is_blocked=bound)
+            )
         except Denied as denied:
             no_room = denied.why is connection_pool.Denied.NO_ROOM
             return dict.fromkeys(
-                ids, Ending(AttemptStatus.NOT_SENT if no_room else AttemptStatus.CONNECT_FAILED)
+                ids, AttemptResult(AttemptStatus.NOT_SENT if no_room else AttemptStatus.CONNECT_FAILED)
             )
         except TimeoutError:
             now = asyncio.get_running_loop().time()
             if not call.asked and (self.pulse.since(call.at) or now >= call.begin_by):
-                return dict.fromkeys(ids, Ending(AttemptStatus.NOT_SENT, stale=True))
+                return dict.fromkeys(ids, AttemptResult(AttemptStatus.NOT_SENT, is_stale=True))
             if not call.asked:
                 waited = call.number in self.waiting and self.pools.waits_for_room(call.number)
                 return dict.fromkeys(
-                    ids, Ending(AttemptStatus.NOT_SENT if waited else AttemptStatus.CONNECT_FAILED)
+                    ids, AttemptResult(AttemptStatus.NOT_SENT if waited else AttemptStatus.CONNECT_FAILED)
                 )
             result, dead = (
                 AttemptStatus.TIMEOUT,
@@ -301,8 +305,10 @@
         while True:
             call.granted = asyncio.get_running_loop().create_future()
             self.waiting[call.number] = call
-            most_idle = call.terms.most_idle
-            self._do(self.pools.want(call.number, call.host, call.terms.unsafe, most_idle, self._now()))
+            most_idle = call.terms.max_connection_idle
+            self._do(
+                self.pools.want(call.number, call.host, call.terms.is_at_most_once, most_idle, self._now())
+            )
             use: connection_pool.Use | None = None
             try:
                 use = await call.granted
@@ -342,7 +348,7 @@
         self._holds(call, deadline)
         for message in call.messages:
             self.tried(message, call.host)
-        reached("journal try")
+        fault_point("journal try")
         self._holds(call, deadline)  # the last step before the first byte: writing that may have taken long
         call.asked = line.asked = True
         call.line = line
@@ -354,9 +360,9 @@
         finally:
             if clock is not None:
                 clock.cancel()
-        reached("heard")
+        fault_point("heard")
         took = line.connection.heard_at - line.connection.written_at
-        least = self.pools.earliest(number) if call.terms.unsafe and answer.status == 200 else 0
+        least = self.pools.earliest(number) if call.terms.is_at_most_once and answer.status == 200 else 0
         if took * 1e6 < least:
             # Not believed yet: if it is a late copy, the true answer follows when the host is done. Refusals
             # come quickly by nature, their waits bind at once, and a false one can still be doubted.
@@ -392,7 +398,7 @@
     async def _request(self, connection: Connection, call: Call, deadline: float) -> Answer:
         messages, timeout = call.messages, deadline - asyncio.get_running_loop().time()
         headers = {"Host": "host", "Request-Timeout-Ms": str(max(1, int(timeout * 1000)))}
-        if not call.terms.batch:
+        if not call.terms.is_batch:
             headers["Request-Id"] = messages[0].id
             if messages[0].idempotency_key is not None:
                 headers["Idempotency-Key"] = messages[0].idempotency_key
@@ -406,10 +412,10 @@
         head = partial(self._head, call)
         return await connection.request("POST", path, headers, body, STALL, whole, deadline, head)
 
-    def _answered(self, call: Call, number: int, answer: Answer, ids: list[str]) -> dict[str, Ending]:
+    def _answered(self, call: Call, number: int, answer: Answer, ids: list[str]) -> dict[str, AttemptResult]:
         """The answer is whole."""
-        endings = read_batch(answer, ids) if call.terms.batch else {ids[0]: read_single(answer)}
-        results = {ending.result for ending in endings.values()}
+        endings = read_batch(answer, ids) if call.terms.is_batch else {ids[0]: read_single(answer)}
+        results = {ending.status for ending in endings.values()}
         well = results == {AttemptStatus.OK}
         now = self._now()
         self.pools.fared(call.host, well, call.wait, now)
@@ -417,8 +423,8 @@
         line.asked, connection = False, line.connection
         if not self.pools.first_use(number):
             sent = wall_clock() - int((asyncio.get_running_loop().time() - connection.written_at) * 1e6)
-            line.answers.extend(Answered(name, ending.result, sent) for name, ending in endings.items())
-        others = call.terms.batch and tells_of_others(answer, ids)
+            line.answers.extend(Answered(name, ending.status, sent) for name, ending in endings.items())
+        others = call.terms.is_batch and tells_of_others(answer, ids)
         connection.look_behind()
         if others:
             connection.surplus = Unasked.ANSWER
@@ -434,7 +440,7 @@
 
     def _broken(
         self, call: Call, number: int, ids: list[str], result: AttemptStatus, dead: bool
-    ) -> dict[str, Ending]:
+    ) -> dict[str, AttemptResult]:
         """No whole answer came."""
         now = self._now()
         line = self.lines[number]
@@ -445,9 +451,11 @@
         else:
             self._forget(number)
             self._do(self.pools.broken(number, dead and connection.written, now))
-        if not call.terms.batch and connection.says_delivered and connection.surplus is None:
-            return {ids[0]: Ending(AttemptStatus.OK, over=True)}
-        return dict.fromkeys(ids, Ending(result if connection.written else AttemptStatus.CONNECT_FAILED))
+        if not call.terms.is_batch and connection.says_delivered and connection.surplus is None:
+            return {ids[0]: AttemptResult(AttemptStatus.OK, is_final=True)}
+        return dict.fromkeys(
+            ids, AttemptResult(result if connection.written else AttemptStatus.CONNECT_FAILED)
+        )
 
     # Connections
 
--- a/loftrelay/discovery/client.py
+++ b/loftrelay/discovery/client.py
@@ -125,7 +125,7 @@
     return Long(told["revision"], told["complete"], told["members"])
 
 
-class Discovery:
+class DiscoveryClient:
     def __init__(
         self,
         address: Address,
@@ -148,7 +148,7 @@
         self.task: asyncio.Task[None] | None = None
         self.pieces = 0  # of the list that is being taken
 
-    def take_known(self, known: Mapping[str, Any]) -> None:
+    def load_cached(self, known: Mapping[str, Any]) -> None:
         """The list as this relay last had it."""
         try:
             revision, _, entries = read_list(known)
@@ -164,7 +164,7 @@
         if self.task is None or self.task.done():
             self.task = asyncio.create_task(self._watch())
 
-    def move(self, address: Address) -> None:
+    def move_to(self, address: Address) -> None:
         """The whole list comes anew: the other address may count its revisions in its own way."""
         self.close()
         self.address, self.caller = address, Caller(address, self.most_list)
--- a/loftrelay/discovery/status_reporter.py
+++ b/loftrelay/discovery/status_reporter.py
@@ -19,7 +19,7 @@
 MOST_NOTICES = 500  # in one call
 
 
-class Notices:
+class FinalStatusReporter:
     """Tells the platform how messages ended, until it has heard."""
 
     def __init__(self, address: Address, heard: Callable[[str], None]) -> None:
@@ -31,11 +31,11 @@
         self.task = asyncio.create_task(self._run())
 
     @property
-    def open(self) -> int:
+    def pending(self) -> int:
         """Ends that are decided and not heard yet."""
         return len(self.waiting)
 
-    def move(self, address: Address) -> None:
+    def move_to(self, address: Address) -> None:
         """What the old address has not answered is told again at the new one."""
         self.close()
         self.caller = Caller(address)
@@ -45,7 +45,7 @@
         self.task.cancel()
         self.caller.close()
 
-    def add(self, message: str, notice: dict[str, Any]) -> None:
+    def report(self, message: str, notice: dict[str, Any]) -> None:
         self.waiting[message] = {"id": message, **notice}
         self.wanted.set()
 
--- a/loftrelay/discovery/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -29,7 +29,7 @@
 from loftrelay.net.address import Address
 from loftrelay.net.http import Answer, AnswerTooLong, ConnectionBroken
 from loftrelay.registry.protocol import read_answer
-from loftrelay.relay.ports import Slice
+from loftrelay.relay.ports import ResolutionStatus
 
 log = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
         name: str,
         notices: Address,
         tell: Callable[[EndpointListReceived, Mapping[str, Address]], None],
-        sliced: Callable[[int, Slice], None],
+        sliced: Callable[[int, ResolutionStatus], None],
         let_go: Callable[[Sequence[int]], list[int]],
     ) -> None:
         self.address = notices
@@ -77,7 +77,7 @@
         self.timer_at = math.inf
         self.doing = False
 
-    def take_known(self, known: Mapping[str, Any]) -> None:
+    def load_cached(self, known: Mapping[str, Any]) -> None:
         if known:
             log.info("the known list is passed over: the registries tell what this relay serves")
         self.tell(EndpointListReceived(EndpointListKind.CACHED, ()), {})
@@ -98,7 +98,7 @@
         self.interest.adopt(self._now(), revision, destinations, rows)
         self.revision = revision
 
-    def move(self, address: Address) -> None:
+    def move_to(self, address: Address) -> None:
         """Of notices alone."""
         self.address = address
 
@@ -107,11 +107,11 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def want(self, destination: int) -> None:
+    def resolve(self, destination: int) -> None:
         self.interest.want(self._now(), destination)
         self._do()
 
-    def use(self, destination: int) -> None:
+    def mark_used(self, destination: int) -> None:
         self.interest.use(self._now(), destination)
 
     def figure_lines(self) -> list[str]:
--- a/loftrelay/discovery/subscription.py
+++ b/loftrelay/discovery/subscription.py
@@ -31,7 +31,7 @@
     checksum,
     target,
 )
-from loftrelay.relay.ports import Slice
+from loftrelay.relay.ports import ResolutionStatus
 
 GATHER = 0.003  # seconds for which first messages are gathered into one call
 DROP_AFTER = 1.0  # for which what was let go waits for a call that goes anyway
@@ -95,7 +95,7 @@
 @dataclass(frozen=True, slots=True)
 class Sliced:
     destination: int
-    state: Slice
+    state: ResolutionStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -250,10 +250,10 @@
         cell = self.cells.get(number)
         if cell is not None and cell.hosts is not None and not cell.hosts and not cell.doubted:
             self.use(now, number)
-            self.actions.append(Sliced(number, Slice.EMPTY))
+            self.actions.append(Sliced(number, ResolutionStatus.NOT_FOUND))
             return
         if self.barred.get(number, 0.0) > now:
-            self.actions.append(Sliced(number, Slice.AWAY))
+            self.actions.append(Sliced(number, ResolutionStatus.UNAVAILABLE))
             return
         self.wants.setdefault(number, now + self.timing.wait)
         if cell is None or cell.hosts:
@@ -318,7 +318,7 @@
             if until > now:
                 break
             del self.wants[number]
-            self.actions.append(Sliced(number, Slice.AWAY))
+            self.actions.append(Sliced(number, ResolutionStatus.UNAVAILABLE))
         if self.mode is Mode.RESTING and now >= self.connect_at:
             self._begin(now)
         self._go_on(now)
@@ -452,7 +452,7 @@
         if cell is not None and cell.hosts is None:
             del self.cells[number], self.uses[number]
         if self.wants.pop(number, None) is not None:
-            self.actions.append(Sliced(number, Slice.AWAY))
+            self.actions.append(Sliced(number, ResolutionStatus.UNAVAILABLE))
 
     def refused(self, now: float, number: int, status: int, text: str) -> None:
         """Answered with another status than 200; `text` says why."""
@@ -595,7 +595,9 @@
             cell.at, cell.doubted = answer.revision, False
             self.missing.pop(number, None)
             if self.wants.pop(number, None) is not None:
-                sliced.append(Sliced(number, Slice.HELD if cell.hosts else Slice.EMPTY))
+                sliced.append(
+                    Sliced(number, ResolutionStatus.RESOLVED if cell.hosts else ResolutionStatus.NOT_FOUND)
+                )
         self._tell(gone, news)
         self.actions += sliced
 
--- a/loftrelay/journal/journal.py
+++ b/loftrelay/journal/journal.py
@@ -22,10 +22,10 @@
 from typing import Any
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.decisions.scheduler import DOUBTFUL
+from loftrelay.decisions.scheduler import UNCERTAIN_STATUSES
 from loftrelay.relay.clock import wall_clock
-from loftrelay.relay.message import Held, Remembered
-from loftrelay.relay.ports import JournalFull
+from loftrelay.relay.message import CompletedMessage, Message
+from loftrelay.relay.ports import JournalFullError
 
 log = logging.getLogger(__name__)
 
@@ -39,15 +39,34 @@
 MOST_DOUBTS = 1_000  # a key rests for parts of a second: far fewer can matter at once
 
 
-# What a message's record holds, and what is left out there.
-TOLD = {field.name: field.default for field in fields(Held) if field.name != "body"}
+# Name of each field of a message in its stored record; a field that has its default is left out there.
+RECORD_NAMES = {
+    "id": "id",
+    "sequence": "number",
+    "class_name": "class_name",
+    "tenant": "tenant",
+    "destination": "destination",
+    "ordering_key": "key",
+    "admitted_at": "taken_at",
+    "deadline": "deadline",
+    "attempts": "attempts",
+    "attempt_started_at": "tried_at",
+    "attempt_host": "tried_on",
+    "first_attempt_at": "ran_at",
+    "first_attempt_host": "ran_on",
+    "final_status": "notice",
+    "packed_terms": "terms",
+    "idempotency_key": "idempotency_key",
+}
+FIELD_NAMES = {stored: name for name, stored in RECORD_NAMES.items()}
+DEFAULTS = {field.name: field.default for field in fields(Message) if field.name != "body"}
 
 
 @dataclass(slots=True, frozen=True)
 class Past:
     """A message that is over and remembered, the segment that tells it, and its size there."""
 
-    was: Remembered
+    was: CompletedMessage
     home: int
     size: int
 
@@ -65,8 +84,10 @@
         """`still`: another process owns it. It is read, and not touched before `go_on`."""
         self.folder = folder
         self.disk_bytes = disk_bytes
-        self.held: dict[str, Held] = {}
-        self.doubts: dict[str, int] = {}  # key -> when an attempt was last given up that may still run
+        self.messages: dict[str, Message] = {}
+        self.uncertain_keys: dict[
+            str, int
+        ] = {}  # key -> when an attempt was last given up that may still run
         self.segments: dict[int, Segment] = {}
         self.homes: dict[str, tuple[int, int]] = {}  # message -> the segment that tells it, and its size
         self.told_in: dict[int, dict[str, None]] = {}  # segment -> the messages that it tells
@@ -91,7 +112,7 @@
         else:  # some were dropped: the end of what they told may have been told, and dropped, in between
             Journal.__init__(self, self.folder, self.disk_bytes, still=True)
 
-    def go_on(self) -> None:
+    def take_ownership(self) -> None:
         """It is this process's own from now on."""
         self._next_segment()
 
@@ -102,44 +123,44 @@
 
     # What happens to a message
 
-    def take(self, held: Held) -> None:
+    def admit(self, held: Message) -> None:
         """Takes a message on, or raises JournalFull."""
         self.number += 1
-        held.number = self.number
+        held.sequence = self.number
         self._forget_past()
         # Half of the room is for messages; the other half for what happens to them, and for copies.
         if self.live + len(held.body) + 2 * STATE_ROOM > self.disk_bytes // 2:
-            raise JournalFull
+            raise JournalFullError
         before = self.bytes
         self._tell(held)
         self._tidy(self.bytes - before)
 
-    def tried(self, held: Held, host: str) -> None:
+    def record_attempt(self, held: Message, host: str) -> None:
         """Before the first byte of an attempt. Raises JournalFull: then it must not be made."""
         self._write({"t": "try", "id": held.id, "n": held.attempts, "at": wall_clock(), "on": host})
 
-    def outcome(self, held: Held, result: AttemptStatus) -> None:
+    def record_attempt_result(self, held: Message, result: AttemptStatus) -> None:
         """An attempt ended otherwise than by a delivery."""
         self._note({"t": "out", "id": held.id, "n": held.attempts, "at": wall_clock(), "is": result.value})
 
-    def doubt(self, held: Held, host: str, ran_at: int) -> None:
+    def record_dispute(self, held: Message, host: str, ran_at: int) -> None:
         """It may have run, though its attempt's outcome had said that it did not."""
         self._note({"t": "doubt", "id": held.id, "at": ran_at, "on": host})
 
-    def end(self, message: str, notice: dict[str, Any]) -> None:
+    def record_final_status(self, message: str, notice: dict[str, Any]) -> None:
         """The end is decided; the message is over once the platform has heard of it."""
         self._note({"t": "end", "id": message, "notice": notice})
 
-    def over(self, message: str, status: int = 0) -> None:
+    def complete(self, message: str, status: int = 0) -> None:
         """Nothing more is owed. With a status, its id gets that answer until its time is up."""
-        if (held := self.held.get(message)) is None:
+        if (held := self.messages.get(message)) is None:
             return
         record: dict[str, Any] = {"t": "over", "id": message}
         if status:
             record |= {"as": status, "until": held.deadline}
         self._note(record)
 
-    def ended(self, message: str) -> Remembered | None:
+    def completed(self, message: str) -> CompletedMessage | None:
         """How a message ended that is over and whose time is not up."""
         self._forget_past()
         past = self.past.get(message)
@@ -150,7 +171,7 @@
         before = self.bytes
         try:
             self._write(record)
-        except JournalFull:
+        except JournalFullError:
             log.warning("no room for a record of kind %s", record["t"])
             self._apply(record, b"", 0)
         self._tidy(self.bytes - before)
@@ -159,58 +180,71 @@
         """The one place where a record takes effect, both when it is written and when it is read again."""
         kind = record.pop("t")
         if "until" in record:
-            self._remember(record["id"], Remembered(record["as"], record["until"]), size)
+            self._remember(record["id"], CompletedMessage(record["as"], record["until"]), size)
         if kind == "take":
-            held = Held(**record, body=body)
-            held.terms = tuple(held.terms) if held.terms is not None else None
+            held = Message(**{FIELD_NAMES[name]: value for name, value in record.items()}, body=body)
+            held.packed_terms = tuple(held.packed_terms) if held.packed_terms is not None else None
             self._forget_home(held.id)
-            self.held[held.id] = held
+            self.messages[held.id] = held
             home = max(self.segments)
             self.homes[held.id] = home, size + STATE_ROOM
             self.told_in.setdefault(home, {})[held.id] = None
             self.live += size + STATE_ROOM
-            self.number = max(self.number, held.number)
+            self.number = max(self.number, held.sequence)
             return
-        if (known := self.held.get(record["id"])) is None:
+        if (known := self.messages.get(record["id"])) is None:
             return  # told of a message whose end was in the same dropped segment
         if kind == "try":
-            known.attempts, known.tried_at, known.tried_on = record["n"], record["at"], record["on"]
+            known.attempts, known.attempt_started_at, known.attempt_host = (
+                record["n"],
+                record["at"],
+                record["on"],
+            )
         elif kind == "out":
             result = AttemptStatus(record["is"])
             known.attempts = record["n"]
-            if result in DOUBTFUL and known.ran_at is None:
-                known.ran_at, known.ran_on = known.tried_at, known.tried_on
-            if result in DOUBTFUL and result is not AttemptStatus.ERROR and known.key is not None:
-                self.doubts.pop(known.key, None)  # in the order of time, so that the oldest go first
-                self.doubts[known.key] = record["at"]
-                if len(self.doubts) > MOST_DOUBTS:
-                    del self.doubts[next(iter(self.doubts))]
-            known.tried_at = known.tried_on = None
+            if result in UNCERTAIN_STATUSES and known.first_attempt_at is None:
+                known.first_attempt_at, known.first_attempt_host = (
+                    known.attempt_started_at,
+                    known.attempt_host,
+                )
+            if (
+                result in UNCERTAIN_STATUSES
+                and result is not AttemptStatus.ERROR
+                and known.ordering_key is not None
+            ):
+                self.uncertain_keys.pop(
+                    known.ordering_key, None
+                )  # in the order of time, so that the oldest go first
+                self.uncertain_keys[known.ordering_key] = record["at"]
+                if len(self.uncertain_keys) > MOST_DOUBTS:
+                    del self.uncertain_keys[next(iter(self.uncertain_keys))]
+            known.attempt_started_at = known.attempt_host = None
         elif kind == "doubt":
-            if known.ran_at is None:
-                known.ran_at, known.ran_on = record["at"], record["on"]
+            if known.first_attempt_at is None:
+                known.first_attempt_at, known.first_attempt_host = record["at"], record["on"]
         elif kind == "end":
-            known.notice, known.body = record["notice"], b""
+            known.final_status, known.body = record["notice"], b""
         elif kind == "over":
-            del self.held[known.id]
+            del self.messages[known.id]
             self._forget_home(known.id)
 
-    def _remember(self, message: str, was: Remembered, size: int) -> None:
+    def _remember(self, message: str, was: CompletedMessage, size: int) -> None:
         self._drop_past(message)  # also where its time is up: the segment that told it may go next
-        if was.until <= wall_clock():
+        if was.expires_at <= wall_clock():
             return
         home = max(self.segments)
         self.past[message] = Past(was, home, size)
         self.past_homes.setdefault(home, set()).add(message)
         self.live += size
-        heapq.heappush(self.past_due, (was.until, message))
+        heapq.heappush(self.past_due, (was.expires_at, message))
 
     def _forget_past(self) -> None:
         """Those whose time is up."""
         now = wall_clock()
         while self.past_due and self.past_due[0][0] <= now:
             _, message = heapq.heappop(self.past_due)
-            if (past := self.past.get(message)) is not None and past.was.until <= now:
+            if (past := self.past.get(message)) is not None and past.was.expires_at <= now:
                 self._drop_past(message)
 
     def _drop_past(self, message: str) -> None:
@@ -226,9 +260,13 @@
 
     # On disk
 
-    def _tell(self, held: Held) -> None:
-        told = ((name, getattr(held, name), default) for name, default in TOLD.items())
-        record = {name: value for name, value, default in told if default is MISSING or value != default}
+    def _tell(self, held: Message) -> None:
+        told = ((name, getattr(held, name), default) for name, default in DEFAULTS.items())
+        record = {
+            RECORD_NAMES[name]: value
+            for name, value, default in told
+            if default is MISSING or value != default
+        }
         self._write({"t": "take", **record}, held.body)
 
     def _write(self, record: dict[str, Any], body: bytes = b"") -> None:
@@ -236,7 +274,7 @@
         data = HEAD.pack(len(payload), zlib.crc32(payload)) + payload
         segment = self.segments[max(self.segments)]
         if self.size() + len(data) + BLOCK > self.disk_bytes:
-            raise JournalFull
+            raise JournalFullError
         try:
             written = os.write(self.file, data)
         except OSError as error:
@@ -245,7 +283,7 @@
         if written < len(data):
             with contextlib.suppress(OSError):
                 os.ftruncate(self.file, segment.size)
-            raise JournalFull
+            raise JournalFullError
         segment.size += len(data)
         self.bytes += len(data)
         self._apply(record, body, len(data))
@@ -284,16 +322,16 @@
                 while told:
                     if end is not None and self.bytes >= end:
                         return
-                    self._tell(self.held[next(iter(told))])
+                    self._tell(self.messages[next(iter(told))])
                 self._forget_past()
                 while past:
                     if end is not None and self.bytes >= end:
                         return
                     message = next(iter(past))
                     was = self.past[message].was
-                    self._write({"t": "was", "id": message, "as": was.status, "until": was.until})
+                    self._write({"t": "was", "id": message, "as": was.status, "until": was.expires_at})
                 self.segments[oldest].path.unlink()
-            except (OSError, JournalFull) as error:
+            except (OSError, JournalFullError) as error:
                 log.warning("a segment of the journal can't be dropped: %r", error)
                 return
             self.told_in.pop(oldest, None)
--- a/loftrelay/metrics/registry.py
+++ b/loftrelay/metrics/registry.py
@@ -10,11 +10,11 @@
 PREFIX = "app."
 
 
-class End(Enum):
+class FinalStatus(Enum):
     """How a message ended, by what its client or the platform was told."""
 
     SUCCEEDED = "succeeded"  # delivered
-    DECLINED = "declined"  # refused at the door, or handed back
+    REJECTED = "declined"  # refused at the door, or handed back
     ABORTED = "aborted"  # failed
 
 
@@ -27,11 +27,11 @@
     ejected: int  # of these, avoided now, by hand or by choice
 
 
-class Figures:
+class Metrics:
     """Every process counts from 0."""
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
-        self.ends: Counter[tuple[str, End]] = Counter()
+        self.ends: Counter[tuple[str, FinalStatus]] = Counter()
         self.classes: dict[str, None] = {}  # all that were ever in force, in order
         self.forwards = 0  # messages written whole to hosts
         self.sighup_applied = 0
@@ -43,7 +43,7 @@
         """Shows these classes from now on, also with 0. A class that was dropped keeps its counts."""
         self.classes.update(dict.fromkeys(classes))
 
-    def ended(self, class_name: str, end: End) -> None:
+    def count_final_status(self, class_name: str, end: FinalStatus) -> None:
         self.know((class_name,))
         self.ends[class_name, end] += 1
 
@@ -53,7 +53,7 @@
     def lines(self, gauges: Gauges) -> list[str]:
         """`app.NAME=VALUE`, one each."""
         told: dict[str, int] = {
-            f"{end.value}.{name}": self.ends[name, end] for end in End for name in self.classes
+            f"{end.value}.{name}": self.ends[name, end] for end in FinalStatus for name in self.classes
         }
         told |= {
             "forwards": self.forwards,
--- a/loftrelay/relay/fault_points.py
+++ b/loftrelay/relay/fault_points.py
@@ -44,7 +44,7 @@
 listener: Callable[[str], None] | None = None
 
 
-def reached(step: str) -> None:
+def fault_point(step: str) -> None:
     """To be called where the step is. Costs next to nothing while nobody listens."""
     if listener is not None:
         listener(step)
--- a/loftrelay/relay/handover.py
+++ b/loftrelay/relay/handover.py
@@ -8,9 +8,9 @@
 
 from loftrelay.decisions import snapshot
 from loftrelay.decisions.events import AttemptStatus, EndpointEntry, EndpointState, Event
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.net.address import Address
-from loftrelay.relay.ports import Ending
+from loftrelay.relay.ports import AttemptResult
 
 
 class HandoverError(ValueError):
@@ -18,21 +18,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handed:
-    module: Brain
+class HandoverState:
+    scheduler: Scheduler
     events: list[Event]  # that it has not seen yet
     entries: list[tuple[EndpointEntry, Address]]  # the list of hosts
     revision: int | None  # of that list
     discovery: Address
     destinations: set[int]  # that a list has named
     sent_at: dict[str, int]  # of attempts that are out, on the clock that all processes share
-    dropped: dict[str, tuple[tuple[Any, ...], int]]  # classes that are taken for a while yet
-    sliced: bool = False  # the list names the destinations alone that the relay served, as of slice_revision
-    slice_revision: int | None = None
+    retired_classes: dict[str, tuple[tuple[Any, ...], int]]  # classes that are taken for a while yet
+    is_subscription: bool = (
+        False  # the list names the destinations alone that the relay served, as of slice_revision
+    )
+    subscription_revision: int | None = None
 
 
-def tell(
-    module: Brain,
+def write_state(
+    module: Scheduler,
     events: Iterable[Event],
     entries: Iterable[tuple[EndpointEntry, Address]],
     revision: int | None,
@@ -59,12 +61,12 @@
     }
 
 
-def read(told: Mapping[str, Any], seed: int) -> Handed:
+def read_state(told: Mapping[str, Any], seed: int) -> HandoverState:
     """Raises HandoverError."""
     try:
         module, events = snapshot.read(told["module"], seed)
         host, port = told["discovery"]
-        return Handed(
+        return HandoverState(
             module,
             events,
             [
@@ -86,17 +88,25 @@
         raise HandoverError(f"what was handed over can't be used: {error!r}") from error
 
 
-def tell_ending(ending: Ending) -> list[Any]:
-    row = [ending.result.value, ending.over, ending.expired, ending.wait, ending.idle]
-    return [*row, True] if ending.held else row  # only then: earlier programs read five
+def write_attempt_result(ending: AttemptResult) -> list[Any]:
+    row = [
+        ending.status.value,
+        ending.is_final,
+        ending.is_expired,
+        ending.retry_after,
+        ending.connection_idle,
+    ]
+    return [*row, True] if ending.is_blocked else row  # only then: earlier programs read five
 
 
-def read_ending(told: list[Any]) -> Ending:
+def read_attempt_result(told: list[Any]) -> AttemptResult:
     """Raises HandoverError."""
     try:
         result, over, expired, wait, idle, *more = told
         idle = None if idle is None else int(idle)
         held = bool(more and more[0])
-        return Ending(AttemptStatus(result), bool(over), bool(expired), int(wait), idle, held=held)
+        return AttemptResult(
+            AttemptStatus(result), bool(over), bool(expired), int(wait), idle, is_blocked=held
+        )
     except (KeyError, TypeError, ValueError) as error:
         raise HandoverError(f"an outcome can't be read: {error!r}") from error
--- a/loftrelay/relay/message_terms.py
+++ b/loftrelay/relay/message_terms.py
@@ -41,45 +41,45 @@
     return MessageTerms(MessageClass(class_name, DeliverySemantics(effect), *rest), max_attempts)
 
 
-def may_repeat(packed: Sequence[Any] | None) -> bool:
+def is_repeatable(packed: Sequence[Any] | None) -> bool:
     """Whether a message of these terms may run twice. Without terms nobody knows."""
     return packed is not None and packed[0] in HARMLESS
 
 
-def never_harms(packed: Sequence[Any] | None) -> bool:
+def is_idempotent(packed: Sequence[Any] | None) -> bool:
     """Whether a message of these terms may run again at any time. Where a destination drops repeats, it does
     so for a while alone: its id has to be known for as long as a client may hand it in again."""
     return packed is not None and packed[0] == DeliverySemantics.IDEMPOTENT.value
 
 
-class Accepted:
+class AcceptedClasses:
     """The classes that messages may be handed in under: those in force, and for a while those dropped."""
 
     def __init__(self, settings: RelaySettings) -> None:
         self.in_force = settings
-        self.dropped: dict[str, tuple[tuple[Any, ...], int]] = {}  # with when it is turned away
+        self.retired: dict[str, tuple[tuple[Any, ...], int]] = {}  # with when it is turned away
 
-    def retune(self, settings: RelaySettings, now: int) -> None:
+    def apply_settings(self, settings: RelaySettings, now: int) -> None:
         old = self.in_force
         self.in_force = settings
         for name, about in old.classes.items():
             if name not in settings.classes:
                 grace = max(LEAST_GRACE, about.deadline or 0)
-                self.dropped[name] = pack(about, old.max_attempts), now + grace
+                self.retired[name] = pack(about, old.max_attempts), now + grace
         for name in settings.classes:
-            self.dropped.pop(name, None)
+            self.retired.pop(name, None)
 
     def terms(self, class_name: str, now: int) -> tuple[Any, ...] | None:
         """None for a class that is not taken."""
         if (about := self.in_force.classes.get(class_name)) is not None:
             return pack(about, self.in_force.max_attempts)
-        packed, until = self.dropped.get(class_name, ((), 0))
+        packed, until = self.retired.get(class_name, ((), 0))
         if until <= now:
-            self.dropped.pop(class_name, None)
+            self.retired.pop(class_name, None)
             return None
         return packed
 
-    def about(self, class_name: str, now: int) -> MessageClass | None:
+    def message_class(self, class_name: str, now: int) -> MessageClass | None:
         if (about := self.in_force.classes.get(class_name)) is not None:
             return about
         packed = self.terms(class_name, now)
--- a/loftrelay/relay/pending_submissions.py
+++ b/loftrelay/relay/pending_submissions.py
@@ -8,50 +8,52 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from loftrelay.relay.message import Held
+from loftrelay.relay.message import Message
 
 Answer = Callable[[int, int], None]  # a status, and when to come back (ms)
 
 
 @dataclass(frozen=True, slots=True)
-class Parked:
-    held: Held
+class PendingSubmission:
+    held: Message
     answer: Answer
     ends: float  # its time, in the loop's seconds
 
 
-class Parking:
+class PendingSubmissions:
     def __init__(self) -> None:
-        self.at: dict[int, dict[str, Parked]] = {}  # destination -> by message, in their order
-        self.where: dict[str, int] = {}  # message -> its destination
+        self.by_destination: dict[
+            int, dict[str, PendingSubmission]
+        ] = {}  # destination -> by message, in their order
+        self.destinations: dict[str, int] = {}  # message -> its destination
 
     def __len__(self) -> int:
-        return len(self.where)
+        return len(self.destinations)
 
     def __contains__(self, message: str) -> bool:
-        return message in self.where
+        return message in self.destinations
 
-    def add(self, parked: Parked) -> bool:
+    def add(self, parked: PendingSubmission) -> bool:
         """Whether it is the first of its destination."""
         held = parked.held
-        first = held.destination not in self.at
-        self.at.setdefault(held.destination, {})[held.id] = parked
-        self.where[held.id] = held.destination
+        first = held.destination not in self.by_destination
+        self.by_destination.setdefault(held.destination, {})[held.id] = parked
+        self.destinations[held.id] = held.destination
         return first
 
-    def drop(self, message: str) -> None:
+    def cancel(self, message: str) -> None:
         """Its client went."""
-        if (destination := self.where.pop(message, None)) is not None:
-            del self.at[destination][message]
-            if not self.at[destination]:
-                del self.at[destination]
+        if (destination := self.destinations.pop(message, None)) is not None:
+            del self.by_destination[destination][message]
+            if not self.by_destination[destination]:
+                del self.by_destination[destination]
 
-    def take(self, destination: int) -> list[Parked]:
+    def take(self, destination: int) -> list[PendingSubmission]:
         """All of one destination; none is parked any more."""
-        parked = list(self.at.pop(destination, {}).values())
+        parked = list(self.by_destination.pop(destination, {}).values())
         for one in parked:
-            del self.where[one.held.id]
+            del self.destinations[one.held.id]
         return parked
 
-    def take_all(self) -> list[Parked]:
-        return [one for destination in list(self.at) for one in self.take(destination)]
+    def take_all(self) -> list[PendingSubmission]:
+        return [one for destination in list(self.by_destination) for one in self.take(destination)]
--- a/loftrelay/relay/stall_detector.py
+++ b/loftrelay/relay/stall_detector.py
@@ -9,14 +9,14 @@
 
 # So late a thing that was due: the process stood still. Ordinary delays of a busy machine are far shorter; a
 # client gives up after 0.4 s, and an end is due 0.3 s after its message's time.
-STALL = 0.2
+STALL_THRESHOLD_S = 0.2
 # From so much on the loop is late enough to matter to a message's time; for so long after it wakes, what it
 # reads may have come meanwhile (sockets are read after timers have run, and after they are accepted).
 LATE, WAKING = 0.05, 0.1
 CLIENT_WAITS = 0.4  # seconds: who is still there has not waited longer
 
 
-class Pulse:
+class StallDetector:
     """`woke`: when the last stall was noticed; `stood`: its seconds, at the least."""
 
     def __init__(self) -> None:
@@ -37,14 +37,14 @@
         if now - self.beat >= LATE and now - self.late_at >= WAKING:
             self.late_at, self.late_by = now, now - self.seen
         self.seen = max(self.seen, now)
-        if now - self.beat >= STALL:
+        if now - self.beat >= STALL_THRESHOLD_S:
             self._stalled(now, now - self.beat)
             self.beat = math.inf
 
     def ran(self, due: float, now: float) -> None:
         """What was due at a time runs now."""
         self.look(now)
-        if now - due >= STALL and due > self.woke:
+        if now - due >= STALL_THRESHOLD_S and due > self.woke:
             self._stalled(now, now - due)
 
     def age(self, now: float) -> float:
--- a/loftrelay/server/admin/commands.py
+++ b/loftrelay/server/admin/commands.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from loftrelay.metrics.registry import Figures, Gauges
+from loftrelay.metrics.registry import Gauges, Metrics
 from loftrelay.relay.engine import Engine
 from loftrelay.server.admin.server import Done
 
@@ -40,8 +40,8 @@
 
     def figures(self) -> list[str]:
         if self.engine is None:
-            return Figures().lines(Gauges(0, 0, 0))
-        return [*self.engine.figure_lines(), *(line for lines in self.more for line in lines())]
+            return Metrics().lines(Gauges(0, 0, 0))
+        return [*self.engine.metric_lines(), *(line for lines in self.more for line in lines())]
 
     def take_out(self, host: str, done: Done) -> None:
         self.change(host, True, done)
@@ -69,15 +69,15 @@
             return "not ready"
         if listed and not engine.knows_host(host):
             return f"no host has the id {host}"
-        if (host in engine.out) == out:
+        if (host in engine.disabled_hosts) == out:
             return None
         try:
-            self.store.save(engine.out | {host} if out else engine.out - {host})
+            self.store.save(engine.disabled_hosts | {host} if out else engine.disabled_hosts - {host})
         except OSError as error:
             log.error("which hosts are out can't be written: %s", error)
             return f"it can't be written down: {error}"
         if out:
-            engine.take_out(host)
+            engine.disable_host(host)
         else:
-            engine.bring_back(host)
+            engine.enable_host(host)
         return None
--- a/loftrelay/server/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -23,8 +23,8 @@
 from loftrelay.net.http import unread
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import REFUSED_HERE_MS, Engine
-from loftrelay.relay.message import Held
-from loftrelay.relay.message_terms import Accepted
+from loftrelay.relay.message import Message
+from loftrelay.relay.message_terms import AcceptedClasses
 
 log = logging.getLogger(__name__)
 
@@ -77,11 +77,11 @@
         raise BadRequest(413, "a body holds at most 64 KiB")
 
 
-def read_message(accepted: Accepted, request: h11.Request, arrived: int, body: bytes) -> Held:
+def read_message(accepted: AcceptedClasses, request: h11.Request, arrived: int, body: bytes) -> Message:
     """The message that a request hands in. Raises BadRequest."""
     headers = {name.decode(): value.decode("latin-1") for name, value in request.headers}
     path = [unquote(part) for part in request.target.decode("latin-1").partition("?")[0].split("/")[1:]]
-    about = accepted.about(path[0], arrived)
+    about = accepted.message_class(path[0], arrived)
     if about is None or len(path) > 2:
         raise BadRequest(404, "no such path")
     if request.method != b"POST":
@@ -109,7 +109,7 @@
     if idempotency_key is not None and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
         raise BadRequest(400, "Idempotency-Key is malformed")
     deadline = arrived + int(timeout) * 1000
-    return Held(
+    return Message(
         identity,
         0,
         about.name,
@@ -255,7 +255,7 @@
 
     def _withdraw(self) -> None:
         if self.pending is not None:
-            self.server.engine.withdraw(self.pending)
+            self.server.engine.cancel(self.pending)
             self.pending = None
 
     def _read(self) -> None:
@@ -289,16 +289,16 @@
         if self.request.target == READY.encode():
             if self.request.method not in (b"GET", b"HEAD"):
                 raise BadRequest(405, "only GET and HEAD")
-            self._answer(503 if self.server.engine.no_list else 200)
+            self._answer(503 if self.server.engine.has_no_list else 200)
             return
         engine = self.server.engine
         # A message's time counts from when its client wrote it: on a loop that is late that was a while ago.
-        age = engine.pulse.age(asyncio.get_running_loop().time())
+        age = engine.stall_detector.age(asyncio.get_running_loop().time())
         arrived = wall_clock() - int(age * 1e6)
-        held = read_message(engine.accepted, self.request, arrived, bytes(self.body))
-        if engine.awaits(held.id):
+        held = read_message(engine.accepted_classes, self.request, arrived, bytes(self.body))
+        if engine.is_client_waiting(held.id):
             raise BadRequest(409, "a request with this id is open")
-        if (known := engine.answer_to(held.id)) is not None:
+        if (known := engine.known_answer(held.id)) is not None:
             self._answer(*known)
         else:
             self.pending, self.due = held.id, math.inf
@@ -561,8 +561,8 @@
     def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
         self.sweeping = loop.call_later(SWEEP, self._sweep)
-        self.engine.pulse.look(loop.time())
-        self.engine.pulse.expect(self.sweeping.when())
+        self.engine.stall_detector.look(loop.time())
+        self.engine.stall_detector.expect(self.sweeping.when())
         for client in (*self.clients(), *self.lingering):
             if client.due <= loop.time() and (client.refused or not self.frozen):
                 client.overdue()
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -6,13 +6,13 @@
 
 from loftrelay.config.platform import Config
 from loftrelay.delivery.connection_pool import Limits
-from loftrelay.delivery.host_client import Hosts
-from loftrelay.discovery.client import Discovery
-from loftrelay.discovery.status_reporter import Notices
+from loftrelay.delivery.host_client import HostClient
+from loftrelay.discovery.client import DiscoveryClient
+from loftrelay.discovery.status_reporter import FinalStatusReporter
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.handover import Handed
-from loftrelay.relay.ports import Directory, Record, Slices
+from loftrelay.relay.handover import HandoverState
+from loftrelay.relay.ports import EndpointDirectory, MessageStore, SubscribedDirectory
 from loftrelay.state.hosts_out import HostsOut
 
 if TYPE_CHECKING:
@@ -25,8 +25,8 @@
     config: Config,
     connections: Limits = DEFAULT_LIMITS,
     journal: Journal | None = None,
-    record: Record | None = None,
-    handed: Handed | None = None,
+    record: MessageStore | None = None,
+    handed: HandoverState | None = None,
     subscription: SubscriptionSettings | None = None,
 ) -> tuple[Engine, Journal]:
     """`connections`: what the operator's file on connections sets. `handed`: what another process told that
@@ -37,34 +37,43 @@
     Raises OSError where the folder of the journal can't be used."""
     journal = journal or Journal(config.state, config.disk_bytes)
     engine = Engine(config.seed, config.settings, journal, record)
-    delivery = Hosts(
+    delivery = HostClient(
         config.settings.connect_timeout,
         config.settings.connection_idle_timeout,
         config.most_to_hosts,
         connections,
         config.seed,
-        journal.tried,
-        engine.ended,
-        engine.doubted,
-        engine.figures.forwarded,
-        engine.pulse,
-        engine.told,
-        engine.bound,
+        journal.record_attempt,
+        engine.attempt_ended,
+        engine.outcome_disputed,
+        engine.metrics.forwarded,
+        engine.stall_detector,
+        engine.retry_after_received,
+        engine.is_blocked,
     )
     where = config.discovery if handed is None else handed.discovery
-    discovery: Directory
-    slices: Slices | None = None
+    discovery: EndpointDirectory
+    slices: SubscribedDirectory | None = None
     if subscription is None:
-        discovery = Discovery(
-            where, config.settings.poll_interval, engine.listed, lambda: engine.entries, engine.list_refused
+        discovery = DiscoveryClient(
+            where,
+            config.settings.poll_interval,
+            engine.endpoints_listed,
+            lambda: engine.endpoint_entries,
+            engine.list_rejected,
         )
     else:
         from loftrelay.discovery.subscriber import Subscriber  # only where it is used
 
         discovery = slices = Subscriber(
-            subscription, config.name, where, engine.listed, engine.sliced, engine.let_go
+            subscription,
+            config.name,
+            where,
+            engine.endpoints_listed,
+            engine.destination_resolved,
+            engine.release_destinations,
         )
-    notices = Notices(where, engine.noticed)
+    notices = FinalStatusReporter(where, engine.final_status_reported)
     if handed is not None:
         engine.take_over(delivery, discovery, notices, handed, slices)
     else:
--- a/loftrelay/service/gossip_member.py
+++ b/loftrelay/service/gossip_member.py
@@ -15,8 +15,8 @@
 from loftrelay.gossip.transport import Node
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.message import Held
-from loftrelay.relay.ports import Ending
+from loftrelay.relay.message import Message
+from loftrelay.relay.ports import AttemptResult
 from loftrelay.state.atomic_file import write_whole
 
 log = logging.getLogger(__name__)
@@ -38,7 +38,7 @@
 Change = Callable[[str, bool], str | None]  # a host, and whether it is out; gives the reason why not
 
 
-class Joined:
+class GossipMember:
     """The engine's watcher. `change`: makes a call from elsewhere hold here."""
 
     def __init__(self, told: FleetSettings, name: str, folder: Path, engine: Engine, change: Change) -> None:
@@ -50,9 +50,9 @@
 
     async def start(self, wait: bool) -> None:
         """`wait`: for the process before this one to give its socket up. Raises OSError."""
-        self.calls.load(self._load(), self.engine.out)
+        self.calls.load(self._load(), self.engine.disabled_hosts)
         self._settle(list(self.calls.known.values()))
-        self.engine.watchers.append(self)
+        self.engine.observers.append(self)
         while True:
             try:
                 host, port = await self.node.open(wall_clock() // 1000)
@@ -65,8 +65,8 @@
                 return
 
     def close(self) -> None:
-        if self in self.engine.watchers:
-            self.engine.watchers.remove(self)
+        if self in self.engine.observers:
+            self.engine.observers.remove(self)
         if self.retry is not None:
             self.retry.cancel()
         self.node.close()
@@ -84,12 +84,12 @@
 
     # What this relay sees for itself
 
-    def ended(self, held: Held, host: str, ending: Ending) -> None: ...
+    def attempt_ended(self, held: Message, host: str, ending: AttemptResult) -> None: ...
 
-    def taken_out(self, host: str) -> None:
+    def endpoint_disabled(self, host: str) -> None:
         self._called(host, True)
 
-    def brought_back(self, host: str) -> None:
+    def endpoint_enabled(self, host: str) -> None:
         self._called(host, False)
 
     def _called(self, host: str, out: bool) -> None:
@@ -111,7 +111,7 @@
     def _settle(self, calls: list[Call]) -> None:
         """Makes them hold; one that can't yet (a handover, a folder that takes nothing) is tried anew."""
         for call in calls:
-            if (call.host in self.engine.out) == call.out:
+            if (call.host in self.engine.disabled_hosts) == call.out:
                 continue
             if (why := self.change(call.host, call.out)) is not None:
                 log.error("a call of %s for host %s does not hold yet: %s", call.origin, call.host, why)
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -13,7 +13,7 @@
 from loftrelay.delivery.connection_pool import Limits
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.fault_points import reached
+from loftrelay.relay.fault_points import fault_point
 from loftrelay.relay.shutdown_schedule import last_phase
 from loftrelay.server.admin.commands import Relay
 from loftrelay.server.admin.server import Door
@@ -22,13 +22,13 @@
 from loftrelay.state.hosts_out import HostsOut
 from loftrelay.state.last_config import LastFile
 from loftrelay.upgrade.lock import Lock
-from loftrelay.upgrade.predecessor import Giver
-from loftrelay.upgrade.successor import Taker
+from loftrelay.upgrade.predecessor import HandoverSender
+from loftrelay.upgrade.successor import HandoverReceiver
 
 if TYPE_CHECKING:
     from loftrelay.discovery.settings import SubscriptionSettings
     from loftrelay.gossip.settings import FleetSettings
-    from loftrelay.service.gossip_member import Joined
+    from loftrelay.service.gossip_member import GossipMember
     from loftrelay.store.settings import RecordSettings
 
 log = logging.getLogger("loftrelay")
@@ -54,14 +54,14 @@
     ) -> None:
         self.config, self.connections, self.record, self.fleet = config, connections, record, fleet
         self.subscription = subscription
-        self.joined: Joined | None = None
+        self.joined: GossipMember | None = None
         self.relay = Relay(HostsOut(config.state))
         self.last = LastFile(config.state)
         self.told: Mapping[str, Any] = config.told  # the file in force
         self.ending = asyncio.Event()
         self.owns = True  # of what it ends with
         self.to_read = False  # SIGHUP came before anything could be read again
-        self.giver: Giver | None = None
+        self.giver: HandoverSender | None = None
 
     # Signals
 
@@ -73,7 +73,7 @@
 
     def read_again(self) -> None:
         engine = self.relay.engine
-        if engine is None or engine.away is not None:
+        if engine is None or engine.outcome_forwarder is not None:
             self.to_read = True  # once it serves, or serves again
             if self.giver is not None and not self.giver.owns:
                 self.giver.have_file_read()
@@ -81,7 +81,7 @@
         try:
             change = reload(os.environ, self.told)
         except ConfigError as error:
-            engine.figures.sighup_rejected += 1
+            engine.metrics.sighup_rejected += 1
             log.error("the configuration stays as it was: %s", error)
             return
         self.told = change.told
@@ -90,8 +90,8 @@
             from loftrelay.service.store_setup import modes
 
             self.recorder.modes = {**self.recorder.modes, **modes(change.settings, self.record)}
-        engine.retune(change.settings, change.discovery)
-        engine.figures.sighup_applied += 1
+        engine.apply_settings(change.settings, change.discovery)
+        engine.metrics.sighup_applied += 1
 
     # From start to end
 
@@ -99,14 +99,14 @@
         """Raises OSError where it can't serve."""
         config = self.config
         door = await self._open_door()
-        taker: Taker | None = None
+        taker: HandoverReceiver | None = None
         lock: Lock | None
         if config.accept is None:
             if (lock := Lock.take(config.state)) is None:
                 raise OSError(f"another process of this relay holds {config.state}")
             journal = Journal(config.state, config.disk_bytes)
         else:
-            taker = Taker(config.state, config.disk_bytes, config.seed)
+            taker = HandoverReceiver(config.state, config.disk_bytes, config.seed)
             try:
                 journal = await self._unless_stopped(taker)
             except Stopped:
@@ -135,7 +135,7 @@
         if taker is not None:
             taker.attach(engine, server.adopt, self.relay.change, self.read_again)
             if recorder is None:  # what the store has not said yet can't be handed over
-                self.giver = Giver(
+                self.giver = HandoverSender(
                     config.state,
                     lock,
                     engine,
@@ -148,7 +148,7 @@
         joining = await self._join(engine) if self.fleet is not None else None
         log.info("%s listens on %s:%d", config.name, *address)
         self.relay.serving = True
-        reached("taken over")
+        fault_point("taken over")
         if self.to_read:
             self.to_read = False
             self.read_again()
@@ -166,13 +166,13 @@
         else:
             assert self.giver is not None
             end = began + last_phase(engine.settings.classes.values()).end
-            while engine.delivery.busy or self.giver.unfinished:
+            while engine.delivery.is_busy or self.giver.unfinished:
                 if asyncio.get_running_loop().time() >= end:
                     break
                 await asyncio.sleep(LOOK)
-        held = f"{len(journal.held)} messages in its journal" if self.owns else "nothing of its own"
+        held = f"{len(journal.messages)} messages in its journal" if self.owns else "nothing of its own"
         log.info("%s ends with %s", config.name, held)
-        engine.notices.close()
+        engine.status_reporter.close()
         engine.discovery.close()
         engine.delivery.close()
         if self.giver is not None:
@@ -191,30 +191,36 @@
         vain for an answer, where a refused connection would have told them at once; and ends of recovered
         messages were overdue though the relay counted as ready."""
         end = asyncio.get_running_loop().time() + CATCH_UP
-        await asyncio.sleep(engine.tick)  # the first turn: a wait, so that it runs when the process does
-        while engine.notices.open and asyncio.get_running_loop().time() < end and not self.ending.is_set():
-            await asyncio.sleep(engine.tick)
+        await asyncio.sleep(
+            engine.batch_interval
+        )  # the first turn: a wait, so that it runs when the process does
+        while (
+            engine.status_reporter.pending
+            and asyncio.get_running_loop().time() < end
+            and not self.ending.is_set()
+        ):
+            await asyncio.sleep(engine.batch_interval)
 
     async def _subscribe(self, engine: Engine, handed: bool) -> None:
         """It serves once a registry has answered. With none that does it serves all the same after a while:
         what it holds it goes on with, and first messages are refused with when to come back."""
         from loftrelay.discovery.subscriber import Subscriber
 
-        subscriber = engine.slices
+        subscriber = engine.subscription
         assert isinstance(subscriber, Subscriber)
         self.relay.more.append(subscriber.figure_lines)
-        self.relay.more.append(lambda: [f"app.slices_parked={len(engine.parking)}"])
+        self.relay.more.append(lambda: [f"app.slices_parked={len(engine.pending_submissions)}"])
         if handed:
             return
         loop = asyncio.get_running_loop()
         began = loop.time()
         while not self.ending.is_set() and loop.time() < began + REGISTRY:
             if engine.recovering and loop.time() >= began + RECOVER:
-                engine.take_up()
+                engine.replay_recovered()
             if subscriber.answered.is_set() and not engine.recovering:
                 break
             await asyncio.sleep(LOOK)
-        engine.take_up()
+        engine.replay_recovered()
 
     def _read_what_was_missed(self, engine: Engine) -> None:
         """The file may have been replaced, and SIGHUP sent to the process before, since this one read it."""
@@ -225,15 +231,15 @@
         if change.told != self.told:
             self.told = change.told
             self.last.save(change.told)
-            engine.retune(change.settings, change.discovery)
+            engine.apply_settings(change.settings, change.discovery)
 
     async def _join(self, engine: Engine) -> asyncio.Task[None]:
         """Takes part in the fleet; beside a process that ends, once that has given its socket up."""
-        from loftrelay.service.gossip_member import Joined  # with its encoding, only where it is used
+        from loftrelay.service.gossip_member import GossipMember  # with its encoding, only where it is used
 
         assert self.fleet is not None
         config, beside = self.config, self.config.accept is not None
-        self.joined = Joined(self.fleet, config.name, config.state, engine, self.relay.change_for_fleet)
+        self.joined = GossipMember(self.fleet, config.name, config.state, engine, self.relay.change_for_fleet)
         self.relay.more.append(self.joined.figure_lines)
         starting = asyncio.create_task(self.joined.start(wait=beside))
         if not beside:
@@ -248,7 +254,7 @@
         log.info("%s is open to operators on %s:%d", self.config.name, *address)
         return door
 
-    async def _unless_stopped(self, taker: Taker) -> Journal:
+    async def _unless_stopped(self, taker: HandoverReceiver) -> Journal:
         own = asyncio.ensure_future(taker.own())
         stopped = asyncio.ensure_future(self.ending.wait())
         await asyncio.wait((own, stopped), return_when=asyncio.FIRST_COMPLETED)
@@ -263,14 +269,14 @@
         phase = last_phase(engine.settings.classes.values())
         server.stopping = True
         await asyncio.sleep(began + phase.begin - loop.time())
-        engine.hold()
+        engine.stop_admitting()
         log.info("%s begins no more calls", self.config.name)
         await asyncio.sleep(began + phase.take - loop.time())
         await server.close()
-        while loop.time() < began + phase.answer and (engine.unfinished or server.unfinished):
+        while loop.time() < began + phase.answer and (engine.has_unfinished_work or server.unfinished):
             await asyncio.sleep(LOOK)
         server.end()
-        while loop.time() < began + phase.end and (engine.unfinished or server.unfinished):
+        while loop.time() < began + phase.end and (engine.has_unfinished_work or server.unfinished):
             await asyncio.sleep(LOOK)
 
     # What the handover asks
--- a/loftrelay/service/store_setup.py
+++ b/loftrelay/service/store_setup.py
@@ -37,7 +37,7 @@
     )
     while True:
         try:
-            await recorder.load(list(journal.held))
+            await recorder.load(list(journal.messages))
             return recorder
         except Unavailable as error:
             log.warning("the relay waits for its store of record: %s", error)
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -14,7 +14,7 @@
 from functools import partial
 
 from loftrelay.relay.clock import wall_clock
-from loftrelay.relay.message import Held
+from loftrelay.relay.message import Message
 from loftrelay.store import state_machine
 from loftrelay.store.backend import Query, Store, StoreError
 from loftrelay.store.state_machine import About, Answer, Change, Entry, Kind, Known, Mode, State
@@ -40,22 +40,24 @@
     """What became of a TAKE. `known`: NEW when the store has it now; `retry_ms`: refused, come back then."""
 
     known: Known = Known.NEW
-    retry_ms: int = 0
+    retry_after_ms: int = 0
 
     @property
     def status(self) -> int:
         return STATUSES[self.known]
 
 
-def stand(held: Held) -> state_machine.Held:
+def stand(held: Message) -> state_machine.Held:
     """What the journal tells of a message at a start."""
-    if held.notice is not None:
+    if held.final_status is not None:
         return (
-            state_machine.Held.DELIVERED if held.notice["status"] == "delivered" else state_machine.Held.ENDED
+            state_machine.Held.DELIVERED
+            if held.final_status["status"] == "delivered"
+            else state_machine.Held.ENDED
         )
-    if held.tried_at is not None:
+    if held.attempt_started_at is not None:
         return state_machine.Held.OUT
-    if held.ran_at is not None:
+    if held.first_attempt_at is not None:
         return state_machine.Held.DOUBTFUL
     return state_machine.Held.TRIED if held.attempts else state_machine.Held.TAKEN
 
@@ -94,7 +96,7 @@
         self.pruning = asyncio.create_task(self._prune()) if keep is not None else None
 
     @property
-    def retry_ms(self) -> int:
+    def retry_after_ms(self) -> int:
         """When to come back, while the store is away; 0 while it is there."""
         return self.writer.retry_ms if self.writer.away else 0
 
@@ -111,11 +113,11 @@
     def _mine(self, store: Store) -> list[Entry]:
         return [e for e in store.select(Query(unfinished=True)) if e.about.instance == self.instance]
 
-    def unheld(self, held: Mapping[str, Held]) -> list[str]:
+    def unfinished_without_journal(self, held: Mapping[str, Message]) -> list[str]:
         """Those that the store holds unfinished, and the journal does not know."""
         return [name for name, entry in self.entries.items() if name not in held and entry.told_at is None]
 
-    def recover(self, held: Held | None, message: str, unsafe: bool) -> str:
+    def recover(self, held: Message | None, message: str, unsafe: bool) -> str:
         """What is to be done with a message at a start (`Mend`, by name). Its record goes on then."""
         entry = self.entries.pop(message, None)
         class_name = (
@@ -132,14 +134,16 @@
         elif held is not None:
             self._take(held, track, 1, lambda verdict: None, optional=False)
             if held.attempts:  # as far as the journal tells
-                self._post(message, track, Kind.INTEND, host=held.tried_on or held.ran_on)
+                self._post(message, track, Kind.INTEND, host=held.attempt_host or held.first_attempt_host)
                 if stands is not state_machine.Held.DELIVERED:
-                    self.outcome(message, "NOT_SENT" if stands is state_machine.Held.TRIED else "BROKEN")
+                    self.attempt_ended(
+                        message, "NOT_SENT" if stands is state_machine.Held.TRIED else "BROKEN"
+                    )
         if track.state is State.OUT and mend in (state_machine.Mend.TAKE_UP, state_machine.Mend.FAIL):
-            self.outcome(message, "BROKEN")
+            self.attempt_ended(message, "BROKEN")
         return mend.name
 
-    def answer(self, message: str) -> str | None:
+    def recorded_answer(self, message: str) -> str | None:
         """The final answer that the store had at the start."""
         entry = self.entries.get(message)
         return entry.answer.value if entry is not None and entry.answer is not None else None
@@ -150,7 +154,7 @@
 
     # A message's life
 
-    def take(self, held: Held, done: Callable[[Verdict], None]) -> None:
+    def admit(self, held: Message, done: Callable[[Verdict], None]) -> None:
         """Calls back when the store has it, or why not; at once where the class only follows. A store that is
         slow refuses, too: what it has in the end is recorded as refused. An id whose earlier life is not yet
         recorded to its end, of a client that was refused so or went before its answer, is refused as well."""
@@ -161,7 +165,7 @@
         if track.mode is Mode.FOLLOWS:
             if len(self.writer.queue) >= self.writer.most_queued:
                 self.drop(held.id)
-                done(Verdict(retry_ms=self.writer.retry_ms))
+                done(Verdict(retry_after_ms=self.writer.retry_ms))
                 return
             self._take(held, track, 1, lambda verdict: None)
             done(Verdict())
@@ -177,9 +181,11 @@
             clock.cancel()
             if not late:
                 done(verdict)
-            elif verdict.known is Known.NEW and not verdict.retry_ms:
+            elif verdict.known is Known.NEW and not verdict.retry_after_ms:
                 # Its client was refused meanwhile, and may come again with it.
-                self.end(held.id, Answer.REFUSED.value, None, partial(self.told, held.id))
+                self.record_final_status(
+                    held.id, Answer.REFUSED.value, None, partial(self.final_status_reported, held.id)
+                )
 
         clock = asyncio.get_running_loop().call_later(self.patience, give_up)
         self._take(held, track, 1, settle)
@@ -188,7 +194,7 @@
         return Verdict(Known.REFUSED, max(SLOW_MS, self.writer.retry_ms))
 
     def _take(
-        self, held: Held, track: Track, run: int, done: Callable[[Verdict], None], optional: bool = True
+        self, held: Message, track: Track, run: int, done: Callable[[Verdict], None], optional: bool = True
     ) -> None:
         track.run, track.number, track.state = run, 1, State.TAKEN
         about = About(
@@ -196,16 +202,16 @@
             held.class_name,
             held.tenant,
             held.destination,
-            held.key,
+            held.ordering_key,
             held.deadline,
             hashlib.sha256(held.body).hexdigest(),
         )
-        change = Change(held.id, run, 1, Kind.TAKE, held.taken_at, about=about)
+        change = Change(held.id, run, 1, Kind.TAKE, held.admitted_at, about=about)
         required = track.mode is Mode.REQUIRED
         self.writer.put(change, partial(self._taken, held, track, done), optional and required, required)
 
     def _taken(
-        self, held: Held, track: Track, done: Callable[[Verdict], None], error: Exception | None
+        self, held: Message, track: Track, done: Callable[[Verdict], None], error: Exception | None
     ) -> None:
         if error is None:
             done(Verdict())
@@ -224,9 +230,9 @@
         elif isinstance(error, Elsewhere):
             done(Verdict(verdict if verdict is not Known.NEW else Known.IN_PROGRESS))
         else:
-            done(Verdict(retry_ms=error.retry_ms if isinstance(error, Away) else self.writer.retry_ms))
+            done(Verdict(retry_after_ms=error.retry_ms if isinstance(error, Away) else self.writer.retry_ms))
 
-    def intend(self, messages: Sequence[Held], host: str, done: Callable[[bool], None]) -> None:
+    def request_attempt(self, messages: Sequence[Message], host: str, done: Callable[[bool], None]) -> None:
         """Calls back once the intent of all that are required is committed (True), or is not (False): then
         none of them may go out."""
         waiting, failed = 0, False
@@ -255,13 +261,15 @@
         if not waiting:
             done(True)
 
-    def outcome(self, message: str, result: str) -> None:
+    def attempt_ended(self, message: str, result: str) -> None:
         """An attempt ended otherwise than by a delivery."""
         track = self.tracks.get(message)
         if track is not None and track.state is State.OUT:
             self._post(message, track, Kind.OUTCOME, result=result)
 
-    def end(self, message: str, answer: str, result: str | None, done: Callable[[], None]) -> None:
+    def record_final_status(
+        self, message: str, answer: str, result: str | None, done: Callable[[], None]
+    ) -> None:
         """Calls back when the store has the final answer; at once where the class only follows, or nothing is
         recorded of the message. A delivery is always waited for: the journal keeps it until then, and nobody
         else waits."""
@@ -284,7 +292,7 @@
         else:
             self._write(message, track, Kind.END, done, answer=final, result=result)
 
-    def told(self, message: str) -> None:
+    def final_status_reported(self, message: str) -> None:
         """Whoever was owed the end has heard it."""
         track = self.tracks.pop(message, None)
         if track is not None and track.state is State.ENDED:
--- a/loftrelay/store/writer.py
+++ b/loftrelay/store/writer.py
@@ -160,7 +160,7 @@
     def _reached(self, side: str, changes: Sequence[Change]) -> None:
         if fault_points.listener is not None:
             for change in changes:
-                fault_points.reached(f"{side} {change.kind.value}")
+                fault_points.fault_point(f"{side} {change.kind.value}")
 
     # The loop's side
 
--- a/loftrelay/upgrade/predecessor.py
+++ b/loftrelay/upgrade/predecessor.py
@@ -11,9 +11,9 @@
 from typing import Any, Protocol
 
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.fault_points import reached
-from loftrelay.relay.handover import read_ending, tell_ending
-from loftrelay.relay.ports import Ending
+from loftrelay.relay.fault_points import fault_point
+from loftrelay.relay.handover import read_attempt_result, write_attempt_result
+from loftrelay.relay.ports import AttemptResult
 from loftrelay.upgrade.channel import Channel, Listener
 from loftrelay.upgrade.lock import Lock
 from loftrelay.upgrade.state_machine import LONGEST_STILL, Do, Predecessor, Stage
@@ -31,7 +31,7 @@
     def hand(self, give: Callable[[dict[str, Any], int], None]) -> None: ...
 
 
-class Giver:
+class HandoverSender:
     """Answers whoever wants to follow. `owns` turns false for good once that one has taken over."""
 
     def __init__(
@@ -80,13 +80,13 @@
 
     # What the engine and the door have to tell
 
-    def ended(self, message: str, host: str, ending: Ending) -> None:
-        self._tell({"is": "ended", "id": message, "host": host, "how": tell_ending(ending)})
+    def attempt_ended(self, message: str, host: str, ending: AttemptResult) -> None:
+        self._tell({"is": "ended", "id": message, "host": host, "how": write_attempt_result(ending)})
 
-    def told(self, host: str, wait: int) -> None:
+    def retry_after_received(self, host: str, wait: int) -> None:
         self._tell({"is": "told", "host": host, "wait": wait})
 
-    def doubted(self, message: str, host: str, ran_at: int) -> None:
+    def outcome_disputed(self, message: str, host: str, ran_at: int) -> None:
         self._tell({"is": "doubted", "id": message, "host": host, "at": ran_at})
 
     def change(self, host: str, out: bool, done: Done) -> None:
@@ -144,13 +144,13 @@
                     self.since = self._now()
                     self.moved(True)
                     self.front.freeze()
-                    self.engine.freeze(self)
-                    reached("frozen")
+                    self.engine.pause(self)
+                    fault_point("frozen")
                     again = LONGEST_STILL / 1e6 + 0.001
                     self.clock = asyncio.get_running_loop().call_later(again, self._overdue)
                 case Do.TELL if self.channel is not None:
-                    self.channel.send({"is": "state", **self.engine.state()})
-                    reached("told state")
+                    self.channel.send({"is": "state", **self.engine.export_state()})
+                    fault_point("told state")
                 case Do.THAW:
                     self._thaw()
                 case Do.GIVE:
@@ -176,16 +176,18 @@
         log.warning("no other process has taken over: this one goes on")
         if self.clock is not None:
             self.clock.cancel()
-        self.engine.thaw()
+        self.engine.resume()
         self.moved(False)
         late, self.late = self.late, []
         for message in late:
             if message["is"] == "ended":
-                self.engine.heard_abroad(message["id"], message["host"], read_ending(message["how"]))
+                self.engine.predecessor_attempt_ended(
+                    message["id"], message["host"], read_attempt_result(message["how"])
+                )
             elif message["is"] == "told":
-                self.engine.told(message["host"], message["wait"])
+                self.engine.retry_after_received(message["host"], message["wait"])
             elif message["is"] == "doubted":
-                self.engine.doubted(message["id"], message["host"], message["at"])
+                self.engine.outcome_disputed(message["id"], message["host"], message["at"])
         changes, self.changes = self.changes, {}
         for host, out, done in changes.values():
             self.change_here(host, out, done)
@@ -196,12 +198,12 @@
             self.clock.cancel()
         assert self.channel is not None
         self.engine.journal.close()
-        self.engine.given = True
+        self.engine.is_handed_over = True
         self.listener.close()
-        reached("giving")
+        fault_point("giving")
         self.channel.send({"is": "yours"}, [self.lock.file])
         self.lock.release()
-        reached("given")
+        fault_point("given")
         log.info(
             "another process has taken over; all stood still for %d ms", (self._now() - self.since) // 1000
         )
@@ -217,5 +219,5 @@
             self.channel.send(message)
         channel = self.channel
         self.front.hand(lambda row, file: channel.send({"is": "client", **row}, [file]))
-        self.engine.delivery.close_all_idle()
-        reached("handed over")
+        self.engine.delivery.close_all_idle_connections()
+        fault_point("handed over")
--- a/loftrelay/upgrade/successor.py
+++ b/loftrelay/upgrade/successor.py
@@ -12,8 +12,8 @@
 
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.fault_points import reached
-from loftrelay.relay.handover import Handed, HandoverError, read, read_ending
+from loftrelay.relay.fault_points import fault_point
+from loftrelay.relay.handover import HandoverError, HandoverState, read_attempt_result, read_state
 from loftrelay.upgrade.channel import Channel, reach
 from loftrelay.upgrade.lock import Lock
 from loftrelay.upgrade.state_machine import RETRY, Next, Step, Successor
@@ -24,7 +24,7 @@
 Change = Callable[[str, bool, Callable[[str | None], None]], None]
 
 
-class Taker:
+class HandoverReceiver:
     """Becomes the owner, and hears afterwards what the process before it still has to tell."""
 
     def __init__(self, folder: Path, disk_bytes: int, seed: int) -> None:
@@ -32,7 +32,7 @@
         self.rules = Successor()
         self.lock: Lock | None = None
         self.journal: Journal | None = None
-        self.handed: Handed | None = None  # None: from the journal alone
+        self.handed: HandoverState | None = None  # None: from the journal alone
         self.told: dict[str, Any] = {}
         self.channel: Channel | None = None
         self.again = asyncio.Event()  # something is to be done
@@ -75,7 +75,7 @@
         for message, files in backlog:
             self._heard(message, files)
         if self.channel is None:
-            engine.lose_abroad()
+            engine.predecessor_lost()
 
     # The channel
 
@@ -103,11 +103,13 @@
         kind = message.get("is")
         try:
             if kind == "ended" and self.handed is not None:
-                self.engine.heard_abroad(message["id"], message["host"], read_ending(message["how"]))
+                self.engine.predecessor_attempt_ended(
+                    message["id"], message["host"], read_attempt_result(message["how"])
+                )
             elif kind == "told":
-                self.engine.told(message["host"], int(message["wait"]))
+                self.engine.retry_after_received(message["host"], int(message["wait"]))
             elif kind == "doubted" and self.handed is not None:
-                self.engine.doubted(message["id"], message["host"], int(message["at"]))
+                self.engine.outcome_disputed(message["id"], message["host"], int(message["at"]))
             elif kind == "client" and files:
                 task = asyncio.get_running_loop().create_task(self._adopt(message, files.pop()))
                 self.tasks.add(task)
@@ -139,7 +141,7 @@
         steps = self.rules.lost()
         self._do(steps)
         if not steps and self.engine is not None:
-            self.engine.lose_abroad()
+            self.engine.predecessor_lost()
 
     # What the rules say
 
@@ -153,7 +155,7 @@
                 case Next.LOAD:
                     self._load()
                 case Next.SAY_LOADED if self.channel is not None:
-                    reached("loaded")
+                    fault_point("loaded")
                     self.channel.send({"is": "loaded", "plain": self.handed is None})
                 case Next.FORGET:
                     self.journal = self.handed = None
@@ -162,9 +164,9 @@
                     self.again.set()
                 case Next.GO_ON:
                     assert self.journal is not None
-                    reached("yours")
+                    fault_point("yours")
                     if self.handed is not None:
-                        self.journal.go_on()
+                        self.journal.take_ownership()
                     else:
                         self.journal = Journal(self.folder, self.disk_bytes)
                     self.again.set()
@@ -185,7 +187,7 @@
         else:
             self.journal = Journal(self.folder, self.disk_bytes, still=True)
         try:
-            self.handed = read(self.told, self.seed)
+            self.handed = read_state(self.told, self.seed)
         except HandoverError as error:
             log.warning("from the journal alone: %s", error)
             self.handed = None
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -11,7 +11,7 @@
 import pytest
 
 from loftrelay.config.platform import ConfigError, load_config, reload
-from loftrelay.config.validation import Wrong, check_change, check_settings
+from loftrelay.config.validation import InvalidSettingError, check_change, check_settings
 from tests.standins.platform import SETTINGS
 
 FILE: dict[str, Any] = {
@@ -104,7 +104,7 @@
     ],
 )
 def test_what_can_not_be_meant_is_named(path: tuple[Any, ...], value: Any, why: str) -> None:
-    with pytest.raises(Wrong, match=why):
+    with pytest.raises(InvalidSettingError, match=why):
         check_settings(changed(SETTINGS, path, value))
 
 
--- a/tests/decisions/test_directory.py
+++ b/tests/decisions/test_directory.py
@@ -10,7 +10,7 @@
 
 from loftrelay.decisions.actions import SetTimer, WatchEndpointList
 from loftrelay.decisions.events import EndpointListKind, EndpointListReceived, Event, TimerFired
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from tests.decisions.world import SETTINGS, S, entry
 
 CALLERS = 200
@@ -20,7 +20,7 @@
 ASKED = replace(SETTINGS, polls_endpoint_list=True)
 
 
-def play(seed: int, down: int, make: type[Brain] = Brain) -> tuple[list[int], list[int]]:
+def play(seed: int, down: int, make: type[Scheduler] = Scheduler) -> tuple[list[int], list[int]]:
     """All ask at once, as after a start; it answers from `down` on. When each was told, and its calls."""
     draw = random.Random(seed)
     modules = [make(seed * 1000 + n, ASKED) for n in range(CALLERS)]
@@ -34,7 +34,7 @@
             break
         if event is LIST:
             told[n] = now
-        for action in modules[n].handle(now, [event]):
+        for action in modules[n].handle_batch(now, [event]):
             number += 1
             if isinstance(action, SetTimer):
                 heapq.heappush(due, (now + action.delay, number, n, TimerFired(0)))
--- a/tests/decisions/test_let_go.py
+++ b/tests/decisions/test_let_go.py
@@ -32,7 +32,7 @@
     MessageSubmitted,
     TimerFired,
 )
-from loftrelay.decisions.scheduler import FADE, KEPT, Brain
+from loftrelay.decisions.scheduler import FADE, KEPT, Scheduler
 from loftrelay.decisions.settings import RelaySettings
 from tests.decisions.test_rules import outage
 from tests.decisions.world import MS, SETTINGS, START, Driver, S, entry, sends
@@ -41,7 +41,7 @@
 
 def let_go(d: Driver, after: int = 0, number: int = 1) -> None:
     d.feed(after=after)
-    assert d.brain.idle(d.now, number)
+    assert d.brain.is_idle(d.now, number)
     d.feed(DestinationsReleased((number,)))
     assert number not in d.brain.destinations and number not in d.brain.backlog
     assert not any(e.destination.number == number for e in d.brain.endpoints.values())
@@ -64,7 +64,7 @@
 
 
 def waiting(d: Driver) -> Any:
-    d.brain.bind(d.now, "a", S)
+    d.brain.apply_retry_after(d.now, "a", S)
     d.submit("m")
     return lambda: (d.run(S), d.outcome("m", AttemptStatus.OK))
 
@@ -130,12 +130,12 @@
 def test_what_is_not_idle_stays_as_it_is(busy: Any, kind: str) -> None:
     d = Driver(entry("a", kind=kind), entry("x", 2), awaits_final_status=True)
     over = busy(d)
-    assert not d.brain.idle(d.now, 1) and d.brain.idle(d.now, 2)
+    assert not d.brain.is_idle(d.now, 1) and d.brain.is_idle(d.now, 2)
     d.feed(TimerFired(0))
     before = snapshot.write(d.brain)
     assert not d.feed(DestinationsReleased((1,))) and snapshot.write(d.brain) == before
     over()
-    assert d.brain.idle(d.now, 1)
+    assert d.brain.is_idle(d.now, 1)
     let_go(d)
 
 
@@ -147,7 +147,7 @@
 
 def test_what_is_not_known_is_idle_and_nothing_is_let_go() -> None:
     d = Driver(entry("a"))
-    assert d.brain.idle(d.now, 77)
+    assert d.brain.is_idle(d.now, 77)
     d.feed(DestinationsReleased((77, -1)))
     assert not d.brain.dormant and set(d.brain.endpoints) == {"a"}
 
@@ -170,15 +170,15 @@
     """Told before it was let go, or heard after: it binds the hosts that it always bound, and as long."""
     d = Driver(entry("a", kind=kind), entry("b", kind=kind))
     if before:
-        d.brain.bind(d.now, "a", 5 * S)
+        d.brain.apply_retry_after(d.now, "a", 5 * S)
     let_go(d)
     if not before:
-        d.brain.bind(d.now, "a", 3 * S)
-        d.brain.bind(d.now, "a", 5 * S)
-        d.brain.bind(d.now, "a", S)
+        d.brain.apply_retry_after(d.now, "a", 3 * S)
+        d.brain.apply_retry_after(d.now, "a", 5 * S)
+        d.brain.apply_retry_after(d.now, "a", S)
     until = d.now + 5 * S
-    assert d.brain.bound(until - 1, "a") and not d.brain.bound(until, "a")
-    assert d.brain.bound(d.now, "b") is (kind == "plain")
+    assert d.brain.is_blocked(until - 1, "a") and not d.brain.is_blocked(until, "a")
+    assert d.brain.is_blocked(d.now, "b") is (kind == "plain")
     d.feed(after=2 * S)
     listed(d, entry("a", kind=kind))
     d.submit("m")
@@ -188,11 +188,11 @@
 
 def test_a_told_wait_binds_a_sibling_that_is_new() -> None:
     d = Driver(entry("a"))
-    d.brain.bind(d.now, "a", 5 * S)
+    d.brain.apply_retry_after(d.now, "a", 5 * S)
     until = d.now + 5 * S
     let_go(d)
     listed(d, entry("other"))
-    assert d.brain.bound(until - 1, "other")
+    assert d.brain.is_blocked(until - 1, "other")
     d.submit("m")
     assert first_send(d, "m") == until
 
@@ -201,16 +201,16 @@
     d = Driver(entry("a"))
     let_go(d)
     d.feed(AttemptEnded("m", 0, "a", AttemptStatus.REJECTED, 0, False, 4 * S, None, None))
-    assert d.brain.bound(d.now + 4 * S - 1, "a") and not d.brain.bound(d.now + 4 * S, "a")
+    assert d.brain.is_blocked(d.now + 4 * S - 1, "a") and not d.brain.is_blocked(d.now + 4 * S, "a")
 
 
 def test_a_wait_of_a_route_binds_a_kind_that_shares_it_now_and_the_other_way_round() -> None:
     for was, now in (("apart", "plain"), ("plain", "apart")):
         d = Driver(entry("a", kind=was))
-        d.brain.bind(d.now, "a", 5 * S)
+        d.brain.apply_retry_after(d.now, "a", 5 * S)
         let_go(d)
         listed(d, entry("a", kind=now))
-        assert d.brain.bound(d.now + 5 * S - 1, "a")
+        assert d.brain.is_blocked(d.now + 5 * S - 1, "a")
 
 
 @pytest.mark.parametrize("kind", ["plain", "apart"])
@@ -269,7 +269,7 @@
     destination = d.brain.destinations[1]
     rate = d.brain._own_rate(destination.endpoints[0].gate, destination)
     for i in range(400):
-        if d.brain.idle(d.now, 1):
+        if d.brain.is_idle(d.now, 1):
             let_go(d)
             listed(d, entry("a", kind=kind))
         d.submit(f"n{i}", after=20 * MS)
@@ -303,18 +303,18 @@
 def test_routes_apart_each_have_their_own() -> None:
     """Also those that are listed later than their siblings, or not before it is let go once more."""
     d = Driver(entry("a", kind="apart"), entry("b", kind="apart"), entry("c", kind="apart"))
-    d.brain.bind(d.now, "a", 50 * S)
+    d.brain.apply_retry_after(d.now, "a", 50 * S)
     d.brain.endpoints["b"].gate.outage = True
     until = d.now + 50 * S
     let_go(d)
     listed(d, entry("c", kind="apart"), after=S)
-    assert d.brain.bound(d.now, "a") and not d.brain.bound(d.now, "c")
+    assert d.brain.is_blocked(d.now, "a") and not d.brain.is_blocked(d.now, "c")
     listed(d, entry("b", kind="apart"), after=S)
     assert d.brain.endpoints["b"].gate.outage and not d.brain.endpoints["c"].gate.outage
     let_go(d)
     listed(d, *(entry(name, kind="apart") for name in "abc"), after=S)
     assert d.brain.endpoints["b"].gate.outage and not d.brain.endpoints["c"].gate.outage
-    assert d.brain.bound(until - 1, "a") and not d.brain.bound(until, "a")
+    assert d.brain.is_blocked(until - 1, "a") and not d.brain.is_blocked(until, "a")
     assert not d.brain.dormant and not d.brain.dormant_of
 
 
@@ -420,16 +420,16 @@
 
 def test_a_handover_carries_it() -> None:
     d = Driver(entry("a", kind="apart"), entry("b", 2))
-    d.brain.bind(d.now, "a", 50 * S)
+    d.brain.apply_retry_after(d.now, "a", 50 * S)
     d.brain.endpoints["b"].gate.outage = True
     until = d.now + 50 * S
     let_go(d)
     let_go(d, number=2)
     d.brain, events = snapshot.read(snapshot.write(d.brain, [DestinationsReleased((3,))]), seed=1)
-    assert events == [DestinationsReleased((3,))] and d.brain.bound(until - 1, "a")
+    assert events == [DestinationsReleased((3,))] and d.brain.is_blocked(until - 1, "a")
     d.feed(after=20 * S)
     listed(d, entry("a", kind="apart"), entry("b", 2))
-    assert d.brain.bound(until - 1, "a") and not d.brain.bound(until, "a")
+    assert d.brain.is_blocked(until - 1, "a") and not d.brain.is_blocked(until, "a")
     assert d.brain.endpoints["b"].gate.outage
 
 
@@ -439,7 +439,7 @@
 def test_what_binds_no_longer_is_dropped() -> None:
     d = Driver(entry("sound", 1), entry("told", 2), entry("refused", 3), entry("down", 4))
     d.warm()
-    d.brain.bind(d.now, "told", 60 * S)
+    d.brain.apply_retry_after(d.now, "told", 60 * S)
     d.submit("m", destination=3)
     d.outcome("m", AttemptStatus.REJECTED)
     d.feed(MessageCancelled("m"))
@@ -458,15 +458,15 @@
 def test_a_turn_costs_the_same_however_many_are_dormant() -> None:
     costs = []
     for size in (100, 20_000):
-        module = Brain(1, SETTINGS)
+        module = Scheduler(1, SETTINGS)
         entries = tuple(entry(f"h{i}", i) for i in range(size))
-        module.handle(
+        module.handle_batch(
             START, [EndpointListReceived(EndpointListKind.FULL, (*entries, entry("x", -1), entry("y", -2)))]
         )
         for endpoint in module.endpoints.values():
             endpoint.gate.outage = True
-        module.handle(START, [DestinationsReleased(tuple(range(size)))])
-        module.handle(START + 60 * S, [TimerFired(0)])
+        module.handle_batch(START, [DestinationsReleased(tuple(range(size)))])
+        module.handle_batch(START + 60 * S, [TimerFired(0)])
         assert len(module.dormant) == size
         module.dormant, module.dormant_of = Walked(module.dormant), Walked(module.dormant_of)
         batches: list[list[Event]] = [
@@ -475,7 +475,7 @@
             [TimerFired(0)],
             [MessageSubmitted("m", -2, "safe", None, S, None)],
         ]
-        costs.append([steps(partial(module.handle, START + 61 * S, batch)) for batch in batches])
+        costs.append([steps(partial(module.handle_batch, START + 61 * S, batch)) for batch in batches])
         assert module.dormant.walked == 0 and module.dormant_of.walked == 0
     assert all(0 < many <= 1.5 * few for few, many in zip(*costs, strict=True))
 
@@ -483,8 +483,8 @@
 def test_what_a_dormant_one_takes_of_memory() -> None:
     """At the most, in an outage with a told wait and an address of its own."""
     size = 2_000
-    module = Brain(1, SETTINGS)
-    module.handle(
+    module = Scheduler(1, SETTINGS)
+    module.handle_batch(
         START, [EndpointListReceived(EndpointListKind.FULL, tuple(entry(f"h{i}", i) for i in range(size)))]
     )
     for number, endpoint in enumerate(module.endpoints.values()):
@@ -496,8 +496,8 @@
     gc.collect()
     tracemalloc.start()
     try:
-        module.handle(START, [DestinationsReleased(tuple(range(size)))])
-        module.handle(START + 60 * S, [TimerFired(0)])
+        module.handle_batch(START, [DestinationsReleased(tuple(range(size)))])
+        module.handle_batch(START + 60 * S, [TimerFired(0)])
         gc.collect()
         held = tracemalloc.get_traced_memory()[0] / size
     finally:
@@ -526,7 +526,7 @@
         return 1.0
 
 
-class Judge(Brain):
+class Judge(Scheduler):
     """Kept all destinations. It sends what the other one sends, and allows it, or fails."""
 
     def __init__(self, seed: int, settings: RelaySettings) -> None:
@@ -569,7 +569,7 @@
 
     def __init__(self, instances: int) -> None:
         told = replace(SETTINGS, relay_count=instances, max_open_messages=10_000, max_attempts=3)
-        self.module, self.judge = Brain(1, told), Judge(1, told)
+        self.module, self.judge = Scheduler(1, told), Judge(1, told)
         self.draw = Even()
         self.module.random = self.judge.random = self.draw
         self.now, self.wake, self.number, self.returns, self.calls = START, START, 0, 0, 0
@@ -579,12 +579,12 @@
         self.feed([everything], [everything])
 
     def feed(self, events: list[Event], kept: list[Event] | None = None) -> None:
-        actions = self.module.handle(self.now, events)
+        actions = self.module.handle_batch(self.now, events)
         self.judge.theirs = [a for a in actions if isinstance(a, SendAttempt)]
         for action in actions:
             if isinstance(action, SetTimer):
                 self.wake = self.now + action.delay
-        self.judge.handle(self.now, events if kept is None else kept)
+        self.judge.handle_batch(self.now, events if kept is None else kept)
         self.out |= {send.message_id: send for send in self.judge.theirs}
         self.calls += len(self.judge.theirs)
         # What ends in one ends in the other: it is the gates that are compared.
@@ -622,8 +622,8 @@
                 heard = AttemptEnded(name, 0, send.endpoint, result, 5 * MS, over, wait, None, None, 0)
                 self.feed([heard, *([] if over or pick % 4 else [MessageCancelled(name)])])
             case "let go":
-                idle = self.module.idle(self.now, number)
-                assert idle == self.judge.idle(self.now, number)
+                idle = self.module.is_idle(self.now, number)
+                assert idle == self.judge.is_idle(self.now, number)
                 self.feed([DestinationsReleased((number,))], [])
                 if idle:
                     self.away |= {e.endpoint: e for e in HOSTS if e.destination == number}
@@ -641,10 +641,10 @@
                 if not self.known(host):
                     return  # nothing was out for so long that it can tell none
                 for module in (self.module, self.judge):
-                    module.bind(self.now, host, 2 * S)
+                    module.apply_retry_after(self.now, host, 2 * S)
                 self.feed([])
         for name in filter(self.known, (host.endpoint for host in HOSTS)):
-            assert self.module.bound(self.now, name) == self.judge.bound(self.now, name), name
+            assert self.module.is_blocked(self.now, name) == self.judge.is_blocked(self.now, name), name
 
 
 @settings(derandomize=True, max_examples=200, deadline=None, database=None)
--- a/tests/decisions/test_long_lists.py
+++ b/tests/decisions/test_long_lists.py
@@ -15,7 +15,7 @@
     EndpointListReceived,
     EndpointState,
 )
-from loftrelay.decisions.scheduler import LEAST_LOOKS, Brain
+from loftrelay.decisions.scheduler import LEAST_LOOKS, Scheduler
 from tests.decisions.world import SETTINGS, START, Driver, S, entry
 from tests.standins.work import Walked, steps
 
@@ -28,18 +28,18 @@
 }
 
 
-def told(module: Brain, *entries: EndpointEntry) -> int:
+def told(module: Scheduler, *entries: EndpointEntry) -> int:
     """The steps that a change takes."""
     listing = EndpointListReceived(EndpointListKind.DELTA, entries)
-    return steps(lambda: module.handle(module.now + 100_000, [listing]))
+    return steps(lambda: module.handle_batch(module.now + 100_000, [listing]))
 
 
 @pytest.fixture(scope="module")
-def modules() -> dict[int, Brain]:
+def modules() -> dict[int, Scheduler]:
     made = {}
     for size in (FEW, MANY):
-        module = made[size] = Brain(1, SETTINGS)
-        module.handle(
+        module = made[size] = Scheduler(1, SETTINGS)
+        module.handle_batch(
             START,
             [EndpointListReceived(EndpointListKind.FULL, tuple(entry(f"h{i}", i) for i in range(size)))],
         )
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("what", CHANGES)
-def test_a_change_costs_what_it_brings(modules: dict[int, Brain], what: str) -> None:
+def test_a_change_costs_what_it_brings(modules: dict[int, Scheduler], what: str) -> None:
     few, many = (told(modules[size], *CHANGES[what]) for size in (FEW, MANY))
     assert 0 < many <= 1.5 * few
     for module in modules.values():
@@ -56,9 +56,9 @@
         assert isinstance(module.destinations, Walked) and module.destinations.walked == 0
 
 
-def test_the_count_sees_a_walk(modules: dict[int, Brain]) -> None:
+def test_the_count_sees_a_walk(modules: dict[int, Scheduler]) -> None:
     """The check before this one can fail."""
-    few, many = (steps(modules[size].avoided) for size in (FEW, MANY))
+    few, many = (steps(modules[size].avoided_endpoint_count) for size in (FEW, MANY))
     assert many > 40 * few
     for size, module in modules.items():
         assert isinstance(module.endpoints, Walked) and size - 9 < module.endpoints.walked < size + 9
@@ -71,7 +71,7 @@
 
 def test_one_that_is_gone_is_forgotten_with_the_first_change_after_it_binds_no_more() -> None:
     d = Driver(entry("a", 1), entry("b", 2), entry("c", 3))
-    d.brain.bind(d.now, "a", 2 * S)
+    d.brain.apply_retry_after(d.now, "a", 2 * S)
     d.submit("m", destination=2)
     d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a", 1, state=EndpointState.REMOVED),)))
     d.feed(
@@ -87,7 +87,7 @@
 
 def test_one_that_is_gone_and_listed_again_stays() -> None:
     d = Driver(entry("a"))
-    d.brain.bind(d.now, "a", 2 * S)
+    d.brain.apply_retry_after(d.now, "a", 2 * S)
     d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a", state=EndpointState.REMOVED),)))
     d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a"),)), after=S)
     d.feed(EndpointListReceived(EndpointListKind.DELTA, ()), after=9 * S)
@@ -129,11 +129,11 @@
     """With a destination of its own. Trouble: two fifths of 1.6 KB were an empty deque."""
     size = 2_000
     listing = EndpointListReceived(EndpointListKind.FULL, tuple(entry(f"h{i}", i) for i in range(size)))
-    module = Brain(1, SETTINGS)
+    module = Scheduler(1, SETTINGS)
     gc.collect()
     tracemalloc.start()
     try:
-        module.handle(START, [listing])
+        module.handle_batch(START, [listing])
         held = tracemalloc.get_traced_memory()[0] / size
     finally:
         tracemalloc.stop()
--- a/tests/decisions/test_out_of_service.py
+++ b/tests/decisions/test_out_of_service.py
@@ -121,15 +121,15 @@
 
 def test_it_is_counted_as_avoided_while_it_is_listed() -> None:
     driver = Driver(HOST, OTHER)
-    assert driver.brain.avoided() == 0
+    assert driver.brain.avoided_endpoint_count() == 0
     driver.feed(EndpointDisabled("h"))
-    assert driver.brain.avoided() == 1
+    assert driver.brain.avoided_endpoint_count() == 1
     driver.feed(EndpointListReceived(EndpointListKind.FULL, (OTHER,)))
-    assert driver.brain.avoided() == 0
+    assert driver.brain.avoided_endpoint_count() == 0
     driver.feed(EndpointListReceived(EndpointListKind.FULL, (HOST, OTHER)))
-    assert driver.brain.avoided() == 1
+    assert driver.brain.avoided_endpoint_count() == 1
     driver.feed(EndpointEnabled("h"))
-    assert driver.brain.avoided() == 0
+    assert driver.brain.avoided_endpoint_count() == 0
 
 
 def test_one_of_several_that_comes_back_does_not_slow_the_others_down() -> None:
--- a/tests/decisions/test_recorded_decisions.py
+++ b/tests/decisions/test_recorded_decisions.py
@@ -51,7 +51,7 @@
     SettingsChanged,
     TimerFired,
 )
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import MessageTerms, RelaySettings, Tenant
 from tests.decisions.world import CLASSES, MS, SETTINGS, START, S
 
@@ -109,7 +109,7 @@
         self.rng = random.Random(seed)
         self.seed = seed
         self.settings = settings_for(self.rng)
-        self.module = Brain(seed, self.settings)
+        self.module = Scheduler(seed, self.settings)
         self.now = START
         self.hash = hashlib.sha256()
         self.in_flight: dict[str, tuple[str, int]] = {}
@@ -125,7 +125,7 @@
             if number == 0:
                 events = [self._listing(EndpointListKind.FULL)]
             self._between_batches()
-            for action in self.module.handle(self.now, events):
+            for action in self.module.handle_batch(self.now, events):
                 self._record(self._row(action))
                 self._heed(action)
             if number % 50 == 49:
@@ -144,12 +144,12 @@
             return
         host = self.rng.choice(sorted(self.hosts))
         if self.rng.random() < 0.05:
-            self.module.bind(self.now, host, self.rng.randrange(2 * S))
+            self.module.apply_retry_after(self.now, host, self.rng.randrange(2 * S))
         number = self.rng.randrange(DESTINATIONS)
         answers = [
-            self.module.bound(self.now, host),
-            self.module.idle(self.now, number),
-            self.module.avoided(),
+            self.module.is_blocked(self.now, host),
+            self.module.is_idle(self.now, number),
+            self.module.avoided_endpoint_count(),
         ]
         self._record(answers)
 
--- a/tests/decisions/test_settings_and_list.py
+++ b/tests/decisions/test_settings_and_list.py
@@ -13,7 +13,7 @@
     EndpointListReceived,
     MessageSubmitted,
 )
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import DeliverySemantics
 from loftrelay.decisions.simulator import read_settings
 from tests.decisions.world import MS, Driver, S, ends, entry, sends
@@ -22,14 +22,14 @@
 
 
 def test_no_settings_at_all() -> None:
-    brain = Brain(1, read_settings({}))
-    brain.handle(0, [EndpointListReceived(EndpointListKind.FULL, (entry("a"),))])
-    actions = brain.handle(
+    brain = Scheduler(1, read_settings({}))
+    brain.handle_batch(0, [EndpointListReceived(EndpointListKind.FULL, (entry("a"),))])
+    actions = brain.handle_batch(
         1, [MessageSubmitted("m", 1, "x", "t", S, "k"), MessageSubmitted("n", 1, "x", None, S, None)]
     )
     assert sends(actions) == ["m"]  # one slot
     doubt = AttemptEnded("m", 0, "a", AttemptStatus.ERROR, 5, False, 0, None, None)
-    assert ends(brain.handle(9, [doubt])) == [(FailMessage, "m")]  # an unknown class counts as unsafe
+    assert ends(brain.handle_batch(9, [doubt])) == [(FailMessage, "m")]  # an unknown class counts as unsafe
 
 
 def test_one_slot_and_one_attempt() -> None:
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -22,7 +22,7 @@
     MessageSubmitted,
     TimerFired,
 )
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from tests.decisions.world import CLASSES, MS, SETTINGS, START, S, entry
 
 RESULTS = list(AttemptStatus)
@@ -77,10 +77,10 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_it_goes_on_as_the_one_that_was_written(seed: int) -> None:
-    module, play = Brain(seed, SETTINGS), Play(seed)
-    module.handle(play.now, [EndpointListReceived(EndpointListKind.FULL, tuple(HOSTS))])
+    module, play = Scheduler(seed, SETTINGS), Play(seed)
+    module.handle_batch(play.now, [EndpointListReceived(EndpointListKind.FULL, tuple(HOSTS))])
     for _ in range(60):
-        play.heard(module.handle(play.now, play.events()))
+        play.heard(module.handle_batch(play.now, play.events()))
     waiting = [MessageSubmitted("last", 1, "safe", None, 9 * S, None)]
     other, events = snapshot.read(snapshot.write(module, waiting), seed=1)
     assert events == waiting
@@ -89,15 +89,15 @@
     module.armed = other.armed
     for _ in range(60):
         events = play.events()
-        actions = module.handle(play.now, events)
-        assert other.handle(play.now, events) == actions
+        actions = module.handle_batch(play.now, events)
+        assert other.handle_batch(play.now, events) == actions
         play.heard(actions)
 
 
 def test_what_is_shared_stays_shared() -> None:
-    module = Brain(1, SETTINGS)
-    module.handle(START, [EndpointListReceived(EndpointListKind.FULL, tuple(HOSTS))])
-    module.handle(START, [MessageSubmitted(f"m{i}", 1, "strict", None, 9 * S, "k") for i in range(3)])
+    module = Scheduler(1, SETTINGS)
+    module.handle_batch(START, [EndpointListReceived(EndpointListKind.FULL, tuple(HOSTS))])
+    module.handle_batch(START, [MessageSubmitted(f"m{i}", 1, "strict", None, 9 * S, "k") for i in range(3)])
     other, _ = snapshot.read(snapshot.write(module), 1)
     assert other.endpoints["a1"].gate is other.endpoints["a2"].gate is other.destinations[1].gate
     assert other.messages["m1"].key is other.keys["k"] is other.messages["m2"].key
@@ -107,9 +107,9 @@
 
 
 def written() -> str:
-    module = Brain(1, SETTINGS)
-    module.handle(START, [EndpointListReceived(EndpointListKind.FULL, (HOSTS[0],))])
-    module.handle(START, [MessageSubmitted("m", 1, "safe", None, 9 * S, None)])
+    module = Scheduler(1, SETTINGS)
+    module.handle_batch(START, [EndpointListReceived(EndpointListKind.FULL, (HOSTS[0],))])
+    module.handle_batch(START, [MessageSubmitted("m", 1, "safe", None, 9 * S, None)])
     return snapshot.write(module)
 
 
@@ -140,7 +140,7 @@
 
 
 def test_only_listed_types_can_be_written() -> None:
-    module = Brain(1, SETTINGS)
+    module = Scheduler(1, SETTINGS)
     module.out = {object()}  # type: ignore[arg-type]
     with pytest.raises(TypeError, match="can't stand in a snapshot"):
         snapshot.write(module)
--- a/tests/decisions/test_told_waits.py
+++ b/tests/decisions/test_told_waits.py
@@ -21,10 +21,10 @@
 def test_a_wait_heard_between_batches_binds_at_once(kind: str) -> None:
     """The whole destination, or the one endpoint where routes are apart."""
     d = Driver(entry("a", kind=kind), entry("b", kind=kind), entry("c", destination=2))
-    d.brain.bind(d.now, "a", 3 * S)
-    bound = {name: d.brain.bound(d.now + 3 * S - 1, name) for name in "abc"}
+    d.brain.apply_retry_after(d.now, "a", 3 * S)
+    bound = {name: d.brain.is_blocked(d.now + 3 * S - 1, name) for name in "abc"}
     assert bound == {"a": True, "b": kind == "plain", "c": False}
-    assert not any(d.brain.bound(d.now + 3 * S, name) for name in ("a", "b", "unknown"))
+    assert not any(d.brain.is_blocked(d.now + 3 * S, name) for name in ("a", "b", "unknown"))
     actions = d.submit("m")
     assert [(a.message_id, a.endpoint) for a in actions if isinstance(a, SendAttempt)] == (
         [] if kind == "plain" else [("m", "b")]
@@ -34,8 +34,8 @@
 def test_of_several_waits_the_one_that_ends_last_binds() -> None:
     d = Driver(entry("a"))
     for wait, until in ((2 * S, 2 * S), (S, 2 * S), (0, 2 * S), (3 * S, 3 * S)):
-        d.brain.bind(d.now, "a", wait)
-        assert d.brain.bound(d.now + until - 1, "a") and not d.brain.bound(d.now + until, "a")
+        d.brain.apply_retry_after(d.now, "a", wait)
+        assert d.brain.is_blocked(d.now + until - 1, "a") and not d.brain.is_blocked(d.now + until, "a")
 
 
 @pytest.mark.parametrize("message", ["gone", "ended"])
@@ -57,11 +57,11 @@
     """Gone, listed again, draining and moved: whoever stands there under that id has told it."""
     for kind in ("plain", "apart"):
         d = Driver(entry("a", kind=kind), entry("b", 2))
-        d.brain.bind(d.now, "a", 3 * S)
+        d.brain.apply_retry_after(d.now, "a", 3 * S)
         d.feed(EndpointListReceived(EndpointListKind.FULL, (entry("b", 2),)))
         d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a", kind=kind),)))
         d.feed(SettingsChanged(replace(d.settings, max_concurrent_calls=3)))
-        assert d.brain.bound(d.now, "a") and not sends(d.submit("m"))
+        assert d.brain.is_blocked(d.now, "a") and not sends(d.submit("m"))
 
 
 def test_a_call_that_was_taken_back_costs_no_try_and_teaches_nothing() -> None:
@@ -72,7 +72,7 @@
     d.submit("m", "strict", ordering_key="k")
     d.submit("n", "strict", ordering_key="k")
     luck = list(d.brain.endpoints["a"].kin.luck)
-    d.brain.bind(d.now, "a", S)
+    d.brain.apply_retry_after(d.now, "a", S)
     event = replace(d.outcome_event("m", AttemptStatus.NOT_SENT, over=False), postponed_for=1)
     assert not ends(d.feed(event)) and gate.in_flight == 0 and d.brain.calls_out == 0
     assert (gate.strays, gate.failures, d.brain.endpoints["a"].kin.luck) == (2, 1, luck)
@@ -95,10 +95,10 @@
     if ran:
         d.brain.messages["m"].ran_at = d.now  # and its key is known to one zone alone
         d.brain.messages["m"].about = replace(d.brain.messages["m"].about, dedup_scope="zone")
-    d.brain.bind(d.now, "a", 60 * S)
+    d.brain.apply_retry_after(d.now, "a", 60 * S)
     d.submit("n", time_remaining=100 * S)
     assert "m" in d.brain.messages  # another route may take it yet
-    d.brain.bind(d.now, "b", 61 * S)
+    d.brain.apply_retry_after(d.now, "b", 61 * S)
     actions = d.submit("o", time_remaining=2 * S)
     assert ends(actions) == [(end, "m"), (RejectMessage, "o")] and "n" in d.brain.messages
     assert all(a.retry_after == 2 * S for a in actions if isinstance(a, RejectMessage))
--- a/tests/decisions/world.py
+++ b/tests/decisions/world.py
@@ -17,7 +17,7 @@
     MessageSubmitted,
     TimerFired,
 )
-from loftrelay.decisions.scheduler import Brain
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import DeliverySemantics, EndpointKind, MessageClass, RelaySettings
 
 MS, S = 1_000, 1_000_000
@@ -92,7 +92,7 @@
 
     def __init__(self, *entries: EndpointEntry, seed: int = 7, **changes: Any) -> None:
         self.settings = replace(SETTINGS, **changes)
-        self.brain = Brain(seed, self.settings)
+        self.brain = Scheduler(seed, self.settings)
         self.now = START
         self.sent: list[tuple[int, SendAttempt]] = []
         self.tries: dict[str, int] = {}
@@ -105,7 +105,7 @@
         self.now += after
         if self.wake is not None and self.wake <= self.now:
             self.wake, events = None, (*events, TimerFired(0))
-        actions = self.brain.handle(self.now, events)
+        actions = self.brain.handle_batch(self.now, events)
         for action in actions:
             if isinstance(action, SendAttempt):
                 self.sent.append((self.now, action))
--- a/tests/delivery/sender.py
+++ b/tests/delivery/sender.py
@@ -8,22 +8,22 @@
 from typing import Any
 
 from loftrelay.delivery.connection_pool import Limits
-from loftrelay.delivery.host_client import Hosts
+from loftrelay.delivery.host_client import HostClient
 from loftrelay.net.address import Address
 from loftrelay.relay.clock import wall_clock
-from loftrelay.relay.message import Held
-from loftrelay.relay.ports import Ending, Terms
+from loftrelay.relay.message import Message
+from loftrelay.relay.ports import AttemptResult, CallOptions
 
 
 class Sender:
     def __init__(self, places: Mapping[str, Address], most: int = 100, **limits: Any) -> None:
-        self.ended: dict[str, asyncio.Future[Ending]] = {}
+        self.ended: dict[str, asyncio.Future[AttemptResult]] = {}
         self.doubted: list[str] = []
         self.tried: list[str] = []
         self.waits: dict[str, float] = {}  # host -> until when (the loop's seconds)
         self.shared = True  # the routes of the one destination: a wait binds all its hosts
         self.told = asyncio.Event()
-        self.hosts = Hosts(
+        self.hosts = HostClient(
             200_000,
             15_000_000,
             most,
@@ -36,7 +36,7 @@
             bound=self._bound,
         )
         for name, address in places.items():
-            self.hosts.place(name, address, 1)
+            self.hosts.add_host(name, address, 1)
 
     async def __aenter__(self) -> Sender:
         return self
@@ -49,13 +49,13 @@
         until = asyncio.get_running_loop().time() + wait / 1e6
         for name in self.hosts.addresses if self.shared else (host,):
             self.waits[name] = max(self.waits.get(name, 0.0), until)
-        self.hosts.hold()
+        self.hosts.withdraw_blocked_calls()
         self.told.set()
 
     def _bound(self, host: str) -> bool:
         return self.waits.get(host, 0.0) > asyncio.get_running_loop().time()
 
-    def _ended(self, held: Held, host: str, ending: Ending) -> None:
+    def _ended(self, held: Message, host: str, ending: AttemptResult) -> None:
         self.ended[held.id].set_result(ending)
 
     def send(
@@ -67,12 +67,12 @@
         timeout: float = 5.0,
         body: bytes = b"hello",
         begin_within: float = math.inf,
-    ) -> asyncio.Future[Ending]:
+    ) -> asyncio.Future[AttemptResult]:
         """One call. Gives the ending of its first message."""
         now = wall_clock()
         messages = []
         for name in names:
             self.ended[name] = asyncio.get_running_loop().create_future()
-            messages.append(Held(name, 0, "x", None, 1, None, now, now + int(timeout * 1e6), body))
-        self.hosts.send(host, messages, Terms(timeout, batch, unsafe, None, begin_within))
+            messages.append(Message(name, 0, "x", None, 1, None, now, now + int(timeout * 1e6), body))
+        self.hosts.send_call(host, messages, CallOptions(timeout, batch, unsafe, None, begin_within))
         return self.ended[names[0]]
--- a/tests/delivery/test_cut_answers.py
+++ b/tests/delivery/test_cut_answers.py
@@ -52,16 +52,16 @@
         delivers = b" 200 " in answer[:line] and not batch
         async with Sender({"h": server.sockets[0].getsockname()[:2]}, most=2) as sender:
             for cut in range(len(answer) + 1):
-                sender.hosts.close_all_idle()
+                sender.hosts.close_all_idle_connections()
                 sender.waits.clear()  # the head of the cut before told one
                 ending = await sender.send("m", *(("n",) if batch else ()), batch=batch)
                 if cut == len(answer):
                     wanted = AttemptStatus.OK if delivers else AttemptStatus.REJECTED
-                    assert ending.result is wanted, cut
+                    assert ending.status is wanted, cut
                 elif delivers and cut >= line and end == "closed":
-                    assert ending.result is AttemptStatus.OK and ending.over, cut
+                    assert ending.status is AttemptStatus.OK and ending.is_final, cut
                 elif not delivers or cut < line:
-                    assert ending.result not in (*NEVER_RAN, AttemptStatus.OK), (cut, ending)
+                    assert ending.status not in (*NEVER_RAN, AttemptStatus.OK), (cut, ending)
         server.close()
 
     asyncio.run(main())
--- a/tests/delivery/test_decided_and_not_begun.py
+++ b/tests/delivery/test_decided_and_not_begun.py
@@ -13,7 +13,7 @@
 
 from loftrelay.decisions.events import AttemptStatus, MessageSubmitted
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass, MessageTerms
-from loftrelay.relay.message import Held
+from loftrelay.relay.message import Message
 from tests.decisions.world import MS, Driver, S, ends, entry, sends
 from tests.delivery.sender import Sender
 from tests.delivery.test_waits import Gate, run
@@ -22,8 +22,8 @@
 WINDOW = 0.15  # seconds
 
 TOLD: dict[str, Callable[[Sender], None]] = {
-    "drain": lambda sender: sender.hosts.drain("h"),
-    "gone": lambda sender: sender.hosts.forget("h"),
+    "drain": lambda sender: sender.hosts.drain_host("h"),
+    "gone": lambda sender: sender.hosts.remove_host("h"),
     "window": lambda sender: None,  # it ends by itself
 }
 
@@ -41,8 +41,8 @@
             await asyncio.sleep(0)
         TOLD[why](sender)
         told = await ending
-        assert told.result is (AttemptStatus.CONNECT_FAILED if why == "gone" else AttemptStatus.NOT_SENT)
-        assert told.stale == (why != "gone")
+        assert told.status is (AttemptStatus.CONNECT_FAILED if why == "gone" else AttemptStatus.NOT_SENT)
+        assert told.is_stale == (why != "gone")
         gate.room.release()
         await asyncio.sleep(0.05)
         assert not partner.calls and not sender.tried
@@ -53,12 +53,12 @@
 @pytest.mark.parametrize("why", TOLD)
 def test_while_its_connection_rests(why: str) -> None:
     async def scenario(partner: Partner, sender: Sender) -> None:
-        assert (await sender.send("a")).result is AttemptStatus.OK
+        assert (await sender.send("a")).status is AttemptStatus.OK
         ending = sender.send("m", begin_within=within(why))
         while sender.hosts.waiting or not sender.hosts.calls:
             await asyncio.sleep(0)
         TOLD[why](sender)
-        assert (await ending).result in (AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED)
+        assert (await ending).status in (AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED)
         assert partner.ids == ["a"] and sender.tried == ["a"]
 
     run(scenario, rest=300_000, most_rest=300_000, most_per_server=1)
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("why", TOLD)
 def test_while_its_record_is_written(why: str) -> None:
     async def scenario(partner: Partner, sender: Sender) -> None:
-        def tried(held: Held, host: str) -> None:
+        def tried(held: Message, host: str) -> None:
             TOLD[why](sender)
             if why == "window":
                 until = asyncio.get_running_loop().time() + WINDOW
@@ -76,7 +76,7 @@
 
         sender.hosts.tried = tried
         ending = await sender.send("m", begin_within=within(why))
-        assert (ending.result, ending.stale) == (AttemptStatus.NOT_SENT, True) and not partner.calls
+        assert (ending.status, ending.is_stale) == (AttemptStatus.NOT_SENT, True) and not partner.calls
 
     run(scenario)
 
@@ -99,7 +99,7 @@
         server = await asyncio.get_running_loop().create_server(Unread, "127.0.0.1", 0)
         async with Sender({"h": server.sockets[0].getsockname()[:2]}) as sender:
             ending = await sender.send("m", body=b"x" * (32 << 20), begin_within=WINDOW)
-            assert (ending.result, ending.stale) == (AttemptStatus.NOT_SENT, True)
+            assert (ending.status, ending.is_stale) == (AttemptStatus.NOT_SENT, True)
             await ended.wait()
         server.close()
 
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -15,7 +15,7 @@
 from loftrelay.delivery.host_client import Call as HostsCall
 from loftrelay.net.address import Address
 from loftrelay.net.http import Connection
-from loftrelay.relay.ports import Terms
+from loftrelay.relay.ports import CallOptions
 from tests.delivery.sender import Sender
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
@@ -37,9 +37,9 @@
         lost = 0
         for i in range(14):
             ending = await sender.send(f"m{i}", timeout=0.7, unsafe=True)
-            assert ending.result in (AttemptStatus.OK, AttemptStatus.TIMEOUT)
-            lost += ending.result is AttemptStatus.TIMEOUT
-            assert partner.effects[f"m{i}"] == (ending.result is AttemptStatus.OK)
+            assert ending.status in (AttemptStatus.OK, AttemptStatus.TIMEOUT)
+            lost += ending.status is AttemptStatus.TIMEOUT
+            assert partner.effects[f"m{i}"] == (ending.status is AttemptStatus.OK)
             await asyncio.sleep(0.3)
         assert 3 <= lost <= 4  # then no connection is kept so long
         assert all(count == 1 for count in partner.effects.values())
@@ -51,7 +51,7 @@
     async def scenario(partner: Partner, sender: Sender) -> None:
         results = []
         for i in range(16):
-            results.append((await sender.send(f"m{i}", unsafe=True)).result)
+            results.append((await sender.send(f"m{i}", unsafe=True)).status)
             await asyncio.sleep(0.3)
         assert AttemptStatus.CONNECTION_LOST in results and set(results[-6:]) == {AttemptStatus.OK}
 
@@ -61,7 +61,7 @@
 def test_one_that_closes_half_is_not_asked_again_there() -> None:
     async def scenario(partner: Partner, sender: Sender) -> None:
         for i in range(6):
-            assert (await sender.send(f"m{i}", unsafe=True)).result is AttemptStatus.OK
+            assert (await sender.send(f"m{i}", unsafe=True)).status is AttemptStatus.OK
         assert partner.accepted == 6
 
     run(Behaviour(lambda call: Doing(half_close=True)), scenario)
@@ -72,7 +72,7 @@
 
     async def scenario(partner: Partner, sender: Sender) -> None:
         endings = await asyncio.gather(*(sender.send(f"m{i}", timeout=0.2, unsafe=True) for i in range(5)))
-        assert {e.result for e in endings} == {AttemptStatus.TIMEOUT}
+        assert {e.status for e in endings} == {AttemptStatus.TIMEOUT}
         await partner.until(lambda: not partner.open)
 
     run(Behaviour(lambda call: Doing(status=0)), scenario)
@@ -86,7 +86,7 @@
         for wave in range(6):
             names = [f"w{wave}m{i}" for i in range(8)]
             endings = await asyncio.gather(*(sender.send(name) for name in names))
-            waves.append([e.result for e in endings])
+            waves.append([e.status for e in endings])
         assert waves[0].count(AttemptStatus.OK) >= 2 and set(waves[0]) - {AttemptStatus.OK} <= {
             AttemptStatus.CONNECTION_LOST,
             AttemptStatus.CONNECT_FAILED,
@@ -113,7 +113,7 @@
             fillers.append(filler)
         async with Sender({"h": listening.getsockname()}) as sender:
             ending = await sender.send("m", unsafe=True)
-            assert ending.result is AttemptStatus.CONNECT_FAILED and not sender.tried
+            assert ending.status is AttemptStatus.CONNECT_FAILED and not sender.tried
         for each in (*fillers, listening):
             each.close()
 
@@ -125,9 +125,9 @@
 
     async def scenario(partner: Partner, sender: Sender) -> None:
         small = await sender.send("small", unsafe=True)
-        assert small.result is AttemptStatus.CONNECTION_LOST
+        assert small.status is AttemptStatus.CONNECTION_LOST
         big = await sender.send("big", unsafe=True, body=bytes(64 << 20))
-        assert big.result is AttemptStatus.CONNECT_FAILED
+        assert big.status is AttemptStatus.CONNECT_FAILED
         assert not partner.effects
 
     run(Behaviour(close_on_byte=1.0), scenario)
@@ -136,7 +136,7 @@
 def test_a_connection_found_ended_before_a_byte_is_replaced_and_nothing_lost() -> None:
     async def scenario(partner: Partner, sender: Sender) -> None:
         for i in range(10):
-            assert (await sender.send(f"m{i}", unsafe=True)).result is AttemptStatus.OK
+            assert (await sender.send(f"m{i}", unsafe=True)).status is AttemptStatus.OK
             await asyncio.sleep(0.02)
             for connection in list(partner.open.values()):
                 connection.end()
@@ -151,10 +151,10 @@
         async with Partner() as new:
             out = [sender.send(f"old{i}") for i in range(3)]
             await old.until(lambda: len(old.calls) == 3)
-            sender.hosts.place("h", new.address, 1)
-            assert (await sender.send("new0")).result is AttemptStatus.OK
-            assert {(await e).result for e in out} == {AttemptStatus.OK}  # those out end where they began
-            assert [(await sender.send(f"new{i}")).result for i in (1, 2)] == [AttemptStatus.OK] * 2
+            sender.hosts.add_host("h", new.address, 1)
+            assert (await sender.send("new0")).status is AttemptStatus.OK
+            assert {(await e).status for e in out} == {AttemptStatus.OK}  # those out end where they began
+            assert [(await sender.send(f"new{i}")).status for i in (1, 2)] == [AttemptStatus.OK] * 2
             assert new.ids == ["new0", "new1", "new2"] and len(old.ids) == 3
             await old.until(lambda: not old.open)
 
@@ -164,9 +164,11 @@
 def test_one_drains_with_connections_opening() -> None:
     async def scenario(partner: Partner, sender: Sender) -> None:
         out = sender.send("m")
-        sender.hosts.drain("h")
+        sender.hosts.drain_host("h")
         ending = await out
-        assert ending.result is AttemptStatus.NOT_SENT and ending.stale  # it was wanted before, and not begun
+        assert (
+            ending.status is AttemptStatus.NOT_SENT and ending.is_stale
+        )  # it was wanted before, and not begun
         await partner.until(lambda: not partner.open)
         assert not partner.calls and not sender.tried
 
@@ -187,11 +189,11 @@
             connection.end()
         await partner.until(lambda: not partner.open)
         endings = await asyncio.gather(*(sender.send(f"down{i}") for i in range(10)))
-        assert {e.result for e in endings} <= {AttemptStatus.CONNECT_FAILED, AttemptStatus.CONNECTION_LOST}
+        assert {e.status for e in endings} <= {AttemptStatus.CONNECT_FAILED, AttemptStatus.CONNECTION_LOST}
         accepted = partner.accepted
         await partner.__aenter__(port)
         for i in range(20):
-            assert (await sender.send(f"back{i}")).result is AttemptStatus.OK
+            assert (await sender.send(f"back{i}")).status is AttemptStatus.OK
             well_since = sender.hosts.pools.servers["h"].group.well_since
             if well_since is not None and sender.hosts._now() - well_since < 100_000:
                 assert partner.accepted - accepted == 1
@@ -205,9 +207,9 @@
     async def scenario(partner: Partner, sender: Sender) -> None:
         first, second = sender.send("m1"), sender.send("m2")
         await partner.until(lambda: partner.ids == ["m1"])
-        sender.hosts.forget("h")
-        assert (await second).result is AttemptStatus.CONNECT_FAILED
-        assert (await first).result is AttemptStatus.OK
+        sender.hosts.remove_host("h")
+        assert (await second).status is AttemptStatus.CONNECT_FAILED
+        assert (await first).status is AttemptStatus.OK
 
     run(Behaviour(lambda call: Doing(delay=0.1)), scenario, most_per_server=1)
 
@@ -216,8 +218,8 @@
     async def scenario(partner: Partner, sender: Sender) -> None:
         first = sender.send("m1")
         await partner.until(lambda: partner.ids == ["m1"])
-        assert (await sender.send("m2", timeout=0.05)).result is AttemptStatus.NOT_SENT
-        assert (await first).result is AttemptStatus.OK
+        assert (await sender.send("m2", timeout=0.05)).status is AttemptStatus.NOT_SENT
+        assert (await first).status is AttemptStatus.OK
 
     run(Behaviour(lambda call: Doing(delay=0.3)), scenario, most_per_server=1)
 
@@ -227,11 +229,11 @@
 
     async def scenario(partner: Partner, sender: Sender) -> None:
         hosts = sender.hosts
-        call = hosts.waiting[99] = HostsCall(99, "h", [], Terms(1.0, False, False, None), 0.0)
+        call = hosts.waiting[99] = HostsCall(99, "h", [], CallOptions(1.0, False, False, None), 0.0)
         call.granted = asyncio.get_running_loop().create_future()
         call.granted.cancel()
         hosts._do(hosts.pools.want(99, "h", False, None, hosts._now()))
-        assert (await sender.send("m")).result is AttemptStatus.OK
+        assert (await sender.send("m")).status is AttemptStatus.OK
         server = hosts.pools.servers["h"]
         assert server.busy == 0 and server.up == partner.accepted and not hosts.waiting
 
@@ -247,10 +249,10 @@
         held: list[float] = []
         monkeypatch.setattr(hosts_module, "HOLD", Spy(held))
         ending = await sender.send("order", unsafe=True)
-        assert ending.result is AttemptStatus.REJECTED and ending.wait == 70_000 and not held
+        assert ending.status is AttemptStatus.REJECTED and ending.retry_after == 70_000 and not held
         assert sender.told.is_set()
         sender.waits.clear()
-        assert (await sender.send("quick", unsafe=True)).result is AttemptStatus.OK
+        assert (await sender.send("quick", unsafe=True)).status is AttemptStatus.OK
         assert held  # a delivery as quick as that is held
 
     class Spy(int):
@@ -294,7 +296,7 @@
 
         monkeypatch.setattr(Connection, "open", short)
         endings = await asyncio.gather(*(sender.send(f"m{i}") for i in range(40)))
-        assert {e.result for e in endings} == {AttemptStatus.OK}
+        assert {e.status for e in endings} == {AttemptStatus.OK}
         assert set(partner.effects.values()) == {1} and len(partner.effects) == 40
 
     run(Behaviour(lambda call: Doing(delay=0.01)), scenario)
@@ -331,8 +333,8 @@
                     for attempt in range(12):
                         sender.ended.pop(name, None)
                         ending = await sender.send(name, host=host, unsafe=True, timeout=2.0)
-                        said[name] = ending.result
-                        if ending.result not in NEVER_RAN:
+                        said[name] = ending.status
+                        if ending.status not in NEVER_RAN:
                             break
                         await asyncio.sleep(0.001 * attempt)
 
--- a/tests/delivery/test_misattribution.py
+++ b/tests/delivery/test_misattribution.py
@@ -16,7 +16,7 @@
 
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.relay import fault_points
-from loftrelay.relay.ports import Ending
+from loftrelay.relay.ports import AttemptResult
 from tests.delivery.sender import Sender
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
@@ -30,18 +30,20 @@
         await asyncio.sleep(0)
 
 
-async def begun(sender: Sender, partner: Partner, name: str, batch: bool, unsafe: bool = False) -> Ending:
+async def begun(
+    sender: Sender, partner: Partner, name: str, batch: bool, unsafe: bool = False
+) -> AttemptResult:
     """On a starved machine a connect may take longer than it is waited for: sent anew, as the engine does."""
     while True:
         ending = await sender.send(name, unsafe=unsafe, batch=batch)
         if (
-            ending.result not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
+            ending.status not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
             or partner.effects[name]
         ):
             return ending
 
 
-async def stale(status: int, batch: bool = False) -> tuple[bool, bool, Sender, Ending]:
+async def stale(status: int, batch: bool = False) -> tuple[bool, bool, Sender, AttemptResult]:
     """A late copy that comes just when an order waits for its answer on that connection, whatever the clock
     does and however long that rested. Whether the order was misattributed, whether the copy was noticed, and
     how the order ended."""
@@ -75,15 +77,15 @@
             return Doing(self.status, copies=(self.late,), pieces=self.pieces)
         return Doing(503 if self.status == 200 else 200, delay=self.late + 0.15 if self.busy else 0.0)
 
-    def false(self, partner: Partner, name: str, ending: Ending) -> bool:
+    def false(self, partner: Partner, name: str, ending: AttemptResult) -> bool:
         """The relay holds it to have run when it has not, or to be sure not to have run when it has."""
         ran = partner.effects[name] > 0
-        says_not = ending.result in (
+        says_not = ending.status in (
             AttemptStatus.REJECTED,
             AttemptStatus.NOT_SENT,
             AttemptStatus.CONNECT_FAILED,
         )
-        return (ending.over and not ran) or (says_not and ran)
+        return (ending.is_final and not ran) or (says_not and ran)
 
     async def round(self, partner: Partner, sender: Sender, number: int) -> bool:
         """Whether the order's answer was another's. Ends when the copy is over, too."""
@@ -129,10 +131,10 @@
         async with partner, Sender({"h": partner.address}, strict=strict) as sender:
             for i in range(5):
                 ending = await sender.send(f"order{i}", unsafe=True)
-                assert ending.result is AttemptStatus.OK and partner.effects[f"order{i}"] == 1
+                assert ending.status is AttemptStatus.OK and partner.effects[f"order{i}"] == 1
             assert sender.hosts.pools.surpluses == 5 and partner.accepted == 5
             assert sender.hosts.pools.needs_new("h") == strict
-            assert (await sender.send("last", unsafe=True)).result is AttemptStatus.REJECTED
+            assert (await sender.send("last", unsafe=True)).status is AttemptStatus.REJECTED
 
     asyncio.run(main())
 
@@ -160,7 +162,7 @@
                     assert poll.poll(60_000)
 
             monkeypatch.setattr(fault_points, "listener", listen)
-            assert (await sender.send("second", unsafe=True)).result is AttemptStatus.OK
+            assert (await sender.send("second", unsafe=True)).status is AttemptStatus.OK
             assert sender.hosts.pools.surpluses == 1 and partner.effects["second"] == 1
 
     asyncio.run(main())
@@ -174,7 +176,7 @@
 def test_the_first_copy_is_what_no_client_can_tell_apart() -> None:
     """So that the two tests above are known to be able to fail: but the copy is noticed, if late."""
     false, known, sender, ending = asyncio.run(stale(200))
-    assert false and known and ending.over
+    assert false and known and ending.is_final
     assert not sender.doubted  # it can't be taken back
 
 
@@ -187,13 +189,13 @@
 def test_a_refusal_that_may_have_been_anothers_is_doubted_before_the_message_goes_again() -> None:
     """The order ran, and its 200 came behind the late copy of a 503 that was read as its refusal."""
     false, known, sender, ending = asyncio.run(stale(503))
-    assert false and known and ending.result is AttemptStatus.REJECTED
+    assert false and known and ending.status is AttemptStatus.REJECTED
     assert "order" in sender.doubted
 
 
 def test_a_copy_of_a_batch_answer_is_believed_for_no_other_batch() -> None:
     false, known, _, ending = asyncio.run(stale(200, batch=True))
-    assert not false and known and ending.result is AttemptStatus.MALFORMED_RESPONSE
+    assert not false and known and ending.status is AttemptStatus.MALFORMED_RESPONSE
 
 
 def test_an_answer_sooner_than_ever_waits_for_the_true_one() -> None:
@@ -213,7 +215,7 @@
                 await sender.send(f"plain{i}")
             ending = await sender.send("order", unsafe=True)
             assert partner.calls[-1].connection == partner.calls[-2].connection
-            assert ending.result is AttemptStatus.MALFORMED_RESPONSE and not ending.over
+            assert ending.status is AttemptStatus.MALFORMED_RESPONSE and not ending.is_final
             assert sender.hosts.pools.surplus_at is not None
 
     asyncio.run(main())
@@ -231,7 +233,7 @@
             for i in range(36):
                 await sender.send(f"plain{i}")
             ending = await sender.send("order", unsafe=True)
-            assert ending.result is AttemptStatus.OK
+            assert ending.status is AttemptStatus.OK
             await sender.send("next")
             assert partner.accepted == 1  # and its connection is kept
 
@@ -250,7 +252,7 @@
         address = server.sockets[0].getsockname()[:2]
         async with Sender({"h": address}) as sender:
             ending = await sender.send("big", unsafe=True, body=bytes(32 << 20))
-            assert ending.result is AttemptStatus.CONNECT_FAILED and not ending.over
+            assert ending.status is AttemptStatus.CONNECT_FAILED and not ending.is_final
         server.close()
 
     asyncio.run(main())
@@ -280,7 +282,7 @@
             async with asyncio.timeout(60):
                 while hosts.pools.surplus_at is None:
                     await asyncio.sleep(0.001)
-            assert (await sender.send("order", unsafe=True)).result is AttemptStatus.REJECTED
+            assert (await sender.send("order", unsafe=True)).status is AttemptStatus.REJECTED
         server.close()
 
     asyncio.run(main())
--- a/tests/delivery/test_waits.py
+++ b/tests/delivery/test_waits.py
@@ -12,8 +12,8 @@
 from loftrelay.delivery.call_outcome import told_wait
 from loftrelay.net.address import Address
 from loftrelay.net.http import Connection
-from loftrelay.relay.message import Held
-from loftrelay.relay.ports import Ending
+from loftrelay.relay.message import Message
+from loftrelay.relay.ports import AttemptResult
 from tests.delivery.sender import Sender
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
@@ -36,8 +36,8 @@
     asyncio.run(main())
 
 
-def outcome(ending: Ending) -> tuple[AttemptStatus, bool]:
-    return ending.result, ending.held
+def outcome(ending: AttemptResult) -> tuple[AttemptStatus, bool]:
+    return ending.status, ending.is_blocked
 
 
 HELD = (AttemptStatus.NOT_SENT, True)
@@ -89,11 +89,11 @@
 def test_while_another_call_waits_for_a_place_in_the_pool() -> None:
     async def scenario(partner: Partner, sender: Sender) -> None:
         first, second, third = sender.send("full"), sender.send("m"), sender.send("n")
-        assert (await first).result is AttemptStatus.REJECTED
+        assert (await first).status is AttemptStatus.REJECTED
         assert outcome(await second) == HELD and outcome(await third) == HELD
         assert partner.ids == ["full"]
         sender.waits.clear()
-        assert (await sender.send("o")).result is AttemptStatus.OK and partner.accepted == 1
+        assert (await sender.send("o")).status is AttemptStatus.OK and partner.accepted == 1
 
     run(scenario, most_per_server=1)
 
@@ -113,8 +113,8 @@
         if why == "held":
             sender.tell("g", LONG * 1000)
         else:
-            sender.hosts.forget("h")
-        assert [held.id for held, _ in sender.hosts.recall()] == ["m"]
+            sender.hosts.remove_host("h")
+        assert [held.id for held, _ in sender.hosts.withdraw_unsent_calls()] == ["m"]
         await asyncio.wait([task])
         assert not ending.done()
 
@@ -123,11 +123,11 @@
 
 def test_during_the_rest_of_its_connection() -> None:
     async def scenario(partner: Partner, sender: Sender) -> None:
-        assert (await sender.send("a")).result is AttemptStatus.OK
+        assert (await sender.send("a")).status is AttemptStatus.OK
         ending = sender.send("m")
         while sender.hosts.waiting or not sender.hosts.calls:  # it has its connection, which rests
             await asyncio.sleep(0)
-        assert (await sender.send("full", host="g")).result is AttemptStatus.REJECTED
+        assert (await sender.send("full", host="g")).status is AttemptStatus.REJECTED
         assert outcome(await ending) == HELD and partner.ids == ["a", "full"]
 
     run(scenario, rest=300_000, most_rest=300_000, most_per_server=1)
@@ -135,7 +135,7 @@
 
 def test_while_its_journal_record_is_written() -> None:
     async def scenario(partner: Partner, sender: Sender) -> None:
-        def tried(held: Held, host: str) -> None:
+        def tried(held: Message, host: str) -> None:
             sender.tell("g", LONG * 1000)
 
         sender.hosts.tried = tried
@@ -146,7 +146,7 @@
 
 def test_while_it_is_begun_anew_on_a_second_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(partner: Partner, sender: Sender) -> None:
-        assert (await sender.send("a")).result is AttemptStatus.OK
+        assert (await sender.send("a")).status is AttemptStatus.OK
         usable, looks = Connection.usable, [True, False]  # it ends between the look and the first byte
 
         def ended(connection: Connection) -> bool:
@@ -225,7 +225,7 @@
             sender.send("a", "b", batch=True, timeout=30.0)
             await asyncio.wait_for(sender.told.wait(), HANG)
             assert sender._bound("h")
-            assert [(await sender.ended[name]).wait for name in "ab"] == [LONG * 1000] * 2
+            assert [(await sender.ended[name]).retry_after for name in "ab"] == [LONG * 1000] * 2
         server.close()
 
     asyncio.run(main())
@@ -241,7 +241,7 @@
         (call,) = sender.hosts.calls.values()
         assert call.line is not None
         call.line.connection._expire(3)  # in the pass in which the answer is written
-        assert (await ending).wait == LONG * 1000 and sender._bound("g")
+        assert (await ending).retry_after == LONG * 1000 and sender._bound("g")
 
     run(scenario)
 
--- a/tests/delivery/test_waits_properties.py
+++ b/tests/delivery/test_waits_properties.py
@@ -20,13 +20,13 @@
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.delivery import host_client as hosts_module
 from loftrelay.delivery.connection_pool import Limits
-from loftrelay.delivery.host_client import Hosts
+from loftrelay.delivery.host_client import HostClient
 from loftrelay.journal.journal import Journal
 from loftrelay.net.address import Address
 from loftrelay.net.http import Answer, AnswerSpoilt, ConnectionBroken, Headers, Unusable
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.message import Held
-from loftrelay.relay.ports import Ending
+from loftrelay.relay.message import Message
+from loftrelay.relay.ports import AttemptResult
 from tests.standins.platform import SETTINGS
 
 HOSTS = {"a": (1, "plain"), "b": (1, "plain"), "c": (2, "apart"), "d": (2, "apart")}  # and its destination
@@ -68,15 +68,15 @@
 class Still:
     """A directory or a board of notices that says nothing by itself."""
 
-    address, revision, open = ("", 0), 1, 0
+    address, revision, pending = ("", 0), 1, 0
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
         self.told: list[str] = []
 
-    def add(self, message: str, notice: dict[str, Any]) -> None:
+    def report(self, message: str, notice: dict[str, Any]) -> None:
         self.told.append(message)
-        asyncio.get_running_loop().call_later(0.01, self.engine.noticed, message)
+        asyncio.get_running_loop().call_later(0.01, self.engine.final_status_reported, message)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *given: None
@@ -91,48 +91,50 @@
         self.journal = Journal(folder, 3_000_000)
         self.engine = engine = Engine(seed, self.settings, self.journal)
         limits = Limits(rest=self.random.choice([0, 50_000]), most_per_server=self.random.choice([0, 1, 2]))
-        self.hosts = Hosts(
+        self.hosts = HostClient(
             600_000,
             15_000_000,
             100,
             limits,
             seed,
-            self.journal.tried,
+            self.journal.record_attempt,
             self.ended,
-            engine.doubted,
-            pulse=engine.pulse,
+            engine.outcome_disputed,
+            pulse=engine.stall_detector,
             told=self.told,
-            bound=engine.bound if asks else lambda host: False,
+            bound=engine.is_blocked if asks else lambda host: False,
         )
         self.board = Still(engine)
-        engine.delivery, engine.discovery, engine.notices = self.hosts, Still(engine), self.board  # type: ignore[assignment]
+        engine.delivery, engine.discovery, engine.status_reporter = self.hosts, Still(engine), self.board  # type: ignore[assignment]
         self.waits: dict[str, float] = {}
         self.early: list[str] = []
         self.held = 0
         self.out: set[str] = set()
         self.ran: set[str] = set()
         self.faults: list[str] = []
-        self.taken: dict[str, Held] = {}
+        self.taken: dict[str, Message] = {}
         self.keys: dict[str, list[str]] = {}
         self.place(EndpointListKind.FULL, *HOSTS)
 
     def place(self, form: EndpointListKind, *names: str, state: EndpointState = EndpointState.ACTIVE) -> None:
         port = self.random.randrange(1, 1000)
         rows = [EndpointEntry(name, HOSTS[name][0], state, None, HOSTS[name][1], None) for name in names]
-        self.engine.listed(EndpointListReceived(form, tuple(rows)), {name: (name, port) for name in names})
+        self.engine.endpoints_listed(
+            EndpointListReceived(form, tuple(rows)), {name: (name, port) for name in names}
+        )
 
     def told(self, host: str, wait: int) -> None:
         until = asyncio.get_running_loop().time() + wait / 1e6
         shared = HOSTS[host][1] == "plain"
         for name in [n for n in HOSTS if shared and HOSTS[n] == HOSTS[host]] or [host]:
             self.waits[name] = max(self.waits.get(name, 0.0), until)
-        self.engine.told(host, wait)
+        self.engine.retry_after_received(host, wait)
 
-    def ended(self, held: Held, host: str, ending: Ending) -> None:
-        self.held += ending.held
+    def ended(self, held: Message, host: str, ending: AttemptResult) -> None:
+        self.held += ending.is_blocked
         before = held.attempts
-        self.engine.ended(held, host, ending)
-        assert held.attempts == before - (ending.held or ending.stale)
+        self.engine.attempt_ended(held, host, ending)
+        assert held.attempts == before - (ending.is_blocked or ending.is_stale)
 
     def first_byte(self, host: str, ids: list[str]) -> None:
         if asyncio.get_running_loop().time() < self.waits.get(host, 0.0) - 1e-6:
@@ -143,8 +145,8 @@
                 self.faults.append(f"{name}: two copies at once")
             if held.class_name == "order" and name in self.ran:
                 self.faults.append(f"{name}: an effect twice")
-            line = self.keys[held.key] if held.key is not None else [name]
-            if earlier := [m for m in line[: line.index(name)] if m in self.journal.held]:
+            line = self.keys[held.ordering_key] if held.ordering_key is not None else [name]
+            if earlier := [m for m in line[: line.index(name)] if m in self.journal.messages]:
                 self.faults.append(f"{name}: sent before {earlier}")
         self.out.update(ids)
 
@@ -163,12 +165,12 @@
                 case 1:
                     self.place(EndpointListKind.DELTA, *HOSTS)
                 case 2 if self.random.random() < 0.2:
-                    self.engine.retune(self.settings, ("", 0))
+                    self.engine.apply_settings(self.settings, ("", 0))
                 case _:
                     number += 1
                     self.hand_in(f"m{number}")
         self.place(EndpointListKind.DELTA, *HOSTS)
-        while self.journal.held:
+        while self.journal.messages:
             await asyncio.sleep(0.5)
             assert loop.time() < ends + 60, "lost"
 
@@ -177,13 +179,13 @@
         of = draw.choice(["status", "order"])
         key = f"k{draw.randrange(3)}" if of == "order" else None
         ends = now + draw.randrange(400_000, 9_000_000)
-        held = Held(name, 0, of, "acme", draw.choice([1, 2]), key, now, ends)
+        held = Message(name, 0, of, "acme", draw.choice([1, 2]), key, now, ends)
         self.taken[name] = held
         if key is not None:
             self.keys.setdefault(key, []).append(name)
         self.engine.submit(held, lambda status, again: None)
-        if draw.random() < 0.1 and self.engine.awaits(name):
-            self.engine.withdraw(name)
+        if draw.random() < 0.1 and self.engine.is_client_waiting(name):
+            self.engine.cancel(name)
 
 
 class Host:
--- a/tests/discovery/registries.py
+++ b/tests/discovery/registries.py
@@ -24,7 +24,7 @@
 )
 from loftrelay.net.address import Address
 from loftrelay.registry.protocol import GONE, UNAVAILABLE, Answer, Change, Watch, checksum, read_target
-from loftrelay.relay.ports import Slice
+from loftrelay.relay.ports import ResolutionStatus
 
 PATIENCE = 2.2  # seconds for an answer beyond a call's own wait
 FLEET = "windwacht"
@@ -171,7 +171,7 @@
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.number = 0
         self.hosts: dict[int, dict[str, Row]] = {}  # the engine's list
-        self.sliced: list[tuple[int, Slice, float]] = []
+        self.sliced: list[tuple[int, ResolutionStatus, float]] = []
         self.busy: set[int] = set()  # that the engine does not let go
         self.offered: list[int] = []
         self.lines: list[str] = []
--- a/tests/discovery/test_interest.py
+++ b/tests/discovery/test_interest.py
@@ -13,7 +13,7 @@
 from loftrelay.decisions.events import EndpointState
 from loftrelay.discovery.subscription import RETURN, Channel, Mode, Timing, preference
 from loftrelay.registry.protocol import MOST_CELLS, Answer, Change, Watch, read_target, target
-from loftrelay.relay.ports import Slice
+from loftrelay.relay.ports import ResolutionStatus
 from tests.discovery.registries import FLEET, List, Registry, Relay
 
 PLACES = [("10.0.0.1", 7500), ("10.0.0.2", 7500), ("10.0.0.3", 7500)]
@@ -55,7 +55,11 @@
     relay.want(3, 1)
     relay.run(0.01)
     assert [c.add for c in changes(relay, before)] == [(1, 2, 3)]
-    assert sorted(s[:2] for s in relay.sliced) == [(1, Slice.HELD), (2, Slice.HELD), (3, Slice.HELD)]
+    assert sorted(s[:2] for s in relay.sliced) == [
+        (1, ResolutionStatus.RESOLVED),
+        (2, ResolutionStatus.RESOLVED),
+        (3, ResolutionStatus.RESOLVED),
+    ]
     assert relay.holds(told) and len(relay.hosts) == 3
 
 
@@ -66,14 +70,16 @@
     asked = len(changes(relay))
     relay.want(9)
     relay.run(0.05)
-    assert [s[:2] for s in relay.sliced] == [(9, Slice.EMPTY)] * 2 and len(changes(relay)) == asked
+    assert [s[:2] for s in relay.sliced] == [(9, ResolutionStatus.NOT_FOUND)] * 2 and len(
+        changes(relay)
+    ) == asked
     told.set("h9", 9, EndpointState.ACTIVE)
     tell(relay, told)
     relay.run(0.05)
     assert list(relay.hosts[9]) == ["h9"]
     relay.want(9)
     relay.run(0.01)
-    assert relay.sliced[-1][:2] == (9, Slice.HELD)
+    assert relay.sliced[-1][:2] == (9, ResolutionStatus.RESOLVED)
 
 
 @pytest.mark.parametrize("dead", [True, False])
@@ -88,7 +94,7 @@
     relay.want(1)
     relay.run(1.0)
     ((cell, state, at),) = relay.sliced
-    assert (cell, state) == (1, Slice.AWAY) and at - began == pytest.approx(0.2, abs=0.001)
+    assert (cell, state) == (1, ResolutionStatus.UNAVAILABLE) and at - began == pytest.approx(0.2, abs=0.001)
     for registry in registries:
         registry.dead = False
         registry.resume(relay.now)
@@ -104,7 +110,7 @@
         relay.want(1)
         relay.run(0.06)
     relay.run(0.03)
-    assert [s[:2] for s in relay.sliced] == [(1, Slice.AWAY)]
+    assert [s[:2] for s in relay.sliced] == [(1, ResolutionStatus.UNAVAILABLE)]
 
 
 # Changes
@@ -159,7 +165,10 @@
     interest.heard(relay.now, call.number, late[0], tuple(late[0].members))  # type: ignore[union-attr, arg-type, attr-defined]
     relay.run(0.1)
     assert interest.counts["overtaken"] == 1
-    assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING and relay.sliced[0][:2] == (1, Slice.HELD)
+    assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING and relay.sliced[0][:2] == (
+        1,
+        ResolutionStatus.RESOLVED,
+    )
 
 
 @pytest.mark.parametrize("whole", [True, False])
@@ -200,7 +209,7 @@
     registries[0].start_anew()
     relay.want(*range(1, 2501))
     relay.run(3.0)
-    assert {state for _, state, _ in relay.sliced} == {Slice.AWAY}
+    assert {state for _, state, _ in relay.sliced} == {ResolutionStatus.UNAVAILABLE}
     relay.want(9999)
     registries[0].dead = False
     before = relay.now
@@ -239,7 +248,11 @@
     relay.run(0.1)
     relay.want(99)
     relay.run(5.0)
-    assert relay.sliced[-1][:2] == (99, Slice.AWAY) and 99 not in relay.hosts and len(relay.hosts) == 10
+    assert (
+        relay.sliced[-1][:2] == (99, ResolutionStatus.UNAVAILABLE)
+        and 99 not in relay.hosts
+        and len(relay.hosts) == 10
+    )
     told.set("h1", 1, EndpointState.DRAINING)
     tell(relay, told)
     relay.run(0.1)
@@ -247,7 +260,7 @@
     moved, calls = relay.interest.counts["moved"], len(changes(relay))
     relay.want(99)
     relay.run(0.1)
-    assert relay.sliced[-1][:2] == (99, Slice.AWAY)
+    assert relay.sliced[-1][:2] == (99, ResolutionStatus.UNAVAILABLE)
     assert (relay.interest.counts["moved"], len(changes(relay))) == (moved, calls)
     assert [line for line in relay.lines if "do not fit" in line] == [
         "the hosts of destination 99 do not fit into an answer"
@@ -273,7 +286,7 @@
     relay.want(1)
     relay.run(0.1)
     assert relay.holds(told) and list(relay.hosts[1]) == ["h1"]
-    assert relay.sliced[-1][:2] == (1, Slice.HELD) and len(relay.sliced) == 2
+    assert relay.sliced[-1][:2] == (1, ResolutionStatus.RESOLVED) and len(relay.sliced) == 2
 
 
 # Which registry
@@ -468,7 +481,7 @@
     for relay in relays:
         relay.run(0.2)
     assert all(relay.interest.mode is Mode.WATCHING and relay.holds(told) for relay in relays)
-    assert all({s[1] for s in relay.sliced} == {Slice.HELD} for relay in relays)
+    assert all({s[1] for s in relay.sliced} == {ResolutionStatus.RESOLVED} for relay in relays)
     assert max(len(relay.calls) for relay in relays) <= 4  # one failed, a change or two, the watch
     shares = [len(registry.sets) for registry in registries]
     assert shares[0] == 0 and min(shares[1:]) > 180 and sum(shares) == 480
@@ -495,7 +508,7 @@
     relay.interest.start(0.0)
     relay.want(1)
     relay.run(20.0)
-    assert relay.hosts == {} and [s[1] for s in relay.sliced] == [Slice.AWAY]
+    assert relay.hosts == {} and [s[1] for s in relay.sliced] == [ResolutionStatus.UNAVAILABLE]
     assert relay.lines == [f"registry 10.0.0.1:7500 serves the fleet 'other', not {FLEET}"]
 
 
@@ -607,7 +620,7 @@
     calls = len(relay.calls)
     relay.want(2)
     relay.run(1.0)
-    assert len(relay.calls) == calls and relay.sliced[-1][:2] == (2, Slice.AWAY)
+    assert len(relay.calls) == calls and relay.sliced[-1][:2] == (2, ResolutionStatus.UNAVAILABLE)
     told.set("h1", 1, EndpointState.DRAINING)
     tell(relay, told)
     relay.interest.start(relay.now)
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -15,7 +15,7 @@
 
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from loftrelay.discovery import client as module
-from loftrelay.discovery.client import AT_ONCE, MOST_LIST, PIECE, Discovery
+from loftrelay.discovery.client import AT_ONCE, MOST_LIST, PIECE, DiscoveryClient
 from loftrelay.net import http
 from loftrelay.net.address import Address
 from loftrelay.net.http import MOST_BODY, AnswerTooLong, Connection
@@ -67,7 +67,9 @@
         self.passes: list[int] = []  # of the loop, at each piece
         self.refused = 0
         self.passed = 0
-        self.told = Discovery((host, int(port)), 10_000_000, self.listed, lambda: self.entries, self.refuse)
+        self.told = DiscoveryClient(
+            (host, int(port)), 10_000_000, self.listed, lambda: self.entries, self.refuse
+        )
         w.tasks.append(asyncio.create_task(self._count()))
 
     async def _count(self) -> None:
@@ -254,7 +256,7 @@
         if way == "cut off":
             await w.until(lambda: EndpointListKind.FAILED in told.forms())
         if way == "moved":
-            told.told.move(told.told.address)
+            told.told.move_to(told.told.address)
         else:
             told.told.watch()
         await told.until(10)
--- a/tests/discovery/test_subscriber.py
+++ b/tests/discovery/test_subscriber.py
@@ -16,7 +16,7 @@
 from loftrelay.discovery.subscription import Timing, preference
 from loftrelay.net.address import Address, parse_address
 from loftrelay.registry.protocol import PATH, Answer, Change, Watch, checksum, read_target, write_answer
-from loftrelay.relay.ports import Slice
+from loftrelay.relay.ports import ResolutionStatus
 from tests.standins.platform import HANG, Peer, Request, World, never, reply
 
 FLEET = "windwacht"
@@ -67,7 +67,7 @@
     def __init__(self, registries: Sequence[Peer]) -> None:
         self.listings: list[EndpointListReceived] = []
         self.addresses: dict[str, Address] = {}
-        self.states: list[tuple[int, Slice]] = []
+        self.states: list[tuple[int, ResolutionStatus]] = []
         self.changed = asyncio.Event()
         self.broken = 0  # tellings that fail
         places = tuple(parse_address(peer.address) for peer in registries)
@@ -82,7 +82,7 @@
         self.addresses |= addresses
         self.changed.set()
 
-    def sliced(self, destination: int, state: Slice) -> None:
+    def sliced(self, destination: int, state: ResolutionStatus) -> None:
         self.states.append((destination, state))
         self.changed.set()
 
@@ -120,12 +120,12 @@
         peer = await w.peer(sound)
         relay = Relay([peer])
         subscriber = relay.subscriber
-        subscriber.take_known({"revision": 3, "complete": True, "members": [row("old", 1)]})
+        subscriber.load_cached({"revision": 3, "complete": True, "members": [row("old", 1)]})
         assert relay.listings == [EndpointListReceived(EndpointListKind.CACHED, ())]
-        subscriber.want(7)
+        subscriber.resolve(7)
         subscriber.watch()
         subscriber.watch()  # as the module asks, in its own rhythm
-        await relay.until(lambda: relay.states == [(7, Slice.HELD)])
+        await relay.until(lambda: relay.states == [(7, ResolutionStatus.RESOLVED)])
         assert relay.addresses == {"h7": ("127.0.0.1", 9)} and subscriber.revision == 5
         await w.until(lambda: any(isinstance(call, Watch) for call in sound.calls))
         assert len(peer.connections) == 2 and subscriber.answered.is_set()
@@ -133,7 +133,7 @@
             EndpointListKind.CACHED,
             EndpointListKind.DELTA,
         ]
-        subscriber.move(("127.0.0.1", 10))
+        subscriber.move_to(("127.0.0.1", 10))
         assert subscriber.address == ("127.0.0.1", 10)
         figures = dict(line.split("=") for line in subscriber.figure_lines())
         assert figures["app.slices_held"] == "1" and int(figures["app.slices_bytes_in"]) > 200
@@ -171,9 +171,9 @@
     async def scenario(w: World) -> None:
         caplog.set_level("INFO")
         first, sound, relay = await two(w, script)
-        relay.subscriber.want(7)
+        relay.subscriber.resolve(7)
         relay.subscriber.watch()
-        await relay.until(lambda: (7, Slice.HELD) in relay.states)
+        await relay.until(lambda: (7, ResolutionStatus.RESOLVED) in relay.states)
         await w.until(lambda: any(isinstance(call, Watch) for call in sound.calls))
         said = [r.getMessage() for r in caplog.records if first.address in r.getMessage()]
         assert len(said) == 1 and "\n" not in said[0], said
@@ -195,9 +195,9 @@
             return reply(200, sound.answer((7,), [json.dumps(told).encode() for told in rows]))
 
         relay = Relay([await w.peer(script)])
-        relay.subscriber.want(7)
+        relay.subscriber.resolve(7)
         relay.subscriber.watch()
-        await relay.until(lambda: (7, Slice.HELD) in relay.states)
+        await relay.until(lambda: (7, ResolutionStatus.RESOLVED) in relay.states)
         assert list(relay.addresses) == ["h7"]
         relay.subscriber.close()
 
@@ -209,7 +209,7 @@
         sound = Sound()
         relay = Relay([await w.peer(sound)])
         relay.broken = 1
-        relay.subscriber.want(7)
+        relay.subscriber.resolve(7)
         relay.subscriber.watch()
         await w.until(lambda: any(isinstance(call, Watch) for call in sound.calls))
         assert relay.broken == 0
--- a/tests/discovery/test_told_in_time.py
+++ b/tests/discovery/test_told_in_time.py
@@ -12,7 +12,7 @@
 import pytest
 
 from loftrelay.decisions.events import EndpointListKind, EndpointListReceived
-from loftrelay.discovery.client import Discovery
+from loftrelay.discovery.client import DiscoveryClient
 from tests.standins.platform import SETTINGS, Peer, Request, World, deliver, never, reply, run
 
 TOLD = 6.0  # seconds
@@ -125,7 +125,7 @@
                 raise KeyError("a fault")
 
         host, _, port = w.discovery.address.rpartition(":")
-        discovery = Discovery((host, int(port)), 10_000_000, tell)
+        discovery = DiscoveryClient((host, int(port)), 10_000_000, tell)
         discovery.watch()
         await w.until(lambda: heard == [EndpointListKind.FULL, EndpointListKind.FAILED])
         discovery.watch()
