--- a/tests/gossip/test_joining.py
+++ b/tests/gossip/test_joining.py
@@ -20,17 +20,17 @@
     """In an engine's place."""
 
     def __init__(self) -> None:
-        self.out: set[str] = set()
-        self.watchers: list[Any] = []
+        self.disabled_hosts: set[str] = set()
+        self.observers: list[Any] = []
         self.refusals = 2
 
     def change(self, host: str, out: bool) -> str | None:
         if self.refusals:
             self.refusals -= 1
             return "another process of this relay is about to decide"
-        (self.out.add if out else self.out.discard)(host)
-        for watcher in self.watchers:
-            (watcher.taken_out if out else watcher.brought_back)(host)
+        (self.disabled_hosts.add if out else self.disabled_hosts.discard)(host)
+        for watcher in self.observers:
+            (watcher.endpoint_disabled if out else watcher.endpoint_enabled)(host)
         return None
 
 
@@ -41,21 +41,21 @@
 
     async def main() -> None:
         engine = Stands()
-        joined = gossip_member.Joined(TOLD, "a", tmp_path, cast(Any, engine), engine.change)
+        joined = gossip_member.GossipMember(TOLD, "a", tmp_path, cast(Any, engine), engine.change)
         await joined.start(wait=False)
         call = Call("h", True, 7, "b")
         joined._heard(joined.calls.heard([call]))
-        assert not engine.out
+        assert not engine.disabled_hosts
         async with asyncio.timeout(10):
-            while not engine.out:
+            while not engine.disabled_hosts:
                 await asyncio.sleep(0.001)
         assert joined.calls.known == {"h": call}  # it is still the other relay's
         joined.close()
         engine = Stands()
         engine.refusals = 0
-        later = gossip_member.Joined(TOLD, "a", tmp_path, cast(Any, engine), engine.change)
+        later = gossip_member.GossipMember(TOLD, "a", tmp_path, cast(Any, engine), engine.change)
         await later.start(wait=False)
-        assert engine.out == {"h"} and later.calls.known == {"h": call}
+        assert engine.disabled_hosts == {"h"} and later.calls.known == {"h": call}
         later.close()
         (tmp_path / gossip_member.NAME).write_text('[["h", true, -1, "b"]]')
         assert later._load() == []
--- a/tests/metrics/test_registry.py
+++ b/tests/metrics/test_registry.py
@@ -2,23 +2,23 @@
 
 from __future__ import annotations
 
-from loftrelay.metrics.registry import End, Figures, Gauges
+from loftrelay.metrics.registry import FinalStatus, Gauges, Metrics
 
 GAUGES = Gauges(outstanding=14, discovered=5, ejected=1)
 
 
-def shown(figures: Figures) -> dict[str, int]:
+def shown(figures: Metrics) -> dict[str, int]:
     rows = (line.partition("=") for line in figures.lines(GAUGES))
     return {name: int(value) for name, _, value in rows}
 
 
 def test_every_class_is_shown_from_the_start_and_after_it_was_dropped() -> None:
-    figures = Figures(["a", "b"])
+    figures = Metrics(["a", "b"])
     assert shown(figures)["app.aborted.b"] == 0
-    figures.ended("a", End.SUCCEEDED)
+    figures.count_final_status("a", FinalStatus.SUCCEEDED)
     figures.know(["b", "c"])
-    figures.ended("c", End.DECLINED)
-    figures.ended("gone-before-the-start", End.ABORTED)
+    figures.count_final_status("c", FinalStatus.REJECTED)
+    figures.count_final_status("gone-before-the-start", FinalStatus.ABORTED)
     figures.forwarded(3)
     told = shown(figures)
     assert told["app.succeeded.a"] == 1 and told["app.declined.c"] == 1
@@ -27,6 +27,6 @@
 
 
 def test_each_process_counts_from_nothing() -> None:
-    first = Figures(["a"])
-    first.ended("a", End.SUCCEEDED)
-    assert shown(Figures(["a"]))["app.succeeded.a"] == 0
+    first = Metrics(["a"])
+    first.count_final_status("a", FinalStatus.SUCCEEDED)
+    assert shown(Metrics(["a"]))["app.succeeded.a"] == 0
--- a/tests/program/test_recovered.py
+++ b/tests/program/test_recovered.py
@@ -13,7 +13,7 @@
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.clock import wall_clock
-from loftrelay.relay.message import Held
+from loftrelay.relay.message import Message
 from loftrelay.relay.message_terms import pack
 from tests.standins.platform import SETTINGS, Request, World, deliver, failed, never, reply, run
 
@@ -166,10 +166,12 @@
         journal = Journal(tmp_path / "state", 36_000_000)
         now = wall_clock()
         for i in range(60_000):
-            held = Held(f"old{i}", 0, "order", "acme", 1, f"key{i % 50}", now, now + 600_000_000, b"x" * 99)
-            held.terms = pack(about, 12)
-            journal.take(held)
-            journal.over(held.id, 200)
+            held = Message(
+                f"old{i}", 0, "order", "acme", 1, f"key{i % 50}", now, now + 600_000_000, b"x" * 99
+            )
+            held.packed_terms = pack(about, 12)
+            journal.admit(held)
+            journal.complete(held.id, 200)
         journal.close()
         full = tmp_path / "state" / "other"
         full.write_bytes(b"\0" * (w.limits["disk_mb"] * 1_000_000 - journal.size()))
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -22,5 +22,5 @@
 @pytest.fixture
 def no_stalls(monkeypatch: pytest.MonkeyPatch) -> None:
     """That the loop does not run meanwhile is no sign that the process stood still."""
-    monkeypatch.setattr(engine, "STALL", math.inf)
-    monkeypatch.setattr(stall_detector, "STALL", math.inf)
+    monkeypatch.setattr(engine, "STALL_THRESHOLD_S", math.inf)
+    monkeypatch.setattr(stall_detector, "STALL_THRESHOLD_S", math.inf)
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -14,29 +14,29 @@
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.journal.journal import Journal
-from loftrelay.metrics.registry import End
+from loftrelay.metrics.registry import FinalStatus
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.handover import HandoverError, read, read_ending, tell_ending
-from loftrelay.relay.message import Held
+from loftrelay.relay.handover import HandoverError, read_attempt_result, read_state, write_attempt_result
+from loftrelay.relay.message import Message
 from loftrelay.relay.message_state import Stage
-from loftrelay.relay.ports import Ending
+from loftrelay.relay.ports import AttemptResult
 from loftrelay.service.assembly import build
 from tests.standins.platform import SETTINGS
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
 
 ENDINGS = [
-    Ending(AttemptStatus.OK, over=True),
-    Ending(AttemptStatus.OK, over=True),
-    Ending(AttemptStatus.ERROR),
-    Ending(AttemptStatus.REJECTED),
-    Ending(AttemptStatus.CONNECTION_LOST),
-    Ending(AttemptStatus.CONNECT_FAILED),
-    Ending(AttemptStatus.MALFORMED_RESPONSE),
-    Ending(AttemptStatus.NOT_SENT),
-    Ending(AttemptStatus.NOT_SENT, expired=True),
-    Ending(AttemptStatus.TIMEOUT),
+    AttemptResult(AttemptStatus.OK, is_final=True),
+    AttemptResult(AttemptStatus.OK, is_final=True),
+    AttemptResult(AttemptStatus.ERROR),
+    AttemptResult(AttemptStatus.REJECTED),
+    AttemptResult(AttemptStatus.CONNECTION_LOST),
+    AttemptResult(AttemptStatus.CONNECT_FAILED),
+    AttemptResult(AttemptStatus.MALFORMED_RESPONSE),
+    AttemptResult(AttemptStatus.NOT_SENT),
+    AttemptResult(AttemptStatus.NOT_SENT, is_expired=True),
+    AttemptResult(AttemptStatus.TIMEOUT),
 ]
 
 
@@ -52,7 +52,7 @@
 
     def __init__(self, engine: Engine, seed: int) -> None:
         self.engine, self.random = engine, random.Random(seed)
-        self.out: list[tuple[Held, str]] = []
+        self.out: list[tuple[Message, str]] = []
         self.number = 0
         self.handed_in = 0
         self.withdrawn = 0
@@ -63,13 +63,13 @@
     def use(self, engine: Engine) -> None:
         self.engine = engine
 
-        def send(host: str, messages: list[Held], terms: object) -> None:
+        def send(host: str, messages: list[Message], terms: object) -> None:
             self.out += [(message, host) for message in messages]
 
         # Virtual time for the module: its pauses pass from turn to turn.
         engine._clock = lambda: self.now  # type: ignore[method-assign]
-        engine.delivery.send = send  # type: ignore[method-assign]
-        engine.delivery.recall = list  # type: ignore[method-assign]
+        engine.delivery.send_call = send  # type: ignore[method-assign]
+        engine.delivery.withdraw_unsent_calls = list  # type: ignore[method-assign]
 
     def step(self) -> None:
         engine, draw = self.engine, self.random
@@ -79,7 +79,7 @@
                 self.number += 1
                 of = draw.choice(["status", "order"])
                 now = wall_clock()
-                held = Held(
+                held = Message(
                     f"m{self.number}",
                     0,
                     of,
@@ -92,31 +92,31 @@
                 )
                 self.handed_in += 1
                 engine.submit(held, lambda status, _: self.statuses.update([status]))
-                if draw.random() < 0.2 and engine.awaits(held.id):
-                    engine.withdraw(held.id)
+                if draw.random() < 0.2 and engine.is_client_waiting(held.id):
+                    engine.cancel(held.id)
                     self.withdrawn += 1
             case 2 if self.out:
                 held, host = self.out.pop(draw.randrange(len(self.out)))
-                engine.ended(held, host, draw.choice(ENDINGS))
+                engine.attempt_ended(held, host, draw.choice(ENDINGS))
             case 3:
-                told = [m for m in list(engine.notices.waiting) if draw.random() < 0.5]  # type: ignore[attr-defined]
+                told = [m for m in list(engine.status_reporter.waiting) if draw.random() < 0.5]  # type: ignore[attr-defined]
                 for message in told:
-                    del engine.notices.waiting[message]  # type: ignore[attr-defined]
-                    engine.noticed(message)
+                    del engine.status_reporter.waiting[message]  # type: ignore[attr-defined]
+                    engine.final_status_reported(message)
         engine._turn()
 
     def check(self, before: int = 0) -> None:
         """`before`: taken by another process, and ended or handed over there."""
-        shown = dict(line.split("=") for line in self.engine.figure_lines())
-        ended = sum(self.engine.figures.ends.values())
+        shown = dict(line.split("=") for line in self.engine.metric_lines())
+        ended = sum(self.engine.metrics.ends.values())
         outstanding = int(shown["app.outstanding"])
         assert self.handed_in - self.withdrawn == before + ended + outstanding
-        declined = sum(n for (_, end), n in self.engine.figures.ends.items() if end is End.DECLINED)
-        assert declined >= 0 and outstanding == len(self.engine.journal.held)
+        declined = sum(n for (_, end), n in self.engine.metrics.ends.items() if end is FinalStatus.REJECTED)
+        assert declined >= 0 and outstanding == len(self.engine.journal.messages)
 
 
 def close(engine: Engine) -> None:
-    engine.notices.close()
+    engine.status_reporter.close()
     engine.discovery.close()
     engine.delivery.close()
 
@@ -129,7 +129,7 @@
         for _ in range(150):
             steps.step()
             steps.check()
-        assert steps.statuses[202] > 20 and sum(engine.figures.ends.values()) > 10
+        assert steps.statuses[202] > 20 and sum(engine.metrics.ends.values()) > 10
         close(engine)
 
     asyncio.run(main())
@@ -140,12 +140,12 @@
     """What the first process did not end the second one has; outcomes of the first one's calls end there."""
 
     class Away:
-        def ended(self, message: str, host: str, ending: Ending) -> None:
+        def attempt_ended(self, message: str, host: str, ending: AttemptResult) -> None:
             raise AssertionError("nothing ends while both stand still")
 
-        doubted = ended
+        outcome_disputed = attempt_ended
 
-        def told(self, host: str, wait: int) -> None:
+        def retry_after_received(self, host: str, wait: int) -> None:
             raise AssertionError("nothing is told while both stand still")
 
     async def main() -> None:
@@ -154,26 +154,31 @@
         for _ in range(80):
             steps.step()
         steps.check()
-        first.freeze(Away())  # type: ignore[arg-type]
-        state: dict[str, Any] = first.state()
+        first.pause(Away())  # type: ignore[arg-type]
+        state: dict[str, Any] = first.export_state()
         second_journal = Journal(tmp_path, 1_000_000, still=True)
-        assert list(second_journal.held) == list(journal.held)
-        handed = read(state, 2)
+        assert list(second_journal.messages) == list(journal.messages)
+        handed = read_state(state, 2)
         journal.close()
-        second_journal.go_on()
-        ended_before = sum(first.figures.ends.values())
+        second_journal.take_ownership()
+        ended_before = sum(first.metrics.ends.values())
         second, _ = build(config(tmp_path), journal=second_journal, handed=handed)
-        assert set(second.lives.at(Stage.ABROAD)) == {held.id for held, _ in steps.out}
+        assert set(second.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)) == {
+            held.id for held, _ in steps.out
+        }
         steps.use(second)
         second._turn()
         steps.check(ended_before)
         for _ in range(80):
             steps.step()
             steps.check(ended_before)
-        outstanding = len(second.journal.held)
-        second.lose_abroad()
+        outstanding = len(second.journal.messages)
+        second.predecessor_lost()
         second._turn()
-        assert not second.lives.at(Stage.ABROAD) and len(second.journal.held) <= outstanding
+        assert (
+            not second.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)
+            and len(second.journal.messages) <= outstanding
+        )
         steps.check(ended_before)
         close(first)
         close(second)
@@ -189,41 +194,41 @@
         steps = Steps(engine, 3)
         steps.number = 1
         now = wall_clock()
-        engine.submit(Held("m1", 0, "status", "acme", 1, None, now, now + 20_000_000), lambda s, _: None)
+        engine.submit(Message("m1", 0, "status", "acme", 1, None, now, now + 20_000_000), lambda s, _: None)
         steps.handed_in = 1
         engine._turn()
         assert len(steps.out) == 1
         heard: list[str] = []
 
         class Away:
-            def ended(self, message: str, host: str, ending: Ending) -> None:
+            def attempt_ended(self, message: str, host: str, ending: AttemptResult) -> None:
                 heard.append(message)
 
-            def doubted(self, message: str, host: str, ran_at: int) -> None:
+            def outcome_disputed(self, message: str, host: str, ran_at: int) -> None:
                 heard.append(message)
 
-            def told(self, host: str, wait: int) -> None:
+            def retry_after_received(self, host: str, wait: int) -> None:
                 heard.append(host)
 
-        engine.freeze(Away())
-        before = engine.figure_lines()
+        engine.pause(Away())
+        before = engine.metric_lines()
         held, host = steps.out.pop()
-        engine.ended(held, host, Ending(AttemptStatus.OK, over=True))
+        engine.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
         engine._turn()
-        assert heard == [held.id] and engine.figure_lines() == before
-        engine.thaw()
-        engine.ended(held, host, Ending(AttemptStatus.OK, over=True))
+        assert heard == [held.id] and engine.metric_lines() == before
+        engine.resume()
+        engine.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
         engine._turn()
         steps.check()
-        assert held.id not in engine.journal.held
+        assert held.id not in engine.journal.messages
         close(engine)
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("ending", ENDINGS)
-def test_an_ending_is_told_and_read_again(ending: Ending) -> None:
-    assert read_ending(tell_ending(ending)) == ending
+def test_an_ending_is_told_and_read_again(ending: AttemptResult) -> None:
+    assert read_attempt_result(write_attempt_result(ending)) == ending
 
 
 @pytest.mark.parametrize(
@@ -231,10 +236,10 @@
 )
 def test_what_is_no_ending_is_turned_away(told: Any) -> None:
     with pytest.raises(HandoverError):
-        read_ending(told)
+        read_attempt_result(told)
 
 
 @pytest.mark.parametrize("told", [{}, {"module": "{}"}, {"module": 7, "list": []}])
 def test_what_is_no_state_is_turned_away(told: Any) -> None:
     with pytest.raises(HandoverError):
-        read(told, 1)
+        read_state(told, 1)
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -16,8 +16,8 @@
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.message import Held
-from loftrelay.relay.ports import Ending, Taken, Terms
+from loftrelay.relay.message import Message
+from loftrelay.relay.ports import AttemptResult, CallOptions, StoreDecision
 from loftrelay.server.http.server import Server
 from loftrelay.service.assembly import build
 from tests.standins.platform import SETTINGS
@@ -53,7 +53,7 @@
         assert await reader.read() == b""
         writer.close()
         await server.close()
-        engine.notices.close()
+        engine.status_reporter.close()
 
     asyncio.run(main())
 
@@ -66,13 +66,13 @@
         answers: dict[str, int] = {}
         now = wall_clock()
         for name in ("gone", "stays"):
-            held = Held(name, 0, "status", "acme", 1, None, now, now + 9_000_000)
+            held = Message(name, 0, "status", "acme", 1, None, now, now + 9_000_000)
             engine.submit(held, lambda status, _, name=name: answers.update({name: status}))  # type: ignore[misc]
-        engine.withdraw("gone")
+        engine.cancel("gone")
         engine._turn()
-        assert answers == {"stays": 202} and list(engine.journal.held) == ["stays"]
-        assert engine.open == 1 and list(engine.lives.calls()) == ["stays"]
-        engine.notices.close()
+        assert answers == {"stays": 202} and list(engine.journal.messages) == ["stays"]
+        assert engine.open_messages == 1 and list(engine.message_states.attempts_in_flight()) == ["stays"]
+        engine.status_reporter.close()
         engine.delivery.close()
 
     asyncio.run(main())
@@ -84,17 +84,17 @@
     async def main() -> None:
         engine = make_engine(tmp_path)
         now = wall_clock()
-        held = Held("m", 0, "order", "acme", 1, "k", now, now + 9_000_000)
+        held = Message("m", 0, "order", "acme", 1, "k", now, now + 9_000_000)
         engine.submit(held, lambda status, _: None)
         engine._turn()
-        engine.ended(held, "h", Ending(AttemptStatus.REJECTED))
+        engine.attempt_ended(held, "h", AttemptResult(AttemptStatus.REJECTED))
         engine._turn()
-        assert engine.open == 1  # its end is not decided
-        engine.doubted("m", "h", now)
-        engine.doubted("unknown", "h", now)
+        assert engine.open_messages == 1  # its end is not decided
+        engine.outcome_disputed("m", "h", now)
+        engine.outcome_disputed("unknown", "h", now)
         engine._turn()
-        assert engine.open == 0 and engine.journal.held["m"].ran_at == now
-        engine.notices.close()
+        assert engine.open_messages == 0 and engine.journal.messages["m"].first_attempt_at == now
+        engine.status_reporter.close()
         engine.delivery.close()
 
     asyncio.run(main())
@@ -110,18 +110,18 @@
             await asyncio.sleep(0)
         if engine.timer is not None:
             engine.timer.cancel()
-        engine.pulse.woke = asyncio.get_running_loop().time()
+        engine.stall_detector.woke = asyncio.get_running_loop().time()
         statuses: list[int] = []
         now = wall_clock()
-        held = Held("m", 0, "status", "acme", 1, None, now, now + 9_000_000)
+        held = Message("m", 0, "status", "acme", 1, None, now, now + 9_000_000)
         engine.submit(held, lambda status, _: statuses.append(status))
         assert statuses == [503]
         async with asyncio.timeout(60):
-            while engine.behind:
+            while engine.is_lagging:
                 await asyncio.sleep(0)
         engine.submit(held, lambda status, _: statuses.append(status))
-        assert "m" in engine.journal.held
-        engine.notices.close()
+        assert "m" in engine.journal.messages
+        engine.status_reporter.close()
         engine.delivery.close()
 
     asyncio.run(main())
@@ -136,22 +136,22 @@
 
     async def main() -> None:
         engine = make_engine(tmp_path)
-        given: list[Terms] = []
-        engine.delivery.send = lambda host, messages, terms: given.append(terms)  # type: ignore[method-assign]
+        given: list[CallOptions] = []
+        engine.delivery.send_call = lambda host, messages, terms: given.append(terms)  # type: ignore[method-assign]
         now = wall_clock()
         lives = {"short": 2_000_000, "long": 9_000_000} if batch else {"short": 2_000_000}
         for name, remaining in lives.items():
-            held = Held(name, 0, "order", "acme", 1, None, now, now + remaining)
-            engine.journal.take(held)
-            engine.lives.wait(name)
-            engine.brain.now = engine._clock()
-            engine.brain._accept(engine._submission(held), 0)
+            held = Message(name, 0, "order", "acme", 1, None, now, now + remaining)
+            engine.journal.admit(held)
+            engine.message_states.enqueue(name)
+            engine.scheduler.now = engine._clock()
+            engine.scheduler._accept(engine._submission(held), 0)
         sends = [SendAttempt(name, "h", remaining, None) for name, remaining in lives.items()]
         engine._call("h", sends, batch)
         gone = (wall_clock() - now) / 1e6
         assert len(given) == 1
         assert 1.98 - gone <= given[0].timeout <= 1.98
-        engine.notices.close()
+        engine.status_reporter.close()
         engine.delivery.close()
 
     asyncio.run(main())
@@ -164,25 +164,29 @@
 
     async def main() -> None:
         engine = make_engine(tmp_path)
-        engine.brain.told = replace(engine.brain.told, awaits_final_status=True)
-        engine.delivery.send = lambda host, messages, terms: None  # type: ignore[method-assign]
+        engine.scheduler.told = replace(engine.scheduler.told, awaits_final_status=True)
+        engine.delivery.send_call = lambda host, messages, terms: None  # type: ignore[method-assign]
         now = wall_clock()
         for name in ("m", "next"):
-            held = Held(name, 0, "order", "acme", 1, "k", now, now + (400_000 if name == "m" else 9_000_000))
-            engine.journal.take(held)
-            engine.lives.wait(name)
+            held = Message(
+                name, 0, "order", "acme", 1, "k", now, now + (400_000 if name == "m" else 9_000_000)
+            )
+            engine.journal.admit(held)
+            engine.message_states.enqueue(name)
             engine._post(engine._submission(held))
-        while engine.brain.messages.get("m") is None or engine.brain.messages["m"].call is None:
+        while engine.scheduler.messages.get("m") is None or engine.scheduler.messages["m"].call is None:
             await asyncio.sleep(0.001)
         if late:
-            while engine._clock() < engine.brain.messages["m"].deadline:
+            while engine._clock() < engine.scheduler.messages["m"].deadline:
                 time.sleep(0.01)  # the loop does not run
-        engine.ended(engine.journal.held["m"], "h", Ending(AttemptStatus.OK, over=True))
-        while "m" in engine.brain.messages:
+        engine.attempt_ended(
+            engine.journal.messages["m"], "h", AttemptResult(AttemptStatus.OK, is_final=True)
+        )
+        while "m" in engine.scheduler.messages:
             await asyncio.sleep(0.001)
-        assert ("m" in engine.journal.held) == late == bool(engine.notices.open)
-        assert (engine.brain.messages["next"].depth > 0) != late
-        engine.notices.close()
+        assert ("m" in engine.journal.messages) == late == bool(engine.status_reporter.pending)
+        assert (engine.scheduler.messages["next"].depth > 0) != late
+        engine.status_reporter.close()
         engine.discovery.close()
         engine.delivery.close()
 
@@ -207,23 +211,23 @@
     async def main() -> None:
         engine = make_engine(tmp_path)
         sent: list[str] = []
-        engine.delivery.send = lambda host, messages, terms: sent.append(host)  # type: ignore[method-assign]
+        engine.delivery.send_call = lambda host, messages, terms: sent.append(host)  # type: ignore[method-assign]
         now = wall_clock()
-        held = Held("m", 0, "order", "acme", 1, "k", now, now + 9_000_000)
+        held = Message("m", 0, "order", "acme", 1, "k", now, now + 9_000_000)
         engine.submit(held, lambda status, _: None)
         engine._turn()
-        held = engine.journal.held["m"]
+        held = engine.journal.messages["m"]
         assert sent == ["h"] and held.attempts == 1
         sent.clear()
-        engine.permits = [Told()]
+        engine.attempt_gates = [Told()]
         began = asyncio.get_running_loop().time() - late
         if told:
             engine._unsettle(1)
-        engine._asked(0, "h", [held], Terms(3.0, False, True, None), began, committed)
+        engine._asked(0, "h", [held], CallOptions(3.0, False, True, None), began, committed)
         assert sent == (["h"] if goes else []) and held.attempts == (1 if goes else 0)
         postponed = [event for event in engine.events if isinstance(event, AttemptEnded)]
         assert [event.postponed_for > 0 for event in postponed] == ([] if goes else [True])
-        engine.notices.close()
+        engine.status_reporter.close()
         engine.delivery.close()
 
     asyncio.run(main())
@@ -232,28 +236,30 @@
 class Told:
     """A store of record that has everything at once."""
 
-    retry_ms = 0
+    retry_after_ms = 0
 
-    def take(self, held: Held, done: Callable[[Taken], None]) -> None:
+    def admit(self, held: Message, done: Callable[[StoreDecision], None]) -> None:
         raise AssertionError("nothing is taken on here")
 
-    def intend(self, messages: Sequence[Held], host: str, done: Callable[[bool], None]) -> None:
+    def request_attempt(self, messages: Sequence[Message], host: str, done: Callable[[bool], None]) -> None:
         done(True)
 
-    def outcome(self, message: str, result: str) -> None: ...
+    def attempt_ended(self, message: str, result: str) -> None: ...
 
-    def end(self, message: str, answer: str, result: str | None, done: Callable[[], None]) -> None:
+    def record_final_status(
+        self, message: str, answer: str, result: str | None, done: Callable[[], None]
+    ) -> None:
         done()
 
-    def told(self, message: str) -> None: ...
+    def final_status_reported(self, message: str) -> None: ...
 
-    def answer(self, message: str) -> str | None:
+    def recorded_answer(self, message: str) -> str | None:
         return None
 
-    def recover(self, held: Held | None, message: str, unsafe: bool) -> str:
+    def recover(self, held: Message | None, message: str, unsafe: bool) -> str:
         return "AGREE"
 
-    def unheld(self, held: Mapping[str, Held]) -> Sequence[str]:
+    def unfinished_without_journal(self, held: Mapping[str, Message]) -> Sequence[str]:
         return ()
 
 
@@ -270,7 +276,7 @@
 
         async def hand_in(name: str) -> None:
             now = wall_clock()
-            held = Held(name, 0, "status", "acme", 1, None, now, now + 9_000_000)
+            held = Message(name, 0, "status", "acme", 1, None, now, now + 9_000_000)
             engine.submit(held, lambda status, _: answers.append(name))
 
         clock[0] -= 60  # before the turn that was last
@@ -284,7 +290,7 @@
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert answers == ["behind", "stepped"]
-        engine.notices.close()
+        engine.status_reporter.close()
         engine.delivery.close()
 
     asyncio.run(main())
--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -38,7 +38,7 @@
 
 
 def listed(engine: Engine, form: EndpointListKind, *entries: EndpointEntry) -> None:
-    engine.listed(EndpointListReceived(form, entries), {e.endpoint: AT for e in entries})
+    engine.endpoints_listed(EndpointListReceived(form, entries), {e.endpoint: AT for e in entries})
     engine._turn()
 
 
@@ -52,12 +52,15 @@
         for size in (FEW, MANY):
             engine, journal = build(config(tmp_path / str(size)))
             listed(engine, EndpointListKind.FULL, *(entry(f"h{i}", i) for i in range(size)))
-            assert len(engine.entries) == size
-            brain = engine.brain
-            engine.entries, engine.bundles = Walked(engine.entries), Walked(engine.bundles)
+            assert len(engine.endpoint_entries) == size
+            brain = engine.scheduler
+            engine.endpoint_entries, engine.batch_sizes = (
+                Walked(engine.endpoint_entries),
+                Walked(engine.batch_sizes),
+            )
             brain.endpoints, brain.destinations = Walked(brain.endpoints), Walked(brain.destinations)
             costs.append(steps(partial(listed, engine, EndpointListKind.DELTA, change)))
-            for of in (engine.entries, engine.bundles, brain.endpoints, brain.destinations):
+            for of in (engine.endpoint_entries, engine.batch_sizes, brain.endpoints, brain.destinations):
                 assert isinstance(of, Walked) and of.walked == 0
             close(engine)
             journal.close()
@@ -89,9 +92,9 @@
                 *(entry(f"a{i}", i, EndpointState.REMOVED) for i in range(100)),
             )
             assert more() == [101, 100, 101, 100]
-            engine.brain.handle(engine.brain.now + 1, [DestinationsReleased(tuple(range(100)))])
+            engine.scheduler.handle_batch(engine.scheduler.now + 1, [DestinationsReleased(tuple(range(100)))])
             for i in range(100):
-                engine.delivery.forget(f"b{i}")
+                engine.delivery.remove_host(f"b{i}")
             assert more() == [0, 0, 1, 1]
         finally:
             gc.enable()
@@ -130,7 +133,7 @@
         try:
             entries = read_rows(json.loads(told))
             listing = EndpointListReceived(EndpointListKind.DELTA, tuple(e for e, _ in entries))
-            engine.listed(listing, {e.endpoint: address for e, address in entries})
+            engine.endpoints_listed(listing, {e.endpoint: address for e, address in entries})
             del entries, listing
             engine.events.clear()
             engine.posted.clear()
@@ -139,7 +142,7 @@
         finally:
             tracemalloc.stop()
         print(f"{held:.0f} bytes for each")
-        assert len(engine.entries) == size + 1 and 600 < held < 1_400
+        assert len(engine.endpoint_entries) == size + 1 and 600 < held < 1_400
         close(engine)
         journal.close()
 
--- a/tests/relay/test_pulse.py
+++ b/tests/relay/test_pulse.py
@@ -4,12 +4,14 @@
 
 import pytest
 
-from loftrelay.relay.stall_detector import LATE, STALL, WAKING, Pulse
+from loftrelay.relay.stall_detector import LATE, STALL_THRESHOLD_S, WAKING, StallDetector
 
 
-@pytest.mark.parametrize(("late", "stalled"), [(STALL - 0.01, False), (STALL + 0.01, True), (6.0, True)])
+@pytest.mark.parametrize(
+    ("late", "stalled"), [(STALL_THRESHOLD_S - 0.01, False), (STALL_THRESHOLD_S + 0.01, True), (6.0, True)]
+)
 def test_a_beat_or_a_turn_that_comes_late_tells_of_a_stall(late: float, stalled: bool) -> None:
-    by_beat, by_turn = Pulse(), Pulse()
+    by_beat, by_turn = StallDetector(), StallDetector()
     by_beat.look(10.0)
     by_beat.expect(10.2)
     by_beat.look(10.2 + late)
@@ -21,7 +23,7 @@
 
 
 def test_one_stall_is_noticed_once() -> None:
-    pulse = Pulse()
+    pulse = StallDetector()
     pulse.expect(10.0)
     pulse.look(13.0)
     pulse.look(13.001)
@@ -33,14 +35,14 @@
 
 
 def test_without_a_beat_that_is_due_a_long_gap_is_none() -> None:
-    pulse = Pulse()
+    pulse = StallDetector()
     pulse.look(1.0)
     pulse.look(500.0)
     assert pulse.stalls == 0 and pulse.age(500.0) == 0
 
 
 def test_what_is_read_on_waking_may_be_as_old_as_the_last_sign_of_life() -> None:
-    pulse = Pulse()
+    pulse = StallDetector()
     pulse.look(10.0)
     pulse.expect(10.2)
     assert pulse.age(10.1) == 0
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -22,15 +22,15 @@
 )
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.delivery.connection_pool import Limits
-from loftrelay.delivery.host_client import Hosts
-from loftrelay.discovery.status_reporter import Notices
+from loftrelay.delivery.host_client import HostClient
+from loftrelay.discovery.status_reporter import FinalStatusReporter
 from loftrelay.journal.journal import Journal
 from loftrelay.net.address import Address
 from loftrelay.relay import handover
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.message import Held
-from loftrelay.relay.ports import Ending, Slice
+from loftrelay.relay.message import Message
+from loftrelay.relay.ports import AttemptResult, ResolutionStatus
 from loftrelay.service.assembly import build
 from tests.standins.platform import SETTINGS
 
@@ -51,10 +51,10 @@
         self.adopted: list[Any] = []
         self.log: list[str] = []
 
-    def want(self, destination: int) -> None:
+    def resolve(self, destination: int) -> None:
         self.wanted.append(destination)
 
-    def use(self, destination: int) -> None:
+    def mark_used(self, destination: int) -> None:
         self.used.append(destination)
 
     def adopt(
@@ -62,7 +62,7 @@
     ) -> None:
         self.adopted.append((revision, sorted(destinations), [entry.endpoint for entry, _ in rows]))
 
-    def take_known(self, known: Mapping[str, Any]) -> None:
+    def load_cached(self, known: Mapping[str, Any]) -> None:
         self.log.append("known")
 
     def watch(self) -> None:
@@ -74,7 +74,7 @@
     def resume(self, revision: int | None) -> None:
         self.log.append(f"resume {revision}")
 
-    def move(self, address: Address) -> None:
+    def move_to(self, address: Address) -> None:
         self.address = address
 
     def close(self) -> None: ...
@@ -87,26 +87,26 @@
 
 
 def make(
-    folder: Path, most_held: int = 100, handed: handover.Handed | None = None
+    folder: Path, most_held: int = 100, handed: handover.HandoverState | None = None
 ) -> tuple[Engine, FakeSlices]:
     config, slices = config_of(folder, most_held), FakeSlices()
     journal = Journal(folder, config.disk_bytes)
     engine = Engine(1, config.settings, journal)
-    hosts = Hosts(
+    hosts = HostClient(
         None,
         None,
         10,
         Limits(),
         1,
-        journal.tried,
-        engine.ended,
-        engine.doubted,
-        engine.figures.forwarded,
-        engine.pulse,
-        engine.told,
-        engine.bound,
+        journal.record_attempt,
+        engine.attempt_ended,
+        engine.outcome_disputed,
+        engine.metrics.forwarded,
+        engine.stall_detector,
+        engine.retry_after_received,
+        engine.is_blocked,
     )
-    notices = Notices(NOWHERE, engine.noticed)
+    notices = FinalStatusReporter(NOWHERE, engine.final_status_reported)
     if handed is None:
         engine.connect(hosts, slices, notices, {}, slices=slices)
     else:
@@ -117,7 +117,7 @@
 def close(engine: Engine) -> None:
     if engine.timer is not None:
         engine.timer.cancel()
-    engine.notices.close()
+    engine.status_reporter.close()
     engine.delivery.close()
     engine.journal.close()
 
@@ -126,13 +126,13 @@
     asyncio.run(scenario())  # type: ignore[arg-type]
 
 
-def message(name: str, destination: int = 1, of: str = "order", seconds: float = 9.0) -> Held:
+def message(name: str, destination: int = 1, of: str = "order", seconds: float = 9.0) -> Message:
     now = wall_clock()
     key = "k" if of == "order" else None
-    return Held(name, 0, of, "acme", destination, key, now, now + int(seconds * 1e6))
+    return Message(name, 0, of, "acme", destination, key, now, now + int(seconds * 1e6))
 
 
-def submit(engine: Engine, answers: Answers, held: Held) -> None:
+def submit(engine: Engine, answers: Answers, held: Message) -> None:
     def answer(status: int, again: int) -> None:
         assert held.id not in answers  # exactly one
         answers[held.id] = status, again
@@ -146,8 +146,8 @@
 
 
 def hold(engine: Engine, destination: int = 1) -> None:
-    engine.listed(*listing(f"h{destination}", destination=destination))
-    engine.sliced(destination, Slice.HELD)
+    engine.endpoints_listed(*listing(f"h{destination}", destination=destination))
+    engine.destination_resolved(destination, ResolutionStatus.RESOLVED)
 
 
 def test_first_messages_are_asked_for_once_and_taken_on_in_their_order(tmp_path: Path) -> None:
@@ -157,40 +157,42 @@
         for name in ("a", "b", "c"):
             submit(engine, answers, message(name))
         submit(engine, answers, message("z", destination=2))
-        assert slices.wanted == [1, 2] and not engine.journal.held and answers == {}
-        assert engine.open == 4 and engine.awaits("b")
-        engine.withdraw("b")
-        assert engine.open == 3 and not engine.awaits("b")
+        assert slices.wanted == [1, 2] and not engine.journal.messages and answers == {}
+        assert engine.open_messages == 4 and engine.is_client_waiting("b")
+        engine.cancel("b")
+        assert engine.open_messages == 3 and not engine.is_client_waiting("b")
         hold(engine)
         submit(engine, answers, message("d"))
-        assert list(engine.journal.held) == ["a", "c", "d"] and slices.used == [1]
-        assert [h.number for h in engine.journal.held.values()] == sorted(
-            h.number for h in engine.journal.held.values()
+        assert list(engine.journal.messages) == ["a", "c", "d"] and slices.used == [1]
+        assert [h.sequence for h in engine.journal.messages.values()] == sorted(
+            h.sequence for h in engine.journal.messages.values()
         )
         engine._turn()
         assert answers == dict.fromkeys(("a", "c", "d"), (202, 0))
-        assert [m.name for m in engine.brain.keys["k"].queue] == ["a", "c", "d"]
+        assert [m.name for m in engine.scheduler.keys["k"].queue] == ["a", "c", "d"]
         assert slices.wanted == [1, 2]
         close(engine)
 
     play(scenario)
 
 
-@pytest.mark.parametrize("state", [Slice.EMPTY, Slice.AWAY])
-def test_without_a_host_first_messages_are_refused_and_leave_nothing(tmp_path: Path, state: Slice) -> None:
+@pytest.mark.parametrize("state", [ResolutionStatus.NOT_FOUND, ResolutionStatus.UNAVAILABLE])
+def test_without_a_host_first_messages_are_refused_and_leave_nothing(
+    tmp_path: Path, state: ResolutionStatus
+) -> None:
     async def scenario() -> None:
         engine, slices = make(tmp_path)
         answers: Answers = {}
         submit(engine, answers, message("a"))
         submit(engine, answers, message("b", of="status"))
-        engine.sliced(1, state)
+        engine.destination_resolved(1, state)
         assert answers == {"a": (503, 1000), "b": (503, 1000)}
-        assert not engine.journal.held and engine.open == 0 and not engine.awaits("a")
-        assert engine.answer_to("a") is None  # its id is free again
+        assert not engine.journal.messages and engine.open_messages == 0 and not engine.is_client_waiting("a")
+        assert engine.known_answer("a") is None  # its id is free again
         submit(engine, answers, message("c"))
         assert slices.wanted == [1, 1]
-        engine.sliced(1, state)
-        engine.sliced(1, state)  # nobody waits
+        engine.destination_resolved(1, state)
+        engine.destination_resolved(1, state)  # nobody waits
         assert list(answers) == ["a", "b", "c"]
         close(engine)
 
@@ -205,7 +207,7 @@
             submit(engine, answers, message(name))
         assert answers == {"d": (503, 1000)}
         hold(engine)
-        assert list(engine.journal.held) == ["a", "b", "c"]
+        assert list(engine.journal.messages) == ["a", "b", "c"]
         submit(engine, answers, message("e", destination=2))
         assert answers["e"] == (503, 1000) and slices.wanted == [1]
         close(engine)
@@ -233,9 +235,9 @@
 @pytest.mark.parametrize("how", ["hold", "freeze"])
 def test_at_an_end_or_a_handover_first_messages_are_answered(tmp_path: Path, how: str) -> None:
     class Nobody:
-        def told(self, host: str, wait: int) -> None: ...
-        def ended(self, message: str, host: str, ending: Ending) -> None: ...
-        def doubted(self, message: str, host: str, ran_at: int) -> None: ...
+        def retry_after_received(self, host: str, wait: int) -> None: ...
+        def attempt_ended(self, message: str, host: str, ending: AttemptResult) -> None: ...
+        def outcome_disputed(self, message: str, host: str, ran_at: int) -> None: ...
 
     async def scenario() -> None:
         engine, slices = make(tmp_path)
@@ -243,14 +245,14 @@
         submit(engine, answers, message("a"))
         submit(engine, answers, message("b", destination=2))
         if how == "hold":
-            engine.hold()
+            engine.stop_admitting()
         else:
-            engine.freeze(Nobody())
-        assert answers == {"a": (503, 1000), "b": (503, 1000)} and engine.open == 0
+            engine.pause(Nobody())
+        assert answers == {"a": (503, 1000), "b": (503, 1000)} and engine.open_messages == 0
         submit(engine, answers, message("c"))
         assert answers["c"] == (503, 1000) and slices.wanted == [1, 2]
         hold(engine)  # the answer that was under way
-        assert not engine.journal.held and engine.let_go([1, 2]) == []
+        assert not engine.journal.messages and engine.release_destinations([1, 2]) == []
         close(engine)
 
     play(scenario)
@@ -263,11 +265,11 @@
         submit(engine, answers, message("a"))
         while engine.turn_due:
             await asyncio.sleep(0)
-        engine.listed(*listing("h1"))
+        engine.endpoints_listed(*listing("h1"))
         engine._turn()
-        engine.pulse.woke = asyncio.get_running_loop().time()  # it stood still
-        engine.sliced(1, Slice.HELD)
-        assert answers == {"a": (503, 1000)} and engine.turn_due and not engine.journal.held
+        engine.stall_detector.woke = asyncio.get_running_loop().time()  # it stood still
+        engine.destination_resolved(1, ResolutionStatus.RESOLVED)
+        assert answers == {"a": (503, 1000)} and engine.turn_due and not engine.journal.messages
         close(engine)
 
     play(scenario)
@@ -285,32 +287,32 @@
             submit(engine, answers, message(name, destination, "status"))
         engine._turn()
         assert isinstance(engine.journal, Journal)
-        engine.journal.tried(engine.journal.held["a"], "h1")
-        engine.journal.end("told", {"status": "deferred"})
+        engine.journal.record_attempt(engine.journal.messages["a"], "h1")
+        engine.journal.record_final_status("told", {"status": "deferred"})
         close(engine)
 
         engine, slices = make(tmp_path)
         assert slices.wanted == [1, 2] and engine.recovering == {1, 2}
         engine._turn()
-        assert not engine.brain.messages and engine.let_go([1, 2]) == []
-        engine.noticed("told")  # heard before the module knows of it
-        engine.sliced(2, Slice.AWAY)
+        assert not engine.scheduler.messages and engine.release_destinations([1, 2]) == []
+        engine.final_status_reported("told")  # heard before the module knows of it
+        engine.destination_resolved(2, ResolutionStatus.UNAVAILABLE)
         assert slices.wanted == [1, 2, 2]  # tried on
         hold(engine, 1)
         engine._turn()
-        assert not engine.brain.messages
+        assert not engine.scheduler.messages
         hold(engine, 2)
         engine._turn()
-        assert list(engine.brain.messages) == ["a", "b", "c"] and not engine.brain.unnoticed
-        ran_on = engine.brain.messages["a"].ran_on
+        assert list(engine.scheduler.messages) == ["a", "b", "c"] and not engine.scheduler.unnoticed
+        ran_on = engine.scheduler.messages["a"].ran_on
         assert ran_on is not None and ran_on.name == "h1"
         close(engine)
 
         engine, slices = make(tmp_path)
-        engine.take_up()  # no registry answers for too long
+        engine.replay_recovered()  # no registry answers for too long
         engine._turn()
-        assert sorted(engine.brain.messages) == ["a", "b", "c"]
-        engine.sliced(1, Slice.AWAY)
+        assert sorted(engine.scheduler.messages) == ["a", "b", "c"]
+        engine.destination_resolved(1, ResolutionStatus.UNAVAILABLE)
         assert slices.wanted == [1, 2]  # not tried on by the engine
         close(engine)
 
@@ -323,7 +325,7 @@
         answers: Answers = {}
         for destination in (1, 2, 3, 4, 5):
             hold(engine, destination)
-        engine.listed(*listing("h1b"))
+        engine.endpoints_listed(*listing("h1b"))
         submit(engine, answers, message("in-line", 2))
         engine._turn()
         submit(engine, answers, message("unheard", 3))  # the module has not heard of it
@@ -331,15 +333,15 @@
         submit(engine, answers, message("ended", 4, "status"))
         engine._turn()
         submit(engine, answers, message("late", 5))
-        engine.journal.end("ended", {"status": "deferred"})  # untold as yet
-        assert engine.let_go([1, 2, 3, 4, 5, 6, 7]) == [1, 7]
-        assert 1 not in engine.destinations and set(engine.entries) == {"h2", "h3", "h4", "h5"}
-        assert set(engine.bundles) == set(engine.entries)
+        engine.journal.record_final_status("ended", {"status": "deferred"})  # untold as yet
+        assert engine.release_destinations([1, 2, 3, 4, 5, 6, 7]) == [1, 7]
+        assert 1 not in engine.destinations and set(engine.endpoint_entries) == {"h2", "h3", "h4", "h5"}
+        assert set(engine.batch_sizes) == set(engine.endpoint_entries)
         assert engine.events[-1] == DestinationsReleased((1, 7))
         engine._turn()
-        assert "h1" not in engine.brain.endpoints and "h2" in engine.brain.endpoints
+        assert "h1" not in engine.scheduler.endpoints and "h2" in engine.scheduler.endpoints
         submit(engine, answers, message("again", 1))
-        assert "again" in engine.parking
+        assert "again" in engine.pending_submissions
         hold(engine, 1)
         engine._turn()
         assert answers["again"] == (202, 0)
@@ -358,12 +360,12 @@
         hold(engine, 2)
         engine._turn()
         if not sliced:
-            engine.slices = None
-        told = json.loads(json.dumps(engine.state()))
+            engine.subscription = None
+        told = json.loads(json.dumps(engine.export_state()))
         assert told["revision"] == (None if sliced else 7)
         close(engine)
-        handed = handover.read(told, 1)
-        assert handed.sliced is sliced and handed.slice_revision == (7 if sliced else None)
+        handed = handover.read_state(told, 1)
+        assert handed.is_subscription is sliced and handed.subscription_revision == (7 if sliced else None)
         engine, slices = make(tmp_path, handed=replace(handed))
         assert slices.adopted == [(7, [1, 2], ["h1", "h2"])]
         assert slices.log == [f"resume {None if sliced else 7}"]
@@ -377,7 +379,11 @@
         engine, _ = build(config_of(tmp_path))
         answers: Answers = {}
         submit(engine, answers, message("a"))
-        assert answers == {"a": (503, 1000)} and engine.slices is None and not len(engine.parking)
+        assert (
+            answers == {"a": (503, 1000)}
+            and engine.subscription is None
+            and not len(engine.pending_submissions)
+        )
         close(engine)
 
     play(scenario)
--- a/tests/server/http/test_endings.py
+++ b/tests/server/http/test_endings.py
@@ -50,9 +50,9 @@
 
         async with asyncio.timeout(HANG):
             await scenario(server, come)
-        assert not engine.journal.held
+        assert not engine.journal.messages
         await server.close()
-        engine.notices.close()
+        engine.status_reporter.close()
         engine.discovery.close()
         engine.delivery.close()
 
--- a/tests/store/test_recorder.py
+++ b/tests/store/test_recorder.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loftrelay.relay.message import Held
+from loftrelay.relay.message import Message
 from loftrelay.store import recorder as module
 from loftrelay.store.backend import Query
 from loftrelay.store.recorder import Recorder, Verdict
@@ -27,8 +27,8 @@
         self.now = AT
         monkeypatch.setattr(module, "wall_clock", lambda: self.now)
 
-    def held(self, name: str, class_name: str = "order") -> Held:
-        return Held(name, 0, class_name, "acme", 1, None, self.now, self.now + 9_000_000)
+    def held(self, name: str, class_name: str = "order") -> Message:
+        return Message(name, 0, class_name, "acme", 1, None, self.now, self.now + 9_000_000)
 
 
 NEVER = 3600.0  # seconds of patience where no refusal is looked for: opening a file may take its time
@@ -53,22 +53,22 @@
     return Recorder(recorder.writer, "n2", recorder.modes, HOUR, patience=NEVER)
 
 
-async def take(recorder: Recorder, held: Held) -> Verdict:
+async def take(recorder: Recorder, held: Message) -> Verdict:
     told: asyncio.Future[Verdict] = asyncio.get_running_loop().create_future()
-    recorder.take(held, told.set_result)
+    recorder.admit(held, told.set_result)
     return await told
 
 
-async def live(recorder: Recorder, held: Held, answer: Answer = Answer.DELIVERED) -> None:
+async def live(recorder: Recorder, held: Message, answer: Answer = Answer.DELIVERED) -> None:
     """One attempt, and its end, told."""
     loop = asyncio.get_running_loop()
     went: asyncio.Future[bool] = loop.create_future()
-    recorder.intend([held], "h1", went.set_result)
+    recorder.request_attempt([held], "h1", went.set_result)
     assert await went
     ended: asyncio.Future[None] = loop.create_future()
-    recorder.end(held.id, answer.value, "OK", lambda: ended.set_result(None))
+    recorder.record_final_status(held.id, answer.value, "OK", lambda: ended.set_result(None))
     await ended
-    recorder.told(held.id)
+    recorder.final_status_reported(held.id)
 
 
 async def stored(recorder: Recorder) -> dict[str, Entry]:
@@ -84,23 +84,23 @@
         store.gate.clear()
         recorder.patience = 0.01
         first = await take(recorder, clock.held("m"))
-        assert first.retry_ms >= 1000
+        assert first.retry_after_ms >= 1000
         again = await take(recorder, clock.held("m"))  # nobody knows yet whether the store will have it
-        assert again.retry_ms >= 1000
+        assert again.retry_after_ms >= 1000
         assert (await take(recorder, clock.held("follows", "status"))).known is Known.NEW
         store.gate.set()
         async with asyncio.timeout(60):
             while recorder.tracks["m"].state is State.TAKEN:
                 await asyncio.sleep(0)
             # Its refusal is on its way to the store: an earlier form took the id on anew here, and lost it.
-            assert (await take(recorder, clock.held("m"))).retry_ms >= 1000
+            assert (await take(recorder, clock.held("m"))).retry_after_ms >= 1000
             while "m" in recorder.tracks or (entry := (await stored(recorder))["m"]).state is not State.TOLD:
                 await asyncio.sleep(0)
         assert (entry.answer, entry.attempts) == (Answer.REFUSED, 0)
         recorder.patience = NEVER
         clock.now += 1_000_000
         verdict = await take(recorder, clock.held("m"))
-        assert verdict.known is Known.NEW and not verdict.retry_ms
+        assert verdict.known is Known.NEW and not verdict.retry_after_ms
         assert (await stored(recorder))["m"].run == 2
 
     run(tmp_path, scenario)
@@ -118,7 +118,7 @@
         await stored(recorder)
         recorder.patience = 0.01
         store.gate.clear()
-        assert (await take(recorder, clock.held("m"))).retry_ms
+        assert (await take(recorder, clock.held("m"))).retry_after_ms
         store.gate.set()
         async with asyncio.timeout(60):
             while "m" in recorder.tracks:
@@ -139,13 +139,13 @@
         held = clock.held("m")
         await take(recorder, held)
         ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        recorder.end("m", "refused", None, lambda: ended.set_result(None))
+        recorder.record_final_status("m", "refused", None, lambda: ended.set_result(None))
         await ended
         other = beside(recorder)
         clock.now += 1
         verdict = await take(other, clock.held("m"))
-        assert (verdict.status, verdict.retry_ms >= 1000) == (503, True)
-        recorder.told("m")
+        assert (verdict.status, verdict.retry_after_ms >= 1000) == (503, True)
+        recorder.final_status_reported("m")
         assert (await take(other, clock.held("m"))).known is Known.NEW
 
     run(tmp_path, scenario)
--- a/tests/upgrade/test_successor.py
+++ b/tests/upgrade/test_successor.py
@@ -12,9 +12,9 @@
 
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.clock import wall_clock
-from loftrelay.relay.message import Held
+from loftrelay.relay.message import Message
 from loftrelay.server.http.server import Given, Kind, Server
-from loftrelay.upgrade.successor import Taker
+from loftrelay.upgrade.successor import HandoverReceiver
 from tests.relay.test_engine import make_engine
 
 
@@ -27,15 +27,15 @@
         owner = Journal(tmp_path, 1_000_000)
         now = wall_clock()
         for n in range(5):
-            owner.take(Held(f"m{n}", 0, "status", "acme", 1, None, now, now + 9_000_000, b"body"))
-        taker = Taker(tmp_path, 1_000_000, 1)
+            owner.admit(Message(f"m{n}", 0, "status", "acme", 1, None, now, now + 9_000_000, b"body"))
+        taker = HandoverReceiver(tmp_path, 1_000_000, 1)
         there = Journal._paths
         monkeypatch.setattr(Journal, "_paths", lambda self: [tmp_path / "0000000000.log", *there(self)])
         taker.journal = taker._read_ahead()
         assert taker.journal is None
         monkeypatch.setattr(Journal, "_paths", there)  # all stand still by now
         taker._load()
-        assert taker.journal is not None and list(taker.journal.held) == list(owner.held)
+        assert taker.journal is not None and list(taker.journal.messages) == list(owner.messages)
         owner.close()
 
     asyncio.run(main())
@@ -71,6 +71,6 @@
         os.close(files[0])
         assert server.sweeping is not None
         server.sweeping.cancel()
-        engine.notices.close()
+        engine.status_reporter.close()
 
     asyncio.run(main())
