--- a/benchmarks/manyrelays.py
+++ b/benchmarks/manyrelays.py
@@ -31,7 +31,8 @@
     if earlier_program(commit, folder) is None:
         return None
     spec = importlib.util.spec_from_file_location("brain_before", folder / "mulleinlead" / "brain.py")
-    assert spec is not None and spec.loader is not None
+    assert spec is not None
+    assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     sys.modules[spec.name] = module  # its dataclasses look themselves up
     spec.loader.exec_module(module)
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -160,7 +160,8 @@
     PIPE = asyncio.subprocess.PIPE
     serving = process("-m", "benchmarks.registry", "--serve", str(size), stdin=PIPE, stdout=PIPE)
     async with asyncio.timeout(PATIENCE), serving as discovery:
-        assert discovery.stdout is not None and discovery.stdin is not None
+        assert discovery.stdout is not None
+        assert discovery.stdin is not None
         port = int(await discovery.stdout.readline())
         file = folder / "registry.toml"
         file.write_text(f'[registry]\nlisten = "127.0.0.1:0"\ndiscovery = "127.0.0.1:{port}"\n')
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -343,7 +343,8 @@
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
     )
-    assert process.stdin is not None and process.stdout is not None
+    assert process.stdin is not None
+    assert process.stdout is not None
     try:
         address = "127.0.0.1", int(await process.stdout.readline())
         seen, enough, wanted = 0, asyncio.Event(), watches // 5
@@ -561,7 +562,8 @@
         stdout=asyncio.subprocess.PIPE,
         limit=1 << 24,
     )
-    assert process.stdin is not None and process.stdout is not None
+    assert process.stdin is not None
+    assert process.stdout is not None
     node, view = await fleet_peers.opened("me")
     try:
         others = json.loads(await process.stdout.readline())
--- a/loftrelay/config/platform.py
+++ b/loftrelay/config/platform.py
@@ -86,7 +86,8 @@
 
 def reload(environ: Mapping[str, str], in_force: Mapping[str, Any]) -> Change:
     """Reads the file again, whole, and checks it whole. Once it has been replaced, what it says of discovery
-    goes before the environment. Raises ConfigError: then nothing of it may be used."""
+    goes before the environment. Raises ConfigError: then nothing of it may be used.
+    """
     told = read_file(environ)
     path = environ["RELAY_CONFIG"]
     settings = read_told(told, path)
@@ -104,7 +105,8 @@
 
 def load_config(environ: Mapping[str, str], fleet: bool = False) -> Config:
     """The environment names what it names; the rest comes from the file, or where that can't be used, from
-    what was last in force. `fleet`: the relay is to know others. Raises ConfigError."""
+    what was last in force. `fleet`: the relay is to know others. Raises ConfigError.
+    """
     try:
         return _config(environ, read_file(environ), environ["RELAY_CONFIG"], fleet)
     except ConfigError as error:
--- a/loftrelay/config/toml_file.py
+++ b/loftrelay/config/toml_file.py
@@ -20,7 +20,8 @@
     """One key of a file.
 
     A default that is a bool takes true or false; a tuple, a list of texts; a string, one of `words`, or any
-    where there are none; an int, a whole number, and a float, any number, both from `least` to `most`."""
+    where there are none; an int, a whole number, and a float, any number, both from `least` to `most`.
+    """
 
     name: str
     default: bool | int | float | str | tuple[str, ...]
@@ -59,7 +60,8 @@
 
 def read_toml(path: Path, keys: Sequence[Key], table: str = "") -> Mapping[str, Any]:
     """Every key with its value, those that the file leaves out with their defaults. `table`: the one in
-    which they stand, with nothing beside it. Raises SettingsError."""
+    which they stand, with nothing beside it. Raises SettingsError.
+    """
     import tomllib  # most relays are started without an operator's file
 
     try:
--- a/loftrelay/decisions/events.py
+++ b/loftrelay/decisions/events.py
@@ -171,7 +171,8 @@
 class DestinationsReleased:
     """This instance serves these destinations no more. Their endpoints are forgotten, and what still binds
     comes back with the first entry that names the destination again. One that is not idle (Brain.idle) stays
-    as it is."""
+    as it is.
+    """
 
     destinations: tuple[int, ...]
 
--- a/loftrelay/decisions/scheduler.py
+++ b/loftrelay/decisions/scheduler.py
@@ -488,7 +488,8 @@
 
     def is_idle(self, now: int, number: int) -> bool:
         """Whether nothing waits, is out or stands in line for a destination, after all events handled so far:
-        what may be let go."""
+        what may be let go.
+        """
         destination = self.destinations.get(number)
         return destination is None or not (
             destination.owed or destination.in_flight or destination.rests_until > now
@@ -723,7 +724,8 @@
 
     def _end_told_out(self) -> None:
         """Messages whose time covers no call any more once the waits are over that all their endpoints told:
-        what is given up is answered at once."""
+        what is given up is answered at once.
+        """
         for destination in self.told_of.values():
             opens = min((e.gate.told_until for e in destination.endpoints if e.serves), default=0)
             if opens > self.now:
@@ -1135,7 +1137,8 @@
     def _idle_limit(self) -> int | None:
         """The idle time from which on connections are reset far more often than fresh ones, over all hosts:
         time-outs of hosts, of what stands between, tables that overflow. Harm: where only some hosts or ways
-        do so, the others' connections are opened anew for unsafe messages, too."""
+        do so, the others' connections are opened anew for unsafe messages, too.
+        """
         bound = 2 * self._reset_share(0) + WORN
         worn = [octave for octave in self.wear if octave and self._reset_share(octave) > bound]
         return LEAST_IDLE << min(worn) - 1 if worn else None
--- a/loftrelay/decisions/snapshot.py
+++ b/loftrelay/decisions/snapshot.py
@@ -150,7 +150,8 @@
 
 def write(module: Scheduler, events: Iterable[Event] = ()) -> str:
     """The module, and events that it has not seen yet. Alarms of what is over are let go first: they hold all
-    messages of the last seconds, and would only wake the module for nothing."""
+    messages of the last seconds, and would only wake the module for nothing.
+    """
     module.alarms = [a for a in module.alarms if not (isinstance(a[2], scheduler.Message) and a[2].over)]
     heapq.heapify(module.alarms)
     told = _Writer().whole((module, list(events)))
--- a/loftrelay/delivery/call_outcome.py
+++ b/loftrelay/delivery/call_outcome.py
@@ -37,7 +37,8 @@
 
 def told_wait(headers: Headers) -> int:
     """In microseconds; 0 where none is told, or nothing that is a number. Of several the longest binds, and
-    one too long to be meant counts as eleven days."""
+    one too long to be meant counts as eleven days.
+    """
     longest = 0
     for name, value in headers:
         if name == b"x-come-back-ms" and (told := WAIT.fullmatch(value)) is not None:
@@ -50,7 +51,8 @@
     """A status that the protocol does not know may mean anything: it may have run.
 
     410 does not end what the relay owes: a host's clock runs some milliseconds before the relay's, which
-    counts from a message's arrival. Trouble: a bundle of 19 whose time ran out there was forgotten."""
+    counts from a message's arrival. Trouble: a bundle of 19 whose time ran out there was forgotten.
+    """
     result = STATUSES.get(answer.status, AttemptStatus.ERROR)
     if answer.status == 503 and answer.headers.get(b"x-line-busy") == b"1":
         result = AttemptStatus.NOT_SENT
--- a/loftrelay/delivery/connection_pool.py
+++ b/loftrelay/delivery/connection_pool.py
@@ -159,7 +159,8 @@
     def limit(self, now: int, evidence: int) -> int | None:
         """From which time on most are dead, with at least so much evidence; None where none shows.
 
-        Where new connections fail as often the server is at fault, not the time."""
+        Where new connections fail as often the server is at fault, not the time.
+        """
         self._fade(now)
         if not self.rows:
             return None
@@ -352,7 +353,8 @@
     def want(self, call: int, name: str, unsafe: bool, most_idle: int | None, now: int) -> list[Action]:
         """A call is to go out. It gets a Use or a Deny, at once or later, unless it is withdrawn before.
 
-        `most_idle`: no connection that has stood idle for so long may carry it (microseconds)."""
+        `most_idle`: no connection that has stood idle for so long may carry it (microseconds).
+        """
         self._begin(now)
         if (server := self.servers.get(name)) is None:
             self.out.append(Deny(call, Denied.GONE))
@@ -423,7 +425,8 @@
     def answered(self, number: int, reusable: bool, now: int, took: int | None = None) -> list[Action]:
         """The call's answer is whole. `reusable`: and the connection is as sound as before.
 
-        `took`: from the request's last byte to the answer's first (microseconds), where it is a delivery."""
+        `took`: from the request's last byte to the answer's first (microseconds), where it is a delivery.
+        """
         self._begin(now)
         if (connection := self.connections.get(number)) is None:
             return self.out
@@ -458,7 +461,8 @@
 
     def broken(self, number: int, dead: bool, now: int) -> list[Action]:
         """The connection ended under its call, or is of no further use. `dead`: reset, ended or silent, so
-        that it may have been dead before; not: an answer that can't be read, or a call that was cut off."""
+        that it may have been dead before; not: an answer that can't be read, or a call that was cut off.
+        """
         self._begin(now)
         if (connection := self.connections.get(number)) is None:
             return self.out
@@ -474,7 +478,8 @@
 
     def closed(self, number: int, now: int) -> list[Action]:
         """The peer ended an idle connection; or one that was about to be used and has carried no byte of its
-        call: then its call is to be wanted again."""
+        call: then its call is to be wanted again.
+        """
         self._begin(now)
         if (connection := self.connections.get(number)) is None:
             return self.out
@@ -497,7 +502,8 @@
         have been taken for the answer to another request. `behind`: they came with the end of an answer.
 
         What comes with an answer, or within the rest that its connection takes in any case, can reach no
-        other request: it ends its connection, and costs no trust."""
+        other request: it ends its connection, and costs no trust.
+        """
         self._begin(now)
         if (connection := self.connections.get(number)) is None:
             return self.out
@@ -565,7 +571,8 @@
 
     def earliest(self, number: int) -> int:
         """Sooner than that (microseconds) after its last byte, no answer on this connection is believed at
-        once: the server never answered so soon, and it has carried calls whose copies may come."""
+        once: the server never answered so soon, and it has carried calls whose copies may come.
+        """
         connection = self.connections.get(number)
         if connection is None or connection.carried < 2 or connection.server.answers < 32:
             return 0
@@ -606,7 +613,8 @@
 
     def _oldest(self, server: Server) -> Iterator[Waiting]:
         """Calls in the order in which they came: as many as there are connections to give, and LOOKED_AT more
-        that may be choosier than the rest."""
+        that may be choosier than the rest.
+        """
         most = len(server.idle) + len(server.fresh) + LOOKED_AT
         return iter([w for w, _ in zip(server.waiting.values(), range(most), strict=False)])
 
@@ -615,7 +623,8 @@
 
     def _pick(self, waiting: Waiting) -> Connection | None:
         """The connection for a call, of those idle. One that has not rested is taken where its rest is over
-        sooner than another could be open, or no other may be opened."""
+        sooner than another could be open, or no other may be opened.
+        """
         server, limits = waiting.server, self.limits
         self._retire(server)
         if waiting.unsafe:
@@ -659,7 +668,8 @@
 
     def _candidates(self, server: Server) -> list[Connection]:
         """Idle connections that have carried calls, in the order in which they are to be used: a few, and the
-        one that has rested longest."""
+        one that has rested longest.
+        """
         if not server.idle:
             return []
         if self.limits.order is Order.ROTATE:
@@ -753,7 +763,8 @@
 
     def _open_ahead(self, server: Server) -> None:
         """As many idle or opening as calls come in the time that opening one takes, where that is welcome:
-        never toward a destination that is cold, shut or told to wait, or did not answer well of late."""
+        never toward a destination that is cold, shut or told to wait, or did not answer well of late.
+        """
         if not self.limits.ahead or not server.wanted or server.waiting:
             return
         group = server.group
--- a/loftrelay/delivery/host_client.py
+++ b/loftrelay/delivery/host_client.py
@@ -38,7 +38,8 @@
 
 class Stale(Exception):
     """What was decided holds no more: the process stood still, the host drains or is gone, or the window in
-    which repeats are dropped is over. The host has not the whole of the call."""
+    which repeats are dropped is over. The host has not the whole of the call.
+    """
 
 
 class Bound(Exception):
@@ -105,7 +106,8 @@
 
 class HostClient:
     """Raises nothing: each message of a call ends by one `ended`. Times given to the pools are the loop's, in
-    microseconds."""
+    microseconds.
+    """
 
     def __init__(
         self,
@@ -123,7 +125,8 @@
         bound: Callable[[str], bool] = lambda host: False,
     ) -> None:
         """`told` is told of a wait (microseconds) as soon as the head of an answer that tells it is read;
-        `bound` says whether one binds a host now."""
+        `bound` says whether one binds a host now.
+        """
         most_idle = (idle_limit or NO_IDLE) - IDLE_MARGIN
         limits = replace(
             limits,
@@ -160,7 +163,8 @@
 
     def drain_host(self, host: str) -> None:
         """Calls of which nothing is written come back. Trouble: one that waited for its connection went out
-        1.5 s after the drain was told, and some platforms allow less."""
+        1.5 s after the drain was told, and some platforms allow less.
+        """
         self.draining.add(host)
         for call in self.waiting.values():
             if call.host == host and call.granted is not None and not call.granted.done():
@@ -379,7 +383,8 @@
 
     def _holds(self, call: Call, deadline: float) -> None:
         """Raises Stale or Bound where what was decided holds no more: a drain, a wait or the end of a
-        message's time may have come meanwhile, and after a stall nobody knows."""
+        message's time may have come meanwhile, and after a stall nobody knows.
+        """
         now = asyncio.get_running_loop().time()
         self.pulse.look(now)
         if self.pulse.since(call.at) or now >= min(deadline, call.begin_by):
--- a/loftrelay/demo/peers.py
+++ b/loftrelay/demo/peers.py
@@ -121,7 +121,8 @@
     """Runs what it is sent, and seldom turns away or fails, by one seed. `effects` is its true account.
 
     Harm: one that turned 6 of 100 away, whatever its load, was held to be overloaded, and 177 of 1,000
-    messages waited until their time was up."""
+    messages waited until their time was up.
+    """
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
--- a/loftrelay/discovery/client.py
+++ b/loftrelay/discovery/client.py
@@ -136,7 +136,8 @@
         most_list: int = MOST_LIST,
     ) -> None:
         """`in_force`: all entries that were told and are not gone; without it every list is taken at one go.
-        `refused`: told of each list that is longer than `most_list`, in bytes: a failed call."""
+        `refused`: told of each list that is longer than `most_list`, in bytes: a failed call.
+        """
         self.in_force, self.refused, self.most_list = in_force, refused, most_list
         self.said: tuple[int | None, int] | None = None  # the last of these that the log tells of
         self.wait = min(MOST_WAIT, (ask_every or NO_ASK_EVERY) / 2e6)
@@ -193,7 +194,8 @@
 
     async def _watch(self) -> None:
         """Goes on until a call fails; then the module says when to ask again. The first call after a failure
-        is not held: what was missed is answered at once."""
+        is not held: what was missed is answered at once.
+        """
         loop = asyncio.get_running_loop()
         try:
             while True:
@@ -226,7 +228,8 @@
         self, told: Long, in_force: Callable[[], Mapping[str, tuple[EndpointEntry, Address]]]
     ) -> None:
         """Only what differs from the list in force is told: hosts that serve or drain as they come, those
-        that are gone last. The loop is free in between."""
+        that are gone last. The loop is free in between.
+        """
         self.revision = None  # if this is cut off, the list is a mixture: the whole one is to be asked for
         self.pieces = 0
         listed: set[str] = set()
--- a/loftrelay/discovery/http_client.py
+++ b/loftrelay/discovery/http_client.py
@@ -26,7 +26,8 @@
     ) -> Answer:
         """Within `timeout` seconds, of which a new connection may take `connect`; an answer that is longer
         than MOST_BODY has more (net/http.py, SLOWEST). Raises OSError (TimeoutError among them) or
-        ConnectionBroken (AnswerTooLong among them)."""
+        ConnectionBroken (AnswerTooLong among them).
+        """
         kept, self.connection = self.connection, None
         until = asyncio.get_running_loop().time() + timeout
         headers = {"Host": "discovery", "Content-Length": str(len(body))}
--- a/loftrelay/discovery/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -52,7 +52,8 @@
 
 class Subscriber:
     """A Directory and a Slices. `address` is the platform's discovery: notices go there, and no list is asked
-    of it. The watch goes on by itself, with waits of its own: the module is never told that it failed."""
+    of it. The watch goes on by itself, with waits of its own: the module is never told that it failed.
+    """
 
     def __init__(
         self,
--- a/loftrelay/discovery/subscription.py
+++ b/loftrelay/discovery/subscription.py
@@ -117,7 +117,8 @@
 class Cell:
     """`hosts`: None before it was told. `at`: the revision as of which it was told whole; it is known as of
     the slice's revision where that is higher. `doubted`: to be told whole, whatever stands here, and told on
-    whole."""
+    whole.
+    """
 
     hosts: dict[str, Row] | None = None
     at: int = 0
@@ -148,7 +149,8 @@
 
 def preference(name: str, registries: Iterable[Address]) -> list[Address]:
     """Registries in a relay's own order, by rendezvous hashing. Where one goes, its relays spread over all
-    others; where one comes, it takes its share from each."""
+    others; where one comes, it takes its share from each.
+    """
 
     def weight(address: Address) -> bytes:
         return blake2b(f"{name}\0{address[0]}:{address[1]}".encode(), digest_size=8).digest()
@@ -692,7 +694,8 @@
         fresher.
 
         Trouble: one that was left lately, since it had stood still, was held to be as old as it was then, and
-        not asked: relays stayed with one that was cut off, beside it, for 48 s."""
+        not asked: relays stayed with one that was cut off, beside it, for 48 s.
+        """
         if answer.age / 1000 <= self.timing.stale:
             self.rounds = 0
             self.to_look.clear()
--- a/loftrelay/gossip/codec.py
+++ b/loftrelay/gossip/codec.py
@@ -70,7 +70,8 @@
 def encode(fleet: str, datagram: Datagram, calls: list[Call]) -> bytes:
     """Operators' calls go before news of members, and what does not fit is left out: it travels again.
 
-    Raises WireError where not even the rest fits."""
+    Raises WireError where not even the rest fits.
+    """
     kind, name, target = 1, "", None
     match datagram:
         case Probe():
--- a/loftrelay/gossip/operator_overrides.py
+++ b/loftrelay/gossip/operator_overrides.py
@@ -44,7 +44,8 @@
 
     def load(self, calls: Iterable[Call], out: Iterable[str]) -> None:
         """What stood on disk. `out`: the hosts that are out; one of which no call is known was taken out
-        before there was a fleet, or its call was not written: any call goes before it."""
+        before there was a fleet, or its call was not written: any call goes before it.
+        """
         for call in calls:
             self._hold(call)
         for host in out:
--- a/loftrelay/gossip/swim.py
+++ b/loftrelay/gossip/swim.py
@@ -37,7 +37,8 @@
 @dataclass(frozen=True, slots=True)
 class Peer:
     """What is said of a relay. `life` is drawn anew at each start; `incarnation` grows over all lives, and
-    only the relay itself raises it."""
+    only the relay itself raises it.
+    """
 
     name: str
     address: Address
@@ -131,7 +132,8 @@
 
 class Membership:
     """One relay's view. `start`: its first incarnation, Unix time in milliseconds, so that a later life is
-    above an earlier one; where the wall clock went back, it hears of its earlier life and rises above it."""
+    above an earlier one; where the wall clock went back, it hears of its earlier life and rises above it.
+    """
 
     def __init__(
         self,
@@ -382,7 +384,8 @@
 
     def _contest(self, other: Peer, now: int) -> None:
         """An earlier life of this relay is heard of a few times, and no more once it has been refuted.
-        Another that lives by the same name goes on: then the one with the higher life stays out."""
+        Another that lives by the same name goes on: then the one with the higher life stays out.
+        """
         if other.life == self.me.life:
             return  # an own datagram, come back
         if now - self.contested_at > 3 * self.timing.suspect:
--- a/loftrelay/gossip/transport.py
+++ b/loftrelay/gossip/transport.py
@@ -102,7 +102,8 @@
 
     def _look(self) -> None:
         """Before anything is made of a datagram: where the timer is long overdue, this process stood still,
-        and what others did not answer meanwhile says nothing of them."""
+        and what others did not answer meanwhile says nothing of them.
+        """
         now = self._now()
         if self.view is not None and self.due and now - self.due >= self.told.timing.suspect // 2:
             self.counts["stalls"] += 1
--- a/loftrelay/journal/journal.py
+++ b/loftrelay/journal/journal.py
@@ -306,7 +306,8 @@
 
     def _tidy(self, written: int) -> None:
         """Held messages fill half of the room at most, so one pass over all segments is always enough. It is
-        made in slices, so that nobody waits for a whole segment, while there is room for that."""
+        made in slices, so that nobody waits for a whole segment, while there is room for that.
+        """
         if self.size() > self.disk_bytes * 3 // 4:
             self._drop(len(self.segments) - 1)
         elif self.size() > self.disk_bytes * 5 // 8 and len(self.segments) > 1:
@@ -314,7 +315,8 @@
 
     def _drop(self, count: int, most: int | None = None) -> None:
         """Drops the oldest segments; what they tell of held messages is told again first. Stops in the midst
-        of one after `most` bytes: its messages are told twice then, and the later telling holds."""
+        of one after `most` bytes: its messages are told twice then, and the later telling holds.
+        """
         end = None if most is None else self.bytes + most
         for oldest in sorted(self.segments)[:count]:
             told, past = self.told_in.get(oldest, {}), self.past_homes.get(oldest, set())
--- a/loftrelay/net/http.py
+++ b/loftrelay/net/http.py
@@ -148,7 +148,8 @@
 
     def look_behind(self) -> None:
         """Takes note of bytes that came behind the answer and were not read with it, as on a loop that is
-        late."""
+        late.
+        """
         if self.surplus is None and self.transport is not None:
             came = unread(self.transport)
             self.surplus = came if came is not Unasked.END else None
@@ -170,7 +171,8 @@
         or not; one that is longer than MOST_BODY has more time. Calls `whole` once the system has the
         request's last byte, and `heard` with the headers of its answer once they are there, whatever comes of
         its rest.
-        If this is cancelled, the connection must be closed."""
+        If this is cancelled, the connection must be closed.
+        """
         assert self.transport is not None
         if not self.usable():
             raise Unusable
@@ -222,7 +224,8 @@
 
     def take_back(self, why: Exception) -> bool:
         """Ends the request that is out with `why`, unless its last byte is written already: the peer can't
-        have begun it, and never has it whole."""
+        have begun it, and never has it whole.
+        """
         if self.written or self.answer is None or self.answer.done():
             return False
         self.close()
--- a/loftrelay/registry/catalog.py
+++ b/loftrelay/registry/catalog.py
@@ -55,7 +55,8 @@
 
 class Staged:
     """An answer of discovery on its way: what differs from the list that is held. Nothing of it holds before
-    `Catalog.settle`, and nothing is kept of what is the same."""
+    `Catalog.settle`, and nothing is kept of what is the same.
+    """
 
     def __init__(self, catalog: Catalog) -> None:
         self.catalog = catalog
@@ -176,7 +177,8 @@
         """Puts in force what was staged, host by host, and gives the cell of each that changed. It may be
         gone through in pieces, but must be to its end: until then the revision that was held stands, and what
         is told is of then or newer. A whole list with a revision below it is a new count: nothing older than
-        it can be told from then on. Raises ValueError where changes don't follow the list that is held."""
+        it can be told from then on. Raises ValueError where changes don't follow the list that is held.
+        """
         if not complete and (staged.first or revision < self.revision):
             raise ValueError(f"changes up to {revision} don't follow a list of {self.revision}")
         if staged.first:
--- a/loftrelay/registry/protocol.py
+++ b/loftrelay/registry/protocol.py
@@ -38,7 +38,8 @@
     revision `index`: told whole only where anything changed since, or where that is not known. `drop`: told
     of no more, and before the others. All three may be told again without harm. `seq` grows with each call of
     one subscriber: one below the last is answered 410, since it was overtaken, and the last may be repeated.
-    `reset`: the set was empty before."""
+    `reset`: the set was empty before.
+    """
 
     fleet: str
     subscriber: str  # the relay's name and life, `NAME.LIFE`: no two processes share one
@@ -54,7 +55,8 @@
 class Watch:
     """Waits until something in the subscription is newer than `index`, or `wait` milliseconds have passed. A
     newer one of the same subscriber ends it, with nothing new. Answered 410 where discovery has counted anew
-    since, and where more than MOST_CELLS cells would have to be told whole at once."""
+    since, and where more than MOST_CELLS cells would have to be told whole at once.
+    """
 
     fleet: str
     subscriber: str
@@ -72,7 +74,8 @@
     those that are told whole: a host of one that is not among `members` is no longer listed there, and one
     with no members at all has none. `age`: milliseconds since the registry last heard discovery. `seq`,
     `count`, `sum`: the last change that is in the subscription, how many cells it holds, and their sum modulo
-    2^32, by which the relay knows that both hold the same."""
+    2^32, by which the relay knows that both hold the same.
+    """
 
     fleet: str
     revision: int
--- a/loftrelay/registry/server.py
+++ b/loftrelay/registry/server.py
@@ -129,7 +129,8 @@
 
     def refuse(self, status: int, why: str) -> None:
         """Answers what can't be read, if an answer can still be given. It is closed a little later: a close
-        over unread bytes resets the connection, and the answer may never be read."""
+        over unread bytes resets the connection, and the answer may never be read.
+        """
         if self.wire.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self.answer(status, protocol.write_error(why), last=True)
         else:
@@ -178,7 +179,8 @@
 
 class Server:
     """`age`: seconds since discovery was last heard; `figures`: more lines for its page; `idle`: seconds for
-    which a connection without a call is kept."""
+    which a connection without a call is kept.
+    """
 
     def __init__(
         self,
--- a/loftrelay/registry/subscriptions.py
+++ b/loftrelay/registry/subscriptions.py
@@ -38,7 +38,8 @@
 
 class Count(Enum):
     """Whether a relay's revisions are of discovery's present count. Where that count began anew and has come
-    up to what the relay knows, the numbers alone don't tell."""
+    up to what the relay knows, the numbers alone don't tell.
+    """
 
     SAME = auto()
     ANEW = auto()  # it began anew since: the set is to be told anew
@@ -128,7 +129,8 @@
 
     def watch(self, call: Watch, token: Any, now: float) -> tuple[Told | None, Parked | None]:
         """What to answer at once, or None: it waits until it is woken, or ended by `end`. And an older watch
-        of this subscriber, which is to be answered with nothing new. Raises Refused."""
+        of this subscriber, which is to be answered with nothing new. Raises Refused.
+        """
         self._check(call.fleet)
         subscription = self.of.get(call.subscriber)
         if subscription is None:
@@ -251,7 +253,8 @@
 
     def wake(self, everyone: bool = False) -> list[Parked]:
         """Watches that the changes since the last call concern, each to be ended by `end`. `everyone`: the
-        list counts anew, and what was told of older revisions tells nothing any more."""
+        list counts anew, and what was told of older revisions tells nothing any more.
+        """
         touched, self._touched = self._touched, {}
         if everyone:
             touched = dict.fromkeys(self.of.values())
--- a/loftrelay/registry/upstream.py
+++ b/loftrelay/registry/upstream.py
@@ -35,7 +35,8 @@
 
 class Upstream:
     """`touch`: of each cell that changes, with the revision; `settled`: an answer is in force; told whether
-    something changed and whether the list counts anew. `most`: bytes of one answer."""
+    something changed and whether the list counts anew. `most`: bytes of one answer.
+    """
 
     def __init__(
         self,
--- a/loftrelay/relay/engine.py
+++ b/loftrelay/relay/engine.py
@@ -147,7 +147,8 @@
         slices: SubscribedDirectory | None = None,
     ) -> None:
         """From here on it runs: the list as last known, then what was held before a restart, with
-        `slices` by `take_up`. `out`: the hosts that operators have taken out."""
+        `slices` by `take_up`. `out`: the hosts that operators have taken out.
+        """
         self.subscription = slices
         for host in out:
             self.disabled_hosts.add(host)
@@ -187,7 +188,8 @@
     @property
     def is_lagging(self) -> bool:
         """Whether the loop is late: a turn that is due has not run, or the process stood still and what came
-        meanwhile is not read. What a client wrote may be as old as that."""
+        meanwhile is not read. What a client wrote may be as old as that.
+        """
         now = asyncio.get_running_loop().time()
         self.stall_detector.look(now)
         return self.stall_detector.woke > self.settled or (
@@ -223,7 +225,8 @@
 
     def submit(self, held: Message, answer: Callable[[int, int], None]) -> None:
         """Takes a message in. The answer, a status and when to come back (ms), is given in this turn. While
-        the loop is behind it is a refusal, at once: its client may have left, and what is owed goes first."""
+        the loop is behind it is a refusal, at once: its client may have left, and what is owed goes first.
+        """
         if self.is_lagging:
             self._refuse_late(held, answer)
             return
@@ -245,7 +248,8 @@
 
     def destination_resolved(self, destination: int, state: ResolutionStatus) -> None:
         """What became of a destination that was asked for. Its first messages go on in the order in which
-        they came, before any that comes later, or are refused."""
+        they came, before any that comes later, or are refused.
+        """
         if destination in self.recovering:
             if state is ResolutionStatus.UNAVAILABLE and self.subscription is not None:
                 self.subscription.resolve(destination)
@@ -320,7 +324,8 @@
 
         One that does harm when it runs again is known until its time is up, so that a client which heard
         nothing and hands it in again under its id makes no second effect. One whose notice is out gets that
-        same end: the notice may have been heard already, and nothing would follow a 202."""
+        same end: the notice may have been heard already, and nothing would follow a 202.
+        """
         if (held := self.journal.messages.get(message)) is not None:
             if held.final_status is None or self.message_states.stage(message) in (
                 Stage.RECORDING_DELIVERY,
@@ -367,7 +372,8 @@
 
     def pause(self, away: OutcomeForwarder) -> None:
         """Stands still: nothing is decided, begun, written or told until `thaw`. What its calls still tell
-        goes to `away`. Calls that were decided and have not begun are to be decided anew."""
+        goes to `away`. Calls that were decided and have not begun are to be decided anew.
+        """
         self._answer_taken()
         self._refuse_parked()
         self.outcome_forwarder = away
@@ -552,7 +558,8 @@
 
     def replay_recovered(self) -> None:
         """The module hears of what was held before a restart, if it has not: it has to know where each last
-        ran, so that a slice is waited for, for a while."""
+        ran, so that a slice is waited for, for a while.
+        """
         self.recovering.clear()
         recovered, self.recovered = self.recovered, []
         now = wall_clock()
@@ -680,7 +687,8 @@
 
     def release_destinations(self, destinations: Iterable[int]) -> list[int]:
         """Lets go of those for which nothing is held, in flight or in line, and gives them. What binds of
-        them (a told wait, an outage) stays with the module."""
+        them (a told wait, an outage) stays with the module.
+        """
         if self.is_stopping or self.outcome_forwarder is not None or self.recovered:
             return []
         now = self._clock()
@@ -729,7 +737,8 @@
     def retry_after_received(self, host: str, wait: int) -> None:
         """An answer of a host tells to wait (microseconds from now). It binds from here on, before the next
         turn and whatever becomes of the answer's rest and of its call: what was decided for whom it binds and
-        is not written whole comes back."""
+        is not written whole comes back.
+        """
         if self.outcome_forwarder is not None:
             self.outcome_forwarder.retry_after_received(host, wait)
             return
@@ -900,7 +909,8 @@
 
     def _settle(self, passes: int) -> None:
         """After a stall nothing is decided before all that came meanwhile is known: answers, a list, clients
-        that have left."""
+        that have left.
+        """
         if passes:
             asyncio.get_running_loop().call_soon(self._settle, passes - 1)
             return
@@ -934,7 +944,8 @@
     def _call(self, host: str, sends: list[SendAttempt], batch: bool) -> None:
         """One call waits as long as its most patient message, and as all of its messages live: it is given up
         as a whole. Trouble: one whose time ran out was told of while the call stayed out for the rest; the
-        platform counted none of what its whole answer then called delivered (19 lost, incident r1ecba7)."""
+        platform counted none of what its whole answer then called delivered (19 lost, incident r1ecba7).
+        """
         messages = [self.journal.messages[send.message_id] for send in sends]
         for held in messages:
             held.attempts += 1
@@ -964,7 +975,8 @@
         self, place: int, host: str, messages: list[Message], terms: CallOptions, began: float, granted: bool
     ) -> None:
         """An authority lets an attempt begin (the store of record has its intent), or not. What was decided
-        holds no longer than a moment where a drain or a wait may have been told since."""
+        holds no longer than a moment where a drain or a wait may have been told since.
+        """
         took = asyncio.get_running_loop().time() - began
         calm = self.unsettled.get(messages[0].destination, 0.0) < began
         if granted and took < (LONGEST_CALM_INTENT if calm else LONGEST_INTENT) and not self.is_stopping:
@@ -981,7 +993,8 @@
 
     def _put_off(self, held: Message, host: str, again_ms: int) -> None:
         """An attempt was not begun for want of an authority's word. It costs no try: a store that is away for
-        a moment would use up all of them."""
+        a moment would use up all of them.
+        """
         held.attempts -= 1
         self.message_states.end_attempt(held.id)
         self._post(
--- a/loftrelay/relay/handover.py
+++ b/loftrelay/relay/handover.py
@@ -45,7 +45,8 @@
     sliced: bool = False,
 ) -> dict[str, Any]:
     """`sliced`: the list is a slice. Whoever follows without registries then asks for the whole list, also a
-    program that knows of no slices: no revision is told it."""
+    program that knows of no slices: no revision is told it.
+    """
     return {
         "module": snapshot.write(module, events),
         "list": [
--- a/loftrelay/relay/message_state.py
+++ b/loftrelay/relay/message_state.py
@@ -148,7 +148,8 @@
 
     def begin_rejecting(self, message: str) -> Answer | None:
         """Its end is decided. Where its client still waits for the first answer, that is the end: who is to
-        be answered once the store has it."""
+        be answered once the store has it.
+        """
         life = self.by_message.get(message)
         if life is None or life.stage is not Stage.UNANSWERED:
             return None
--- a/loftrelay/relay/message_terms.py
+++ b/loftrelay/relay/message_terms.py
@@ -48,7 +48,8 @@
 
 def is_idempotent(packed: Sequence[Any] | None) -> bool:
     """Whether a message of these terms may run again at any time. Where a destination drops repeats, it does
-    so for a while alone: its id has to be known for as long as a client may hand it in again."""
+    so for a while alone: its id has to be known for as long as a client may hand it in again.
+    """
     return packed is not None and packed[0] == DeliverySemantics.IDEMPOTENT.value
 
 
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -72,7 +72,8 @@
 
 class AttemptGate(Protocol):
     """Says whether a call that the module has decided may begin: a store that must have its intent, what may
-    be sent at all, whose message it is. Calls back from the loop, at once or later."""
+    be sent at all, whose message it is. Calls back from the loop, at once or later.
+    """
 
     @property
     def retry_after_ms(self) -> int:
@@ -120,7 +121,8 @@
     def close_all_idle_connections(self) -> None: ...
     def withdraw_blocked_calls(self) -> None:
         """A wait was told: calls to hosts that Engine.bound names now are taken back, each message by one
-        Engine.ended, as long as their last byte is not written."""
+        Engine.ended, as long as their last byte is not written.
+        """
 
     def send_call(self, host: str, messages: list[Message], terms: CallOptions) -> None: ...
     def withdraw_unsent_calls(self) -> list[tuple[Message, str]]:
@@ -157,7 +159,8 @@
 
     def resolve(self, destination: int) -> None:
         """A message came for one that is not held: one Engine.sliced follows, in the time set, at the latest.
-        Asked again meanwhile, the one answer stands for all."""
+        Asked again meanwhile, the one answer stands for all.
+        """
 
     def mark_used(self, destination: int) -> None:
         """A message came for one that is held: it is not idle."""
--- a/loftrelay/server/admin/commands.py
+++ b/loftrelay/server/admin/commands.py
@@ -58,7 +58,8 @@
 
     def change_for_fleet(self, host: str, out: bool) -> str | None:
         """An operator said so at another relay. This one's list may not name the host, or not yet. Gives the
-        reason why it can't hold here."""
+        reason why it can't hold here.
+        """
         if self.elsewhere is not None:
             return "another process of this relay is about to decide"  # and hears of it for itself
         return self._change(host, out, listed=False)
--- a/loftrelay/server/admin/protocol.py
+++ b/loftrelay/server/admin/protocol.py
@@ -34,7 +34,8 @@
 
     def feed(self, data: bytes) -> Call | None:
         """The call, once its line is whole; None before. What comes after the line is passed over.
-        Raises BadCall, once."""
+        Raises BadCall, once.
+        """
         if self.done:
             return None
         self.data += data[: MOST_LINE + 2 - len(self.data)]
--- a/loftrelay/server/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -223,7 +223,8 @@
     def close(self) -> None:
         """Lingering close: no more is sent, and what still comes is read and thrown away until the client has
         ended, too, or its time is up. A close over unread bytes would reset the connection, and what was
-        answered might never be read; what is read from here on is not taken on."""
+        answered might never be read; what is read from here on is not taken on.
+        """
         self.refused = True
         self._wait(LINGER)
         self.server.lingers(self)
@@ -234,7 +235,8 @@
 
     def drop(self) -> None:
         """Ends a lingering close, without a reset where nothing has come that is unread. A client that does
-        not read is not waited for."""
+        not read is not waited for.
+        """
         transport = self.transport
         if transport is not None and not unread(transport) and not transport.get_write_buffer_size():
             transport.close()
@@ -306,7 +308,8 @@
 
     def _refuse(self, status: int, reason: str) -> None:
         """Answers what can't be read, if an answer can still be given, and closes a little later: a close
-        with bytes unread resets the connection, and the client may never see its answer."""
+        with bytes unread resets the connection, and the client may never see its answer.
+        """
         self._withdraw()
         if self.wire.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             self.abort()
@@ -402,7 +405,8 @@
 
     async def listen(self, address: Address, inherited: int | None = None) -> Address:
         """Gives the address in use: port 0 stands for a free one. `inherited`: the descriptor of a socket
-        that listens already, and is shared with other processes. Raises OSError."""
+        that listens already, and is shared with other processes. Raises OSError.
+        """
         self.inherited = inherited
         if inherited is not None:
             listening = socket.socket(fileno=os.dup(inherited))
@@ -476,7 +480,8 @@
 
     def hand(self, give: Callable[[dict[str, Any], int], None]) -> None:
         """Gives each client that another process can go on with: its row and its descriptor, which is to be
-        duplicated. The rest end here, once what was written to them is sent."""
+        duplicated. The rest end here, once what was written to them is sent.
+        """
         self.giving = give
         kinds = ((Kind.NEW, self.newcomers), (Kind.ONCE, self.once), (Kind.REGULAR, self.regulars))
         for kind, clients in kinds:
@@ -496,7 +501,8 @@
 
     async def adopt(self, row: Mapping[str, Any], file: int) -> None:
         """Goes on with a client of another process; the descriptor is this one's own from now on. Raises
-        KeyError or ValueError where the row can't be read: then it is not."""
+        KeyError or ValueError where the row can't be read: then it is not.
+        """
         given = Given.read(row, file)
         sock = socket.socket(fileno=given.file)
         try:
@@ -526,7 +532,8 @@
     def _least_missed(self, client: Client) -> Client:
         """Who goes so that a new client may stay: one that has had time to speak and said nothing, then the
         longest idle, those that asked only once before the others. One that came just now may be about to
-        ask, as the new one may."""
+        ask, as the new one may.
+        """
         now = asyncio.get_running_loop().time()
         silent = next((c for c in self.newcomers if c.may_go and c is not client), None)
         idle = next((c for c in (*self.once, *self.regulars) if c.may_go), None)
@@ -574,7 +581,8 @@
 
     async def close(self) -> None:
         """No further connections but those that the system has taken already, and none kept on which no
-        request is open."""
+        request is open.
+        """
         self.closed = True
         if self.listening is not None and self.inherited is None:
             self._accept(QUEUED)  # the system would reset those
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -34,7 +34,8 @@
 
     Returns the engine with all its parts, running, and its journal. To be called within a running loop.
 
-    Raises OSError where the folder of the journal can't be used."""
+    Raises OSError where the folder of the journal can't be used.
+    """
     journal = journal or Journal(config.state, config.disk_bytes)
     engine = Engine(config.seed, config.settings, journal, record)
     delivery = HostClient(
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -189,7 +189,8 @@
 
         Trouble: on a starved machine relays listened and then did not run for up to 2.2 s. Clients waited in
         vain for an answer, where a refused connection would have told them at once; and ends of recovered
-        messages were overdue though the relay counted as ready."""
+        messages were overdue though the relay counted as ready.
+        """
         end = asyncio.get_running_loop().time() + CATCH_UP
         await asyncio.sleep(
             engine.batch_interval
@@ -203,7 +204,8 @@
 
     async def _subscribe(self, engine: Engine, handed: bool) -> None:
         """It serves once a registry has answered. With none that does it serves all the same after a while:
-        what it holds it goes on with, and first messages are refused with when to come back."""
+        what it holds it goes on with, and first messages are refused with when to come back.
+        """
         from loftrelay.discovery.subscriber import Subscriber
 
         subscriber = engine.subscription
--- a/loftrelay/simulation/proxy.py
+++ b/loftrelay/simulation/proxy.py
@@ -18,7 +18,8 @@
 @dataclass(slots=True)
 class Faults:
     """Of one way of a link. Chances from 0 to 1; delays in seconds, drawn evenly, so that later datagrams may
-    come first."""
+    come first.
+    """
 
     cut: bool = False
     loss: float = 0.0
--- a/loftrelay/store/backend.py
+++ b/loftrelay/store/backend.py
@@ -43,7 +43,8 @@
 
     def commit(self, changes: Sequence[Change]) -> dict[int, Entry]:
         """Stores all in one transaction. Gives, by place, the records that kept a change from being applied:
-        for a TAKE the one that has its id; the rest is stored all the same."""
+        for a TAKE the one that has its id; the rest is stored all the same.
+        """
         ...
 
     def read(self, messages: Sequence[str]) -> dict[str, Entry]: ...
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -74,7 +74,8 @@
 
 class Recorder:
     """`memory`: for how long after its end an id is answered as before (microseconds). `patience`: how long
-    the store may take for a message before its client is refused (seconds)."""
+    the store may take for a message before its client is refused (seconds).
+    """
 
     def __init__(
         self,
@@ -105,7 +106,8 @@
     async def load(self, messages: Sequence[str]) -> None:
         """Reads what the store tells of these, and of all that this instance has not ended.
 
-        Raises StoreError."""
+        Raises StoreError.
+        """
         known = await self.writer.call(lambda store: store.read(messages))
         mine = await self.writer.call(self._mine)
         self.entries = {entry.message: entry for entry in mine} | known
@@ -157,7 +159,8 @@
     def admit(self, held: Message, done: Callable[[Verdict], None]) -> None:
         """Calls back when the store has it, or why not; at once where the class only follows. A store that is
         slow refuses, too: what it has in the end is recorded as refused. An id whose earlier life is not yet
-        recorded to its end, of a client that was refused so or went before its answer, is refused as well."""
+        recorded to its end, of a client that was refused so or went before its answer, is refused as well.
+        """
         if held.id in self.tracks:
             done(self._refusal())
             return
@@ -234,7 +237,8 @@
 
     def request_attempt(self, messages: Sequence[Message], host: str, done: Callable[[bool], None]) -> None:
         """Calls back once the intent of all that are required is committed (True), or is not (False): then
-        none of them may go out."""
+        none of them may go out.
+        """
         waiting, failed = 0, False
 
         def settle(message: str, track: Track, before: State, error: Exception | None) -> None:
@@ -272,7 +276,8 @@
     ) -> None:
         """Calls back when the store has the final answer; at once where the class only follows, or nothing is
         recorded of the message. A delivery is always waited for: the journal keeps it until then, and nobody
-        else waits."""
+        else waits.
+        """
         track, final = self.tracks.get(message), Answer(answer)
         if track is None:
             done()
--- a/loftrelay/store/writer.py
+++ b/loftrelay/store/writer.py
@@ -94,7 +94,8 @@
 
         Optional: a message that is not taken on yet, an attempt that is not begun. These are refused at once
         while the store is away or its queue is full; the rest stays queued until the store is back, and is
-        bounded by what may be held."""
+        bounded by what may be held.
+        """
         if optional and (self.away or self.closing or len(self.queue) >= self.most_queued):
             if done is not None:
                 asyncio.get_running_loop().call_soon(done, Away(self.retry_ms))
--- a/loftrelay/upgrade/predecessor.py
+++ b/loftrelay/upgrade/predecessor.py
@@ -47,7 +47,8 @@
     ) -> None:
         """`moved`: whether calls of operators go elsewhere from now on, by
         `change`. `change_here`: carries one out. `stop`: the
-        process is to end, as the owner of all or not. `take_back`: it has to start anew from the journal."""
+        process is to end, as the owner of all or not. `take_back`: it has to start anew from the journal.
+        """
         self.lock, self.engine, self.front = lock, engine, front
         self.moved, self.change_here = moved, change_here
         self.stop_, self.take_back = stop, take_back
--- a/tests/benchmarks/test_fits.py
+++ b/tests/benchmarks/test_fits.py
@@ -25,7 +25,8 @@
 def test_a_power_law_is_found_again_and_its_exponent_with_any_kind(scale: float, power: float) -> None:
     points = [(size, scale * size**power) for size in SIZES]
     found = fit(points, Kind.POWER)
-    assert found.slope == pytest.approx(power) and found.constant == pytest.approx(scale, rel=1e-6)
+    assert found.slope == pytest.approx(power)
+    assert found.constant == pytest.approx(scale, rel=1e-6)
     assert fit(points).exponent == pytest.approx(power)
 
 
@@ -45,17 +46,20 @@
 
 def test_a_constant_is_the_mean_whatever_the_size() -> None:
     found = fit([(1, 10), (2, 20), (3, 60)], Kind.CONSTANT)
-    assert found.predict(1) == found.predict(1e9) == 30 and found.slope == 0
+    assert found.predict(1) == found.predict(1e9) == 30
+    assert found.slope == 0
 
 
 def test_a_line_through_points_that_are_off_it_is_the_one_of_least_squares() -> None:
     found = fit([(1, 1), (2, 3), (3, 2), (4, 5)])
-    assert found.constant == pytest.approx(0.0) and found.slope == pytest.approx(1.1)  # worked by hand
+    assert found.constant == pytest.approx(0.0)
+    assert found.slope == pytest.approx(1.1)
 
 
 def test_the_exponent_is_left_out_where_a_value_is_not_positive() -> None:
     found = fit([(1, -1), (2, 0), (3, 1)])
-    assert found.exponent is None and found.slope == pytest.approx(1)
+    assert found.exponent is None
+    assert found.slope == pytest.approx(1)
     with pytest.raises(ValueError, match="positive"):
         fit([(1, 0), (2, 1)], Kind.POWER)
     for kind in (Kind.LOG_N, Kind.N_LOG_N):
@@ -95,7 +99,8 @@
     """Trouble: a fit that has seen what it predicts is never wrong."""
     seen = hold_out([(4, 100), (1, 10), (2, 20), (3, 30)])
     assert (seen.size, seen.measured) == (4, 100)
-    assert seen.predicted == pytest.approx(40) and seen.error == pytest.approx(0.6)
+    assert seen.predicted == pytest.approx(40)
+    assert seen.error == pytest.approx(0.6)
 
 
 def test_an_error_is_relative_to_what_was_measured() -> None:
--- a/tests/benchmarks/test_interest.py
+++ b/tests/benchmarks/test_interest.py
@@ -70,4 +70,5 @@
 
 def test_with_full_affinity_nothing_beyond_its_own_is_in_use() -> None:
     seen = use(rates(Share(rate=192, own=363, all=870_000, skew=0.8, affinity=1.0)), 900.0)
-    assert 362 < seen.in_use <= 363 and seen.misses < 0.01
+    assert 362 < seen.in_use <= 363
+    assert seen.misses < 0.01
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -265,7 +265,8 @@
     assert line["in_force_s"]["counted"] == 2 * 16  # one change as they came to be 16, one undisturbed
     assert "missing" not in line["in_force_s"]
     json.dumps(line, allow_nan=False)
-    assert peak.processes >= 6 and peak.mb > 100
+    assert peak.processes >= 6
+    assert peak.mb > 100
 
 
 def test_children_end_where_a_run_fails(tmp_path: Path) -> None:
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -23,7 +23,8 @@
     seen[4] = [{"x": 50.0}] * 3  # off the line: predicted 40
     told = judged(Slope("s", "c", "x", "us"), case, seen)
     assert told["sizes"]["1"] == {"median": 10, "least": 9, "most": 13}
-    assert told["predicted_largest"] == 40 and told["prediction_error"] == 0.2
+    assert told["predicted_largest"] == 40
+    assert told["prediction_error"] == 0.2
     # By hand, through (1, 10), (2, 20), (4, 50): slope 95 / 7, constant 80 / 3 - 95 / 3.
     assert told["target"] == {"size": 100, "predicted": round(9500 / 7 - 5), "times_beyond": 25}
     assert "error 0.2" in table("s", told)
@@ -60,7 +61,9 @@
     laid = slope_cases.membership(12, 200 * MS, 3)
     assert laid["sent_per_s"] == pytest.approx(found.sent / 12 / 5, rel=0.05)
     assert laid["datagrams_per_s"] == pytest.approx(found.datagrams / 12 / 5, rel=0.05)
-    assert 0 < laid["death_s"] < 10 and 0 < laid["start_known_s"] < 5 and laid["restart_bytes"] > 0
+    assert 0 < laid["death_s"] < 10
+    assert 0 < laid["start_known_s"] < 5
+    assert laid["restart_bytes"] > 0
 
 
 def test_a_watch_brings_its_entries_and_every_byte_is_counted() -> None:
@@ -71,13 +74,16 @@
     target = "/registry/instances?index=100&wait=2000"
     request = f"GET {target} HTTP/1.1\r\nHost: discovery\r\nContent-Length: 0\r\n\r\n"
     assert three["from_relay"] == pytest.approx(len(request), abs=2)
-    assert three["watch_us"] > 0 and three["server_us"] > 0
+    assert three["watch_us"] > 0
+    assert three["server_us"] > 0
 
 
 def test_a_relay_among_others_on_sockets_is_measured_by_itself() -> None:
     seen = slope_cases.sockets(4, seconds=1.0)
     # A probe and an answer each beat of 200 ms; a busy machine may hold up some.
-    assert 0 < seen["sent_per_s"] < 20 and seen["heard_per_s"] > 0 and seen["relay_ms_per_s"] > 0
+    assert 0 < seen["sent_per_s"] < 20
+    assert seen["heard_per_s"] > 0
+    assert seen["relay_ms_per_s"] > 0
 
 
 def test_the_last_line_is_json_with_each_slope_that_was_asked_for() -> None:
@@ -86,5 +92,7 @@
     told = json.loads(done.stdout.splitlines()[-1])
     assert set(told["slopes"]) == {"listing_change", "module_memory"}
     change = told["slopes"]["listing_change"]
-    assert change["target"]["size"] == 870_000 and change["prediction_error"] >= 0
-    assert len(told["miss_rate"]) == 25 and told["miss_rate"][0]["in_use"]["10"] > 1_000
+    assert change["target"]["size"] == 870_000
+    assert change["prediction_error"] >= 0
+    assert len(told["miss_rate"]) == 25
+    assert told["miss_rate"][0]["in_use"]["10"] > 1_000
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -33,7 +33,9 @@
     found = LAST.fullmatch(lines[-1])
     assert found is not None
     taken, delivered, refused, failed, duplicates = map(int, found.groups())
-    assert taken == 150 and duplicates == 0 and taken == delivered + refused + failed
+    assert taken == 150
+    assert duplicates == 0
+    assert taken == delivered + refused + failed
     # On a machine with no room left it may not be, but then the reason is told.
     assert delivered > 100 or "the store's disk was slow" in done.stdout
     assert str(folder) in lines[0]
@@ -52,7 +54,8 @@
     slow = ["the store of record is slow: a commit took 0.80 s"]
     assert report(Result([entry("a")], {"a"}, Counter("a"), {}, [], slow, 3), sys.stdout) == 0
     said = capsys.readouterr().out.splitlines()
-    assert "a commit took 0.80 s" in said[-2] and "turned away 3 times" in said[-2]
+    assert "a commit took 0.80 s" in said[-2]
+    assert "turned away 3 times" in said[-2]
     assert LAST.fullmatch(said[-1])
     report(Result([entry("a")], {"a"}, Counter("a"), {}, []), sys.stdout)
     assert "slow" not in capsys.readouterr().out
@@ -67,7 +70,8 @@
     ):
         assert main(arguments) == 2
         said = capsys.readouterr().err
-        assert says in said and said.count("\n") == 1
+        assert says in said
+        assert said.count("\n") == 1
 
 
 def entry(name: str, answer: Answer = Answer.DELIVERED) -> Entry:
@@ -80,7 +84,8 @@
 
 def test_each_disagreement_is_found() -> None:
     sound = Result([entry("a")], {"a"}, Counter("a"), {}, [])
-    assert sound.disagreements() == [] and sound.duplicates == 0
+    assert sound.disagreements() == []
+    assert sound.duplicates == 0
     assert replace(sound, effects=Counter("aa")).duplicates == 1
     status = replace(sound.entries[0], about=replace(sound.entries[0].about, class_name="status"))
     assert replace(sound, entries=[status], effects=Counter("aa")).duplicates == 0  # it may run again
@@ -97,4 +102,5 @@
 
 def test_help() -> None:
     done = demo("--help")
-    assert done.returncode == 0 and done.stdout.startswith("usage: python -m loftrelay demo")
+    assert done.returncode == 0
+    assert done.stdout.startswith("usage: python -m loftrelay demo")
--- a/tests/cli/test_record.py
+++ b/tests/cli/test_record.py
@@ -37,7 +37,8 @@
 def test_list_is_a_table_of_what_is_asked_for(path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     status, text = said(path, capsys, "list")
     lines = text.splitlines()
-    assert status == 0 and len(lines) == 4
+    assert status == 0
+    assert len(lines) == 4
     assert lines[1].split()[:8] == [
         "2026-03-01T08:30:00.000Z",
         "a",
@@ -63,21 +64,25 @@
 def test_export_gives_every_field_in_json_lines(path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     status, text = said(path, capsys, "export", "--answer", "failed")
     (row,) = [json.loads(line) for line in text.splitlines()]
-    assert status == 0 and row["message"] == "b" and row["sha256"] == "ab" * 32
+    assert status == 0
+    assert row["message"] == "b"
+    assert row["sha256"] == "ab" * 32
     assert (row["instance"], row["attempts"], row["answer"], row["key"]) == ("n1", 1, "failed", "k")
     assert row["taken_at"] < row["intended_at"] < row["answered_at"] < row["told_at"]
 
 
 def test_show_and_verify(path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     status, text = said(path, capsys, "show", "c")
-    assert status == 0 and json.loads(text)["state"] == "out"
+    assert status == 0
+    assert json.loads(text)["state"] == "out"
     assert said(path, capsys, "show", "nobody") == (1, "nobody: no record\n")
     assert said(path, capsys, "verify") == (0, "nothing is wrong\n")
     store = SQLiteStore(path)
     store.database.execute("UPDATE messages SET answer = NULL WHERE id = 'a'")
     store.close()
     status, text = said(path, capsys, "verify")
-    assert status == 1 and text.startswith("a: told, with answer None")
+    assert status == 1
+    assert text.startswith("a: told, with answer None")
 
 
 def test_a_store_that_can_not_be_read_is_said_in_one_line(tmp_path: Path) -> None:
@@ -89,7 +94,9 @@
             capture_output=True,
             text=True,
         )
-        assert done.returncode == 2 and says in done.stderr and done.stderr.count("\n") == 1
+        assert done.returncode == 2
+        assert says in done.stderr
+        assert done.stderr.count("\n") == 1
     assert not (tmp_path / "nowhere").exists()
 
 
@@ -103,6 +110,7 @@
             capture_output=True,
             text=True,
         )
-        assert done.returncode == 0 and done.stdout.startswith("usage: python -m loftrelay record")
+        assert done.returncode == 0
+        assert done.stdout.startswith("usage: python -m loftrelay record")
     with pytest.raises(SystemExit):
         main(["--store", "x", "list", "--since", "yesterday"])
--- a/tests/decisions/test_adapter.py
+++ b/tests/decisions/test_adapter.py
@@ -50,11 +50,13 @@
         ["tick", 70000],
         ["end"],
     )
-    assert done.returncode == 0 and done.stderr == ""
+    assert done.returncode == 0
+    assert done.stderr == ""
     out = replies(done)
     assert ["tail", "relay_1", True] in out
     assert [line[:4] for line in out if line[0] == "submit_to"] == [["submit_to", "relay_1", "m1", "host_a"]]
-    assert out.count(["ok"]) == 3 and out[-1] == ["ok"]
+    assert out.count(["ok"]) == 3
+    assert out[-1] == ["ok"]
 
 
 def test_instances_are_kept_apart_and_a_restart_forgets() -> None:
@@ -96,5 +98,8 @@
 )
 def test_malformed_input_gets_one_plain_line(lines: list[Any], reason: str) -> None:
     done = talk(*lines)
-    assert done.returncode != 0 and done.stdout == ""
-    assert done.stderr.count("\n") == 1 and reason in done.stderr and f"line {len(lines)}" in done.stderr
+    assert done.returncode != 0
+    assert done.stdout == ""
+    assert done.stderr.count("\n") == 1
+    assert reason in done.stderr
+    assert f"line {len(lines)}" in done.stderr
--- a/tests/decisions/test_directory.py
+++ b/tests/decisions/test_directory.py
@@ -57,5 +57,6 @@
 def test_all_are_told_soon_and_ask_no_more_than_now_and_then(seed: int, down: int) -> None:
     """Not later than half as long again as it needs to answer all; each asks once in 1.4 s at the most."""
     told, calls = play(seed, down)
-    assert min(told) >= 0 and max(told) - down <= 12 * S
+    assert min(told) >= 0
+    assert max(told) - down <= 12 * S
     assert max(calls) <= 3 + (down + 12 * S) // (14 * S // 10)
--- a/tests/decisions/test_let_go.py
+++ b/tests/decisions/test_let_go.py
@@ -43,7 +43,8 @@
     d.feed(after=after)
     assert d.brain.is_idle(d.now, number)
     d.feed(DestinationsReleased((number,)))
-    assert number not in d.brain.destinations and number not in d.brain.backlog
+    assert number not in d.brain.destinations
+    assert number not in d.brain.backlog
     assert not any(e.destination.number == number for e in d.brain.endpoints.values())
 
 
@@ -130,10 +131,12 @@
 def test_what_is_not_idle_stays_as_it_is(busy: Any, kind: str) -> None:
     d = Driver(entry("a", kind=kind), entry("x", 2), awaits_final_status=True)
     over = busy(d)
-    assert not d.brain.is_idle(d.now, 1) and d.brain.is_idle(d.now, 2)
+    assert not d.brain.is_idle(d.now, 1)
+    assert d.brain.is_idle(d.now, 2)
     d.feed(TimerFired(0))
     before = snapshot.write(d.brain)
-    assert not d.feed(DestinationsReleased((1,))) and snapshot.write(d.brain) == before
+    assert not d.feed(DestinationsReleased((1,)))
+    assert snapshot.write(d.brain) == before
     over()
     assert d.brain.is_idle(d.now, 1)
     let_go(d)
@@ -142,14 +145,16 @@
 def test_one_message_more_in_the_same_batch_keeps_it() -> None:
     d = Driver(entry("a"))
     d.feed(MessageSubmitted("m", 1, "safe", None, 20 * S, None), DestinationsReleased((1,)))
-    assert d.sent and "a" in d.brain.endpoints
+    assert d.sent
+    assert "a" in d.brain.endpoints
 
 
 def test_what_is_not_known_is_idle_and_nothing_is_let_go() -> None:
     d = Driver(entry("a"))
     assert d.brain.is_idle(d.now, 77)
     d.feed(DestinationsReleased((77, -1)))
-    assert not d.brain.dormant and set(d.brain.endpoints) == {"a"}
+    assert not d.brain.dormant
+    assert set(d.brain.endpoints) == {"a"}
 
 
 def test_a_message_for_one_that_was_let_go_waits_for_its_listing() -> None:
@@ -177,7 +182,8 @@
         d.brain.apply_retry_after(d.now, "a", 5 * S)
         d.brain.apply_retry_after(d.now, "a", S)
     until = d.now + 5 * S
-    assert d.brain.is_blocked(until - 1, "a") and not d.brain.is_blocked(until, "a")
+    assert d.brain.is_blocked(until - 1, "a")
+    assert not d.brain.is_blocked(until, "a")
     assert d.brain.is_blocked(d.now, "b") is (kind == "plain")
     d.feed(after=2 * S)
     listed(d, entry("a", kind=kind))
@@ -201,7 +207,8 @@
     d = Driver(entry("a"))
     let_go(d)
     d.feed(AttemptEnded("m", 0, "a", AttemptStatus.REJECTED, 0, False, 4 * S, None, None))
-    assert d.brain.is_blocked(d.now + 4 * S - 1, "a") and not d.brain.is_blocked(d.now + 4 * S, "a")
+    assert d.brain.is_blocked(d.now + 4 * S - 1, "a")
+    assert not d.brain.is_blocked(d.now + 4 * S, "a")
 
 
 def test_a_wait_of_a_route_binds_a_kind_that_shares_it_now_and_the_other_way_round() -> None:
@@ -227,7 +234,8 @@
     listed(d, entry("a", kind=kind))
     d.feed(*[MessageSubmitted(f"m{i}", 1, "safe", None, 20 * S, None) for i in range(9)])
     first_send(d, next(iter(d.brain.messages)))
-    assert d.now >= pause and d.brain.calls_out == 1
+    assert d.now >= pause
+    assert d.brain.calls_out == 1
     for name in list(d.brain.messages):
         if d.brain.messages[name].call:
             d.outcome(name, AttemptStatus.CONNECT_FAILED)
@@ -297,7 +305,8 @@
     assert d.brain.endpoints["a"].gate.cold_since == since
     let_go(d)
     d.feed(after=FADE)
-    assert not d.brain.dormant and not d.brain.dormant_of
+    assert not d.brain.dormant
+    assert not d.brain.dormant_of
 
 
 def test_routes_apart_each_have_their_own() -> None:
@@ -308,14 +317,19 @@
     until = d.now + 50 * S
     let_go(d)
     listed(d, entry("c", kind="apart"), after=S)
-    assert d.brain.is_blocked(d.now, "a") and not d.brain.is_blocked(d.now, "c")
+    assert d.brain.is_blocked(d.now, "a")
+    assert not d.brain.is_blocked(d.now, "c")
     listed(d, entry("b", kind="apart"), after=S)
-    assert d.brain.endpoints["b"].gate.outage and not d.brain.endpoints["c"].gate.outage
+    assert d.brain.endpoints["b"].gate.outage
+    assert not d.brain.endpoints["c"].gate.outage
     let_go(d)
     listed(d, *(entry(name, kind="apart") for name in "abc"), after=S)
-    assert d.brain.endpoints["b"].gate.outage and not d.brain.endpoints["c"].gate.outage
-    assert d.brain.is_blocked(until - 1, "a") and not d.brain.is_blocked(until, "a")
-    assert not d.brain.dormant and not d.brain.dormant_of
+    assert d.brain.endpoints["b"].gate.outage
+    assert not d.brain.endpoints["c"].gate.outage
+    assert d.brain.is_blocked(until - 1, "a")
+    assert not d.brain.is_blocked(until, "a")
+    assert not d.brain.dormant
+    assert not d.brain.dormant_of
 
 
 def test_a_learned_pace() -> None:
@@ -330,7 +344,8 @@
     assert pace < 10
     let_go(d)
     listed(d, entry("a"))
-    assert d.brain.endpoints["a"].gate is not gate and d.brain.endpoints["a"].gate.pace == pace
+    assert d.brain.endpoints["a"].gate is not gate
+    assert d.brain.endpoints["a"].gate.pace == pace
     d.submit("n")
     assert first_send(d, "n") >= opens
     sent = d.now
@@ -339,7 +354,8 @@
     listed(d, entry("a"))
     grown = d.brain.endpoints["a"].gate
     opens = sent + d.brain._gap(grown, grown.pace)
-    assert pace <= grown.pace <= 1.12 * pace and opens > sent + S
+    assert pace <= grown.pace <= 1.12 * pace
+    assert opens > sent + S
     d.submit("o")
     assert first_send(d, "o") == opens
 
@@ -373,7 +389,8 @@
     let_go(d)
     listed(d, entry("a", kind=kind))
     other = d.brain.endpoints["a"].gate
-    assert other is not gate and {name: getattr(other, name) for name in learned} == learned
+    assert other is not gate
+    assert {name: getattr(other, name) for name in learned} == learned
     assert list(other.sends) == [(d.now - S, 1.25), (d.now - 1, 1.0)]
     assert {*learned, "sends"} == set(KEPT)
 
@@ -390,7 +407,8 @@
     assert d.brain.endpoints[bad].failures == 1
     for i in range(9):
         d.submit(f"u{i}", "unsafe", after=5 * S)
-        assert d.sent[-1][1].message_id == f"u{i}" and d.sent[-1][1].endpoint != bad
+        assert d.sent[-1][1].message_id == f"u{i}"
+        assert d.sent[-1][1].endpoint != bad
         d.outcome(f"u{i}", AttemptStatus.OK)
 
 
@@ -407,7 +425,8 @@
         d.feed(*while_let_go)
         at = d.now
         listed(d, entry("a"), after=S)
-        assert d.brain.endpoints["a"].gate.cold_since == at and d.brain.endpoints["a"].serves
+        assert d.brain.endpoints["a"].gate.cold_since == at
+        assert d.brain.endpoints["a"].serves
 
 
 def test_taken_out_it_stays_out() -> None:
@@ -426,10 +445,12 @@
     let_go(d)
     let_go(d, number=2)
     d.brain, events = snapshot.read(snapshot.write(d.brain, [DestinationsReleased((3,))]), seed=1)
-    assert events == [DestinationsReleased((3,))] and d.brain.is_blocked(until - 1, "a")
+    assert events == [DestinationsReleased((3,))]
+    assert d.brain.is_blocked(until - 1, "a")
     d.feed(after=20 * S)
     listed(d, entry("a", kind="apart"), entry("b", 2))
-    assert d.brain.is_blocked(until - 1, "a") and not d.brain.is_blocked(until, "a")
+    assert d.brain.is_blocked(until - 1, "a")
+    assert not d.brain.is_blocked(until, "a")
     assert d.brain.endpoints["b"].gate.outage
 
 
@@ -450,9 +471,11 @@
     d.feed(after=51 * S)
     assert set(d.brain.dormant) == {3, 4}
     d.feed(after=FADE)
-    assert set(d.brain.dormant) == {4} and d.brain.dormant_of == {"down": 4}
+    assert set(d.brain.dormant) == {4}
+    assert d.brain.dormant_of == {"down": 4}
     d.feed(after=FADE)
-    assert set(d.brain.dormant) == {4} and not d.brain.alarms
+    assert set(d.brain.dormant) == {4}
+    assert not d.brain.alarms
 
 
 def test_a_turn_costs_the_same_however_many_are_dormant() -> None:
@@ -476,7 +499,8 @@
             [MessageSubmitted("m", -2, "safe", None, S, None)],
         ]
         costs.append([steps(partial(module.handle_batch, START + 61 * S, batch)) for batch in batches])
-        assert module.dormant.walked == 0 and module.dormant_of.walked == 0
+        assert module.dormant.walked == 0
+        assert module.dormant_of.walked == 0
     assert all(0 < many <= 1.5 * few for few, many in zip(*costs, strict=True))
 
 
--- a/tests/decisions/test_long_lists.py
+++ b/tests/decisions/test_long_lists.py
@@ -52,8 +52,10 @@
     few, many = (told(modules[size], *CHANGES[what]) for size in (FEW, MANY))
     assert 0 < many <= 1.5 * few
     for module in modules.values():
-        assert isinstance(module.endpoints, Walked) and module.endpoints.walked == 0
-        assert isinstance(module.destinations, Walked) and module.destinations.walked == 0
+        assert isinstance(module.endpoints, Walked)
+        assert module.endpoints.walked == 0
+        assert isinstance(module.destinations, Walked)
+        assert module.destinations.walked == 0
 
 
 def test_the_count_sees_a_walk(modules: dict[int, Scheduler]) -> None:
@@ -61,7 +63,8 @@
     few, many = (steps(modules[size].avoided_endpoint_count) for size in (FEW, MANY))
     assert many > 40 * few
     for size, module in modules.items():
-        assert isinstance(module.endpoints, Walked) and size - 9 < module.endpoints.walked < size + 9
+        assert isinstance(module.endpoints, Walked)
+        assert size - 9 < module.endpoints.walked < size + 9
         module.endpoints.walked = 0
 
 
@@ -77,12 +80,15 @@
     d.feed(
         EndpointListReceived(EndpointListKind.DELTA, (entry("b", 2, state=EndpointState.REMOVED),)), after=S
     )
-    assert set(d.brain.endpoints) == {"a", "b", "c"} and set(d.brain.gone) == {"a", "b"}
+    assert set(d.brain.endpoints) == {"a", "b", "c"}
+    assert set(d.brain.gone) == {"a", "b"}
     d.feed(EndpointListReceived(EndpointListKind.DELTA, ()), after=S)
-    assert set(d.brain.endpoints) == {"b", "c"} and d.brain.destinations[1].endpoints == []
+    assert set(d.brain.endpoints) == {"b", "c"}
+    assert d.brain.destinations[1].endpoints == []
     d.outcome("m", AttemptStatus.OK)
     d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("d", 4),)))
-    assert set(d.brain.endpoints) == {"c", "d"} and not d.brain.gone
+    assert set(d.brain.endpoints) == {"c", "d"}
+    assert not d.brain.gone
 
 
 def test_one_that_is_gone_and_listed_again_stays() -> None:
@@ -91,8 +97,10 @@
     d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a", state=EndpointState.REMOVED),)))
     d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a"),)), after=S)
     d.feed(EndpointListReceived(EndpointListKind.DELTA, ()), after=9 * S)
-    assert set(d.brain.endpoints) == {"a"} and not d.brain.gone
-    assert d.submit("m") and d.sent[-1][1].endpoint == "a"
+    assert set(d.brain.endpoints) == {"a"}
+    assert not d.brain.gone
+    assert d.submit("m")
+    assert d.sent[-1][1].endpoint == "a"
 
 
 def test_many_that_are_gone_and_bind_for_long_cost_a_change_no_more_than_a_few() -> None:
@@ -114,7 +122,8 @@
             endpoint.gate.outage = False
         for _ in range(size // LEAST_LOOKS):
             d.feed(EndpointListReceived(EndpointListKind.DELTA, ()))
-        assert not d.brain.endpoints and not d.brain.gone
+        assert not d.brain.endpoints
+        assert not d.brain.gone
     assert costs[1] <= 1.5 * costs[0]
 
 
@@ -122,7 +131,8 @@
     names = [f"h{i}" for i in range(3 * LEAST_LOOKS)]
     d = Driver(*(entry(name) for name in names))
     d.feed(EndpointListReceived(EndpointListKind.FULL, (entry("x"),)))
-    assert set(d.brain.endpoints) == {"x"} and not d.brain.gone
+    assert set(d.brain.endpoints) == {"x"}
+    assert not d.brain.gone
 
 
 def test_what_an_endpoint_takes_of_memory() -> None:
@@ -138,4 +148,5 @@
     finally:
         tracemalloc.stop()
     print(f"{held:.0f} bytes for each")
-    assert len(module.endpoints) == size and 400 < held < 1_200
+    assert len(module.endpoints) == size
+    assert 400 < held < 1_200
--- a/tests/decisions/test_ordinary_path.py
+++ b/tests/decisions/test_ordinary_path.py
@@ -109,7 +109,8 @@
 def test_bundles_share_one_call_and_one_slot() -> None:
     d = Driver(entry("a", kind="bundled"))
     out = sends(d.feed(*[MessageSubmitted(f"x{i}", 1, "safe", None, 20 * S, None) for i in range(9)]))
-    assert len(out) == 5 and d.brain.calls_out == 1
+    assert len(out) == 5
+    assert d.brain.calls_out == 1
     d.feed(*[d.outcome_event(name, AttemptStatus.OK) for name in out])
     assert d.brain.calls_out == 1  # the next call, with the other four
     assert len(d.sent) == 9
@@ -254,4 +255,5 @@
     )
     d.feed(near, order)
     calls = {name: d.brain.messages[name].call for name in ("near", "order")}
-    assert calls["near"] is not calls["order"] and any(calls.values())
+    assert calls["near"] is not calls["order"]
+    assert any(calls.values())
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -209,4 +209,5 @@
         return done.stdout
 
     first = trace("0")
-    assert "SendAttempt(" in first and first == trace(seed)
+    assert "SendAttempt(" in first
+    assert first == trace(seed)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -125,7 +125,8 @@
     first = d.sent[-1][1].endpoint
     d.outcome("m", AttemptStatus.REJECTED, wait=3 * S)
     d.submit("n")
-    assert d.sent[-1][1].message_id == "n" and d.sent[-1][1].endpoint != first
+    assert d.sent[-1][1].message_id == "n"
+    assert d.sent[-1][1].endpoint != first
 
 
 def test_wait_runs_from_the_last_member_of_a_bundle() -> None:
@@ -166,7 +167,8 @@
     doubt = d.now
     while not sends(d.run(10 * S)):
         pass
-    assert d.sent[-1][1].message_id == "m1" and d.now >= doubt + 300 * MS
+    assert d.sent[-1][1].message_id == "m1"
+    assert d.now >= doubt + 300 * MS
 
 
 def test_a_key_waits_for_the_whole_call_of_a_message_out_of_time() -> None:
@@ -182,7 +184,8 @@
     d.run(S)
     assert [s.message_id for _, s in d.sent[-2:]] == ["short", "long"]
     assert sends(d.outcome("long", AttemptStatus.OK)) == []
-    assert sends(d.run(S)) == ["next"] and d.now >= d.sent[-3][0] + 3 * S
+    assert sends(d.run(S)) == ["next"]
+    assert d.now >= d.sent[-3][0] + 3 * S
 
 
 def test_a_withdrawn_message_still_blocks_its_key_until_its_outcome() -> None:
@@ -212,7 +215,8 @@
     )
     finished = [n for _, n in ends(d.log)]
     assert sorted(finished) == ["lost", "x0", "x1", "x2"]
-    assert answered["lost"] <= due - 2 * S and d.now <= due
+    assert answered["lost"] <= due - 2 * S
+    assert d.now <= due
 
 
 def test_nothing_follows_an_end() -> None:
@@ -220,8 +224,10 @@
     d.submit("m")
     d.feed(MessageCancelled("m"))
     actions = d.outcome("m", AttemptStatus.ERROR)
-    assert not sends(actions) and not ends(actions)
-    assert not d.run(60 * S) and "m" not in d.brain.messages
+    assert not sends(actions)
+    assert not ends(actions)
+    assert not d.run(60 * S)
+    assert "m" not in d.brain.messages
     assert not d.feed(MessageCancelled("m"), TimerFired(3))
 
 
@@ -313,7 +319,8 @@
         d.outcome(f"m{i}", AttemptStatus.REJECTED, wait=2 * S)
         pauses.append(max(gate.open_at, gate.told_until) - d.now)
         d.feed(MessageCancelled(f"m{i}"))
-    assert pauses[0] < 4 * S and pauses[5] > 5 * S
+    assert pauses[0] < 4 * S
+    assert pauses[5] > 5 * S
 
 
 def test_connections_that_die_while_idle_are_closed_before_use() -> None:
@@ -329,7 +336,8 @@
     assert not any(isinstance(a, CloseIdleConnections) for a in d.log)
     d.outcome("safe", AttemptStatus.OK)
     d.submit("unsafe", "unsafe", after=4 * S)
-    assert CloseIdleConnections("a") in d.log and d.sent[-1][1].max_connection_idle is not None
+    assert CloseIdleConnections("a") in d.log
+    assert d.sent[-1][1].max_connection_idle is not None
     d.outcome("unsafe", AttemptStatus.OK)
     d.log.clear()
     d.submit("quick", "unsafe", after=50 * MS)
@@ -346,7 +354,8 @@
         d.submit(f"m{i}", after=2 * S)
         d.outcome(f"m{i}", result, after=300 * MS)
         d.feed(MessageCancelled(f"m{i}"))
-        assert not gate.outage and gate.cold_since is None
+        assert not gate.outage
+        assert gate.cold_since is None
 
 
 def test_keyed_messages_time_out_as_soon_as_safe_ones() -> None:
@@ -476,7 +485,8 @@
     d.submit("m", "unsafe")
     for _ in range(5):
         outcome = replace(d.outcome_event("m", AttemptStatus.NOT_SENT), postponed_for=S // 10)
-        assert not sends(d.feed(outcome)) and not ends(d.log)
+        assert not sends(d.feed(outcome))
+        assert not ends(d.log)
         d.run(S // 20)
         assert d.brain.messages["m"].call is None
         d.run(S // 10)
--- a/tests/decisions/test_scale.py
+++ b/tests/decisions/test_scale.py
@@ -45,7 +45,8 @@
     few = sick_fleet(4, 30, AttemptStatus.CONNECT_FAILED)
     many = sick_fleet(60, 30, AttemptStatus.CONNECT_FAILED)
     offered = 150  # in the second half
-    assert few <= offered and many <= 2.5 * offered
+    assert few <= offered
+    assert many <= 2.5 * offered
 
 
 def test_relays_told_the_same_wait_come_back_spread_and_never_early() -> None:
--- a/tests/decisions/test_settings_and_list.py
+++ b/tests/decisions/test_settings_and_list.py
@@ -34,14 +34,16 @@
 
 def test_one_slot_and_one_attempt() -> None:
     d = Driver(entry("a"), max_concurrent_calls=1, max_attempts=1)
-    assert sends(d.submit("m")) == ["m"] and sends(d.submit("n")) == []
+    assert sends(d.submit("m")) == ["m"]
+    assert sends(d.submit("n")) == []
     assert ends(d.outcome("m", AttemptStatus.CONNECT_FAILED)) == [(RejectMessage, "m")]
 
 
 def test_unknown_words_are_read_cautiously() -> None:
     config = {"classes": [{"name": "c", "effect": "perhaps"}], "discovery": "osmosis", "weight_kind": "live"}
     told = read_settings(config)
-    assert told.classes["c"].semantics is DeliverySemantics.UNKNOWN and not told.polls_endpoint_list
+    assert told.classes["c"].semantics is DeliverySemantics.UNKNOWN
+    assert not told.polls_endpoint_list
 
 
 def test_watches_the_list_and_asks_again_ever_more_slowly() -> None:
@@ -54,9 +56,11 @@
         while not any(isinstance(a, WatchEndpointList) for a in d.run(20 * S)):
             assert d.now < failed + 20 * S
         gaps.append(d.now - failed)
-    assert gaps[:3] == sorted(gaps[:3]) and gaps[0] >= 400 * MS
+    assert gaps[:3] == sorted(gaps[:3])
+    assert gaps[0] >= 400 * MS
     # Neither too late for the 6 s in which a change counts as told, nor in step with other relays.
-    assert all(S <= gap <= 2 * S for gap in gaps[2:]) and max(gaps[2:]) - min(gaps[2:]) > 200 * MS
+    assert all(S <= gap <= 2 * S for gap in gaps[2:])
+    assert max(gaps[2:]) - min(gaps[2:]) > 200 * MS
     assert sends(d.submit("m")) == ["m"]  # the old list stands
 
 
@@ -69,7 +73,8 @@
 def test_a_long_backlog_is_pushed_out_before_it_fills_the_relay() -> None:
     d = Driver(entry("a"), max_open_messages=64)
     d.feed(*[MessageSubmitted(f"m{i}", 1, "safe", None, 20 * S, None) for i in range(64)])
-    assert len(ends(d.log)) == 8 and {kind for kind, _ in ends(d.log)} == {RejectMessage}
+    assert len(ends(d.log)) == 8
+    assert {kind for kind, _ in ends(d.log)} == {RejectMessage}
 
 
 def test_a_relay_full_of_many_small_backlogs_keeps_places_free() -> None:
@@ -78,7 +83,8 @@
     for i in range(16):
         d.submit(f"m{i}", destination=i)
         d.outcome(f"m{i}", AttemptStatus.REJECTED, wait=9 * S)
-    assert len(d.brain.messages) <= 14 and len(ends(d.log)) >= 2
+    assert len(d.brain.messages) <= 14
+    assert len(ends(d.log)) >= 2
 
 
 def test_readme_example_runs(capsys: object) -> None:
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -84,7 +84,8 @@
     waiting = [MessageSubmitted("last", 1, "safe", None, 9 * S, None)]
     other, events = snapshot.read(snapshot.write(module, waiting), seed=1)
     assert events == waiting
-    assert module.messages and set(other.messages) == set(module.messages)
+    assert module.messages
+    assert set(other.messages) == set(module.messages)
     module.random, other.random = random.Random(5), random.Random(5)
     module.armed = other.armed
     for _ in range(60):
--- a/tests/decisions/test_told_waits.py
+++ b/tests/decisions/test_told_waits.py
@@ -35,7 +35,8 @@
     d = Driver(entry("a"))
     for wait, until in ((2 * S, 2 * S), (S, 2 * S), (0, 2 * S), (3 * S, 3 * S)):
         d.brain.apply_retry_after(d.now, "a", wait)
-        assert d.brain.is_blocked(d.now + until - 1, "a") and not d.brain.is_blocked(d.now + until, "a")
+        assert d.brain.is_blocked(d.now + until - 1, "a")
+        assert not d.brain.is_blocked(d.now + until, "a")
 
 
 @pytest.mark.parametrize("message", ["gone", "ended"])
@@ -61,7 +62,8 @@
         d.feed(EndpointListReceived(EndpointListKind.FULL, (entry("b", 2),)))
         d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a", kind=kind),)))
         d.feed(SettingsChanged(replace(d.settings, max_concurrent_calls=3)))
-        assert d.brain.is_blocked(d.now, "a") and not sends(d.submit("m"))
+        assert d.brain.is_blocked(d.now, "a")
+        assert not sends(d.submit("m"))
 
 
 def test_a_call_that_was_taken_back_costs_no_try_and_teaches_nothing() -> None:
@@ -74,12 +76,15 @@
     luck = list(d.brain.endpoints["a"].kin.luck)
     d.brain.apply_retry_after(d.now, "a", S)
     event = replace(d.outcome_event("m", AttemptStatus.NOT_SENT, over=False), postponed_for=1)
-    assert not ends(d.feed(event)) and gate.in_flight == 0 and d.brain.calls_out == 0
+    assert not ends(d.feed(event))
+    assert gate.in_flight == 0
+    assert d.brain.calls_out == 0
     assert (gate.strays, gate.failures, d.brain.endpoints["a"].kin.luck) == (2, 1, luck)
     at = d.now
     while not (sent := sends(d.run(20 * S))):
         pass
-    assert sent == ["m"] and d.now >= at + S  # in its key's order, and with the one try that it has
+    assert sent == ["m"]
+    assert d.now >= at + S
 
 
 @pytest.mark.parametrize(("of", "ran", "end"), [("safe", False, RejectMessage), ("keyed", True, FailMessage)])
@@ -100,6 +105,7 @@
     assert "m" in d.brain.messages  # another route may take it yet
     d.brain.apply_retry_after(d.now, "b", 61 * S)
     actions = d.submit("o", time_remaining=2 * S)
-    assert ends(actions) == [(end, "m"), (RejectMessage, "o")] and "n" in d.brain.messages
+    assert ends(actions) == [(end, "m"), (RejectMessage, "o")]
+    assert "n" in d.brain.messages
     assert all(a.retry_after == 2 * S for a in actions if isinstance(a, RejectMessage))
     assert ends(d.submit("p", time_remaining=40 * S, after=MS)) == [(RejectMessage, "p")]
--- a/tests/delivery/driver.py
+++ b/tests/delivery/driver.py
@@ -41,12 +41,14 @@
         for action in actions:
             match action:
                 case Use(call, connection, after, idle):
-                    assert call in self.waiting and connection in self.up
+                    assert call in self.waiting
+                    assert connection in self.up
                     assert connection not in self.calls.values(), "used twice at once"
                     self.waiting.remove(call)
                     self.calls[call], self.after[call], self.idle[call] = connection, after, idle
                 case Open(server, connection):
-                    assert connection not in self.opening and connection not in self.up
+                    assert connection not in self.opening
+                    assert connection not in self.up
                     self.opening[connection] = server
                     self.opened += 1
                 case Close(connection):
--- a/tests/delivery/test_decided_and_not_begun.py
+++ b/tests/delivery/test_decided_and_not_begun.py
@@ -45,7 +45,8 @@
         assert told.is_stale == (why != "gone")
         gate.room.release()
         await asyncio.sleep(0.05)
-        assert not partner.calls and not sender.tried
+        assert not partner.calls
+        assert not sender.tried
 
     run(scenario)
 
@@ -59,7 +60,8 @@
             await asyncio.sleep(0)
         TOLD[why](sender)
         assert (await ending).status in (AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED)
-        assert partner.ids == ["a"] and sender.tried == ["a"]
+        assert partner.ids == ["a"]
+        assert sender.tried == ["a"]
 
     run(scenario, rest=300_000, most_rest=300_000, most_per_server=1)
 
@@ -76,7 +78,8 @@
 
         sender.hosts.tried = tried
         ending = await sender.send("m", begin_within=within(why))
-        assert (ending.status, ending.is_stale) == (AttemptStatus.NOT_SENT, True) and not partner.calls
+        assert (ending.status, ending.is_stale) == (AttemptStatus.NOT_SENT, True)
+        assert not partner.calls
 
     run(scenario)
 
@@ -120,6 +123,8 @@
         if ends(actions):
             break
     calls = [(at, send) for at, send in d.sent if send.message_id == "m"]
-    assert calls[0][1].send_within is None and len(calls) > 1
+    assert calls[0][1].send_within is None
+    assert len(calls) > 1
     for at, send in calls[1:]:
-        assert send.send_within is not None and at < at + send.send_within < first + window
+        assert send.send_within is not None
+        assert at < at + send.send_within < first + window
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -53,7 +53,8 @@
         for i in range(16):
             results.append((await sender.send(f"m{i}", unsafe=True)).status)
             await asyncio.sleep(0.3)
-        assert AttemptStatus.CONNECTION_LOST in results and set(results[-6:]) == {AttemptStatus.OK}
+        assert AttemptStatus.CONNECTION_LOST in results
+        assert set(results[-6:]) == {AttemptStatus.OK}
 
     run(Behaviour(reset_after=(0.15, 0.28)), scenario, evidence=3)
 
@@ -87,7 +88,8 @@
             names = [f"w{wave}m{i}" for i in range(8)]
             endings = await asyncio.gather(*(sender.send(name) for name in names))
             waves.append([e.status for e in endings])
-        assert waves[0].count(AttemptStatus.OK) >= 2 and set(waves[0]) - {AttemptStatus.OK} <= {
+        assert waves[0].count(AttemptStatus.OK) >= 2
+        assert set(waves[0]) - {AttemptStatus.OK} <= {
             AttemptStatus.CONNECTION_LOST,
             AttemptStatus.CONNECT_FAILED,
         }
@@ -113,7 +115,8 @@
             fillers.append(filler)
         async with Sender({"h": listening.getsockname()}) as sender:
             ending = await sender.send("m", unsafe=True)
-            assert ending.status is AttemptStatus.CONNECT_FAILED and not sender.tried
+            assert ending.status is AttemptStatus.CONNECT_FAILED
+            assert not sender.tried
         for each in (*fillers, listening):
             each.close()
 
@@ -141,7 +144,8 @@
             for connection in list(partner.open.values()):
                 connection.end()
             # handed over while the end is on its way, or has come and is not read yet
-        assert partner.accepted == 10 and set(partner.effects.values()) == {1}
+        assert partner.accepted == 10
+        assert set(partner.effects.values()) == {1}
 
     run(Behaviour(), scenario)
 
@@ -155,7 +159,8 @@
             assert (await sender.send("new0")).status is AttemptStatus.OK
             assert {(await e).status for e in out} == {AttemptStatus.OK}  # those out end where they began
             assert [(await sender.send(f"new{i}")).status for i in (1, 2)] == [AttemptStatus.OK] * 2
-            assert new.ids == ["new0", "new1", "new2"] and len(old.ids) == 3
+            assert new.ids == ["new0", "new1", "new2"]
+            assert len(old.ids) == 3
             await old.until(lambda: not old.open)
 
     run(Behaviour(lambda call: Doing(delay=0.1)), scenario)
@@ -166,11 +171,11 @@
         out = sender.send("m")
         sender.hosts.drain_host("h")
         ending = await out
-        assert (
-            ending.status is AttemptStatus.NOT_SENT and ending.is_stale
-        )  # it was wanted before, and not begun
+        assert ending.status is AttemptStatus.NOT_SENT
+        assert ending.is_stale
         await partner.until(lambda: not partner.open)
-        assert not partner.calls and not sender.tried
+        assert not partner.calls
+        assert not sender.tried
 
     run(Behaviour(), scenario)
 
@@ -235,7 +240,9 @@
         hosts._do(hosts.pools.want(99, "h", False, None, hosts._now()))
         assert (await sender.send("m")).status is AttemptStatus.OK
         server = hosts.pools.servers["h"]
-        assert server.busy == 0 and server.up == partner.accepted and not hosts.waiting
+        assert server.busy == 0
+        assert server.up == partner.accepted
+        assert not hosts.waiting
 
     run(Behaviour(), scenario)
 
@@ -249,7 +256,9 @@
         held: list[float] = []
         monkeypatch.setattr(hosts_module, "HOLD", Spy(held))
         ending = await sender.send("order", unsafe=True)
-        assert ending.status is AttemptStatus.REJECTED and ending.retry_after == 70_000 and not held
+        assert ending.status is AttemptStatus.REJECTED
+        assert ending.retry_after == 70_000
+        assert not held
         assert sender.told.is_set()
         sender.waits.clear()
         assert (await sender.send("quick", unsafe=True)).status is AttemptStatus.OK
@@ -297,7 +306,8 @@
         monkeypatch.setattr(Connection, "open", short)
         endings = await asyncio.gather(*(sender.send(f"m{i}") for i in range(40)))
         assert {e.status for e in endings} == {AttemptStatus.OK}
-        assert set(partner.effects.values()) == {1} and len(partner.effects) == 40
+        assert set(partner.effects.values()) == {1}
+        assert len(partner.effects) == 40
 
     run(Behaviour(lambda call: Doing(delay=0.01)), scenario)
     assert len([line for line in caplog.messages if "out of descriptors" in line]) == 1
@@ -340,7 +350,8 @@
 
             await asyncio.gather(*(client(n) for n in range(50)))
         effects = {name: count for partner in partners for name, count in partner.effects.items()}
-        assert len(said) == 1000 and set(effects.values()) == {1}
+        assert len(said) == 1000
+        assert set(effects.values()) == {1}
         assert all(effects.get(name) for name, result in said.items() if result is AttemptStatus.OK)
         assert not any(effects.get(name) for name, result in said.items() if result in NEVER_RAN)
         assert sum(result is AttemptStatus.OK for result in said.values()) > 800
--- a/tests/delivery/test_misattribution.py
+++ b/tests/delivery/test_misattribution.py
@@ -131,8 +131,10 @@
         async with partner, Sender({"h": partner.address}, strict=strict) as sender:
             for i in range(5):
                 ending = await sender.send(f"order{i}", unsafe=True)
-                assert ending.status is AttemptStatus.OK and partner.effects[f"order{i}"] == 1
-            assert sender.hosts.pools.surpluses == 5 and partner.accepted == 5
+                assert ending.status is AttemptStatus.OK
+                assert partner.effects[f"order{i}"] == 1
+            assert sender.hosts.pools.surpluses == 5
+            assert partner.accepted == 5
             assert sender.hosts.pools.needs_new("h") == strict
             assert (await sender.send("last", unsafe=True)).status is AttemptStatus.REJECTED
 
@@ -163,7 +165,8 @@
 
             monkeypatch.setattr(fault_points, "listener", listen)
             assert (await sender.send("second", unsafe=True)).status is AttemptStatus.OK
-            assert sender.hosts.pools.surpluses == 1 and partner.effects["second"] == 1
+            assert sender.hosts.pools.surpluses == 1
+            assert partner.effects["second"] == 1
 
     asyncio.run(main())
 
@@ -176,7 +179,9 @@
 def test_the_first_copy_is_what_no_client_can_tell_apart() -> None:
     """So that the two tests above are known to be able to fail: but the copy is noticed, if late."""
     false, known, sender, ending = asyncio.run(stale(200))
-    assert false and known and ending.is_final
+    assert false
+    assert known
+    assert ending.is_final
     assert not sender.doubted  # it can't be taken back
 
 
@@ -189,13 +194,17 @@
 def test_a_refusal_that_may_have_been_anothers_is_doubted_before_the_message_goes_again() -> None:
     """The order ran, and its 200 came behind the late copy of a 503 that was read as its refusal."""
     false, known, sender, ending = asyncio.run(stale(503))
-    assert false and known and ending.status is AttemptStatus.REJECTED
+    assert false
+    assert known
+    assert ending.status is AttemptStatus.REJECTED
     assert "order" in sender.doubted
 
 
 def test_a_copy_of_a_batch_answer_is_believed_for_no_other_batch() -> None:
     false, known, _, ending = asyncio.run(stale(200, batch=True))
-    assert not false and known and ending.status is AttemptStatus.MALFORMED_RESPONSE
+    assert not false
+    assert known
+    assert ending.status is AttemptStatus.MALFORMED_RESPONSE
 
 
 def test_an_answer_sooner_than_ever_waits_for_the_true_one() -> None:
@@ -215,7 +224,8 @@
                 await sender.send(f"plain{i}")
             ending = await sender.send("order", unsafe=True)
             assert partner.calls[-1].connection == partner.calls[-2].connection
-            assert ending.status is AttemptStatus.MALFORMED_RESPONSE and not ending.is_final
+            assert ending.status is AttemptStatus.MALFORMED_RESPONSE
+            assert not ending.is_final
             assert sender.hosts.pools.surplus_at is not None
 
     asyncio.run(main())
@@ -252,7 +262,8 @@
         address = server.sockets[0].getsockname()[:2]
         async with Sender({"h": address}) as sender:
             ending = await sender.send("big", unsafe=True, body=bytes(32 << 20))
-            assert ending.status is AttemptStatus.CONNECT_FAILED and not ending.is_final
+            assert ending.status is AttemptStatus.CONNECT_FAILED
+            assert not ending.is_final
         server.close()
 
     asyncio.run(main())
--- a/tests/delivery/test_outcomes.py
+++ b/tests/delivery/test_outcomes.py
@@ -241,7 +241,8 @@
             await w.until(lambda n=i + 1: len(host.requests) == n)  # type: ignore[misc]
             host.close_connections()
             await w.until(lambda n=i + 1: len(host.ended) == n)  # type: ignore[misc]
-        assert not w.notices and len(host.connections) == 8
+        assert not w.notices
+        assert len(host.connections) == 8
 
     run(scenario, tmp_path)
 
@@ -274,7 +275,8 @@
             await asyncio.sleep(0.6)
         assert await w.hand_in("last", "order") == 202
         await w.until(lambda: "last" in host.ids)
-        assert not w.notices and not any("failing" in line for line in w.log)
+        assert not w.notices
+        assert not any("failing" in line for line in w.log)
 
     run(scenario, tmp_path)
 
--- a/tests/delivery/test_pools.py
+++ b/tests/delivery/test_pools.py
@@ -44,7 +44,8 @@
     for _ in range(30):
         d.pass_time(20 * MS)
         used.add(d.serve())
-    assert len(used) == 1 and set(d.up) == used  # the other two went by their age
+    assert len(used) == 1
+    assert set(d.up) == used
 
 
 def test_rotation_keeps_all_in_use() -> None:
@@ -53,14 +54,17 @@
     d.come_up()
     for call in calls:
         d.answer(call)
-    assert len({d.serve() for _ in range(30)}) == 3 and len(d.up) == 3
+    assert len({d.serve() for _ in range(30)}) == 3
+    assert len(d.up) == 3
 
 
 def test_a_connection_rests_before_it_is_used_again() -> None:
     d = driver()
     first = d.serve()
     call = d.want()
-    assert d.calls[call] == first and d.after[call] == 10 * MS and d.idle[call] == 10 * MS
+    assert d.calls[call] == first
+    assert d.after[call] == 10 * MS
+    assert d.idle[call] == 10 * MS
 
 
 def test_spare_connections_that_have_rested_are_taken_first() -> None:
@@ -72,7 +76,8 @@
     d.pass_time(50 * MS)
     d.answer(calls[1])
     call = d.want()
-    assert d.calls[call] == old and d.after[call] == 0
+    assert d.calls[call] == old
+    assert d.after[call] == 0
 
 
 def test_an_unsafe_message_takes_the_one_that_has_rested_longer() -> None:
@@ -85,7 +90,8 @@
     d.pass_time(20 * MS)
     assert d.calls[d.want(unsafe=True)] == old
     unsafe = d.want(unsafe=True)
-    assert unsafe in d.waiting and len(d.opening) == 1  # rather than one that has rested for less
+    assert unsafe in d.waiting
+    assert len(d.opening) == 1
     assert d.calls[d.want()] == new
 
 
@@ -94,7 +100,8 @@
     kept = d.serve()
     d.pass_time(20 * MS)
     call = d.want(unsafe=True)
-    assert d.calls[call] == kept and d.after[call] == 0
+    assert d.calls[call] == kept
+    assert d.after[call] == 0
 
 
 def test_no_connection_older_than_the_module_allows() -> None:
@@ -102,9 +109,11 @@
     first = d.serve()
     d.pass_time(SECOND)
     call = d.want(unsafe=True, most_idle=500 * MS)
-    assert call in d.waiting and len(d.opening) == 1
+    assert call in d.waiting
+    assert len(d.opening) == 1
     d.come_up()
-    assert d.calls[call] != first and d.idle[call] == 0
+    assert d.calls[call] != first
+    assert d.idle[call] == 0
     assert d.calls[d.want()] == first  # a message that may go again still tries it
 
 
@@ -139,7 +148,8 @@
     """No request was given its connection yet."""
     d = driver()
     copy(d, late)
-    assert d.pools.needs_new("h") == costs and bool(d.said) == costs
+    assert d.pools.needs_new("h") == costs
+    assert bool(d.said) == costs
     first = d.serve(unsafe=True)
     d.pass_time(150 * MS)
     assert (d.serve(unsafe=True) == first) != costs
@@ -152,7 +162,8 @@
     call = d.want()
     d.come_up()
     d.do(d.pools.surplus(d.calls.pop(call), True, d.now, behind))
-    assert not d.up and d.pools.needs_new("h") != behind
+    assert not d.up
+    assert d.pools.needs_new("h") != behind
 
 
 def test_an_answer_on_a_connection_that_carried_nothing_costs_trust() -> None:
@@ -213,7 +224,8 @@
     d = driver()
     connection = d.serve()
     d.do(d.pools.surplus(connection, False, d.now))
-    assert not d.up and not d.said
+    assert not d.up
+    assert not d.said
     d.serve(unsafe=True)
     d.pass_time(150 * MS)
     d.serve(unsafe=True)
@@ -240,7 +252,8 @@
     d = driver(most_per_server=2)
     calls = [d.want() for _ in range(5)]
     d.come_up()
-    assert len(d.up) == 2 and not d.opening
+    assert len(d.up) == 2
+    assert not d.opening
     order = []
     while d.calls:
         order.append(min(d.calls))
@@ -276,7 +289,9 @@
     d.pass_time(MS)
     newer = d.serve("h")
     d.serve("b")
-    assert oldest not in d.up and newer in d.up and len(d.up) == 2
+    assert oldest not in d.up
+    assert newer in d.up
+    assert len(d.up) == 2
 
 
 def test_what_waits_for_room_among_all_goes_in_turn_over_servers() -> None:
@@ -286,13 +301,15 @@
     first = d.want("h")
     d.come_up()
     a, b = d.want("a"), d.want("b")
-    assert {a, b} <= d.waiting and not d.opening
+    assert {a, b} <= d.waiting
+    assert not d.opening
     d.answer(first)
     d.come_up()
     assert a in d.calls
     d.answer(a)
     d.come_up()
-    assert b in d.calls and len(d.up) == 1
+    assert b in d.calls
+    assert len(d.up) == 1
 
 
 def test_few_connects_at_once() -> None:
@@ -301,7 +318,8 @@
     assert len(d.opening) == 2
     for _ in range(3):
         d.come_up()
-    assert not d.waiting and len({d.calls[c] for c in calls}) == 5
+    assert not d.waiting
+    assert len({d.calls[c] for c in calls}) == 5
 
 
 def test_failed_connects_are_told_and_followed_by_growing_pauses() -> None:
@@ -309,7 +327,8 @@
     calls = [d.want(), d.want()]
     d.fail_opening()
     assert d.denied == dict.fromkeys(calls, Denied.NO_CONNECTION)
-    assert d.denied[d.want()] is Denied.NO_CONNECTION and not d.opening  # at once, with nothing sent
+    assert d.denied[d.want()] is Denied.NO_CONNECTION
+    assert not d.opening
     pauses = []
     for _ in range(5):
         began = d.now
@@ -346,7 +365,8 @@
     d.come_up()
     third = d.want()
     d.fail_opening()
-    assert third in d.waiting and "takes 2 connections" in d.said[0]
+    assert third in d.waiting
+    assert "takes 2 connections" in d.said[0]
     fourth = d.want()
     assert not d.opening
     d.answer(two[0])
@@ -367,7 +387,8 @@
         d.come_up()
         d.break_off(call)
     waits = d.want()
-    assert not d.opening and waits in d.waiting
+    assert not d.opening
+    assert waits in d.waiting
     d.answer(two[0])
     assert waits in d.calls
 
@@ -379,12 +400,15 @@
     d.come_up()
     waits = [d.want(), d.want("a")]
     d.fail_opening(Lost.DESCRIPTORS)
-    assert not d.denied and set(waits) <= d.waiting and len(d.said) == 1
+    assert not d.denied
+    assert set(waits) <= d.waiting
+    assert len(d.said) == 1
     assert not d.opening
     d.answer(held[0])
     d.answer(held[1])
     d.come_up()
-    assert not d.waiting and len(d.up) <= 3
+    assert not d.waiting
+    assert len(d.up) <= 3
     for _ in range(100):
         d.pass_time(6 * SECOND)
         d.serve()
@@ -437,9 +461,12 @@
     d.come_up()
     call = d.want()
     d.do(d.pools.forget("h", d.now))
-    assert d.denied == {call: Denied.GONE} and not d.opening
+    assert d.denied == {call: Denied.GONE}
+    assert not d.opening
     d.answer(out)
-    assert not d.up and not d.pools.servers and not d.pools.groups
+    assert not d.up
+    assert not d.pools.servers
+    assert not d.pools.groups
     late = d.want()
     assert d.denied[late] is Denied.GONE
 
@@ -450,7 +477,8 @@
     d.do(d.pools.withdraw(call, d.now))
     d.waiting.remove(call)
     d.come_up()
-    assert d.serve(unsafe=True) in d.up and d.opened == 1
+    assert d.serve(unsafe=True) in d.up
+    assert d.opened == 1
 
 
 # Opening ahead
@@ -501,7 +529,8 @@
     else:
         d.come_up()
         d.answer(call)
-    assert d.opened - before <= 1 and not d.opening
+    assert d.opened - before <= 1
+    assert not d.opening
 
 
 # Age
@@ -516,7 +545,8 @@
     d.serve()
     (kept,) = d.up
     d.pass_time(3 * SECOND)
-    assert kept not in d.up and not d.up  # it went before it went stale
+    assert kept not in d.up
+    assert not d.up
     d.pass_time(90 * SECOND)
     d.serve()
     d.pass_time(3 * SECOND)
@@ -575,9 +605,11 @@
     for _ in range(10):
         d.pass_time(SECOND)
         stands.append(len(d.up))
-    assert calls[0] in d.calls and stands[-1] == 1
+    assert calls[0] in d.calls
+    assert stands[-1] == 1
     drops = [a - b for a, b in itertools.pairwise(stands)]
-    assert max(drops) < 25 and stands[2] == 50  # spread over the second half
+    assert max(drops) < 25
+    assert stands[2] == 50
     d.answer(calls[0])
     assert not d.up
 
@@ -590,7 +622,8 @@
     for i in range(30):
         wear.add(40 + i, 3 * SECOND, dead=True)
     limit = wear.limit(80, 3)
-    assert limit is not None and 2 * SECOND <= limit < 3 * SECOND
+    assert limit is not None
+    assert 2 * SECOND <= limit < 3 * SECOND
     assert wear.limit(200 * SECOND, 3) is None
 
 
@@ -618,4 +651,5 @@
     assert call in d.waiting
     d.pass_time(20 * MS)
     d.fail_opening(Lost.SILENT)
-    assert d.calls[call] == kept and not d.denied
+    assert d.calls[call] == kept
+    assert not d.denied
--- a/tests/delivery/test_pools_properties.py
+++ b/tests/delivery/test_pools_properties.py
@@ -190,7 +190,8 @@
             )
             assert at_bound
             if not pools.now < server.open_after and not server.opening:
-                assert not server.idle and not server.fresh  # nothing idle is kept while one waits for room
+                assert not server.idle
+                assert not server.fresh
 
     def teardown(self) -> None:
         """All that was wanted ends once connections come up and calls are answered."""
@@ -203,7 +204,8 @@
                 self.d.answer(call)
             self.d.come_up()
             self.d.pass_time(SECOND)
-        assert not self.d.waiting and not self.d.calls
+        assert not self.d.waiting
+        assert not self.d.calls
         assert all(isinstance(why, Denied) for why in self.d.denied.values())
         self.d.pass_time(60 * SECOND)
         assert not self.d.up  # all went by their idle limit
--- a/tests/delivery/test_settings.py
+++ b/tests/delivery/test_settings.py
@@ -33,8 +33,12 @@
         'strict = true\ndistrust = "server"\nrest_ms = 2.5\nage_limit_s = 60\norder = "rotate"\n'
         "early_percent = 50\ntrust_after_s = 0\nmost_per_server = 3\nopen_ahead = 2\nspread_percent = 10.0\n",
     )
-    assert limits.strict and limits.distrust is Distrust.SERVER and limits.order is Order.ROTATE
-    assert limits.rest == 2_500 and limits.age_limit == 60 * SECOND and limits.trust_after == 0
+    assert limits.strict
+    assert limits.distrust is Distrust.SERVER
+    assert limits.order is Order.ROTATE
+    assert limits.rest == 2_500
+    assert limits.age_limit == 60 * SECOND
+    assert limits.trust_after == 0
     assert (limits.early, limits.most_per_server, limits.ahead, limits.spread) == (0.5, 3, 2, 0.1)
     assert limits.most_rest == 500 * MS  # as it is by default
 
@@ -63,7 +67,8 @@
 def test_an_error_names_file_key_and_value(tmp_path: Path, text: str, says: str) -> None:
     with pytest.raises(SettingsError) as error:
         load(tmp_path, text)
-    assert str(error.value).startswith(f"{tmp_path / 'connections.toml'}: ") and says in str(error.value)
+    assert str(error.value).startswith(f"{tmp_path / 'connections.toml'}: ")
+    assert says in str(error.value)
 
 
 def test_a_file_that_is_no_text_or_not_there(tmp_path: Path) -> None:
@@ -83,7 +88,8 @@
         if isinstance(key.default, bool):
             assert about.startswith(f"true or false; default {str(key.default).lower()}: ")
         elif isinstance(key.default, str):
-            assert f'default "{key.default}"' in about and all(f'"{word}"' in about for word in key.words)
+            assert f'default "{key.default}"' in about
+            assert all(f'"{word}"' in about for word in key.words)
         else:
             unit, bounds = units.get(key.unit, key.unit), f"{key.least:.9g} to {key.most:.9g}"
             assert about.startswith(f"{unit}, {bounds}; default {key.default:g}: "), (key.name, about)
@@ -114,4 +120,6 @@
     done = subprocess.run(
         [sys.executable, "-m", "loftrelay", "--help"], cwd=ROOT, capture_output=True, text=True
     )
-    assert done.returncode == 0 and "--connections FILE" in done.stdout and "SIGHUP" in done.stdout
+    assert done.returncode == 0
+    assert "--connections FILE" in done.stdout
+    assert "SIGHUP" in done.stdout
--- a/tests/delivery/test_waits.py
+++ b/tests/delivery/test_waits.py
@@ -79,7 +79,9 @@
         assert outcome(await first) == (AttemptStatus.REJECTED, False)
         gate.room.release()
         if shared or host == "h":
-            assert outcome(await ending) == HELD and partner.ids == ["full"] and sender.tried == ["full"]
+            assert outcome(await ending) == HELD
+            assert partner.ids == ["full"]
+            assert sender.tried == ["full"]
         else:
             assert outcome(await ending) == (AttemptStatus.OK, False)
 
@@ -90,10 +92,12 @@
     async def scenario(partner: Partner, sender: Sender) -> None:
         first, second, third = sender.send("full"), sender.send("m"), sender.send("n")
         assert (await first).status is AttemptStatus.REJECTED
-        assert outcome(await second) == HELD and outcome(await third) == HELD
+        assert outcome(await second) == HELD
+        assert outcome(await third) == HELD
         assert partner.ids == ["full"]
         sender.waits.clear()
-        assert (await sender.send("o")).status is AttemptStatus.OK and partner.accepted == 1
+        assert (await sender.send("o")).status is AttemptStatus.OK
+        assert partner.accepted == 1
 
     run(scenario, most_per_server=1)
 
@@ -128,7 +132,8 @@
         while sender.hosts.waiting or not sender.hosts.calls:  # it has its connection, which rests
             await asyncio.sleep(0)
         assert (await sender.send("full", host="g")).status is AttemptStatus.REJECTED
-        assert outcome(await ending) == HELD and partner.ids == ["a", "full"]
+        assert outcome(await ending) == HELD
+        assert partner.ids == ["a", "full"]
 
     run(scenario, rest=300_000, most_rest=300_000, most_per_server=1)
 
@@ -139,7 +144,8 @@
             sender.tell("g", LONG * 1000)
 
         sender.hosts.tried = tried
-        assert outcome(await sender.send("m")) == HELD and not partner.calls
+        assert outcome(await sender.send("m")) == HELD
+        assert not partner.calls
 
     run(scenario)
 
@@ -156,7 +162,8 @@
             return sound
 
         monkeypatch.setattr(Connection, "usable", ended)
-        assert outcome(await sender.send("m")) == HELD and partner.ids == ["a"]
+        assert outcome(await sender.send("m")) == HELD
+        assert partner.ids == ["a"]
 
     run(scenario)
 
@@ -241,7 +248,8 @@
         (call,) = sender.hosts.calls.values()
         assert call.line is not None
         call.line.connection._expire(3)  # in the pass in which the answer is written
-        assert (await ending).retry_after == LONG * 1000 and sender._bound("g")
+        assert (await ending).retry_after == LONG * 1000
+        assert sender._bound("g")
 
     run(scenario)
 
--- a/tests/delivery/test_waits_properties.py
+++ b/tests/delivery/test_waits_properties.py
@@ -311,10 +311,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     day = play(tmp_path, seed, monkeypatch)
-    assert not day.early and not day.faults and len(day.taken) > 200
+    assert not day.early
+    assert not day.faults
+    assert len(day.taken) > 200
 
 
 def test_the_book_finds_calls_inside_a_wait(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The same days, where nothing between the module's decision and the first byte asks for waits."""
     days = [play(tmp_path / str(seed), seed, monkeypatch, asks=False) for seed in range(3)]
-    assert any(day.early for day in days) and not any(day.held for day in days)
+    assert any(day.early for day in days)
+    assert not any(day.held for day in days)
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -108,4 +108,6 @@
         timeout=HANG,
         env={**os.environ, "RELAY_CONFIG": str(path), "RELAY_STATE": str(tmp_path)},
     )
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and reason in done.stderr
+    assert done.returncode == 2
+    assert done.stderr.count("\n") == 1
+    assert reason in done.stderr
--- a/tests/discovery/test_interest.py
+++ b/tests/discovery/test_interest.py
@@ -60,7 +60,8 @@
         (2, ResolutionStatus.RESOLVED),
         (3, ResolutionStatus.RESOLVED),
     ]
-    assert relay.holds(told) and len(relay.hosts) == 3
+    assert relay.holds(told)
+    assert len(relay.hosts) == 3
 
 
 def test_a_destination_that_nobody_lists_is_empty_until_it_has_a_host() -> None:
@@ -70,9 +71,8 @@
     asked = len(changes(relay))
     relay.want(9)
     relay.run(0.05)
-    assert [s[:2] for s in relay.sliced] == [(9, ResolutionStatus.NOT_FOUND)] * 2 and len(
-        changes(relay)
-    ) == asked
+    assert [s[:2] for s in relay.sliced] == [(9, ResolutionStatus.NOT_FOUND)] * 2
+    assert len(changes(relay)) == asked
     told.set("h9", 9, EndpointState.ACTIVE)
     tell(relay, told)
     relay.run(0.05)
@@ -94,12 +94,14 @@
     relay.want(1)
     relay.run(1.0)
     ((cell, state, at),) = relay.sliced
-    assert (cell, state) == (1, ResolutionStatus.UNAVAILABLE) and at - began == pytest.approx(0.2, abs=0.001)
+    assert (cell, state) == (1, ResolutionStatus.UNAVAILABLE)
+    assert at - began == pytest.approx(0.2, abs=0.001)
     for registry in registries:
         registry.dead = False
         registry.resume(relay.now)
     relay.run(5.0)
-    assert relay.holds(told) and list(relay.hosts[1]) == ["h1"]
+    assert relay.holds(told)
+    assert list(relay.hosts[1]) == ["h1"]
     assert len(relay.sliced) == 1  # once for each that wanted it
 
 
@@ -126,8 +128,10 @@
     told.set("h3", 3, EndpointState.DRAINING)  # of no interest
     tell(relay, told)
     relay.run(0.06)
-    assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING and list(relay.hosts[2]) == ["h4"]
-    assert relay.holds(told) and set(relay.hosts) == {1, 2}
+    assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
+    assert list(relay.hosts[2]) == ["h4"]
+    assert relay.holds(told)
+    assert set(relay.hosts) == {1, 2}
     told.set("h1", 1, EndpointState.REMOVED)
     tell(relay, told)
     relay.run(0.06)
@@ -145,7 +149,9 @@
     told.set("h1", 2, EndpointState.ACTIVE)
     tell(relay, told)
     relay.run(0.06)
-    assert relay.hosts[1] == {} and sorted(relay.hosts[2]) == ["h1", "h2"] and relay.holds(told)
+    assert relay.hosts[1] == {}
+    assert sorted(relay.hosts[2]) == ["h1", "h2"]
+    assert relay.holds(told)
 
 
 def test_a_cell_told_while_a_watch_overtakes_it_is_asked_for_again() -> None:
@@ -161,11 +167,13 @@
     told.set("h1", 1, EndpointState.DRAINING)
     tell(relay, told)  # answers the watch
     relay.run(0.01)
-    assert interest.index == told.revision and relay.hosts == {}
+    assert interest.index == told.revision
+    assert relay.hosts == {}
     interest.heard(relay.now, call.number, late[0], tuple(late[0].members))  # type: ignore[union-attr, arg-type, attr-defined]
     relay.run(0.1)
     assert interest.counts["overtaken"] == 1
-    assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING and relay.sliced[0][:2] == (
+    assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
+    assert relay.sliced[0][:2] == (
         1,
         ResolutionStatus.RESOLVED,
     )
@@ -192,12 +200,14 @@
     relay.want(1)
     relay.run(0.05)
     (answer,) = late
-    assert isinstance(answer, Answer) and list(relay.hosts[1]) == ["h1"]
+    assert isinstance(answer, Answer)
+    assert list(relay.hosts[1]) == ["h1"]
     if whole:
         answer = replace(answer, cells=(1, 2))
     relay.interest.heard(relay.now, number, answer, tuple(answer.members))
     relay.do()
-    assert relay.hosts[1]["h1"][0].state is EndpointState.ACTIVE and relay.interest.counts["overtaken"] == 1
+    assert relay.hosts[1]["h1"][0].state is EndpointState.ACTIVE
+    assert relay.interest.counts["overtaken"] == 1
     assert relay.hosts[2]["h2"][0].state is EndpointState.DRAINING
     relay.run(0.2)
     assert relay.holds(told)
@@ -215,7 +225,8 @@
     before = relay.now
     relay.run(3.0)
     pieces = changes(relay, before)
-    assert pieces[0].add[0] == 9999 and sum(len(piece.add) for piece in pieces) >= 2501
+    assert pieces[0].add[0] == 9999
+    assert sum(len(piece.add) for piece in pieces) >= 2501
 
 
 @pytest.mark.parametrize("too_long", [True, False])
@@ -230,11 +241,15 @@
     relay.want(*range(81, 101))
     relay.want(*range(101, 401))  # with no host
     relay.run(5.0)
-    assert relay.holds(told) and len(relay.hosts) == 100
+    assert relay.holds(told)
+    assert len(relay.hosts) == 100
     sizes = [len(call.add) for call in changes(relay) if call.add]
-    assert sizes[0] == 80 and sizes[1] == (40 if too_long else 50)
+    assert sizes[0] == 80
+    assert sizes[1] == (40 if too_long else 50)
     asked = [call for call in changes(relay) if len(call.add) > 50]
-    assert sum(sizes) >= 400 and len(sizes) <= 12 and len(asked) <= 4
+    assert sum(sizes) >= 400
+    assert len(sizes) <= 12
+    assert len(asked) <= 4
 
 
 def test_one_whose_hosts_alone_are_too_many_keeps_no_other_from_being_told() -> None:
@@ -248,15 +263,14 @@
     relay.run(0.1)
     relay.want(99)
     relay.run(5.0)
-    assert (
-        relay.sliced[-1][:2] == (99, ResolutionStatus.UNAVAILABLE)
-        and 99 not in relay.hosts
-        and len(relay.hosts) == 10
-    )
+    assert relay.sliced[-1][:2] == (99, ResolutionStatus.UNAVAILABLE)
+    assert 99 not in relay.hosts
+    assert len(relay.hosts) == 10
     told.set("h1", 1, EndpointState.DRAINING)
     tell(relay, told)
     relay.run(0.1)
-    assert relay.holds(told) and relay.interest.mode is Mode.WATCHING
+    assert relay.holds(told)
+    assert relay.interest.mode is Mode.WATCHING
     moved, calls = relay.interest.counts["moved"], len(changes(relay))
     relay.want(99)
     relay.run(0.1)
@@ -275,7 +289,8 @@
     told.set("h2", 2, EndpointState.DRAINING)
     tell(relay, told)
     relay.run(0.2)
-    assert relay.hosts[2]["h2"][0].state is EndpointState.DRAINING and list(relay.hosts[1]) == ["h1"]
+    assert relay.hosts[2]["h2"][0].state is EndpointState.DRAINING
+    assert list(relay.hosts[1]) == ["h1"]
 
 
 def test_one_that_the_engine_does_not_have_is_told_anew() -> None:
@@ -285,8 +300,10 @@
     relay.hosts.clear()  # lost, by a fault
     relay.want(1)
     relay.run(0.1)
-    assert relay.holds(told) and list(relay.hosts[1]) == ["h1"]
-    assert relay.sliced[-1][:2] == (1, ResolutionStatus.RESOLVED) and len(relay.sliced) == 2
+    assert relay.holds(told)
+    assert list(relay.hosts[1]) == ["h1"]
+    assert relay.sliced[-1][:2] == (1, ResolutionStatus.RESOLVED)
+    assert len(relay.sliced) == 2
 
 
 # Which registry
@@ -311,7 +328,8 @@
     told.set("h1", 1, EndpointState.DRAINING)
     tell(relay, told)
     relay.run(0.1)
-    assert relay.first is not first and relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
+    assert relay.first is not first
+    assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
 
 
 def test_a_registry_that_stands_still_is_left_within_the_bound_and_its_late_word_does_no_harm() -> None:
@@ -323,13 +341,15 @@
     told.set("h1", 1, EndpointState.DRAINING)
     tell(relay, told)
     relay.run(2.0 + 2.2 + 0.1)
-    assert relay.first is not first and relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
+    assert relay.first is not first
+    assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
     first.resume(relay.now)  # with the list as it was: it answers all that it had not read
     looks = 0
     while relay.now < began + RETURN * 3:
         relay.first.hear(relay.now, told)
         relay.run(1.0)
-        assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING and relay.first is not first
+        assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
+        assert relay.first is not first
         looks = sum(call.channel is Channel.LOOK for _, call in relay.calls)
     assert looks  # it was seen to be there, and behind
     while relay.first is not first:
@@ -353,10 +373,12 @@
     first.dead = True
     first.start_anew()
     relay.run(3.0)
-    assert list(relay.hosts[1]) == ["h5"] and relay.interest.counts["older"] >= 1
+    assert list(relay.hosts[1]) == ["h5"]
+    assert relay.interest.counts["older"] >= 1
     other.hear(relay.now, told)
     relay.run(2.0)
-    assert relay.first is other and relay.interest.mode is Mode.WATCHING
+    assert relay.first is other
+    assert relay.interest.mode is Mode.WATCHING
 
 
 def test_where_all_registries_tell_older_revisions_the_slice_is_taken_anew() -> None:
@@ -374,10 +396,14 @@
         registry.start_anew()
     began = relay.now
     relay.run(6.0)
-    assert list(relay.hosts[1]) == ["h1"] and list(relay.hosts[2]) == ["h2"]
+    assert list(relay.hosts[1]) == ["h1"]
+    assert list(relay.hosts[2]) == ["h2"]
     relay.run(5.0)
-    assert list(relay.hosts[1]) == ["h7"] and relay.hosts[2] == {} and relay.holds(anew)
-    assert sum("taken anew" in line for line in relay.lines) == 1 and relay.now - began < 12
+    assert list(relay.hosts[1]) == ["h7"]
+    assert relay.hosts[2] == {}
+    assert relay.holds(anew)
+    assert sum("taken anew" in line for line in relay.lines) == 1
+    assert relay.now - began < 12
 
 
 def test_old_news_makes_a_relay_try_another_once_in_a_while_and_stay_with_the_freshest() -> None:
@@ -390,7 +416,8 @@
             if registry is not first:
                 registry.hear(relay.now, told)
         relay.run(1.0)
-    assert relay.first is not first and relay.interest.counts["moved"] - moved <= 2
+    assert relay.first is not first
+    assert relay.interest.counts["moved"] - moved <= 2
     began = relay.now  # discovery is away from all
     relay.run(120.0)
     ages = [registry.heard for registry in relay.registries.values()]
@@ -428,7 +455,8 @@
             hear(1, first)
             assert relay.now - began < 12.0, shift
         hear(30, first)
-        assert relay.interest.counts["moved"] - moved == 1 and relay.first is first
+        assert relay.interest.counts["moved"] - moved == 1
+        assert relay.first is first
 
 
 def test_looks_grow_rarer_where_discovery_is_away_from_all() -> None:
@@ -436,7 +464,8 @@
     relay.want(1)
     relay.run(600.1)
     looks = sum(call.channel is Channel.LOOK for _, call in relay.calls)
-    assert 8 <= looks <= 60 and len(registries) == 3  # every 6 s it would be 200
+    assert 8 <= looks <= 60
+    assert len(registries) == 3
     assert list(relay.hosts[1]) == ["h1"]
 
 
@@ -484,7 +513,9 @@
     assert all({s[1] for s in relay.sliced} == {ResolutionStatus.RESOLVED} for relay in relays)
     assert max(len(relay.calls) for relay in relays) <= 4  # one failed, a change or two, the watch
     shares = [len(registry.sets) for registry in registries]
-    assert shares[0] == 0 and min(shares[1:]) > 180 and sum(shares) == 480
+    assert shares[0] == 0
+    assert min(shares[1:]) > 180
+    assert sum(shares) == 480
 
 
 def test_with_all_away_tries_grow_rarer_up_to_a_bound() -> None:
@@ -496,7 +527,8 @@
     began, calls = relay.now, len(relay.calls)
     relay.run(60.0)
     # Two calls each round; with full jitter a rest of up to 2 s is 1 s long in the middle.
-    assert 60 <= len(relay.calls) - calls <= 200 and relay.now > began
+    assert 60 <= len(relay.calls) - calls <= 200
+    assert relay.now > began
 
 
 def test_another_fleet_is_not_believed_and_said_in_one_line() -> None:
@@ -508,7 +540,8 @@
     relay.interest.start(0.0)
     relay.want(1)
     relay.run(20.0)
-    assert relay.hosts == {} and [s[1] for s in relay.sliced] == [ResolutionStatus.UNAVAILABLE]
+    assert relay.hosts == {}
+    assert [s[1] for s in relay.sliced] == [ResolutionStatus.UNAVAILABLE]
     assert relay.lines == [f"registry 10.0.0.1:7500 serves the fleet 'other', not {FLEET}"]
 
 
@@ -519,16 +552,19 @@
     told, registries, relay = make(number=1, cells=2500)
     relay.want(*range(1, 2501))
     relay.run(0.1)
-    assert relay.holds(told) and len(relay.hosts) == 2500
+    assert relay.holds(told)
+    assert len(relay.hosts) == 2500
     told.set("h7", 7, EndpointState.DRAINING)
     registries[0].start_anew()
     registries[0].hear(relay.now, told)
     before, cells = relay.now, relay.interest.counts["cells"]
     relay.run(2.5)
     pieces = changes(relay, before)
-    assert [len(p.have) for p in pieces] == [MOST_CELLS, MOST_CELLS, 500] and not any(p.add for p in pieces)
+    assert [len(p.have) for p in pieces] == [MOST_CELLS, MOST_CELLS, 500]
+    assert not any(p.add for p in pieces)
     assert [p.reset for p in pieces] == [True, False, False]
-    assert relay.interest.counts["cells"] - cells == 1 and relay.holds(told)
+    assert relay.interest.counts["cells"] - cells == 1
+    assert relay.holds(told)
     assert relay.hosts[7]["h7"][0].state is EndpointState.DRAINING
 
 
@@ -542,7 +578,8 @@
     told.set("h2", 2, EndpointState.DRAINING)
     registries[0].hear(relay.now, told)
     relay.run(2.2)
-    assert relay.holds(told) and registries[0].sets[relay.interest.subscriber][0] == {1, 2}
+    assert relay.holds(told)
+    assert registries[0].sets[relay.interest.subscriber][0] == {1, 2}
     assert seq < registries[0].sets[relay.interest.subscriber][1]
 
 
@@ -554,16 +591,19 @@
     relay.busy = {2, 3}
     before = relay.now
     relay.run(7.5)
-    assert sorted(relay.hosts) == [1, 2, 3] and sorted(relay.offered) == list(range(2, 51))
+    assert sorted(relay.hosts) == [1, 2, 3]
+    assert sorted(relay.offered) == list(range(2, 51))
     dropped = [call.drop for call in changes(relay, before) if call.drop]
     assert [sorted(drop) for drop in dropped] == [list(range(4, 51))]
     assert registries[0].sets[relay.interest.subscriber][0] == {1, 2, 3}
     relay.busy = set()
     relay.run(12.0)
-    assert relay.hosts == {} and registries[0].sets[relay.interest.subscriber][0] == set()
+    assert relay.hosts == {}
+    assert registries[0].sets[relay.interest.subscriber][0] == set()
     relay.want(1)
     relay.run(0.1)
-    assert relay.holds(told) and list(relay.hosts) == [1]
+    assert relay.holds(told)
+    assert list(relay.hosts) == [1]
 
 
 def test_over_the_most_those_used_least_lately_are_let_go() -> None:
@@ -582,7 +622,8 @@
     assert relay.hosts == {}
     relay.want(1)
     relay.run(0.1)
-    assert relay.holds(told) and list(relay.hosts) == [1]
+    assert relay.holds(told)
+    assert list(relay.hosts) == [1]
     relay.run(3.0)
     assert registries[0].sets[relay.interest.subscriber][0] == {1}
     told.set("h1", 1, EndpointState.DRAINING)
@@ -606,9 +647,12 @@
     after.hosts = relay.hosts
     after.interest.start(after.now)
     after.run(0.1)
-    assert after.holds(told) and after.hosts[2]["h2"][0].state is EndpointState.DRAINING
+    assert after.holds(told)
+    assert after.hosts[2]["h2"][0].state is EndpointState.DRAINING
     (piece,) = changes(after)
-    assert piece.have == (1, 2) and not piece.add and after.interest.counts["cells"] == 1
+    assert piece.have == (1, 2)
+    assert not piece.add
+    assert after.interest.counts["cells"] == 1
 
 
 def test_a_pause_asks_nothing_and_misses_nothing() -> None:
@@ -620,12 +664,14 @@
     calls = len(relay.calls)
     relay.want(2)
     relay.run(1.0)
-    assert len(relay.calls) == calls and relay.sliced[-1][:2] == (2, ResolutionStatus.UNAVAILABLE)
+    assert len(relay.calls) == calls
+    assert relay.sliced[-1][:2] == (2, ResolutionStatus.UNAVAILABLE)
     told.set("h1", 1, EndpointState.DRAINING)
     tell(relay, told)
     relay.interest.start(relay.now)
     relay.run(0.1)
-    assert relay.holds(told) and set(relay.hosts) == {1, 2}
+    assert relay.holds(told)
+    assert set(relay.hosts) == {1, 2}
 
 
 def test_a_watch_that_is_answered_at_once_is_no_busy_loop() -> None:
@@ -721,14 +767,16 @@
             registry.hear(relay.now, told)
         relay.run(1.0)
     settle(relay)
-    assert relay.interest.mode is Mode.WATCHING and relay.interest.index == told.revision
+    assert relay.interest.mode is Mode.WATCHING
+    assert relay.interest.index == told.revision
     relay.want(1, 2, 3)
     relay.run(0.15)
     for registry in registries:
         registry.hear(relay.now, told)
     relay.run(0.1)
     settle(relay)
-    assert relay.holds(told) and {1, 2, 3} <= set(relay.interest.cells)
+    assert relay.holds(told)
+    assert {1, 2, 3} <= set(relay.interest.cells)
     assert {s[0] for s in relay.sliced[wanted:]} >= {1, 2, 3}
     assert relay.first.sets[relay.interest.subscriber][0] == relay.interest.told
     where = {host: cell for cell, hosts in relay.hosts.items() for host in hosts}
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -125,10 +125,12 @@
         told = Told(w)
         told.told.watch()
         await told.until(7)
-        assert set(told.forms()) == {EndpointListKind.DELTA} and len(told.pieces) == 6
+        assert set(told.forms()) == {EndpointListKind.DELTA}
+        assert len(told.pieces) == 6
         assert all(len(listing.entries) <= PIECE for listing in told.pieces)
         assert all(a < b for a, b in pairwise(told.passes))
-        assert set(told.revisions) == {None} and told.told.revision == 7
+        assert set(told.revisions) == {None}
+        assert told.told.revision == 7
         assert [e.endpoint for e, _ in told.entries.values()] == [r["id"] for r in rows]
         drains = [e.state is EndpointState.DRAINING for e, _ in told.entries.values()]
         assert drains == [i % 50 == 0 for i in range(LONG)]
@@ -159,8 +161,10 @@
         w.list_answer = answers(whole(7, rows), whole(8, rows))
         told.told.watch()
         await told.until(8)
-        assert len(told.pieces) == 7 and len(at) == 12
-        assert told.pieces[6] == EndpointListReceived(EndpointListKind.DELTA, ()) and told.revisions[6] == 8
+        assert len(told.pieces) == 7
+        assert len(at) == 12
+        assert told.pieces[6] == EndpointListReceived(EndpointListKind.DELTA, ())
+        assert told.revisions[6] == 8
         assert all(many <= PIECE for _, many in at)
         assert all(a < b for (a, _), (b, _) in pairwise(at))
         told.told.close()
@@ -196,10 +200,10 @@
         assert names[:6] == [f"h{LONG}", "h5", "h6", "h7", f"h{LONG - 1}", "h9"]
         assert sorted(names[6:]) == sorted([f"h{i}" for i in (0, 1, 2, 3, 4, LONG - 3, LONG - 2)])
         assert all(entry.state is EndpointState.REMOVED for entry in changes[4:])
-        assert (
-            told.entries["h5"][0].state is EndpointState.DRAINING and told.entries["h7"][0].listed_rate == 2.0
-        )
-        assert told.entries["h6"][1] == ("127.0.0.1", 99) and len(told.entries) == LONG - 8
+        assert told.entries["h5"][0].state is EndpointState.DRAINING
+        assert told.entries["h7"][0].listed_rate == 2.0
+        assert told.entries["h6"][1] == ("127.0.0.1", 99)
+        assert len(told.entries) == LONG - 8
         told.told.close()
 
     run(scenario, tmp_path)
@@ -261,7 +265,8 @@
             told.told.watch()
         await told.until(10)
         assert w.discovery.requests[asked].target == "/registry/instances"
-        assert set(told.entries) == {r["id"] for r in rows} and told.told.revision == 10
+        assert set(told.entries) == {r["id"] for r in rows}
+        assert told.told.revision == 10
         told.told.close()
 
     run(scenario, tmp_path)
@@ -284,7 +289,8 @@
 
     run(scenario, tmp_path)
     lines = [r.getMessage() for r in caplog.records if "passed over" in r.getMessage()]
-    assert len(lines) == 1 and "127.0.0.1:" in lines[0]
+    assert len(lines) == 1
+    assert "127.0.0.1:" in lines[0]
 
 
 @both
@@ -295,7 +301,8 @@
         told.told.in_force = None
         told.told.watch()
         await told.until(7)
-        assert told.forms() == [EndpointListKind.FULL] and len(told.entries) == LONG
+        assert told.forms() == [EndpointListKind.FULL]
+        assert len(told.entries) == LONG
         told.told.close()
 
     run(scenario, tmp_path)
@@ -311,7 +318,8 @@
         told = Told(w)
         told.told.watch()
         await w.until(lambda: told.forms() == [EndpointListKind.FAILED])
-        assert told.told.revision is None and not told.refused
+        assert told.told.revision is None
+        assert not told.refused
 
     run(scenario, tmp_path)
 
@@ -378,7 +386,8 @@
         w.bump()
         w.discovery.close_connections()
         await w.until(lambda: len(lines()) == 3)
-        assert await ready() == 200 and await w.hand_in("n") == 202
+        assert await ready() == 200
+        assert await w.hand_in("n") == 202
         await w.until(lambda: host.ids == ["m", "n"])
 
     run(scenario, tmp_path, safety={"ask_every": 1_000_000})
@@ -474,7 +483,8 @@
         connection = await opened(w, 2 * MOST_BODY)
         if more:
             answer = await connection.request("GET", "/", {"Host": "x"}, until=until)
-            assert len(answer.body) == size and loop.time() > until
+            assert len(answer.body) == size
+            assert loop.time() > until
         else:
             with pytest.raises(TimeoutError):
                 await connection.request("GET", "/", {"Host": "x"}, until=until)
--- a/tests/discovery/test_subscriber.py
+++ b/tests/discovery/test_subscriber.py
@@ -126,9 +126,11 @@
         subscriber.watch()
         subscriber.watch()  # as the module asks, in its own rhythm
         await relay.until(lambda: relay.states == [(7, ResolutionStatus.RESOLVED)])
-        assert relay.addresses == {"h7": ("127.0.0.1", 9)} and subscriber.revision == 5
+        assert relay.addresses == {"h7": ("127.0.0.1", 9)}
+        assert subscriber.revision == 5
         await w.until(lambda: any(isinstance(call, Watch) for call in sound.calls))
-        assert len(peer.connections) == 2 and subscriber.answered.is_set()
+        assert len(peer.connections) == 2
+        assert subscriber.answered.is_set()
         assert [listing.kind for listing in relay.listings] == [
             EndpointListKind.CACHED,
             EndpointListKind.DELTA,
@@ -136,7 +138,8 @@
         subscriber.move_to(("127.0.0.1", 10))
         assert subscriber.address == ("127.0.0.1", 10)
         figures = dict(line.split("=") for line in subscriber.figure_lines())
-        assert figures["app.slices_held"] == "1" and int(figures["app.slices_bytes_in"]) > 200
+        assert figures["app.slices_held"] == "1"
+        assert int(figures["app.slices_bytes_in"]) > 200
         subscriber.pause()
         await w.until(lambda: len(peer.ended) == 2)
         subscriber.close()
--- a/tests/discovery/test_told_in_time.py
+++ b/tests/discovery/test_told_in_time.py
@@ -179,7 +179,8 @@
         await w.host(fail, dest=3)
         w.limits["sockets"] = 100
         await w.start()
-        assert w.process is not None and w.discovery.server is not None
+        assert w.process is not None
+        assert w.discovery.server is not None
         resource.prlimit(w.process.pid, resource.RLIMIT_NOFILE, (100, 100))
         port = w.discovery.server.sockets[0].getsockname()[1]
         w.discovery.server.close()
--- a/tests/gossip/test_calls.py
+++ b/tests/gossip/test_calls.py
@@ -56,16 +56,21 @@
 def test_a_call_goes_before_the_one_that_its_operator_saw_whatever_the_clock() -> None:
     early, late = Calls("early", 1), Calls("late", 2)
     first = late.called("h", True, 10_000_000)
-    assert first is not None and early.heard([first, first]) == [first]
+    assert first is not None
+    assert early.heard([first, first]) == [first]
     second = early.called("h", False, 5)  # its clock is far behind
-    assert second is not None and late.heard([second]) == [second] and not late.known["h"].out
-    assert late.heard([first]) == [] and late.called("h", False, 11_000_000) is None
+    assert second is not None
+    assert late.heard([second]) == [second]
+    assert not late.known["h"].out
+    assert late.heard([first]) == []
+    assert late.called("h", False, 11_000_000) is None
 
 
 def test_what_stood_on_disk_without_a_call_gives_way_to_any() -> None:
     calls = Calls("a", 1)
     calls.load([Call("h1", False, 7, "b")], ["h0", "h1"])
-    assert calls.known["h0"].stamp == 0 and not calls.known["h1"].out
+    assert calls.known["h0"].stamp == 0
+    assert not calls.known["h1"].out
     back, absurd = Call("h0", False, 1, "z"), Call("h2", True, 1 << 60, "z")
     assert calls.heard([back, absurd]) == [back]
 
@@ -74,7 +79,8 @@
     calls = Calls("a", 1)
     for n in range(3 * MOST):
         calls.called(f"h{n}", n % 4 == 0, n)
-    assert len(calls.known) == MOST and all(f"h{n}" in calls.known for n in range(2 * MOST, 3 * MOST, 4))
+    assert len(calls.known) == MOST
+    assert all(f"h{n}" in calls.known for n in range(2 * MOST, 3 * MOST, 4))
     assert set(calls.spread.told) <= set(calls.known)
 
 
@@ -100,11 +106,15 @@
     data = encode("f", datagram, calls)
     assert len(data) <= MOST_BYTES
     fleet, read, heard = decode(data)
-    assert fleet == "f" and type(read) is type(datagram) and heard == calls[: len(heard)]
-    assert read.news == datagram.news[: len(read.news)] and read.sender == datagram.sender
+    assert fleet == "f"
+    assert type(read) is type(datagram)
+    assert heard == calls[: len(heard)]
+    assert read.news == datagram.news[: len(read.news)]
+    assert read.sender == datagram.sender
     assert read.number == datagram.number
     if len(data) < MOST_BYTES // 2:
-        assert read == datagram and heard == calls
+        assert read == datagram
+        assert heard == calls
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
--- a/tests/gossip/test_joining.py
+++ b/tests/gossip/test_joining.py
@@ -55,7 +55,8 @@
         engine.refusals = 0
         later = gossip_member.GossipMember(TOLD, "a", tmp_path, cast(Any, engine), engine.change)
         await later.start(wait=False)
-        assert engine.disabled_hosts == {"h"} and later.calls.known == {"h": call}
+        assert engine.disabled_hosts == {"h"}
+        assert later.calls.known == {"h": call}
         later.close()
         (tmp_path / gossip_member.NAME).write_text('[["h", true, -1, "b"]]')
         assert later._load() == []
--- a/tests/gossip/test_membership.py
+++ b/tests/gossip/test_membership.py
@@ -85,7 +85,8 @@
         assert f.false_gone() <= 3
         settle(f)
         f.run(f.now + 60 * SECOND)
-        assert f.agreed() and f.false_gone() <= 3
+        assert f.agreed()
+        assert f.false_gone() <= 3
     else:
         assert f.false_gone() == 0
 
@@ -135,7 +136,8 @@
     life = f.nodes["r4"].view.me.life
     f.go_on("r4")
     settle(f)
-    assert f.nodes["r4"].view.me.life == life and not f.nodes["r4"].gone
+    assert f.nodes["r4"].view.me.life == life
+    assert not f.nodes["r4"].gone
 
 
 @pytest.mark.parametrize("back", [0, 3600], ids=["right", "an-hour-back"])
@@ -158,7 +160,8 @@
     f.begin("r2", ("127.0.0.1", 7999), node="r2-again")
     f.run_while(lambda: not any(n.contested for n in f.nodes.values()), FOUND)
     out = [name for name, node in f.nodes.items() if node.contested]
-    assert len(out) == 1 and out[0] in ("r2", "r2-again")
+    assert len(out) == 1
+    assert out[0] in ("r2", "r2-again")
     f.run(f.now + FOUND)
     held = {n.view.known["r2"].peer.life for n in f.nodes.values() if "r2" in n.view.known}
     (stays,) = {"r2", "r2-again"} - set(out)
--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -46,12 +46,12 @@
     journal.complete("over")
     before, doubts = dict(journal.messages), dict(journal.uncertain_keys)
     journal = reopened(journal)
-    assert journal.messages == before and list(doubts) == ["k"]
-    assert (
-        journal.messages["tried"].attempt_host == "h1"
-        and journal.messages["doubtful"].first_attempt_host == "h1"
-    )
-    assert journal.messages["refused"].first_attempt_at is None and journal.messages["refused"].attempts == 1
+    assert journal.messages == before
+    assert list(doubts) == ["k"]
+    assert journal.messages["tried"].attempt_host == "h1"
+    assert journal.messages["doubtful"].first_attempt_host == "h1"
+    assert journal.messages["refused"].first_attempt_at is None
+    assert journal.messages["refused"].attempts == 1
     journal.admit(held("later"))
     assert journal.messages["later"].sequence == 7  # after a restart, too, behind those taken before
 
@@ -194,7 +194,8 @@
         assert [answer and answer.status for answer in answers] == [200, None, None]
         assert not each.messages
     again = reopened(reopened(journal))
-    assert again.completed("long") is not None and len(again.past) == 1
+    assert again.completed("long") is not None
+    assert len(again.past) == 1
     assert again.live == sum(past.size for past in again.past.values())
 
 
@@ -214,10 +215,12 @@
         taken += 1
         journal.complete(f"m{i}", 200)
         assert used(tmp_path) <= 200_000
-    assert min(journal.segments) > begun and refused > 0 < taken  # full of what may not be forgotten: no more
+    assert min(journal.segments) > begun
+    assert refused > 0 < taken
     last = reopened(journal, 200_000)
     was = last.completed("first")
-    assert was is not None and was.status == 500
+    assert was is not None
+    assert was.status == 500
     assert sum(last.completed(f"m{i}") is not None for i in range(3000)) == len(journal.past) - 1
 
 
@@ -247,7 +250,9 @@
         journal.close()
     assert set(journal.past) <= {name for names in journal.past_homes.values() for name in names}
     clock["now"] = 2_000_000
-    assert journal.completed("m199") is None and not journal.past and journal.live == 0
+    assert journal.completed("m199") is None
+    assert not journal.past
+    assert journal.live == 0
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -274,10 +279,12 @@
     go_on(chance.choice([0, 1, 40, 400]))
     reader.catch_up()
     fresh = Journal(tmp_path, 60_000, still=True)
-    assert list(reader.messages) == list(fresh.messages) and set(reader.messages) == set(owner.messages)
+    assert list(reader.messages) == list(fresh.messages)
+    assert set(reader.messages) == set(owner.messages)
     assert set(reader.past) == set(owner.past) == set(fresh.past)
     assert {n: s.size for n, s in reader.segments.items()} == {n: s.size for n, s in owner.segments.items()}
-    assert reader.bytes == owner.bytes and reader.live == fresh.live
+    assert reader.bytes == owner.bytes
+    assert reader.live == fresh.live
     assert before - set(reader.segments) or len(owner.segments) >= len(before)
     owner.close()
     reader.take_ownership()
--- a/tests/metrics/test_registry.py
+++ b/tests/metrics/test_registry.py
@@ -21,9 +21,13 @@
     figures.count_final_status("gone-before-the-start", FinalStatus.ABORTED)
     figures.forwarded(3)
     told = shown(figures)
-    assert told["app.succeeded.a"] == 1 and told["app.declined.c"] == 1
-    assert told["app.aborted.gone-before-the-start"] == 1 and told["app.forwards"] == 3
-    assert told["app.outstanding"] == 14 and told["app.discovered"] == 5 and told["app.ejected"] == 1
+    assert told["app.succeeded.a"] == 1
+    assert told["app.declined.c"] == 1
+    assert told["app.aborted.gone-before-the-start"] == 1
+    assert told["app.forwards"] == 3
+    assert told["app.outstanding"] == 14
+    assert told["app.discovered"] == 5
+    assert told["app.ejected"] == 1
 
 
 def test_each_process_counts_from_nothing() -> None:
--- a/tests/program/test_connections.py
+++ b/tests/program/test_connections.py
@@ -90,7 +90,8 @@
             await hand_in_all(w, [line[60:] for line in lines], account)
             await all_over(w, partners, account)
             findings = find(w, partners, account)
-            assert moved.calls and successor.calls
+            assert moved.calls
+            assert successor.calls
             assert findings.messages > 1000
             # On a quiet machine over a third; on a starved one messages' time goes by.
             assert findings.effects > findings.messages // 10
@@ -98,7 +99,8 @@
             # When notices came is measured (benchmarks.connections): here the machine may be slow. Calls are
             # read as late as this process was at its worst.
             assert find(w, partners, account, max(lag)).begun_late == 0, findings
-            assert w.process is not None and w.process.returncode is None
+            assert w.process is not None
+            assert w.process.returncode is None
             assert not any("Traceback" in line for line in w.log)
 
     asyncio.run(main())
--- a/tests/program/test_fault_points.py
+++ b/tests/program/test_fault_points.py
@@ -62,12 +62,14 @@
             if heard == 202:
                 assert {notice["status"] for notice in w.notices} == set(ends[answer.value])
             if answer is Answer.DELIVERED:
-                assert status == 200 and ran == ["m"]
+                assert status == 200
+                assert ran == ["m"]
             if answer is Answer.REFUSED:
                 assert not ran
         assert ran in ([], ["m"])
         if status != 503:
-            assert len(host.ids) <= 1 and (asked == 0 or len(host.ids) == asked)
+            assert len(host.ids) <= 1
+            assert asked == 0 or len(host.ids) == asked
 
     run(scenario, tmp_path, policy_limits=LIMITS)
 
--- a/tests/program/test_figures.py
+++ b/tests/program/test_figures.py
@@ -69,7 +69,8 @@
         writer.write(message("half")[:-2])
         writer.close()
         told = await shown(w)
-        assert told["outstanding"] == 1 and told["discovered"] == 4
+        assert told["outstanding"] == 1
+        assert told["discovered"] == 4
         refused = told["declined.status"]  # until the list named the destination
         await w.restart()
         await settle(w, outstanding=1, succeeded__status=0, declined__status=0, forwards=0)
--- a/tests/program/test_ids_seen_before.py
+++ b/tests/program/test_ids_seen_before.py
@@ -39,7 +39,8 @@
         await w.until(lambda: bool(told_so))
         assert told_so[0] == {"id": "m", "status": told}
         again, headers, _ = await w.ask(message("m", "order"))
-        assert again == answer and (answer == 500 or float(headers["retry-after"]) > 0)
+        assert again == answer
+        assert answer == 500 or float(headers["retry-after"]) > 0
         release.set()
         await w.until(lambda: bool(w.notices))
         assert host.ids == ["m"]
@@ -62,6 +63,7 @@
         await w.until(lambda: host.answered == 1)
         while (status := await w.hand_in("m", "order")) == 202:
             pass  # the relay has not read the host's answer yet
-        assert status == 200 and host.ids == ["m"]
+        assert status == 200
+        assert host.ids == ["m"]
 
     run(scenario, tmp_path)
--- a/tests/program/test_record.py
+++ b/tests/program/test_record.py
@@ -65,7 +65,9 @@
         bad = found["bad"]
         about = bad.about
         assert (about.instance, about.tenant, about.destination, about.key) == ("n1", "acme", 1, "k1")
-        assert bad.attempts == 1 and bad.result == "ERROR" and bad.host == "h0"
+        assert bad.attempts == 1
+        assert bad.result == "ERROR"
+        assert bad.host == "h0"
         assert w.notices == [{"id": "bad", "status": "undeliverable"}]
 
     run(scenario, tmp_path)
@@ -136,7 +138,8 @@
         lock = sqlite3.connect(path, isolation_level=None)
         lock.execute("BEGIN EXCLUSIVE")
         status, headers, _ = await w.ask(message("away", "order"))
-        assert status == 503 and float(headers["retry-after"]) > 0
+        assert status == 503
+        assert float(headers["retry-after"]) > 0
         assert await w.hand_in("update") == 202
         await w.until(lambda: "update" in host.ids)
         lock.execute("ROLLBACK")
@@ -145,7 +148,8 @@
             while await w.hand_in("after", "order") == 503:
                 await asyncio.sleep(0.02)
         found = await until(path, ["update", "after"], State.TOLD)
-        assert "away" not in found and "away" not in host.ids
+        assert "away" not in found
+        assert "away" not in host.ids
 
     run(scenario, tmp_path)
 
@@ -177,7 +181,8 @@
         await w.start()
         found = await until(path, ["m"], State.TOLD)
         # The answer was read before the kill, or the attempt may have run: never a second time either way.
-        assert found["m"].answer in (Answer.DELIVERED, Answer.FAILED) and host.ids == ["m"]
+        assert found["m"].answer in (Answer.DELIVERED, Answer.FAILED)
+        assert host.ids == ["m"]
 
     run(scenario, tmp_path)
 
@@ -196,7 +201,8 @@
         await w.start()
         await w.until(lambda: w.notices == [{"id": "m", "status": "undeliverable"}])
         found = await until(path, ["m"], State.TOLD)
-        assert found["m"].answer is Answer.FAILED and host.ids == ["m"]
+        assert found["m"].answer is Answer.FAILED
+        assert host.ids == ["m"]
 
     run(scenario, tmp_path)
 
@@ -218,7 +224,8 @@
         await w.start()
         await w.until(lambda: w.notices == [{"id": "out", "status": "undeliverable"}])
         found = await until(path, ["out"], State.TOLD)
-        assert found["out"].answer is Answer.FAILED and found["out"].attempts == 1
+        assert found["out"].answer is Answer.FAILED
+        assert found["out"].attempts == 1
         assert (await until(path, ["waits"], State.TAKEN))["waits"].attempts == 0
         assert host.ids == ["out"]
 
@@ -253,7 +260,8 @@
             await asyncio.gather(*clients)
         await w.start()
         found = await until(path, taken, State.TOLD)
-        assert len(taken) > 50 and len(set(host.ids)) == len(host.ids)  # nothing ran twice
+        assert len(taken) > 50
+        assert len(set(host.ids)) == len(host.ids)
         told = {notice["id"]: notice["status"] for notice in w.notices}
         for name, entry in found.items():
             if entry.answer is Answer.DELIVERED:
@@ -275,8 +283,10 @@
         w.configure(w.discovery.address)
         with pytest.raises(AssertionError, match="version"):
             await w.start()
-        assert w.process is not None and await w.process.wait() == 1
-        assert len(w.log) == 1 and f"version {VERSION + 1}" in w.log[0]
+        assert w.process is not None
+        assert await w.process.wait() == 1
+        assert len(w.log) == 1
+        assert f"version {VERSION + 1}" in w.log[0]
 
     run(scenario, tmp_path)
 
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -90,14 +90,16 @@
             server.drawn = None
             server.cut_all()
             found = await all_told(server, set(account.taken))
-            assert server.cuts >= 10 and len(found) == ORDERS
+            assert server.cuts >= 10
+            assert len(found) == ORDERS
             assert max(partner.effects.values()) == 1
             told = {notice["id"]: notice["status"] for notice in w.notices}
             ends = {Answer.FAILED: "undeliverable", Answer.REFUSED: "deferred"}
             for name, entry in found.items():
                 assert (entry.answer is Answer.DELIVERED) == (partner.effects[name] == 1), name
                 if entry.answer is not Answer.DELIVERED and name in account.taken:
-                    assert entry.answer is not None and told[name] == ends[entry.answer]
+                    assert entry.answer is not None
+                    assert told[name] == ends[entry.answer]
             assert set(partner.effects) <= set(found)
             assert len(partner.effects) > 0.99 * ORDERS
 
--- a/tests/program/test_restarts.py
+++ b/tests/program/test_restarts.py
@@ -133,7 +133,8 @@
         for name in ("new", "held"):  # one that is still begun, one that is only kept for the next start
             writer.write(message(name, dest=3 if name == "new" else 7))
             start, headers, _ = await read_message(reader)
-            assert start.startswith("HTTP/1.1 202") and "connection" not in headers
+            assert start.startswith("HTTP/1.1 202")
+            assert "connection" not in headers
             await w.until(lambda: other.ids == ["new"] and any("no more calls" in line for line in w.log))
         released.set()
         async with asyncio.timeout(HANG):
@@ -142,7 +143,8 @@
         later = await w.host(deliver, dest=7)
         await w.start()
         await w.until(lambda: sorted(later.ids) == ["held", *(f"m{i}" for i in range(5))])
-        assert (host.ids, other.ids) == (["out"], ["new"]) and not w.notices
+        assert (host.ids, other.ids) == (["out"], ["new"])
+        assert not w.notices
 
     run(scenario, tmp_path)
 
--- a/tests/program/test_settings_in_service.py
+++ b/tests/program/test_settings_in_service.py
@@ -45,7 +45,8 @@
         await w.until(lambda: {"new", "old"} <= set(host.ids))
         while "app.succeeded.status=1" not in (text := await w.call("show-stat")):
             pass
-        assert "app.succeeded.status-2=1" in text and "app.sighup_rejected=0" in text
+        assert "app.succeeded.status-2=1" in text
+        assert "app.sighup_rejected=0" in text
 
     run(scenario, tmp_path)
 
@@ -103,7 +104,8 @@
         assert await w.hand_in("new", dest=2) == 202
         await w.until(lambda: any(n["id"] == "new" for n in w.notices))
         await w.until(lambda: host.ids.count("old") >= 2)
-        assert other.ids == ["new"] and not any(n["id"] == "old" for n in w.notices)
+        assert other.ids == ["new"]
+        assert not any(n["id"] == "old" for n in w.notices)
 
     run(scenario, tmp_path)
 
@@ -136,7 +138,8 @@
         w.reload()
         while "app.sighup_rejected=0" in (text := await w.call("show-stat")):
             pass
-        assert "app.sighup_applied=0" in text and "other" not in text
+        assert "app.sighup_applied=0" in text
+        assert "other" not in text
         assert any("the configuration stays as it was" in line and "config.json" in line for line in w.log)
         assert await w.hand_in("no", "other") == 404
         await w.hand_in_once_listed("m", 1)
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -124,7 +124,8 @@
             else:
                 registries.go_on(address)
         assert await served_by(w, [other], "again", dest=2) == 0
-        assert other.ids == ["again"] and not w.notices
+        assert other.ids == ["again"]
+        assert not w.notices
 
     play(scenario, tmp_path, wait_ms=200)
 
@@ -172,7 +173,8 @@
         w.list_host(1, "plain", "Ready", new.address)
         await w.start()
         await w.until(lambda: new.ids == ["m"])
-        assert await served_by(w, [new], "n") == 0 and not old.ids
+        assert await served_by(w, [new], "n") == 0
+        assert not old.ids
 
     play(scenario, tmp_path)
 
@@ -189,7 +191,8 @@
         if len(hosts[0].ids) > before:
             last = time.monotonic() - told_at
     await w.until(lambda: taken in hosts[1].ids + hosts[0].ids)
-    assert number > 20 and taken not in hosts[0].ids
+    assert number > 20
+    assert taken not in hosts[0].ids
     return last
 
 
@@ -240,7 +243,8 @@
         third = await w.host(deliver)
         while "last" not in third.ids:
             await w.hand_in("last")
-        assert not hosts[0].ids and await registries.figure("slices_registry") == 1
+        assert not hosts[0].ids
+        assert await registries.figure("slices_registry") == 1
 
     play(scenario, tmp_path)
 
@@ -268,7 +272,8 @@
         assert await w.hand_in("short", Request_Timeout_Ms="500") in (202, 503)
         back = await w.host(deliver)
         await w.until(lambda: {"held", "meanwhile"} <= set(back.ids))
-        assert await served_by(w, [back], "new") == 0 and not host.ids
+        assert await served_by(w, [back], "new") == 0
+        assert not host.ids
         assert {notice["id"] for notice in w.notices} <= {"short"}
 
     play(scenario, tmp_path)
@@ -283,7 +288,8 @@
         await registries.until("slices_let_go", 1)
         assert await refused(w, "new") == "1"
         back = await w.host(deliver)
-        assert await served_by(w, [back], "again") == 0 and host.ids == ["before"]
+        assert await served_by(w, [back], "again") == 0
+        assert host.ids == ["before"]
 
     play(scenario, tmp_path, idle_s=1)
 
@@ -344,7 +350,8 @@
         assert await w.hand_in("in-line", "order", Request_Timeout_Ms="4000") == 202
         assert await registries.figure("slices_held") == 1
         await asyncio.sleep(2.5)  # idle for longer than what is set: it must not be let go
-        assert await registries.figure("slices_let_go") == 0 and host.ids == ["out"]
+        assert await registries.figure("slices_let_go") == 0
+        assert host.ids == ["out"]
         let.set()
         await w.until(lambda: [notice["id"] for notice in w.notices] == ["in-line"])
         await registries.until("slices_let_go", 1)
@@ -354,7 +361,8 @@
             number += 1
             assert await w.hand_in(f"again{number}") == 503
             held = await registries.figure("slices_held")
-        assert await w.hand_in("last") == 503 and host.ids == ["out"]
+        assert await w.hand_in("last") == 503
+        assert host.ids == ["out"]
 
     play(scenario, tmp_path, idle_s=1)
 
@@ -371,7 +379,8 @@
         assert await registries.figure("slices_cells") == 0  # nothing was told whole again
         for address in registries.addresses:
             await registries.kill(address)
-        assert await w.hand_in("after1", dest=1) == 202 and await w.hand_in("after2", dest=2) == 202
+        assert await w.hand_in("after1", dest=1) == 202
+        assert await w.hand_in("after2", dest=2) == 202
         await w.until(lambda: "after1" in hosts[0].ids and "after2" in hosts[1].ids)
 
     play(scenario, tmp_path)
@@ -409,7 +418,8 @@
         found = await until(path, ["m0", "m1", "m2"], State.TOLD)
         assert {found[name].answer for name in ("m0", "m1", "m2")} == {Answer.DELIVERED}
         orders = [name for name in dict.fromkeys(reversed(host.ids)) if name != "m0"]
-        assert orders == ["m2", "m1"] and not w.notices
+        assert orders == ["m2", "m1"]
+        assert not w.notices
 
     play(scenario, tmp_path)
 
@@ -428,7 +438,8 @@
         await w.until(lambda: any("discovery moves" in line for line in w.log))
         assert await w.hand_in("m", "order") == 202
         await w.until(lambda: w.notices == [failed("m")])
-        assert {r.target for r in new.requests} == {"/reports"} and host.ids
+        assert {r.target for r in new.requests} == {"/reports"}
+        assert host.ids
         assert await registries.figure("slices_changes") == changes + 1  # the first message's
 
     play(scenario, tmp_path)
@@ -484,7 +495,9 @@
     from loftrelay.discovery.settings import load_subscription
 
     told = load_subscription(Path(__file__).parents[2] / "deploy" / "subscription.toml")
-    assert told.fleet == "windwacht" and len(told.registries) == 2 and told.timing.wait == 0.2
+    assert told.fleet == "windwacht"
+    assert len(told.registries) == 2
+    assert told.timing.wait == 0.2
     path = tmp_path / "many.toml"
     path.write_text(f"[subscription]\nregistries = {json.dumps([f'10.0.0.1:{n}' for n in range(1, 1025)])}\n")
     assert len(load_subscription(path).registries) == 1024
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -95,7 +95,9 @@
         found = await until(path, ["m"], State.TOLD)
         told = [notice["id"] for notice in w.notices]
         if begun:
-            assert status == 202 and found["m"].answer is Answer.DELIVERED and not told
+            assert status == 202
+            assert found["m"].answer is Answer.DELIVERED
+            assert not told
         else:
             assert found["m"].answer in (Answer.REFUSED, Answer.FAILED)
             assert status in (500, 503) or told == ["m"]
@@ -123,7 +125,8 @@
         await w.hand_in_once_listed("after", 1)
         await w.until(lambda: host.answered == 2)
         await w.end(signal.SIGTERM)  # whatever it owes is told before it ends
-        assert host.ids == ["m", "after"] and not w.notices
+        assert host.ids == ["m", "after"]
+        assert not w.notices
         assert any("ends with 0 messages" in line for line in w.log)
 
     run(scenario, tmp_path)
@@ -194,7 +197,8 @@
         go_on(w)
         await w.hand_in_once_listed("again", 1)
         await w.until(lambda: "again" in host.ids)
-        assert host.ids == ["again"] and not w.notices
+        assert host.ids == ["again"]
+        assert not w.notices
 
     run(scenario, tmp_path)
 
@@ -227,7 +231,8 @@
         names = {f"m{i}" for i in range(5)}
         await w.until(lambda: ended(w, host.ids, names) == names)
         # A notice whose answer the frozen process did not read is told again, in the same words.
-        assert {notice["id"] for notice in w.notices} == names and not host.ids
+        assert {notice["id"] for notice in w.notices} == names
+        assert not host.ids
         assert len({(notice["id"], notice["status"]) for notice in w.notices}) == len(names)
         await w.hand_in_once_listed("after", 1)
         await w.until(lambda: host.ids == ["after"])
@@ -276,7 +281,8 @@
                     await all_over(w, [partner], account)
                     await w.end(signal.SIGTERM)  # what it owes is told before it ends
                     found = find(w, [partner], account, slack=0.3)  # those begun late would be so by a second
-                    assert found.messages > 20 and any("ends with 0 messages" in line for line in w.log)
+                    assert found.messages > 20
+                    assert any("ends with 0 messages" in line for line in w.log)
                     assert (found.duplicates, found.misattributed, found.order_breaks) == (0, 0, 0)
                     assert found.begun_late == 0
             finally:
--- a/tests/program/test_upgrade.py
+++ b/tests/program/test_upgrade.py
@@ -208,7 +208,8 @@
         await w.upgrade()
         assert await w.hand_in("m1") == 202
         await w.until(lambda: second.ids == ["m1"])
-        assert first.ids == [] and "app.ejected=1" in await w.call("show-stat")
+        assert first.ids == []
+        assert "app.ejected=1" in await w.call("show-stat")
 
         async def full(_: Request) -> bytes:
             return reply(429, X_Come_Back_Ms="3600000")
@@ -246,7 +247,8 @@
         assert await w.hand_in("later", "order") == 202
         w.list_host(3, "plain", "Ready", host.address)
         await w.until(lambda: {"waits", "later"} <= set(host.ids))
-        assert silent.ids == ["out"] and Counter(host.ids) == {"waits": 1, "later": 1}
+        assert silent.ids == ["out"]
+        assert Counter(host.ids) == {"waits": 1, "later": 1}
 
     play(scenario, tmp_path)
 
@@ -262,7 +264,8 @@
         await w.hand_in_once_listed("waits", dest=3)
         door = w.control
         await w.start_beside(["-m", "tests.standins.killed", step])
-        assert w.process is not None and w.before is not None
+        assert w.process is not None
+        assert w.before is not None
         assert await w.process.wait() == -signal.SIGKILL
         w.control, w.process, w.before = door, w.before, None
         await w.until_ready()
@@ -328,7 +331,9 @@
             "RELAY_ACCEPT_FD": text,
         },
     )
-    assert done.returncode == 2 and done.stderr.count("\n") == 1 and "RELAY_ACCEPT_FD" in done.stderr
+    assert done.returncode == 2
+    assert done.stderr.count("\n") == 1
+    assert "RELAY_ACCEPT_FD" in done.stderr
 
 
 def test_settings_that_change_in_the_midst_of_a_handover_are_not_missed(tmp_path: Path) -> None:
--- a/tests/program/test_waits.py
+++ b/tests/program/test_waits.py
@@ -112,7 +112,8 @@
         let.set()
         await w.until(lambda: host.answered == 1)
         await w.until(lambda: [n["id"] for n in w.notices] == ["first"])  # at once: the wait outlasts it
-        assert await w.hand_in("second") == 503 and host.ids == ["first"]
+        assert await w.hand_in("second") == 503
+        assert host.ids == ["first"]
 
     play(scenario, tmp_path)
 
@@ -129,7 +130,8 @@
         await told(w, full, host)
         assert [await w.hand_in(f"m{n}", "order") for n in range(4)] == [202] * 4
         await w.until(lambda: len(full.came) == 5)
-        assert full.told_at is not None and min(full.came.values()) >= full.told_at + WAIT
+        assert full.told_at is not None
+        assert min(full.came.values()) >= full.told_at + WAIT
         assert [name for name in full.came if name != "first"] == [f"m{n}" for n in range(4)]
 
     run(scenario, tmp_path)
--- a/tests/registry/test_catalog.py
+++ b/tests/registry/test_catalog.py
@@ -52,21 +52,28 @@
     assert catalog.load(2, entries(row("a", 1), row("b", 2, "Terminating"))) == {2, 3}
     assert [catalog.changed(cell) for cell in (1, 2, 3)] == [1, 2, 2]
     rows = catalog.since(3, 1)
-    assert rows is not None and told(rows.gone) == [("c", 3, "Gone")] and not rows.listed
-    assert catalog.whole(3) == [] and told(catalog.whole(2)) == [("b", 2, "Terminating")]
-    assert catalog.apply(3, entries(row("a", 1))) == set() and catalog.changed(1) == 1
+    assert rows is not None
+    assert told(rows.gone) == [("c", 3, "Gone")]
+    assert not rows.listed
+    assert catalog.whole(3) == []
+    assert told(catalog.whole(2)) == [("b", 2, "Terminating")]
+    assert catalog.apply(3, entries(row("a", 1))) == set()
+    assert catalog.changed(1) == 1
 
 
 def test_a_host_that_moves_is_gone_in_the_first_cell() -> None:
     catalog = holding(row("a", 1), row("b", 1))
     assert catalog.apply(2, entries(row("a", 7))) == {1, 7}
     was, now = catalog.since(1, 1), catalog.since(7, 1)
-    assert was is not None and (told(was.gone), told(was.listed)) == ([("a", 1, "Gone")], [])
-    assert now is not None and (told(now.gone), told(now.listed)) == ([], [("a", 7, "Ready")])
+    assert was is not None
+    assert (told(was.gone), told(was.listed)) == ([("a", 1, "Gone")], [])
+    assert now is not None
+    assert (told(now.gone), told(now.listed)) == ([], [("a", 7, "Ready")])
     assert catalog.apply(3, entries(row("a", 1))) == {1, 7}  # and back
     assert sorted(told(catalog.whole(1))) == [("a", 1, "Ready"), ("b", 1, "Ready")]
     back = catalog.since(1, 2)
-    assert back is not None and (told(back.gone), told(back.listed)) == ([], [("a", 1, "Ready")])
+    assert back is not None
+    assert (told(back.gone), told(back.listed)) == ([], [("a", 1, "Ready")])
     assert catalog.tombstones == 1
 
 
@@ -76,7 +83,8 @@
     assert catalog.floor == 1
     catalog.apply(3, entries(row("c", 2, "Gone")))
     assert (catalog.floor, catalog.tombstones) == (2, 1)
-    assert catalog.since(1, 1) is None and catalog.changed(1) == 2  # it is known that it changed, not what
+    assert catalog.since(1, 1) is None
+    assert catalog.changed(1) == 2
     assert catalog.since(1, 2) == ([], [])
     assert catalog.since(3, 1) == ([], [])  # nothing changed in it, however much was forgotten
     assert catalog.since(9, 1) is None  # nobody serves it: since when is not known
@@ -89,7 +97,9 @@
     assert catalog.load(3, entries(row("a", 1), row("c", 3))) == {3}
     assert (catalog.revision, catalog.floor, catalog.tombstones) == (3, 3, 0)
     assert [catalog.changed(cell) for cell in (1, 2, 3)] == [3, 3, 3]
-    assert catalog.since(1, 5001) is None and catalog.since(1, 2) is None and catalog.since(1, 3) == ([], [])
+    assert catalog.since(1, 5001) is None
+    assert catalog.since(1, 2) is None
+    assert catalog.since(1, 3) == ([], [])
 
 
 def test_changes_that_dont_follow_the_list_are_refused() -> None:
@@ -98,14 +108,16 @@
         catalog.apply(6, entries(row("a", 1, "Gone")))
     with pytest.raises(ValueError):
         Catalog(5).apply(6, entries(row("a", 1)))
-    assert told(catalog.whole(1)) == [("a", 1, "Ready")] and catalog.revision == 7
+    assert told(catalog.whole(1)) == [("a", 1, "Ready")]
+    assert catalog.revision == 7
 
 
 def test_of_a_host_that_stands_twice_the_last_row_holds() -> None:
     for first in (row("a", 1), row("a", 1, "Terminating"), row("a", 2)):
         catalog = holding(row("a", 1))
         catalog.load(2, entries(first, row("a", 1)))
-        assert told(catalog.whole(1)) == [("a", 1, "Ready")] and catalog.whole(2) == []
+        assert told(catalog.whole(1)) == [("a", 1, "Ready")]
+        assert catalog.whole(2) == []
 
 
 def test_half_a_list_is_never_told() -> None:
@@ -116,10 +128,14 @@
     assert told(catalog.whole(0)) == [("h0", 0, "Ready")]
     steps = catalog.settle(staged, 2, True)
     assert next(steps) == 0
-    assert catalog.revision == 1 and told(catalog.whole(0)) == [("h0", 0, "Terminating")]
+    assert catalog.revision == 1
+    assert told(catalog.whole(0)) == [("h0", 0, "Terminating")]
     rows = catalog.since(0, 1)
-    assert rows is not None and told(rows.listed) == [("h0", 0, "Terminating")]
-    assert set(steps) == set(range(1, 10)) and catalog.revision == 2 and catalog.hosts == 5
+    assert rows is not None
+    assert told(rows.listed) == [("h0", 0, "Terminating")]
+    assert set(steps) == set(range(1, 10))
+    assert catalog.revision == 2
+    assert catalog.hosts == 5
 
 
 def test_a_first_list_that_is_cut_off_leaves_nothing() -> None:
@@ -127,7 +143,9 @@
     Staged(catalog).take(entries(row("a", 1)))
     assert not catalog.known
     catalog.load(4, entries(row("b", 2)))
-    assert catalog.known and catalog.hosts == 1 and catalog.whole(1) == []
+    assert catalog.known
+    assert catalog.hosts == 1
+    assert catalog.whole(1) == []
 
 
 def test_changes_of_a_cell_of_many_hosts_are_found_without_a_walk_through_it() -> None:
@@ -168,7 +186,8 @@
     assert sorted(told(rows.listed)) == [("h1", 1, "Terminating"), ("h2", 2, "Terminating")]
     assert catalog.all_since(1) is not None
     catalog.apply(5, entries(row("h3", 3, "Gone")))
-    assert catalog.all_since(1) is None and catalog.all_since(2) is not None
+    assert catalog.all_since(1) is None
+    assert catalog.all_since(2) is not None
     assert catalog.all_since(6) is None
     assert sorted(told(list(catalog.all_rows()))) == [
         ("h0", 0, "Terminating"),
@@ -344,7 +363,8 @@
                 if relay.name in of.of and of.of[relay.name].count is not Count.SAME:
                     relay.forget()
                 of.expire(1e9)
-                assert not of.of and not of.cells
+                assert not of.of
+                assert not of.cells
     for _ in range(4):  # nothing more happens: a few calls, and all agree
         relay.ask(of)
         relay.watch(of)
@@ -354,7 +374,8 @@
         cell: sorted(json.dumps(dict(sorted(r.items()))) for r in listed.values() if r["cell"] == cell)
         for cell in range(CELLS)
     }
-    assert catalog.tombstones <= keep_gone and catalog.size == sum(map(len, catalog.all_rows()))
+    assert catalog.tombstones <= keep_gone
+    assert catalog.size == sum(map(len, catalog.all_rows()))
 
 
 def test_parked_is_what_a_watch_becomes() -> None:
@@ -362,4 +383,7 @@
     of.change(Change("f", "a.1", 1, 0, (1,), reset=True), 0.0)
     answer, older = of.watch(Watch("f", "a.1", 1, 0), "token", 0.0)
     parked = of.of["a.1"].watch
-    assert answer is None and older is None and isinstance(parked, Parked) and parked.token == "token"
+    assert answer is None
+    assert older is None
+    assert isinstance(parked, Parked)
+    assert parked.token == "token"
--- a/tests/registry/test_listing.py
+++ b/tests/registry/test_listing.py
@@ -123,7 +123,8 @@
     assert read_entry(told) == read_entry(backwards)
     entry = read_entry(told)
     assert (entry.host, entry.cell, entry.gone) == ("a", 1, False)
-    assert json.loads(entry.row) == told and b" " not in entry.row
+    assert json.loads(entry.row) == told
+    assert b" " not in entry.row
     assert json.loads(listing.gone(entry.row)) == {**told, "phase": "Gone"}
 
 
@@ -149,7 +150,8 @@
 def test_a_row_that_cant_be_read_is_passed_over_alone(bad: Any) -> None:
     passed: list[Any] = []
     taken = list(read_entries([row("x", 1), bad, row("y", 2)], lambda told, why: passed.append(told)))
-    assert [entry.host for entry in taken] == ["x", "y"] and passed == [bad]
+    assert [entry.host for entry in taken] == ["x", "y"]
+    assert passed == [bad]
 
 
 def test_without_the_extra_rows_are_written_alike() -> None:
--- a/tests/registry/test_protocol.py
+++ b/tests/registry/test_protocol.py
@@ -23,7 +23,8 @@
 @given(CHANGES | WATCHES)
 def test_a_call_is_read_as_it_was_written(call: Change | Watch) -> None:
     text = protocol.target(call)
-    assert text.isascii() and " " not in text
+    assert text.isascii()
+    assert " " not in text
     assert protocol.read_target(text) == call
 
 
@@ -81,7 +82,8 @@
     with pytest.raises(ProtocolError) as caught:
         protocol.read_target(text)
     assert str(caught.value).startswith(names), caught.value
-    assert len(str(caught.value)) < 400 and "\n" not in str(caught.value)
+    assert len(str(caught.value)) < 400
+    assert "\n" not in str(caught.value)
 
 
 @settings(deadline=None, derandomize=True)
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -34,7 +34,8 @@
 async def subscribe(registry: Registry, name: str, *cells: int) -> Line:
     line = await registry.line()
     answer = await line.call(Change("f", name, 1, add=cells, reset=True))
-    assert answer.count == len(cells) and set(answer.cells) == set(cells)
+    assert answer.count == len(cells)
+    assert set(answer.cells) == set(cells)
     return line
 
 
@@ -50,7 +51,8 @@
                 answer = await lines[number].answer()
                 assert (answer.revision, answer.fleet, answer.cells) == (6, "f", ())
                 assert [(r["id"], r["phase"]) for r in answer.members] == [("h3", "Terminating")]
-                assert answer.age < 5000 and (answer.seq, answer.count) == (1, 2)
+                assert answer.age < 5000
+                assert (answer.seq, answer.count) == (1, 2)
             figures = await registry.figures()
             assert (figures["watches"], figures["woken"]) == (4, 2)
 
@@ -79,20 +81,24 @@
                 (Change("g", "a.1", 1, add=(1,), reset=True), 403, "fleet"),
             ):
                 got, body = await line.ask(target(call))
-                assert got == status and body["error"].startswith(word)
+                assert got == status
+                assert body["error"].startswith(word)
             for what, status in (
                 (f"{PATH}?fleet=f", 400),
                 (f"{PATH}?fleet=f&subscriber=a.1&seq=x", 400),
                 ("/nowhere", 404),
             ):
                 got, body = await line.ask(what)
-                assert got == status and body["error"] and "\n" not in body["error"]
+                assert got == status
+                assert body["error"]
+                assert "\n" not in body["error"]
             figures = await registry.figures()
             assert [figures[f"answers_{n}"] for n in (400, 403, 410)] == [2, 1, 2]
             assert (await line.ask("/health/ready"))[0] == 200  # on the same connection still
             line.send("/figures", "HEAD")
             head = await line.reader.readuntil(b"\r\n\r\n")
-            assert head.startswith(b"HTTP/1.1 200 OK") and b"Content-Length: 0" not in head
+            assert head.startswith(b"HTTP/1.1 200 OK")
+            assert b"Content-Length: 0" not in head
             assert (await line.ask("/health/ready"))[0] == 200
 
     run(scenario)
@@ -134,7 +140,9 @@
             call = Change("f", "a.1", 1, add=cells, reset=True)
             assert 14_000 < len(target(call)) < server.MOST_TARGET
             answer = await (await registry.line()).call(call)
-            assert answer.count == 900 and answer.members == [] and answer.cells == cells
+            assert answer.count == 900
+            assert answer.members == []
+            assert answer.cells == cells
 
     run(scenario)
 
@@ -246,7 +254,8 @@
             await registry.until(lambda figures: figures["watches"] == 1)
             line.send("/health/ready")
             status, headers, body = await line.read()
-            assert (status, headers["connection"]) == (400, "close") and b"one call at a time" in body
+            assert (status, headers["connection"]) == (400, "close")
+            assert b"one call at a time" in body
             assert await line.ended() == b""
             assert (await registry.figures())["watches"] == 0
             discovery.change(row("h3", 3, "Terminating"))
@@ -271,14 +280,16 @@
             for line in lines:
                 status, headers, body = await line.read()
                 assert (status, headers["connection"]) == (200, "close")
-                assert read_answer(body).members == [] and await line.ended() == b""
+                assert read_answer(body).members == []
+                assert await line.ended() == b""
                 line.close()
             status, _, body = await plain.read()
             assert (status, json.loads(body)["members"]) == (200, [])
             assert await idle.ended() == b""
             plain.close()
             idle.close()
-            assert await registry.wait() == 0 and time.monotonic() - began < HANG / 2
+            assert await registry.wait() == 0
+            assert time.monotonic() - began < HANG / 2
 
     run(scenario)
 
@@ -292,7 +303,8 @@
             line = await registry.line()
             for what in ("/health/ready", PATH, target(Change("f", "a.1", 1, reset=True))):
                 status, body = await line.ask(what)
-                assert status == 503 and body["error"]
+                assert status == 503
+                assert body["error"]
             await registry.says("asked again until it answers")
             await discovery.start()
             await registry.ready()
@@ -311,7 +323,8 @@
             await discovery.stop()
             await registry.says("asked again until it answers")
             answer = await line.call(Change("f", "a.1", 2, add=(4,)))  # what is held is told meanwhile
-            assert answer.count == 2 and [r["id"] for r in answer.members] == ["h4"]
+            assert answer.count == 2
+            assert [r["id"] for r in answer.members] == ["h4"]
             line.send(target(Watch("f", "a.1", 5, WAIT)))
             discovery.change(row("h3", 3, "Terminating"))
             asked = len(discovery.asked)
@@ -339,7 +352,8 @@
             discovery.silent = False
             discovery.bump()
             assert [r["phase"] for r in (await line.answer()).members] == ["Terminating"]
-            assert len(discovery.asked) > asked and time.monotonic() - began < HANG / 2
+            assert len(discovery.asked) > asked
+            assert time.monotonic() - began < HANG / 2
 
     run(scenario)
 
@@ -358,9 +372,11 @@
             assert [r["id"] for r in answer.members] == ["h9"]
             assert sum("counts anew" in said for said in registry.log) == 1
             status, body = await line.ask(target(Watch("f", "a.1", 2, WAIT)))
-            assert status == 410 and "counts anew" in body["error"]
+            assert status == 410
+            assert "counts anew" in body["error"]
             answer = await line.call(Change("f", "a.1", 2, 2, have=(3,), reset=True))
-            assert answer.cells == (3,) and [r["id"] for r in answer.members] == ["h3"]
+            assert answer.cells == (3,)
+            assert [r["id"] for r in answer.members] == ["h3"]
             line.send(target(Watch("f", "a.1", 2, WAIT)))
             await registry.until(lambda figures: figures["watches"] == 1)
             discovery.change(row("h3", 3, "Terminating"))
@@ -378,7 +394,9 @@
                 line = await registry.line()
                 line.send(target(Change("f", "a.1", 1, add=(7,), reset=True)))
                 status, _, body = await line.read()
-                assert status == 200 and b" " not in body and b"\n" not in body
+                assert status == 200
+                assert b" " not in body
+                assert b"\n" not in body
                 assert read_answer(body).members == [row("h7", 7)]
 
     run(scenario)
@@ -402,7 +420,8 @@
             discovery.change(*(row(f"x{i}", i, locality="z" * 1000) for i in range(2000)))
             await registry.says(r"an answer of 2 MB is over most_list_mb = 1, .*what is held stays")
             answer = await line.call(Change("f", "a.1", 2, add=(4,)))
-            assert answer.revision == 5 and [r["id"] for r in answer.members] == ["h4"]
+            assert answer.revision == 5
+            assert [r["id"] for r in answer.members] == ["h4"]
             discovery.count_anew(7, [row("h4", 4, "Terminating")])
             await registry.until(lambda figures: figures["revision"] == 7)
             assert sum("most_list_mb" in said for said in registry.log) == 1
@@ -438,7 +457,8 @@
     async def scenario() -> None:
         async with served(tmp_path, cells=9000) as (_, registry):
             status, body = await (await registry.line()).ask(PATH)
-            assert status == 413 and f"at most {server.MOST_PLAIN} are told" in body["error"]
+            assert status == 413
+            assert f"at most {server.MOST_PLAIN} are told" in body["error"]
             size = int(body["error"].split()[4])
             assert size > server.MOST_PLAIN
 
@@ -479,7 +499,8 @@
             registry.process.send_signal(signal.SIGHUP)
             assert (await line.answer()).revision == 2
             answer = await line.call(Change("f", "a.1", 3, 5, have=(3, 4), reset=True))
-            assert answer.cells == (3, 4) and [r["phase"] for r in answer.members] == ["Terminating"]
+            assert answer.cells == (3, 4)
+            assert [r["phase"] for r in answer.members] == ["Terminating"]
             asked = len(discovery.asked)
             other.change(row("h3", 3, "Gone"))
             assert (await line.call(Watch("f", "a.1", 2, WAIT))).revision == 3
--- a/tests/registry/test_settings.py
+++ b/tests/registry/test_settings.py
@@ -61,4 +61,5 @@
     file = written(tmp_path, **keys)
     with pytest.raises(SettingsError) as caught:
         load_registry(file)
-    assert str(caught.value).startswith(f"{file}: {says}") and "\n" not in str(caught.value)
+    assert str(caught.value).startswith(f"{file}: {says}")
+    assert "\n" not in str(caught.value)
--- a/tests/registry/test_subscriptions.py
+++ b/tests/registry/test_subscriptions.py
@@ -60,10 +60,12 @@
 def test_added_cells_are_told_whole_and_others_are_not() -> None:
     w = World()
     told = w.change(1, reset=True, add=(3, 5, 99))
-    assert told.cells == (3, 5, 99) and ids(told) == [("h3", "Ready"), ("h5", "Ready")]
+    assert told.cells == (3, 5, 99)
+    assert ids(told) == [("h3", "Ready"), ("h5", "Ready")]
     assert (told.seq, told.count, told.sum) == (1, 3, checksum((3, 5, 99)))
     told = w.change(2, add=(7,), drop=(3, 4))
-    assert told.cells == (7,) and ids(told) == [("h7", "Ready")]
+    assert told.cells == (7,)
+    assert ids(told) == [("h7", "Ready")]
     assert (told.seq, told.count, told.sum) == (2, 3, checksum((5, 99, 7)))
 
 
@@ -71,7 +73,8 @@
     w = World()
     w.list_changes(row("h3", 3, "Terminating"))
     told = w.change(1, reset=True, index=1, have=(3, 5, 99))
-    assert told.cells == (3,) and ids(told) == [("h3", "Terminating")]
+    assert told.cells == (3,)
+    assert ids(told) == [("h3", "Terminating")]
     assert told.count == 3
     told = w.change(2, index=0, have=(5,))  # older than all that is known
     assert told.cells == (5,)
@@ -103,7 +106,8 @@
     w.change(1, reset=True, add=(1, 2, 3))
     told = w.change(2, reset=True, add=(4,))
     assert (told.count, told.sum, w.of.cells) == (1, 4, 1)
-    assert isinstance(w.watch(1), Parked) and w.list_changes(row("h1", 1, "Terminating")) == []
+    assert isinstance(w.watch(1), Parked)
+    assert w.list_changes(row("h1", 1, "Terminating")) == []
 
 
 def test_a_change_wakes_those_whom_it_concerns_and_nobody_else() -> None:
@@ -112,11 +116,13 @@
         w.change(1, name=f"r{number}.1", reset=True, add=(number, number + 1))
         w.watch(1, name=f"r{number}.1", token=number)
     woken = w.list_changes(row("h4", 4, "Terminating"))
-    assert sorted(parked.token for parked in woken) == [3, 4] and w.of.woken == 2
+    assert sorted(parked.token for parked in woken) == [3, 4]
+    assert w.of.woken == 2
     for parked in woken:
         assert ids(w.of.end(parked, w.now)) == [("h4", "Terminating")]
     assert w.of.watches == 8
-    assert w.list_changes(row("x", 19)) == [] and w.of.woken == 2
+    assert w.list_changes(row("x", 19)) == []
+    assert w.of.woken == 2
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 8, 9, 10, 40])
@@ -155,7 +161,9 @@
     w.change(1, reset=True, add=(3, 4, 5))
     w.list_changes(row("h3", 3, "Gone"), row("h4", 4, "Terminating"))
     told = w.watch(1)
-    assert isinstance(told, Told) and told.cells == (3, 4) and ids(told) == [("h4", "Terminating")]
+    assert isinstance(told, Told)
+    assert told.cells == (3, 4)
+    assert ids(told) == [("h4", "Terminating")]
 
 
 def test_a_newer_watch_ends_the_older_with_nothing_new() -> None:
@@ -164,7 +172,10 @@
     first = w.watch(1, token="first")
     assert isinstance(first, Parked)
     told, older = w.of.watch(Watch("f", "a.1", 1, 0), "second", w.now)
-    assert told is None and older is first and not first.open and w.of.watches == 1
+    assert told is None
+    assert older is first
+    assert not first.open
+    assert w.of.watches == 1
     woken = w.list_changes(row("h3", 3, "Terminating"))
     assert [parked.token for parked in woken] == ["second"]
 
@@ -181,7 +192,8 @@
     assert isinstance(parked, Parked)  # no busy loop at the revision that is held
     for cell in steps:
         w.of.touch(cell, 2)
-    assert w.of.wake() == [parked] and ids(w.of.end(parked, 0.0)) == [("h3", "Terminating")]
+    assert w.of.wake() == [parked]
+    assert ids(w.of.end(parked, 0.0)) == [("h3", "Terminating")]
 
 
 def test_a_new_count_wakes_all_and_tells_its_lower_revision() -> None:
@@ -193,7 +205,9 @@
     w.catalog.load(2, [read_entry(row("h3", 3))])
     assert w.of.wake(everyone=True) == [parked]
     told = w.of.end(parked, w.now)
-    assert not told.rows and not told.cells and w.catalog.revision == 2
+    assert not told.rows
+    assert not told.cells
+    assert w.catalog.revision == 2
     assert w.change(2, index=900, have=(3,)).cells == (3,)
     assert refused(w, Watch("f", "a.1", 2, 0)) == GONE
     assert w.change(3, reset=True, index=2, have=(3,)).cells == (3,)
@@ -212,7 +226,8 @@
     assert w.catalog.revision == 2
     assert refused(w, Watch("f", "a.1", 2, 0)) == GONE
     told = w.change(2, reset=True, index=2, have=(3,))
-    assert told.cells == (3,) and ids(told) == [("h3", "Terminating")]
+    assert told.cells == (3,)
+    assert ids(told) == [("h3", "Terminating")]
     assert w.change(3, index=2, have=(4,)).cells == (4,)  # the set came in two calls
     assert isinstance(w.watch(2), Parked)
 
@@ -226,7 +241,9 @@
     w.now = 29.0
     assert w.of.expire(w.now) == 0
     w.now = 31.0
-    assert w.of.expire(w.now) == 1 and set(w.of.of) == {"b.1"} and w.of.cells == 1
+    assert w.of.expire(w.now) == 1
+    assert set(w.of.of) == {"b.1"}
+    assert w.of.cells == 1
     assert refused(w, Watch("f", "a.1", 1, 0)) == GONE
     w.now = 100.0
     assert w.of.expire(w.now) == 0
@@ -234,13 +251,17 @@
     w.now = 129.0
     assert w.of.expire(w.now) == 0
     w.now = 131.0
-    assert w.of.expire(w.now) == 1 and not w.of.cells
+    assert w.of.expire(w.now) == 1
+    assert not w.of.cells
     w.change(1, reset=True, add=(3,))
     left = w.watch(1)
     assert isinstance(left, Parked)
     w.of.left(left, 200.0)  # its connection ended
-    assert not left.open and w.of.watches == 0 and w.list_changes(row("h3", 3, "Gone")) == []
-    assert w.of.expire(229.0) == 0 and w.of.expire(231.0) == 1
+    assert not left.open
+    assert w.of.watches == 0
+    assert w.list_changes(row("h3", 3, "Gone")) == []
+    assert w.of.expire(229.0) == 0
+    assert w.of.expire(231.0) == 1
 
 
 def test_a_watch_that_would_tell_too_much_at_once_has_the_set_told_anew_in_parts() -> None:
@@ -251,7 +272,8 @@
     assert refused(w, Watch("f", "a.1", 0, 0)) == GONE
     w.change(3, drop=(0,))
     told = w.watch(0)
-    assert isinstance(told, Told) and len(told.cells) == MOST_CELLS
+    assert isinstance(told, Told)
+    assert len(told.cells) == MOST_CELLS
 
 
 def test_a_change_costs_what_it_concerns_however_large_the_list_is() -> None:
@@ -270,9 +292,11 @@
         w.watch(1, name=f"r{number}.1")
     looks.clear()
     woken = w.list_changes(row("h45", 45, "Terminating"))
-    assert len(woken) == 1 and looks == []
+    assert len(woken) == 1
+    assert looks == []
     w.of.end(woken[0], w.now)
-    assert set(looks) == set(range(40, 60)) and len(looks) <= 2 * 20
+    assert set(looks) == set(range(40, 60))
+    assert len(looks) <= 2 * 20
     looks.clear()
     for number in range(100):
         parked = w.of.of[f"r{number}.1"].watch
--- a/tests/registry/test_upstream.py
+++ b/tests/registry/test_upstream.py
@@ -86,8 +86,10 @@
         w.upstream.start()
         try:
             await w.until(lambda: w.catalog.known)
-            assert (w.catalog.revision, w.catalog.hosts) == (7, 2) and w.settled == [(True, False)]
-            assert asked[:3] == [b"/registry/instances"] * 3 and w.upstream.heard_at is not None
+            assert (w.catalog.revision, w.catalog.hosts) == (7, 2)
+            assert w.settled == [(True, False)]
+            assert asked[:3] == [b"/registry/instances"] * 3
+            assert w.upstream.heard_at is not None
         finally:
             w.upstream.close()
 
@@ -106,7 +108,8 @@
         w.upstream.start()
         try:
             await w.until(lambda: w.catalog.known)
-            assert frozen == [3] and gc.isenabled()
+            assert frozen == [3]
+            assert gc.isenabled()
         finally:
             w.upstream.close()
 
@@ -123,7 +126,8 @@
         w.upstream.start()
         try:
             await w.until(lambda: w.catalog.revision == 8)
-            assert w.settled == [(True, False), (True, False)] and w.touched == [(0, 8), (2, 8)]
+            assert w.settled == [(True, False), (True, False)]
+            assert w.touched == [(0, 8), (2, 8)]
             assert asked[2] == b"/registry/instances?index=7&wait=0"
         finally:
             w.upstream.close()
@@ -140,9 +144,13 @@
             await w.until(lambda: len(w.settled) == 1)
             first = w.upstream.heard_at
             await w.until(lambda: len(w.settled) == 2)
-            assert w.settled[1] == (False, False) and w.touched == []
-            assert first is not None and w.upstream.heard_at is not None and w.upstream.heard_at > first
-            assert w.upstream.age < HANG and asked[1].startswith(b"/registry/instances?index=7&wait=")
+            assert w.settled[1] == (False, False)
+            assert w.touched == []
+            assert first is not None
+            assert w.upstream.heard_at is not None
+            assert w.upstream.heard_at > first
+            assert w.upstream.age < HANG
+            assert asked[1].startswith(b"/registry/instances?index=7&wait=")
         finally:
             w.upstream.close()
 
@@ -157,7 +165,8 @@
         w.upstream.start()
         try:
             await w.until(lambda: w.catalog.revision == 2)
-            assert asked[2] == b"/registry/instances" and w.settled[-1] == (True, True)
+            assert asked[2] == b"/registry/instances"
+            assert w.settled[-1] == (True, True)
             assert (w.catalog.hosts, w.catalog.floor) == (1, 2)
         finally:
             w.upstream.close()
@@ -183,7 +192,8 @@
             others_task = asyncio.create_task(others())
             try:
                 await w.until(lambda: w.catalog.known)
-                assert w.catalog.hosts == 20_000 and turns >= w.upstream.bytes_in / PIECE > 50
+                assert w.catalog.hosts == 20_000
+                assert turns >= w.upstream.bytes_in / PIECE > 50
             finally:
                 others_task.cancel()
                 w.upstream.close()
@@ -214,6 +224,7 @@
             async with asyncio.timeout(HANG):
                 await moved.wait()
             await w.until(lambda: len(w.settled) > 1 and w.settled[-1][0])
-            assert len(w.touched) == 50 and w.catalog.revision == 6
+            assert len(w.touched) == 50
+            assert w.catalog.revision == 6
 
     asyncio.run(scenario())
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -112,7 +112,8 @@
         outstanding = int(shown["app.outstanding"])
         assert self.handed_in - self.withdrawn == before + ended + outstanding
         declined = sum(n for (_, end), n in self.engine.metrics.ends.items() if end is FinalStatus.REJECTED)
-        assert declined >= 0 and outstanding == len(self.engine.journal.messages)
+        assert declined >= 0
+        assert outstanding == len(self.engine.journal.messages)
 
 
 def close(engine: Engine) -> None:
@@ -129,7 +130,8 @@
         for _ in range(150):
             steps.step()
             steps.check()
-        assert steps.statuses[202] > 20 and sum(engine.metrics.ends.values()) > 10
+        assert steps.statuses[202] > 20
+        assert sum(engine.metrics.ends.values()) > 10
         close(engine)
 
     asyncio.run(main())
@@ -175,10 +177,8 @@
         outstanding = len(second.journal.messages)
         second.predecessor_lost()
         second._turn()
-        assert (
-            not second.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)
-            and len(second.journal.messages) <= outstanding
-        )
+        assert not second.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)
+        assert len(second.journal.messages) <= outstanding
         steps.check(ended_before)
         close(first)
         close(second)
@@ -215,7 +215,8 @@
         held, host = steps.out.pop()
         engine.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
         engine._turn()
-        assert heard == [held.id] and engine.metric_lines() == before
+        assert heard == [held.id]
+        assert engine.metric_lines() == before
         engine.resume()
         engine.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
         engine._turn()
