--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -70,8 +70,10 @@
             engine.submit(held, lambda status, _, name=name: answers.update({name: status}))  # type: ignore[misc]
         engine.cancel("gone")
         engine._turn()
-        assert answers == {"stays": 202} and list(engine.journal.messages) == ["stays"]
-        assert engine.open_messages == 1 and list(engine.message_states.attempts_in_flight()) == ["stays"]
+        assert answers == {"stays": 202}
+        assert list(engine.journal.messages) == ["stays"]
+        assert engine.open_messages == 1
+        assert list(engine.message_states.attempts_in_flight()) == ["stays"]
         engine.status_reporter.close()
         engine.delivery.close()
 
@@ -93,7 +95,8 @@
         engine.outcome_disputed("m", "h", now)
         engine.outcome_disputed("unknown", "h", now)
         engine._turn()
-        assert engine.open_messages == 0 and engine.journal.messages["m"].first_attempt_at == now
+        assert engine.open_messages == 0
+        assert engine.journal.messages["m"].first_attempt_at == now
         engine.status_reporter.close()
         engine.delivery.close()
 
@@ -217,14 +220,16 @@
         engine.submit(held, lambda status, _: None)
         engine._turn()
         held = engine.journal.messages["m"]
-        assert sent == ["h"] and held.attempts == 1
+        assert sent == ["h"]
+        assert held.attempts == 1
         sent.clear()
         engine.attempt_gates = [Told()]
         began = asyncio.get_running_loop().time() - late
         if told:
             engine._unsettle(1)
         engine._asked(0, "h", [held], CallOptions(3.0, False, True, None), began, committed)
-        assert sent == (["h"] if goes else []) and held.attempts == (1 if goes else 0)
+        assert sent == (["h"] if goes else [])
+        assert held.attempts == (1 if goes else 0)
         postponed = [event for event in engine.events if isinstance(event, AttemptEnded)]
         assert [event.postponed_for > 0 for event in postponed] == ([] if goes else [True])
         engine.status_reporter.close()
--- a/tests/relay/test_last_phase.py
+++ b/tests/relay/test_last_phase.py
@@ -32,7 +32,8 @@
     classes = [replace(ABOUT, deadline=None if d is None else int(d * 1e6)) for d in deadlines]
     phase = last_phase(classes)
     assert 0 <= phase.begin < phase.take < phase.answer < phase.end < grace
-    assert phase.end > grace - 0.15 and phase.take > grace - 0.3  # and none much earlier
+    assert phase.end > grace - 0.15
+    assert phase.take > grace - 0.3
 
 
 def test_a_relay_of_short_deadlines_has_ended_before_it_is_killed(tmp_path: Path) -> None:
--- a/tests/relay/test_life.py
+++ b/tests/relay/test_life.py
@@ -47,7 +47,8 @@
         assert Counter(life.stage for life in lives.by_message.values()) == +Counter(lives.counts)
         assert all(life.sent_at is None for life in lives.by_message.values() if life.stage is Stage.WAITING)
     lawful = {(was, now) for was, after in TRANSITIONS.items() for now in after}
-    assert len(lawful & seen) > 0.9 * len(lawful) and len(seen - lawful) > 10
+    assert len(lawful & seen) > 0.9 * len(lawful)
+    assert len(seen - lawful) > 10
 
 
 def test_a_client_is_answered_once_and_by_one() -> None:
@@ -56,6 +57,10 @@
     answers = {name: (lambda status, again: None) for name in "abc"}
     for name, answer in answers.items():
         lives.await_answer(name, answer)
-    assert lives.begin_rejecting("b") is answers["b"] and lives.complete("c") is not None
-    assert lives.answer_admitted() == [answers["a"]] and lives.answer_admitted() == []
-    assert lives.begin_rejecting("a") is None and lives.stage("b") is Stage.REJECTING and not faults
+    assert lives.begin_rejecting("b") is answers["b"]
+    assert lives.complete("c") is not None
+    assert lives.answer_admitted() == [answers["a"]]
+    assert lives.answer_admitted() == []
+    assert lives.begin_rejecting("a") is None
+    assert lives.stage("b") is Stage.REJECTING
+    assert not faults
--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -61,7 +61,8 @@
             brain.endpoints, brain.destinations = Walked(brain.endpoints), Walked(brain.destinations)
             costs.append(steps(partial(listed, engine, EndpointListKind.DELTA, change)))
             for of in (engine.endpoint_entries, engine.batch_sizes, brain.endpoints, brain.destinations):
-                assert isinstance(of, Walked) and of.walked == 0
+                assert isinstance(of, Walked)
+                assert of.walked == 0
             close(engine)
             journal.close()
         assert 0 < costs[1] <= 1.5 * costs[0]
@@ -142,7 +143,8 @@
         finally:
             tracemalloc.stop()
         print(f"{held:.0f} bytes for each")
-        assert len(engine.endpoint_entries) == size + 1 and 600 < held < 1_400
+        assert len(engine.endpoint_entries) == size + 1
+        assert 600 < held < 1_400
         close(engine)
         journal.close()
 
--- a/tests/relay/test_pulse.py
+++ b/tests/relay/test_pulse.py
@@ -17,7 +17,8 @@
     by_beat.look(10.2 + late)
     by_turn.ran(10.2, 10.2 + late)
     for pulse in (by_beat, by_turn):
-        assert pulse.stalls == stalled and pulse.since(10.1) == stalled
+        assert pulse.stalls == stalled
+        assert pulse.since(10.1) == stalled
         assert not pulse.since(10.2 + late + 0.001)
         assert pulse.stood == pytest.approx(late if stalled else 0.0)
 
@@ -28,7 +29,8 @@
     pulse.look(13.0)
     pulse.look(13.001)
     pulse.ran(9.9, 13.002)  # a turn that was due before it
-    assert pulse.stalls == 1 and pulse.woke == 13.0
+    assert pulse.stalls == 1
+    assert pulse.woke == 13.0
     pulse.expect(13.2)
     pulse.look(13.2)
     assert pulse.stalls == 1
@@ -38,7 +40,8 @@
     pulse = StallDetector()
     pulse.look(1.0)
     pulse.look(500.0)
-    assert pulse.stalls == 0 and pulse.age(500.0) == 0
+    assert pulse.stalls == 0
+    assert pulse.age(500.0) == 0
 
 
 def test_what_is_read_on_waking_may_be_as_old_as_the_last_sign_of_life() -> None:
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -157,13 +157,18 @@
         for name in ("a", "b", "c"):
             submit(engine, answers, message(name))
         submit(engine, answers, message("z", destination=2))
-        assert slices.wanted == [1, 2] and not engine.journal.messages and answers == {}
-        assert engine.open_messages == 4 and engine.is_client_waiting("b")
+        assert slices.wanted == [1, 2]
+        assert not engine.journal.messages
+        assert answers == {}
+        assert engine.open_messages == 4
+        assert engine.is_client_waiting("b")
         engine.cancel("b")
-        assert engine.open_messages == 3 and not engine.is_client_waiting("b")
+        assert engine.open_messages == 3
+        assert not engine.is_client_waiting("b")
         hold(engine)
         submit(engine, answers, message("d"))
-        assert list(engine.journal.messages) == ["a", "c", "d"] and slices.used == [1]
+        assert list(engine.journal.messages) == ["a", "c", "d"]
+        assert slices.used == [1]
         assert [h.sequence for h in engine.journal.messages.values()] == sorted(
             h.sequence for h in engine.journal.messages.values()
         )
@@ -187,7 +192,9 @@
         submit(engine, answers, message("b", of="status"))
         engine.destination_resolved(1, state)
         assert answers == {"a": (503, 1000), "b": (503, 1000)}
-        assert not engine.journal.messages and engine.open_messages == 0 and not engine.is_client_waiting("a")
+        assert not engine.journal.messages
+        assert engine.open_messages == 0
+        assert not engine.is_client_waiting("a")
         assert engine.known_answer("a") is None  # its id is free again
         submit(engine, answers, message("c"))
         assert slices.wanted == [1, 1]
@@ -209,7 +216,8 @@
         hold(engine)
         assert list(engine.journal.messages) == ["a", "b", "c"]
         submit(engine, answers, message("e", destination=2))
-        assert answers["e"] == (503, 1000) and slices.wanted == [1]
+        assert answers["e"] == (503, 1000)
+        assert slices.wanted == [1]
         close(engine)
 
     play(scenario)
@@ -248,11 +256,14 @@
             engine.stop_admitting()
         else:
             engine.pause(Nobody())
-        assert answers == {"a": (503, 1000), "b": (503, 1000)} and engine.open_messages == 0
+        assert answers == {"a": (503, 1000), "b": (503, 1000)}
+        assert engine.open_messages == 0
         submit(engine, answers, message("c"))
-        assert answers["c"] == (503, 1000) and slices.wanted == [1, 2]
+        assert answers["c"] == (503, 1000)
+        assert slices.wanted == [1, 2]
         hold(engine)  # the answer that was under way
-        assert not engine.journal.messages and engine.release_destinations([1, 2]) == []
+        assert not engine.journal.messages
+        assert engine.release_destinations([1, 2]) == []
         close(engine)
 
     play(scenario)
@@ -269,7 +280,9 @@
         engine._turn()
         engine.stall_detector.woke = asyncio.get_running_loop().time()  # it stood still
         engine.destination_resolved(1, ResolutionStatus.RESOLVED)
-        assert answers == {"a": (503, 1000)} and engine.turn_due and not engine.journal.messages
+        assert answers == {"a": (503, 1000)}
+        assert engine.turn_due
+        assert not engine.journal.messages
         close(engine)
 
     play(scenario)
@@ -292,9 +305,11 @@
         close(engine)
 
         engine, slices = make(tmp_path)
-        assert slices.wanted == [1, 2] and engine.recovering == {1, 2}
+        assert slices.wanted == [1, 2]
+        assert engine.recovering == {1, 2}
         engine._turn()
-        assert not engine.scheduler.messages and engine.release_destinations([1, 2]) == []
+        assert not engine.scheduler.messages
+        assert engine.release_destinations([1, 2]) == []
         engine.final_status_reported("told")  # heard before the module knows of it
         engine.destination_resolved(2, ResolutionStatus.UNAVAILABLE)
         assert slices.wanted == [1, 2, 2]  # tried on
@@ -303,9 +318,11 @@
         assert not engine.scheduler.messages
         hold(engine, 2)
         engine._turn()
-        assert list(engine.scheduler.messages) == ["a", "b", "c"] and not engine.scheduler.unnoticed
+        assert list(engine.scheduler.messages) == ["a", "b", "c"]
+        assert not engine.scheduler.unnoticed
         ran_on = engine.scheduler.messages["a"].ran_on
-        assert ran_on is not None and ran_on.name == "h1"
+        assert ran_on is not None
+        assert ran_on.name == "h1"
         close(engine)
 
         engine, slices = make(tmp_path)
@@ -335,11 +352,13 @@
         submit(engine, answers, message("late", 5))
         engine.journal.record_final_status("ended", {"status": "deferred"})  # untold as yet
         assert engine.release_destinations([1, 2, 3, 4, 5, 6, 7]) == [1, 7]
-        assert 1 not in engine.destinations and set(engine.endpoint_entries) == {"h2", "h3", "h4", "h5"}
+        assert 1 not in engine.destinations
+        assert set(engine.endpoint_entries) == {"h2", "h3", "h4", "h5"}
         assert set(engine.batch_sizes) == set(engine.endpoint_entries)
         assert engine.events[-1] == DestinationsReleased((1, 7))
         engine._turn()
-        assert "h1" not in engine.scheduler.endpoints and "h2" in engine.scheduler.endpoints
+        assert "h1" not in engine.scheduler.endpoints
+        assert "h2" in engine.scheduler.endpoints
         submit(engine, answers, message("again", 1))
         assert "again" in engine.pending_submissions
         hold(engine, 1)
@@ -365,7 +384,8 @@
         assert told["revision"] == (None if sliced else 7)
         close(engine)
         handed = handover.read_state(told, 1)
-        assert handed.is_subscription is sliced and handed.subscription_revision == (7 if sliced else None)
+        assert handed.is_subscription is sliced
+        assert handed.subscription_revision == (7 if sliced else None)
         engine, slices = make(tmp_path, handed=replace(handed))
         assert slices.adopted == [(7, [1, 2], ["h1", "h2"])]
         assert slices.log == [f"resume {None if sliced else 7}"]
@@ -379,11 +399,9 @@
         engine, _ = build(config_of(tmp_path))
         answers: Answers = {}
         submit(engine, answers, message("a"))
-        assert (
-            answers == {"a": (503, 1000)}
-            and engine.subscription is None
-            and not len(engine.pending_submissions)
-        )
+        assert answers == {"a": (503, 1000)}
+        assert engine.subscription is None
+        assert not len(engine.pending_submissions)
         close(engine)
 
     play(scenario)
--- a/tests/server/admin/test_door.py
+++ b/tests/server/admin/test_door.py
@@ -205,7 +205,8 @@
             "RELAY_CONTROL": control,
         },
     )
-    assert done.returncode == status and done.stderr.count("\n") == 1
+    assert done.returncode == status
+    assert done.stderr.count("\n") == 1
     assert done.stderr.startswith("loftrelay: ")
 
 
--- a/tests/server/admin/test_protocol.py
+++ b/tests/server/admin/test_protocol.py
@@ -80,7 +80,8 @@
             told += reader.feed(part) is not None
         except BadCall as error:
             told += 1
-            assert no(str(error)).startswith(b"NO ") and no(str(error)).count(b"\n") == 1
+            assert no(str(error)).startswith(b"NO ")
+            assert no(str(error)).count(b"\n") == 1
     assert told == (b"\n" in b"".join(parts) or len(b"".join(parts)) > MOST_LINE + 1)
     assert len(reader.data) <= MOST_LINE + 2
 
--- a/tests/server/http/test_clients.py
+++ b/tests/server/http/test_clients.py
@@ -119,7 +119,8 @@
             async with asyncio.timeout(HANG):
                 answer = await reader.read()
             status = {b"": 408, good: 202}.get(start, 408)
-            assert answer.startswith(b"HTTP/1.1 %d " % status) and answer.count(b"HTTP/1.1") == 1
+            assert answer.startswith(b"HTTP/1.1 %d " % status)
+            assert answer.count(b"HTTP/1.1") == 1
             writer.close()
 
     run(scenario, tmp_path)
@@ -135,7 +136,8 @@
         writer.write(b"".join(message(f"m{i}", body=bytes(60_000)) for i in range(40)))
         async with asyncio.timeout(HANG):
             answer = await reader.read()
-        assert answer.startswith(b"HTTP/1.1 400 ") and answer.count(b"HTTP/1.1") == 1
+        assert answer.startswith(b"HTTP/1.1 400 ")
+        assert answer.count(b"HTTP/1.1") == 1
         writer.close()
         assert await w.hand_in("good") == 202
         await w.until(lambda: host.ids == ["good"])
@@ -293,7 +295,8 @@
         for i in range(2):
             assert await w.hand_in(f"m{i}", "order") == 202
         status, headers, _ = await w.ask(message("m2", "order"))
-        assert status == 503 and float(headers["retry-after"]) > 0
+        assert status == 503
+        assert float(headers["retry-after"]) > 0
 
     run(scenario, tmp_path, policy_limits={**SETTINGS["policy_limits"], "most_held": 2})
 
@@ -307,7 +310,8 @@
         await w.start()
         statuses = [await w.hand_in(f"m{i}", body=os.urandom(60_000)) for i in range(12)]
         taken = statuses.count(202)
-        assert 4 <= taken < 12 and set(statuses) == {202, 503}
+        assert 4 <= taken < 12
+        assert set(statuses) == {202, 503}
         assert sum(-(-f.stat().st_size // 512) * 512 for f in (tmp_path / "state").iterdir()) < 1_000_000
         host = await w.host(deliver)
         await w.until(lambda: len(host.requests) == taken)
--- a/tests/server/http/test_endings.py
+++ b/tests/server/http/test_endings.py
@@ -119,7 +119,8 @@
 
     async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
         streams = [await come() for _ in range(20)]
-        assert server.places_taken == 4 and len(server.lingering) <= 3
+        assert server.places_taken == 4
+        assert len(server.lingering) <= 3
         for client in server.clients():
             client.close()
         assert len(server.lingering) <= 4 + 3
@@ -144,7 +145,8 @@
         assert server.listening is not None
         reader, writer = await asyncio.open_connection(*server.listening.getsockname())
         answer = await reader.readuntil(b"\r\n\r\n")
-        assert answer.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1\r\n" in answer
+        assert answer.startswith(b"HTTP/1.1 503 ")
+        assert b"Retry-After: 1\r\n" in answer
         for stream in (*streams, (reader, writer)):
             stream[1].close()
 
@@ -193,7 +195,8 @@
                 await ends_without_a_reset(reader)
                 writer.write(message("late"))  # half-closed: it may still write
             answer = await half[0].read()
-            assert answer.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in answer
+            assert answer.startswith(b"HTTP/1.1 503 ")
+            assert b"Connection: close" in answer
             assert await w.process.wait() == 0
         assert asyncio.get_running_loop().time() - began < 3.7 + 0.5  # SIGKILL comes from 3.7 s on
         for _, writer in (*resting, half):
--- a/tests/standins/registry.py
+++ b/tests/standins/registry.py
@@ -83,7 +83,8 @@
     async def __aexit__(self, *_: object) -> None:
         for line in self.lines:
             line.close()
-        assert self.process is not None and self._reading is not None
+        assert self.process is not None
+        assert self._reading is not None
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
--- a/tests/store/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -32,7 +32,8 @@
         1,
         "n1",
     )
-    assert store.commit(life("m")) == {} and not store.verify()
+    assert store.commit(life("m")) == {}
+    assert not store.verify()
     store.close()
     other.close()
 
@@ -51,7 +52,8 @@
     one, two = PostgresStore(server.dsn), PostgresStore(server.dsn)
     one.commit(life("m", end=None))
     kept = two.commit([life("m", at=2000, instance="n2")[0], *life("other", instance="n2")])
-    assert kept[0].about.instance == "n1" and set(one.read(["m", "other"])) == {"m", "other"}
+    assert kept[0].about.instance == "n1"
+    assert set(one.read(["m", "other"])) == {"m", "other"}
     one.close()
     two.close()
 
@@ -110,7 +112,8 @@
     with pytest.raises(Unavailable):
         store.commit(life("m"))
     assert not store.read(["m"])
-    assert store.commit(life("m")) == {} and not store.verify()
+    assert store.commit(life("m")) == {}
+    assert not store.verify()
     store.close()
 
 
--- a/tests/store/test_postgres_cuts.py
+++ b/tests/store/test_postgres_cuts.py
@@ -71,7 +71,9 @@
         if outcome:
             outcomes[outcome].add(found is Found.APPLIED)
         else:
-            assert side == "heard" and byte >= size - FLUSH and found is Found.APPLIED
+            assert side == "heard"
+            assert byte >= size - FLUSH
+            assert found is Found.APPLIED
         assert reader.commit([change]) == {}
         assert reader.read([change.message])[change.message].number == 1
     assert not reader.verify()
@@ -95,7 +97,8 @@
                 assert isinstance(error, Unavailable)
     server.faults = Faults()
     store = PostgresStore(server.dsn)
-    assert store.commit(life("m")) == {} and not store.verify()
+    assert store.commit(life("m")) == {}
+    assert not store.verify()
     store.close()
 
 
@@ -111,7 +114,8 @@
         store.read(["m"])
     store.close()
     other = PostgresStore(server.dsn)
-    assert not other.read(["m"]) and other.commit(life("m")) == {}
+    assert not other.read(["m"])
+    assert other.commit(life("m")) == {}
     other.close()
 
 
--- a/tests/store/test_recorder.py
+++ b/tests/store/test_recorder.py
@@ -100,7 +100,8 @@
         recorder.patience = NEVER
         clock.now += 1_000_000
         verdict = await take(recorder, clock.held("m"))
-        assert verdict.known is Known.NEW and not verdict.retry_after_ms
+        assert verdict.known is Known.NEW
+        assert not verdict.retry_after_ms
         assert (await stored(recorder))["m"].run == 2
 
     run(tmp_path, scenario)
--- a/tests/store/test_rules.py
+++ b/tests/store/test_rules.py
@@ -180,7 +180,8 @@
 
 def test_an_id_is_known_until_its_time_is_up_however_short_the_memory() -> None:
     entry = record(TAKE, INTEND, END, TOLD, answer=Answer.DELIVERED)
-    assert known(entry, 9_000, 0) is Known.DELIVERED and known(entry, 9_001, 0) is Known.NEW
+    assert known(entry, 9_000, 0) is Known.DELIVERED
+    assert known(entry, 9_001, 0) is Known.NEW
 
 
 SEEN = [None, *(record(*life) for life in LIVES.values()), record(TAKE, INTEND, END, answer=Answer.DELIVERED)]
--- a/tests/store/test_settings.py
+++ b/tests/store/test_settings.py
@@ -20,7 +20,9 @@
     path.write_text('file = "r.sqlite"\n')
     told = load_record(path)
     assert (told.unsafe, told.repeatable, told.synchronous) == (Mode.REQUIRED, Mode.FOLLOWS, "FULL")
-    assert told.file == Path("r.sqlite") and told.memory == 3_600_000_000 and told.keep is None
+    assert told.file == Path("r.sqlite")
+    assert told.memory == 3_600_000_000
+    assert told.keep is None
 
 
 @pytest.mark.parametrize(
--- a/tests/store/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -68,7 +68,8 @@
     bad = [*life("a"), Change("b", 1, 2, Kind.INTEND, 5, host="h")]
     with pytest.raises(RuleBroken):
         store.commit(bad)
-    assert not store.read(["a", "b"]) and not store.database.in_transaction
+    assert not store.read(["a", "b"])
+    assert not store.database.in_transaction
     store.commit(life("a"))
     assert list(store.read(["a"])) == ["a"]
     store.close()
@@ -79,8 +80,10 @@
     store = SQLiteStore(tmp_path / "r.sqlite")
     changes = life("m")
     store.commit(changes[:3])
-    assert store.commit(changes) == {} and store.commit(changes) == {}
-    assert store.read(["m"])["m"].attempts == 1 and not store.verify()
+    assert store.commit(changes) == {}
+    assert store.commit(changes) == {}
+    assert store.read(["m"])["m"].attempts == 1
+    assert not store.verify()
     store.close()
 
 
@@ -89,7 +92,9 @@
     one, two = SQLiteStore(path), SQLiteStore(path)
     assert one.commit(life("m", end=None)) == {}
     (kept,) = two.commit([life("m", at=2000, instance="n2")[0], *life("other", instance="n2")]).items()
-    assert kept[0] == 0 and kept[1].about.instance == "n1" and kept[1].state is State.OUT
+    assert kept[0] == 0
+    assert kept[1].about.instance == "n1"
+    assert kept[1].state is State.OUT
     assert set(one.read(["m", "other"])) == {"m", "other"}  # the rest of the group is stored
     one.close()
     two.close()
@@ -99,7 +104,8 @@
     store = SQLiteStore(tmp_path / "r.sqlite")
     store.commit([*life("m", end=Answer.REFUSED), *life("m", at=5000, run=2)])
     entry = store.read(["m"])["m"]
-    assert (entry.run, entry.answer, entry.taken_at) == (2, Answer.DELIVERED, 5000) and not store.verify()
+    assert (entry.run, entry.answer, entry.taken_at) == (2, Answer.DELIVERED, 5000)
+    assert not store.verify()
     store.close()
 
 
@@ -124,7 +130,9 @@
     store.database.execute(f"PRAGMA max_page_count={pages}")  # as a full disk: SQLITE_FULL
     with pytest.raises(Unavailable, match="full"):
         store.commit([change for i in range(500) for change in life(f"m{i}")])
-    assert not store.read(["m0"]) and store.read(["first"]) and not store.verify()
+    assert not store.read(["m0"])
+    assert store.read(["first"])
+    assert not store.verify()
     store.database.execute("PRAGMA max_page_count=1073741823")
     store.commit(life("m0"))
     store.close()
@@ -188,10 +196,13 @@
         copy.with_name("r.sqlite-wal").write_bytes(wal[:size])
         torn = SQLiteStore(copy)
         names = [entry.message for entry in torn.select(Query())]
-        assert names == [f"m{i:02d}" for i in range(len(names))] and not torn.verify()
+        assert names == [f"m{i:02d}" for i in range(len(names))]
+        assert not torn.verify()
         counts.append(len(names))
         torn.close()
-    assert counts == sorted(counts) and counts[0] == 0 and counts[-1] >= 19
+    assert counts == sorted(counts)
+    assert counts[0] == 0
+    assert counts[-1] >= 19
 
 
 def test_killed_at_any_time_what_was_said_to_be_committed_is_there(tmp_path: Path) -> None:
@@ -217,7 +228,8 @@
             last = max([last, *(int(line) for line in child.stdout.read().split() if line.isdigit())])
         store = SQLiteStore(path)
         entries = store.read([f"m{i}" for i in range(last + 1)])
-        assert len(entries) == last + 1 and all(e.state is State.TOLD for e in entries.values())
+        assert len(entries) == last + 1
+        assert all(e.state is State.TOLD for e in entries.values())
         assert not store.verify()
         store.close()
 
@@ -246,9 +258,12 @@
         return [entry.message for entry in store.select(Query(**asked))]  # type: ignore[arg-type]
 
     assert names() == ["a", "b", "c"]
-    assert names(tenant="dijk") == ["b", "c"] and names(class_name="status") == ["c"]
-    assert names(answer=Answer.FAILED) == ["b"] and names(unfinished=True) == ["c"]
-    assert names(since=2000, until=3000) == ["b"] and names(limit=2) == ["a", "b"]
+    assert names(tenant="dijk") == ["b", "c"]
+    assert names(class_name="status") == ["c"]
+    assert names(answer=Answer.FAILED) == ["b"]
+    assert names(unfinished=True) == ["c"]
+    assert names(since=2000, until=3000) == ["b"]
+    assert names(limit=2) == ["a", "b"]
     for term in ("tenant = 'x'", "class = 'x'", "answer = 'x'", "taken_at > 5", "told_at < 5", "id = 'x'"):
         (plan,) = store.database.execute(f"EXPLAIN QUERY PLAN SELECT * FROM messages WHERE {term}").fetchall()
         assert plan[3].startswith("SEARCH"), plan
@@ -262,5 +277,6 @@
     store.database.execute("UPDATE messages SET told_at = NULL WHERE id = 'b'")
     store.database.execute("DELETE FROM attempts WHERE id = 'c'")
     said = store.verify()
-    assert len(said) == 3 and [line.split(":")[0] for line in said] == ["a", "b", "c"]
+    assert len(said) == 3
+    assert [line.split(":")[0] for line in said] == ["a", "b", "c"]
     store.close()
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -82,10 +82,12 @@
         for _ in range(100):  # the loop goes on while the disk does not
             await asyncio.sleep(0)
             turns += 1
-        assert turns == 100 and not any(write.done() for write in writes)
+        assert turns == 100
+        assert not any(write.done() for write in writes)
         store.gate.set()
         await asyncio.gather(*writes)
-        assert sum(store.groups) == 300 and len(store.groups) <= 3
+        assert sum(store.groups) == 300
+        assert len(store.groups) <= 3
         entries = await writer.call(lambda s: list(s.select(Query())))
         assert len(entries) == 300
 
@@ -100,13 +102,16 @@
         kept = [writer.write(intend), writer.write(outcome), writer.write(told)]
         with pytest.raises(Away) as refusal:
             await writer.write(life("new")[0], optional=True)
-        assert refusal.value.retry_ms > 0 and writer.away
+        assert refusal.value.retry_ms > 0
+        assert writer.away
         with pytest.raises(Away):  # without a try of the store
             await writer.write(life("newer")[0], optional=True)
         await asyncio.gather(*kept)
-        assert not writer.away and store.opened == 4
+        assert not writer.away
+        assert store.opened == 4
         found = await writer.call(lambda s: s.read(["m", "new", "newer"]))
-        assert set(found) == {"m"} and found["m"].state is State.TOLD
+        assert set(found) == {"m"}
+        assert found["m"].state is State.TOLD
 
     run(tmp_path, scenario)
 
@@ -131,7 +136,8 @@
         store.faults = ["cut after", "away", "away"]
         write = writer.write(life("m")[0], optional=True)
         await write
-        assert not store.faults and set(await writer.call(lambda s: s.read(["m"]))) == {"m"}
+        assert not store.faults
+        assert set(await writer.call(lambda s: s.read(["m"]))) == {"m"}
 
     run(tmp_path, scenario)
 
@@ -141,7 +147,8 @@
         await asyncio.gather(*(writer.write(change) for change in life("m", instance="n2")))
         writes = [writer.write(life("m", at=9)[0]), writer.write(life("other")[0])]
         results = await asyncio.gather(*writes, return_exceptions=True)
-        assert isinstance(results[0], Elsewhere) and results[0].entry.about.instance == "n2"
+        assert isinstance(results[0], Elsewhere)
+        assert results[0].entry.about.instance == "n2"
         assert results[1] is None
 
     run(tmp_path, scenario)
@@ -155,7 +162,8 @@
         bad, good = writer.write(life("bad")[1]), writer.write(life("good")[0])
         store.gate.set()
         results = await asyncio.gather(first, bad, good, return_exceptions=True)
-        assert isinstance(results[1], RuleBroken) and (results[0], results[2]) == (None, None)
+        assert isinstance(results[1], RuleBroken)
+        assert (results[0], results[2]) == (None, None)
 
     run(tmp_path, scenario)
 
@@ -166,7 +174,8 @@
         writes = [writer.write(life(f"m{i}")[0], optional=True) for i in range(20)]
         await asyncio.sleep(0)  # never told before `write` returns
         refused = [write for write in writes if write.done()]
-        assert 9 <= len(refused) <= 10 and all(isinstance(write.exception(), Away) for write in refused)
+        assert 9 <= len(refused) <= 10
+        assert all(isinstance(write.exception(), Away) for write in refused)
         store.gate.set()
         await asyncio.gather(*writes, return_exceptions=True)
 
@@ -184,7 +193,8 @@
             await asyncio.sleep(0)
         assert store.groups == [1]
         await writer.write(life("urgent")[0])
-        assert store.groups == [1, 13] and all(write.done() for write in slow)
+        assert store.groups == [1, 13]
+        assert all(write.done() for write in slow)
         monkeypatch.setattr(module, "LINGER", 0)
         await writer.write(life("late")[0], urgent=False)  # and alone, after a while
         assert store.groups == [1, 13, 1]
--- a/tests/upgrade/test_channel.py
+++ b/tests/upgrade/test_channel.py
@@ -112,7 +112,8 @@
         end = End(sock)
         other.sendall(data)
         await end.until(lambda: end.losses == 1)
-        assert end.heard == [] and end.channel.closed
+        assert end.heard == []
+        assert end.channel.closed
         end.channel.send({"n": 1})  # nothing is left of it
         other.close()
         await asyncio.sleep(0)
@@ -165,7 +166,8 @@
         stdout=subprocess.PIPE,
         text=True,
     )
-    assert other.stdout is not None and other.stdout.readline() == "True\n"
+    assert other.stdout is not None
+    assert other.stdout.readline() == "True\n"
     assert Lock.take(tmp_path / "new") is None
     other.kill()
     other.communicate()
--- a/tests/upgrade/test_successor.py
+++ b/tests/upgrade/test_successor.py
@@ -35,7 +35,8 @@
         assert taker.journal is None
         monkeypatch.setattr(Journal, "_paths", there)  # all stand still by now
         taker._load()
-        assert taker.journal is not None and list(taker.journal.messages) == list(owner.messages)
+        assert taker.journal is not None
+        assert list(taker.journal.messages) == list(owner.messages)
         owner.close()
 
     asyncio.run(main())
