--- a/benchmarks/misses.py
+++ b/benchmarks/misses.py
@@ -61,7 +61,7 @@
             self.subscriber.resolve(number)
         states = await asyncio.gather(*waiting)
         assert set(states) == {ResolutionStatus.RESOLVED}, states
-        assert all(number in self.brain.destinations for number in destinations)
+        assert all(number in self.brain.state.destinations for number in destinations)
 
 
 async def measure(quick: bool) -> dict[str, Any]:
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -141,7 +141,7 @@
                 began = time.process_time()
                 asyncio.get_running_loop().call_soon(take, told)
                 await asyncio.sleep(0)
-                await until(lambda: not engine.turn_due and len(engine.scheduler.endpoints) == count)
+                await until(lambda: not engine.turn_due and len(engine.scheduler.state.endpoints) == count)
                 return time.process_time() - began
 
             await taken(whole_list(10), 10)
--- a/loftrelay/decisions/__init__.py
+++ b/loftrelay/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Decides when to send, wait, retry, refuse or give up a message to an outside destination."""
+"""All decisions on messages: when to send, wait, retry, reject or fail them. Without input or output."""
 
 from loftrelay.decisions.scheduler import Scheduler
 
--- /dev/null
+++ b/loftrelay/decisions/dispatch.py
@@ -0,0 +1,148 @@
+"""Dispatch: fills the free slots with the calls that are worth most for the slot time that they take."""
+
+from __future__ import annotations
+
+import heapq
+from dataclasses import dataclass
+
+from loftrelay.decisions import idle_connections, ordering
+from loftrelay.decisions.actions import CloseIdleConnections, SendAttempt
+from loftrelay.decisions.batching import batch_capacity, batch_for
+from loftrelay.decisions.deadlines import fits_deadline
+from loftrelay.decisions.entities import Call, Destination, Endpoint, OpenMessage
+from loftrelay.decisions.idempotency import dedup_window_end
+from loftrelay.decisions.priority import priority
+from loftrelay.decisions.retry import BACKOFF_BASE_US, MIN_TIMEOUT_US, attempt_timeout
+from loftrelay.decisions.routing import available_endpoints, may_attempt
+from loftrelay.decisions.state import DecisionState
+from loftrelay.decisions.units import NEVER, SECOND_US
+
+MIN_SLOT_TIME_US = SECOND_US / 20
+MIN_TELLING_SHARE = 2  # a call given less than its timeout over this tells nothing of its endpoint
+
+
+@dataclass(slots=True, frozen=True)
+class Candidate:
+    """The best call to one destination now."""
+
+    value: float  # priority by slot time
+    message: OpenMessage
+    endpoint: Endpoint
+
+
+def fill_slots(state: DecisionState) -> None:
+    """Sends calls while slots are free and a message may go."""
+    destinations = [each for each in state.backlog.values() if each.waiting]
+    if len(destinations) < len(state.backlog):
+        state.backlog = {each.number: each for each in destinations}
+    best: dict[int, Candidate] = {}
+    while state.calls_in_flight < state.limits.max_concurrent_calls:
+        for destination in destinations:
+            candidate = choose(state, destination)
+            if candidate is not None:
+                best[destination.number] = candidate
+        if not best:
+            return
+        number = max(best, key=lambda each: best[each].value)
+        candidate = best.pop(number)
+        send_call(state, candidate.message, candidate.endpoint)
+        destinations = [state.destinations[number]]
+
+
+def choose(state: DecisionState, destination: Destination) -> Candidate | None:
+    """Returns the message of a destination that should go first, and where; None if none may go."""
+    endpoints = available_endpoints(state, destination)
+    if not endpoints:
+        return None
+    is_probe = endpoints[0].gate.breaker.is_open
+    first: tuple[float, OpenMessage, Endpoint] | None = None
+    priorities: list[float] = []
+    for message in destination.waiting.values():
+        if not _may_go_now(state, message):
+            continue
+        priorities.append(priority(state, message))
+        # A probe is made with the message that can wait longest for its outcome.
+        rank = float(message.deadline) if is_probe else priorities[-1]
+        if first is not None and rank <= first[0]:
+            continue
+        endpoint = next((each for each in endpoints if may_attempt(state, message, each)), None)
+        if endpoint is not None:
+            first = (rank, message, endpoint)
+        else:
+            state.wake_no_later_than(state.now + BACKOFF_BASE_US)
+    if first is None:
+        return None
+    _, message, endpoint = first
+    value = sum(heapq.nlargest(batch_capacity(state, endpoint), priorities))
+    return Candidate(value / max(MIN_SLOT_TIME_US, endpoint.call_times.smoothed), message, endpoint)
+
+
+def _may_go_now(state: DecisionState, message: OpenMessage) -> bool:
+    """Returns whether backoff and order let a message go; has a later batch look again if not."""
+    if message.not_before > state.now:
+        state.wake_no_later_than(message.not_before)
+        return False
+    if ordering.is_next(state, message):
+        return True
+    key = message.ordering_key
+    if key is not None and ordering.is_first(message):
+        state.wake_no_later_than(key.cooldown_until)
+    return False
+
+
+def send_call(state: DecisionState, first: OpenMessage, endpoint: Endpoint) -> None:
+    """Sends a message, with all others that may share its call."""
+    messages = batch_for(state, first, endpoint)
+    idle = 0 if endpoint.in_flight else max(0, state.now - endpoint.last_used_at)
+    call = Call(endpoint, state.now, connection_idle=idle, in_flight=len(messages))
+    max_idle = _close_stale_connection(state, call, messages)
+    endpoint.last_used_at = state.now
+    endpoint.call_rate.add(state.now)
+    call.is_cut_short = _is_cut_short(state, messages, endpoint)
+    for message in messages:
+        _send_attempt(state, message, call, max_idle)
+    _count_call(state, call, len(messages))
+
+
+def _close_stale_connection(state: DecisionState, call: Call, messages: list[OpenMessage]) -> int | None:
+    """Returns the longest idle time allowed to this call's connection; closes idle ones beyond it.
+
+    A message that can be repeated still uses any connection: its attempt shows whether idle ones are reset.
+    """
+    if all(message.is_repeatable for message in messages):
+        return None
+    max_idle = idle_connections.max_connection_idle(state)
+    if max_idle is not None and call.connection_idle >= max_idle:
+        state.actions.append(CloseIdleConnections(call.endpoint.name))
+        call.connection_idle = 0
+    return max_idle
+
+
+def _is_cut_short(state: DecisionState, messages: list[OpenMessage], endpoint: Endpoint) -> bool:
+    """Returns whether deadlines leave a call too little time to tell anything of its endpoint."""
+    shortest = min(messages, key=lambda message: message.deadline)
+    timeout = max(attempt_timeout(state, message, endpoint) for message in messages)
+    if shortest.deadline - state.now < min(timeout, MIN_TIMEOUT_US) // MIN_TELLING_SHARE:
+        return True
+    return len(messages) > 1 and not fits_deadline(state.now, shortest, endpoint)
+
+
+def _send_attempt(state: DecisionState, message: OpenMessage, call: Call, max_idle: int | None) -> None:
+    endpoint = call.endpoint
+    del endpoint.destination.waiting[message.name]
+    message.call = call
+    message.attempts += 1
+    timeout = min(attempt_timeout(state, message, endpoint), message.deadline - state.now)
+    window_end = dedup_window_end(state, message)
+    send_within = window_end - state.now if window_end < NEVER else None
+    state.actions.append(SendAttempt(message.name, endpoint.name, max(1, timeout), max_idle, send_within))
+
+
+def _count_call(state: DecisionState, call: Call, messages: int) -> None:
+    gate, endpoint = call.endpoint.gate, call.endpoint
+    state.calls_in_flight += 1
+    gate.window.in_flight += 1
+    endpoint.destination.in_flight += 1
+    endpoint.in_flight += 1
+    gate.rate_limiter.record_call(state.now, state.random)
+    gate.slow_start.record_call(state.now, messages, state.limits)
--- /dev/null
+++ b/loftrelay/decisions/endpoint_table.py
@@ -0,0 +1,152 @@
+"""The endpoint table: list updates, draining, removal, and endpoints that the operator disables.
+
+The list names endpoints and says nothing of their health. A draining or removed endpoint gets no new call.
+"""
+
+from __future__ import annotations
+
+from itertools import islice
+
+from loftrelay.decisions import hibernation
+from loftrelay.decisions.entities import Endpoint, EndpointKindStats
+from loftrelay.decisions.events import (
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+)
+from loftrelay.decisions.gate import Gate, GateSnapshot
+from loftrelay.decisions.limits import DEFAULT_POLL_INTERVAL_US
+from loftrelay.decisions.retry import backoff
+from loftrelay.decisions.settings import EndpointKind
+from loftrelay.decisions.state import DecisionState
+from loftrelay.decisions.units import SECOND_US
+
+MAX_POLL_BACKOFF_US = 2 * SECOND_US  # with the call itself this stays under the 6 s in which a drain binds
+MIN_POLL_BACKOFF_SHARE = 0.7
+MIN_REMOVAL_CHECKS = 64  # removed endpoints looked at with each change of the list
+RATE_KINDS = ("nominal", "rough")  # words of the settings for listed rates that are limits
+
+
+def update_list(state: DecisionState, event: EndpointListReceived) -> None:
+    """Takes in a list or its changes; after a failed request the old list stands and is asked for again."""
+    if event.kind is EndpointListKind.FAILED:
+        _schedule_poll(state)
+        return
+    if event.kind is not EndpointListKind.CACHED:
+        state.poll_failures = 0
+    is_delta = event.kind is EndpointListKind.DELTA
+    if not is_delta:
+        _mark_all_removed(state)
+    for entry in event.entries:
+        _apply_entry(state, entry)
+    # The cost of a change is in proportion to its size, however many endpoints are listed.
+    checks = max(MIN_REMOVAL_CHECKS, 2 * len(event.entries)) if is_delta else len(state.removed_endpoints)
+    for name in list(islice(state.removed_endpoints, checks)):
+        _drop_if_unused(state, state.removed_endpoints.pop(name))
+
+
+def disable(state: DecisionState, name: str) -> None:
+    """The operator disables an endpoint, whatever the list says."""
+    state.disabled_endpoints.add(name)
+    if endpoint := state.endpoints.get(name):
+        endpoint.is_disabled = True
+
+
+def enable(state: DecisionState, name: str) -> None:
+    """The operator enables an endpoint after a restart: it is cold, and what was learned of it is void."""
+    if (endpoint := state.endpoints.get(name)) is not None and endpoint.is_disabled:
+        _restart(state, endpoint)
+    elif name in state.disabled_endpoints:
+        _restart_hibernated(state, name)
+    state.disabled_endpoints.discard(name)
+    record = state.hibernated.get(state.hibernated_endpoints.get(name, -1))
+    if record is not None:
+        hibernation.drop_if_irrelevant(state, record)
+
+
+def avoided_count(state: DecisionState) -> int:
+    """Returns how many listed endpoints are avoided now, by the operator or for their failures."""
+    return sum(
+        endpoint.state is not EndpointState.REMOVED
+        and (endpoint.is_disabled or endpoint.gate.breaker.is_open or endpoint.avoid_until > state.now)
+        for endpoint in state.endpoints.values()
+    )
+
+
+def _schedule_poll(state: DecisionState) -> None:
+    """Asks again with a growing delay, so that a busy discovery service is not flooded."""
+    if not state.settings.polls_endpoint_list:
+        return
+    interval = state.settings.poll_interval or DEFAULT_POLL_INTERVAL_US
+    longest = min(MAX_POLL_BACKOFF_US, interval // 2)
+    longest = int(longest * state.random.uniform(MIN_POLL_BACKOFF_SHARE, 1))
+    state.poll_at = state.now + min(backoff(state, state.poll_failures), longest)
+    state.poll_failures += 1
+
+
+def _mark_all_removed(state: DecisionState) -> None:
+    for endpoint in state.endpoints.values():
+        endpoint.state = EndpointState.REMOVED
+    state.removed_endpoints = dict(state.endpoints)
+
+
+def _apply_entry(state: DecisionState, entry: EndpointEntry) -> None:
+    endpoint = state.endpoints.get(entry.endpoint) or _add_endpoint(state, entry)
+    endpoint.state = entry.state
+    if entry.state is EndpointState.REMOVED:
+        state.removed_endpoints[entry.endpoint] = endpoint
+    else:
+        state.removed_endpoints.pop(entry.endpoint, None)
+    if entry.listed_rate and state.settings.listed_rate_kind in RATE_KINDS:
+        endpoint.listed_rate = endpoint.gate.listed_rate = entry.listed_rate
+
+
+def _add_endpoint(state: DecisionState, entry: EndpointEntry) -> Endpoint:
+    kind: EndpointKind | None = state.settings.endpoint_kinds.get(entry.kind or "")
+    has_own_gate = kind is not None and kind.has_endpoint_limits
+    destination = hibernation.get_destination(state, entry.destination)
+    endpoint = Endpoint(
+        name=entry.endpoint,
+        destination=destination,
+        gate=Gate() if has_own_gate else destination.gate,
+        state=entry.state,
+        zone=entry.zone,
+        kind_stats=state.kind_stats.setdefault(entry.kind, EndpointKindStats()),
+        max_batch_size=max(1, (kind and kind.max_batch_size) or 1),
+        zone_cost=state.settings.zone_costs.get(entry.zone or "", 0.0) if has_own_gate else 0.0,
+        is_disabled=entry.endpoint in state.disabled_endpoints,
+    )
+    state.endpoints[entry.endpoint] = endpoint
+    destination.endpoints.append(endpoint)
+    hibernation.restore_endpoint(state, endpoint)
+    return endpoint
+
+
+def _drop_if_unused(state: DecisionState, endpoint: Endpoint) -> None:
+    """Drops a removed endpoint unless a call, a Retry-After or an open circuit still refers to it."""
+    gate, destination = endpoint.gate, endpoint.destination
+    is_failing = gate is not destination.gate and (gate.breaker.is_open or gate.slow_start.is_active)
+    if endpoint.in_flight or is_failing or gate.retry_after_until > state.now:
+        state.removed_endpoints[endpoint.name] = endpoint  # behind the others that are still to be checked
+        return
+    del state.endpoints[endpoint.name]
+    destination.endpoints.remove(endpoint)
+
+
+def _restart(state: DecisionState, endpoint: Endpoint) -> None:
+    endpoint.is_disabled = False
+    endpoint.consecutive_failures, endpoint.avoid_until = 0, 0
+    siblings = [each for each in endpoint.available_siblings if each is not endpoint]
+    # One of several endpoints adds to what the others take; slow start would limit those, too.
+    if not any(each.gate is endpoint.gate for each in siblings):
+        endpoint.gate.restart(state.now)
+
+
+def _restart_hibernated(state: DecisionState, name: str) -> None:
+    gate = hibernation.gate_of(state, name)
+    if not isinstance(gate, GateSnapshot):
+        return
+    gate.restart(state.now)  # which other endpoints were available is not known any more
+    kept = state.hibernated[state.hibernated_endpoints[name]].endpoints[name]
+    kept.consecutive_failures, kept.avoid_until = 0, 0
--- /dev/null
+++ b/loftrelay/decisions/entities.py
@@ -0,0 +1,156 @@
+"""What the decisions keep track of: destinations, endpoints, calls, ordering keys and open messages."""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+
+from loftrelay.decisions.estimators import DEMAND_SPAN_US, CallTimes, DecayingRate
+from loftrelay.decisions.events import EndpointState
+from loftrelay.decisions.gate import Gate, GateSnapshot
+from loftrelay.decisions.settings import DeliverySemantics, MessageClass
+from loftrelay.decisions.units import NEVER
+
+INITIAL_SUCCESS_RATE = 0.5
+
+
+@dataclass(slots=True)
+class EndpointKindStats:
+    """What all endpoints of one kind have in common."""
+
+    connections_scarce_until: int = -NEVER  # until then they are taken to accept only few connections
+    call_times: CallTimes = field(default_factory=CallTimes)
+    # Of calls after a failure, by whether that was a rejection.
+    success_rate_after_failure: list[float] = field(
+        default_factory=lambda: [INITIAL_SUCCESS_RATE, INITIAL_SUCCESS_RATE]
+    )
+
+
+@dataclass(slots=True)
+class Destination:
+    """One outside destination with its endpoints and the messages that wait for it."""
+
+    number: int
+    gate: Gate = field(default_factory=Gate)
+    endpoints: list[Endpoint] = field(default_factory=list)
+    waiting: dict[str, OpenMessage] = field(default_factory=dict)
+    in_flight: int = 0
+    demand: DecayingRate = field(default_factory=lambda: DecayingRate(DEMAND_SPAN_US))
+    unfinished: int = 0  # messages that are not over, or still in the queue of their ordering key
+    cooldown_until: int = 0  # the last cooldown of its ordering keys
+
+
+@dataclass(slots=True)
+class Endpoint:
+    """One address of a destination, behind the gate of the destination or one of its own."""
+
+    name: str
+    destination: Destination
+    gate: Gate
+    state: EndpointState
+    zone: str | None
+    kind_stats: EndpointKindStats
+    max_batch_size: int
+    zone_cost: float
+    call_rate: DecayingRate = field(default_factory=DecayingRate)
+    in_flight: int = 0
+    consecutive_failures: int = 0
+    avoid_until: int = 0
+    usual_call_time: float = 0.0  # smoothed, in microseconds; 0: no call has succeeded yet
+    listed_rate: float = 0.0  # calls a second, as listed; 0: not listed
+    last_used_at: int = NEVER  # when a connection to it last carried a call
+    is_disabled: bool = False  # by the operator
+
+    @property
+    def is_available(self) -> bool:
+        """Whether new calls may go to it, its gate aside."""
+        return self.state is EndpointState.ACTIVE and not self.is_disabled
+
+    @property
+    def call_times(self) -> CallTimes:
+        """Call times of its gate, or of its kind while the gate has seen none."""
+        return self.gate.call_times if self.gate.call_times.smoothed else self.kind_stats.call_times
+
+    @property
+    def available_siblings(self) -> list[Endpoint]:
+        """The available endpoints of its destination, itself among them."""
+        return [each for each in self.destination.endpoints if each.is_available]
+
+
+@dataclass(slots=True)
+class Call:
+    """One or more messages that travel together: one slot, one outcome."""
+
+    endpoint: Endpoint
+    sent_at: int
+    connection_idle: int = 0  # how long its connection was idle before; estimated until the outcome tells
+    is_cut_short: bool = False  # deadlines leave it too little time to tell anything of its endpoint
+    in_flight: int = 0  # messages without an outcome
+    is_evaluated: bool = False
+    uncertain_keys: list[OrderingKey] = field(
+        default_factory=list
+    )  # of messages that timed out while it runs
+
+
+@dataclass(slots=True)
+class OrderingKey:
+    """The queue of the messages that are delivered in turn under one key."""
+
+    name: str
+    pending: deque[OpenMessage] = field(default_factory=deque)
+    cooldown_until: int = 0  # NEVER: until its call has ended
+
+
+@dataclass(slots=True)
+class OpenMessage:
+    """A message that is not over. Times are in microseconds."""
+
+    name: str
+    message_class: MessageClass
+    destination: Destination
+    priority_weight: float
+    admitted_at: int
+    deadline: int
+    ordering_key: OrderingKey | None
+    max_attempts: int
+    attempts: int = 0
+    not_before: int = 0  # of the next attempt
+    call: Call | None = None
+    is_over: bool = False
+    first_attempt_at: int | None = None  # when the first attempt that may have run was sent
+    first_attempt_endpoint: Endpoint | None = None
+
+    @property
+    def is_repeatable(self) -> bool:
+        """Whether it can be attempted again after an attempt that may have run."""
+        return self.message_class.semantics.is_repeatable
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether an attempt may have taken effect."""
+        return self.first_attempt_at is not None
+
+    @property
+    def is_deduplicated(self) -> bool:
+        """Whether its destination drops repeats."""
+        return self.message_class.semantics is DeliverySemantics.DEDUPLICATED
+
+
+@dataclass(slots=True)
+class HibernatedEndpoint:
+    """An endpoint of a hibernated destination."""
+
+    gate: GateSnapshot | None  # None: it shares the gate of its destination
+    consecutive_failures: int
+    avoid_until: int
+
+
+@dataclass(slots=True)
+class HibernatedDestination:
+    """What is kept of a released destination, until it is listed again or can change no decision any more."""
+
+    number: int
+    gate: GateSnapshot | None  # None: the destination is back, and some of its endpoints are not
+    demand: float
+    demand_updated_at: int
+    endpoints: dict[str, HibernatedEndpoint]
--- a/loftrelay/decisions/events.py
+++ b/loftrelay/decisions/events.py
@@ -12,21 +12,21 @@
 
 
 class AttemptStatus(Enum):
-    """How an attempt ended."""
+    """How an attempt ended. Values are the names in stored records."""
 
     OK = "OK"  # delivered
-    ERROR = "ERROR"  # the destination answered with an error; the effect may have taken place
-    REJECTED = "FULL"  # turned away unseen: over a limit, queue full, shut or draining
-    TIMEOUT = "TIMEOUT"  # no answer in time; the effect may have taken place, or still do so
-    CONNECT_FAILED = "NO_CONNECTION"  # never connected, so never ran
-    CONNECTION_LOST = "BROKEN"  # the connection broke while the attempt was out; may have run
-    MALFORMED_RESPONSE = "SPOILT"  # an answer came and can't be read; it has run, and the host is up
-    CANCELLED = "CANCELLED"  # called off by this instance; may have run
-    NOT_SENT = "NOT_SENT"  # never left this instance
+    ERROR = "ERROR"  # the endpoint responded with an error; the effect may have taken place
+    REJECTED = "FULL"  # rejected unseen: over a limit, queue full, shut or draining
+    TIMEOUT = "TIMEOUT"  # no response in time; the effect may have taken place, or still do so
+    CONNECT_FAILED = "NO_CONNECTION"  # no connection was established, so it has not run
+    CONNECTION_LOST = "BROKEN"  # the connection was lost during the attempt; may have run
+    MALFORMED_RESPONSE = "SPOILT"  # the response can't be read; it has run, and the endpoint is up
+    CANCELLED = "CANCELLED"  # cancelled by this relay; may have run
+    NOT_SENT = "NOT_SENT"  # has not left this relay
 
 
 class EndpointState(Enum):
-    """Standing of an endpoint in the list; says nothing of health."""
+    """State of an endpoint in the list, not its health. Values are the names in stored records."""
 
     ACTIVE = "LISTED"
     DRAINING = "DRAINING"
@@ -34,33 +34,37 @@
 
 
 class EndpointListKind(Enum):
-    """What a list event brings."""
+    """What an endpoint list brings."""
 
-    DELTA = auto()
+    DELTA = auto()  # the changes since the last one
     FULL = auto()
-    CACHED = auto()  # the whole list as last saved; may be old
-    FAILED = auto()  # a request for the list failed, or the subscription broke
+    CACHED = auto()  # the full list as last saved; may be old
+    FAILED = auto()  # a request for the list failed, or the watch broke
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointEntry:
+    """One endpoint in the list."""
+
     endpoint: str
     destination: int
     state: EndpointState
     zone: str | None
     kind: str | None
-    listed_rate: float | None
+    listed_rate: float | None  # calls a second from all relays
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListReceived:
+    """A list, its changes, or the failure to get one."""
+
     kind: EndpointListKind
     entries: tuple[EndpointEntry, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class MessageSubmitted:
-    """A message to deliver, ending exactly once."""
+    """A message to deliver, which ends exactly once."""
 
     message_id: str
     destination: int
@@ -68,24 +72,24 @@
     tenant: str | None
     time_remaining: int
     ordering_key: str | None
-    terms: MessageTerms | None = None  # under which it was taken on; None: those in force
+    terms: MessageTerms | None = None  # under which it was admitted; None: those in force
 
 
 @dataclass(slots=True, frozen=True)
 class MessageRecovered:
-    """A message that this relay had taken on before it restarted. They come in their first order."""
+    """A message that this relay had admitted before it restarted. They come in their first order."""
 
     submission: MessageSubmitted
     age: int
     attempts: int
-    first_attempt_age: int | None  # how long ago the first attempt that may have run was sent, and where
+    first_attempt_age: int | None  # since the first attempt that may have run; None: there was none
     first_attempt_endpoint: str | None
-    is_ended: bool  # its end is decided; only Noticed is missing
+    is_ended: bool  # its end is decided; only FinalStatusReported is missing
 
 
 @dataclass(slots=True, frozen=True)
 class OrderingKeyCooldown:
-    """An attempt from before a restart may still be running: its key rests."""
+    """An attempt from before a restart may still be running: its ordering key waits."""
 
     ordering_key: str
     remaining: int
@@ -93,40 +97,42 @@
 
 @dataclass(slots=True, frozen=True)
 class FinalStatusReported:
-    """The end of a refused or failed message has been heard; only now is the message over."""
+    """The platform knows the final status of a rejected or failed message; only now is the message over."""
 
     message_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class OutcomeDisputed:
-    """An answer that said this message had not run was, or may have been, another call's: it may have run."""
+    """The response that said a message had not run may have been another call's: it may have run."""
 
     message_id: str
     endpoint: str
-    attempt_age: int  # how long ago that attempt was sent
+    attempt_age: int  # since that attempt was sent
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
+    """The outcome of one attempt."""
+
     message_id: str
     attempt: int
     endpoint: str
-    result: AttemptStatus
+    status: AttemptStatus
     elapsed: int
-    is_final: bool  # the message has ended; if not, a final answer is still owed
-    retry_after: int  # told wait, 0 if none
-    rate_limit: float | None  # report: calls a second that the destination takes from all; 0 for no limit
-    rate_limit_remaining: float | None  # report: share of that limit left
-    connection_idle: int | None = None  # how long its connection had stood idle; 0: a new one; None: not told
-    is_expired: bool = False  # the destination holds that the message's time is up: it takes it no more
-    postponed_for: int = 0  # not begun, for a reason of this relay's own: it costs no try, and waits so long
-    is_late: bool = False  # this relay stood still while it was out, and when it came is not known
+    is_final: bool  # the message has ended; if not, a final status is still owed
+    retry_after: int  # 0: none was told
+    rate_limit: float | None  # load report: calls a second from all relays; 0: no limit
+    rate_limit_remaining: float | None  # load report: share of that limit left
+    connection_idle: int | None = None  # how long its connection was idle before; 0: new; None: unknown
+    is_expired: bool = False  # the endpoint takes the message's deadline as over, and accepts it no more
+    postponed_for: int = 0  # not begun for a reason of this relay's own: costs no attempt, and waits so long
+    is_late: bool = False  # this relay was stalled meanwhile; when the response came is not known
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """The answer of a streamed message began; the attempt now belongs to the client."""
+    """The response to a streamed message began; the attempt now belongs to the client."""
 
     message_id: str
     attempt: int
@@ -134,44 +140,46 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageCancelled:
+    """The client of a message has left."""
+
     message_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """Only wakes the module; the token is not looked at."""
+    """Only runs a batch; the token is not looked at."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
-    """Not acted on: the module sends no probes, for each counts as a call."""
+    """Ignored: no probes are sent, since each counts as a call."""
 
     endpoint: str
-    result: AttemptStatus
+    status: AttemptStatus
     elapsed: int
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointDisabled:
-    """The operator leaves this endpoint out, whatever the list says, until BroughtBack."""
+    """The operator disables an endpoint, whatever the list says, until EndpointEnabled."""
 
     endpoint: str
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointEnabled:
-    """It may serve again. It was restarted meanwhile, so that it is cold."""
+    """The operator enables an endpoint again. It was restarted meanwhile, so that slow start applies."""
 
     endpoint: str
 
 
 @dataclass(slots=True, frozen=True)
 class DestinationsReleased:
-    """This instance serves these destinations no more. Their endpoints are forgotten, and what still binds
-    comes back with the first entry that names the destination again. One that is not idle (Brain.idle) stays
-    as it is.
+    """This relay does not serve these destinations any more; those that are not idle stay as they are.
+
+    What was learned of them is restored with the next list entry that names the destination.
     """
 
     destinations: tuple[int, ...]
@@ -179,7 +187,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """The settings from now on. Messages taken on before keep their terms."""
+    """The settings from now on. Open messages keep the terms under which they were admitted."""
 
     settings: RelaySettings
 
--- /dev/null
+++ b/loftrelay/decisions/feedback.py
@@ -0,0 +1,155 @@
+"""Feedback: what the outcome of a call changes in the limits of its destination."""
+
+from __future__ import annotations
+
+from loftrelay.decisions import idle_connections
+from loftrelay.decisions.actions import WriteLog
+from loftrelay.decisions.demand import demand_rate
+from loftrelay.decisions.entities import Call, Endpoint
+from loftrelay.decisions.events import AttemptEnded, AttemptStatus
+from loftrelay.decisions.gate import Gate
+from loftrelay.decisions.retry import BACKOFF_BASE_US, MAX_PAUSE_US, backoff, with_jitter
+from loftrelay.decisions.state import DecisionState
+from loftrelay.decisions.units import SECOND_US
+
+CALL_TIME_GAIN = 8  # one over the gain of the smoothed call time of an endpoint
+SUCCESS_RATE_GAIN = 8  # one over the gain of the success rate after a failure
+STRETCH_AFTER_REJECTIONS = 3  # a Retry-After is stretched from the next rejection in a row on ...
+MAX_STRETCH_EXPONENT = 3  # ... by a factor of up to two to this power
+
+
+def evaluate(state: DecisionState, call: Call, event: AttemptEnded) -> None:
+    """Learns from the outcome of a call, once for all messages in it."""
+    endpoint, gate = call.endpoint, call.endpoint.gate
+    endpoint.last_used_at = state.now
+    if event.is_late or _was_cut_short(call, event.status):
+        return
+    idle_connections.close_if_scarce(state, endpoint, event.status)
+    if event.connection_idle is not None:
+        call.connection_idle = event.connection_idle
+    if event.status not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT):
+        idle_connections.record_reset(state, call.connection_idle, event.status)
+    is_connection_failure = _is_connection_failure(call, event)
+    if gate.breaker.counts_connection_failure(is_connection_failure=is_connection_failure):
+        return
+    if gate.breaker.consecutive_failures and call.sent_at > gate.breaker.failed_at:
+        _update_success_rate(endpoint, gate, event.status)
+    if event.status is AttemptStatus.OK:
+        _record_success(state, endpoint, event.elapsed)
+    elif event.status is not AttemptStatus.NOT_SENT:
+        _record_failure(state, call, event)
+
+
+def _was_cut_short(call: Call, status: AttemptStatus) -> bool:
+    """Returns whether a call failed for want of time alone, which tells nothing of its endpoint."""
+    return call.is_cut_short and status in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECT_FAILED)
+
+
+def _is_connection_failure(call: Call, event: AttemptEnded) -> bool:
+    """Returns whether an outcome tells of the connection or the way, not yet of the destination."""
+    if event.status is AttemptStatus.MALFORMED_RESPONSE:
+        return True
+    fresh_below = 0 if event.connection_idle is not None else idle_connections.MIN_IDLE_US
+    return event.status is AttemptStatus.CONNECTION_LOST and call.connection_idle > fresh_below
+
+
+def _update_success_rate(endpoint: Endpoint, gate: Gate, status: AttemptStatus) -> None:
+    rates, index = endpoint.kind_stats.success_rate_after_failure, gate.breaker.last_was_rejection
+    rates[index] += ((status is AttemptStatus.OK) - rates[index]) / SUCCESS_RATE_GAIN
+
+
+def _record_success(state: DecisionState, endpoint: Endpoint, elapsed: int) -> None:
+    gate, limits = endpoint.gate, state.limits
+    endpoint.consecutive_failures, endpoint.avoid_until = 0, 0
+    gain = CALL_TIME_GAIN if endpoint.usual_call_time else 1
+    endpoint.usual_call_time += (elapsed - endpoint.usual_call_time) / gain
+    gate.call_times.add(elapsed)
+    endpoint.kind_stats.call_times.add(elapsed)
+    gate.breaker.record_success()
+    gate.rate_limiter.increase(limits, len(endpoint.destination.waiting))
+    if gate.breaker.is_open:
+        _close_circuit(state, endpoint)
+    gate.window.widen(limits.max_concurrent_calls)
+    gate.window.narrow_if_slow(state.now, gate.call_times)
+
+
+def _record_failure(state: DecisionState, call: Call, event: AttemptEnded) -> None:
+    endpoint, gate = call.endpoint, call.endpoint.gate
+    is_rejection = event.status is AttemptStatus.REJECTED
+    gate.breaker.record_failure(state.now, call.sent_at, is_rejection=is_rejection)
+    if not is_rejection:
+        endpoint.consecutive_failures += 1
+        delay = backoff(state, endpoint.consecutive_failures - 1)
+        endpoint.avoid_until = state.now + min(delay, MAX_PAUSE_US)
+    if call.sent_at < gate.window.narrowed_at:
+        return  # sent before the window was last narrowed: it says nothing of the window now
+    gate.window.narrow(state.now)
+    demand = demand_rate(state, gate, endpoint.destination)
+    recovery_rate = demand * state.limits.overload_multiple * state.limits.slow_start_initial_fraction
+    if is_rejection:
+        _lower_rate_limit(state, endpoint, demand)
+        gate.window.limit_after_rejection()
+    elif _has_healthy_sibling(state, endpoint, event.status):
+        gate.window.keep_open()
+    if gate.window.is_paused:
+        _pause(state, endpoint, event, recovery_rate)
+    opens = gate.breaker.should_open(state.now, state.limits, recovery_rate, is_rejection=is_rejection)
+    if opens and gate.window.is_paused:
+        _open_circuit(state, endpoint)
+
+
+def _lower_rate_limit(state: DecisionState, endpoint: Endpoint, demand: float) -> None:
+    """Lowers the learned rate below the calls sent, and not below what demand needs in full batches."""
+    gate = endpoint.gate
+    observed = (len(gate.slow_start.recent_calls) - 1) * SECOND_US / state.limits.overload_window
+    gate.rate_limiter.decrease(observed, demand / endpoint.max_batch_size)
+
+
+def _has_healthy_sibling(state: DecisionState, endpoint: Endpoint, status: AttemptStatus) -> bool:
+    """Returns whether another endpoint behind the same gate works.
+
+    In a large fleet an endpoint that has never answered proves nothing against a hang of all of them.
+    """
+    never_ran = status is AttemptStatus.CONNECT_FAILED
+    return any(
+        sibling.consecutive_failures == 0
+        and (sibling.usual_call_time or never_ran or not state.limits.is_large_fleet)
+        for sibling in endpoint.available_siblings
+        if sibling.gate is endpoint.gate
+    )
+
+
+def _pause(state: DecisionState, endpoint: Endpoint, event: AttemptEnded, recovery_rate: float) -> None:
+    """Sets the pause before the next call, by failures in a row, Retry-After and rate."""
+    gate, kind = endpoint.gate, endpoint.kind_stats
+    is_rejection = event.status is AttemptStatus.REJECTED
+    # A call that found no connection cost its endpoint nothing.
+    longest = MAX_PAUSE_US // 2 if event.status is AttemptStatus.CONNECT_FAILED else MAX_PAUSE_US
+    pause = min(int(BACKOFF_BASE_US * 0.5 / gate.window.size), longest)
+    if is_rejection:
+        pause = max(pause, _stretched_retry_after(state, gate, event.retry_after))
+    rate = gate.rate_limiter.calls_per_second if is_rejection else recovery_rate
+    gate.rate_limiter.failure_rate_after_failure = 1 - kind.success_rate_after_failure[is_rejection]
+    pause = max(pause, event.retry_after + gate.rate_limiter.interval(rate, state.limits))
+    gate.next_attempt_at = state.now + with_jitter(state, pause)
+
+
+def _stretched_retry_after(state: DecisionState, gate: Gate, retry_after: int) -> int:
+    """Returns a longer Retry-After after rejections in a row, so that relays don't all return at its end."""
+    extra = gate.breaker.consecutive_failures - STRETCH_AFTER_REJECTIONS
+    stretched = retry_after * 2 ** min(max(0, extra), MAX_STRETCH_EXPONENT)
+    return int(min(stretched, retry_after + MAX_PAUSE_US * state.limits.relay_count // 2))
+
+
+def _open_circuit(state: DecisionState, endpoint: Endpoint) -> None:
+    endpoint.gate.breaker.is_open = True
+    endpoint.gate.slow_start.started_at = None
+    number = endpoint.destination.number
+    state.actions.append(WriteLog(f"destination {number}: circuit open, one probe at a time"))
+
+
+def _close_circuit(state: DecisionState, endpoint: Endpoint) -> None:
+    endpoint.gate.breaker.is_open = False
+    endpoint.gate.slow_start.started_at = state.now
+    number = endpoint.destination.number
+    state.actions.append(WriteLog(f"destination {number}: circuit closed, slow start"))
--- /dev/null
+++ b/loftrelay/decisions/gate.py
@@ -0,0 +1,157 @@
+"""The gate of one destination, or of one endpoint that has limits of its own: every limit on calls to it.
+
+It composes the concurrency window, the rate limiter, the circuit breaker, slow start and Retry-After (RFC
+9110, 10.2.3). `GateSnapshot` is the compact form that a hibernated destination keeps.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field, replace
+
+from loftrelay.decisions.circuit_breaker import CircuitBreaker
+from loftrelay.decisions.concurrency import ConcurrencyWindow
+from loftrelay.decisions.estimators import CallTimes
+from loftrelay.decisions.limits import Limits
+from loftrelay.decisions.rate_limit import RateLimiter
+from loftrelay.decisions.slow_start import SlowStart
+from loftrelay.decisions.units import NEVER, SECOND_US
+
+LEARNED_STATE_TTL_US = 600 * SECOND_US  # after the last call, short of an open circuit
+MIN_RELEVANT_ERROR_RATE = 0.01
+
+
+@dataclass(slots=True)
+class Gate:
+    """Limits on calls, and the call times behind them. Times are in microseconds."""
+
+    window: ConcurrencyWindow = field(default_factory=ConcurrencyWindow)
+    rate_limiter: RateLimiter = field(default_factory=RateLimiter)
+    breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
+    slow_start: SlowStart = field(default_factory=SlowStart)
+    retry_after_until: int = 0  # the end of the last Retry-After
+    next_attempt_at: int = 0  # the end of the pause after a failure
+    call_times: CallTimes = field(default_factory=CallTimes)
+    listed_rate: float = 0.0  # calls a second from all relays, as listed; 0: not listed
+
+    @property
+    def is_degraded(self) -> bool:
+        """Whether the destination is failing, paused or recovering."""
+        return self.breaker.is_open or self.window.is_paused or self.slow_start.is_active
+
+    def heed_retry_after(self, until: int) -> None:
+        """Allows no call before a time; an earlier one does not shorten a later one."""
+        self.retry_after_until = max(self.retry_after_until, until)
+
+    def restart(self, now: int) -> None:
+        """Begins slow start, for a destination that the operator has restarted."""
+        self.breaker.reset()
+        self.window.keep_open()
+        self.slow_start.started_at = now
+
+    def copy_learned_state(self, source: Gate) -> None:
+        """Takes over what another gate has learned, without calls in flight and call times."""
+        self.window.size = source.window.size
+        self.retry_after_until = source.retry_after_until
+        self.next_attempt_at = source.next_attempt_at
+        self.breaker = replace(source.breaker)
+        self.rate_limiter = replace(source.rate_limiter)
+        self.slow_start = SlowStart(source.slow_start.started_at, list(source.slow_start.recent_calls))
+
+
+@dataclass(slots=True)
+class GateSnapshot:
+    """What a gate has learned, without calls in flight and call times."""
+
+    window_size: float
+    retry_after_until: int
+    next_attempt_at: int
+    consecutive_failures: int
+    failing_since: int
+    has_only_rejections: bool
+    error_rate: float
+    failed_at: int
+    last_was_rejection: bool
+    is_open: bool
+    slow_start_at: int | None
+    connection_failures: int
+    calls_per_second: float
+    failure_rate_after_failure: float
+    jitter: float
+    last_call_at: int
+    recent_calls: tuple[tuple[int, float], ...]  # of the last overload window
+
+    @classmethod
+    def capture(cls, gate: Gate, now: int, limits: Limits) -> GateSnapshot:
+        """Copies what a gate has learned."""
+        breaker, rate_limiter = gate.breaker, gate.rate_limiter
+        since = now - limits.overload_window
+        return cls(
+            window_size=gate.window.size,
+            retry_after_until=gate.retry_after_until,
+            next_attempt_at=gate.next_attempt_at,
+            consecutive_failures=breaker.consecutive_failures,
+            failing_since=breaker.failing_since,
+            has_only_rejections=breaker.has_only_rejections,
+            error_rate=breaker.error_rate,
+            failed_at=breaker.failed_at,
+            last_was_rejection=breaker.last_was_rejection,
+            is_open=breaker.is_open,
+            slow_start_at=gate.slow_start.started_at,
+            connection_failures=breaker.connection_failures,
+            calls_per_second=rate_limiter.calls_per_second,
+            failure_rate_after_failure=rate_limiter.failure_rate_after_failure,
+            jitter=rate_limiter.jitter,
+            last_call_at=rate_limiter.last_call_at,
+            recent_calls=tuple(call for call in gate.slow_start.recent_calls if call[0] > since),
+        )
+
+    def restore(self, gate: Gate) -> None:
+        """Copies it back into a gate."""
+        gate.window.size = self.window_size
+        gate.retry_after_until = self.retry_after_until
+        gate.next_attempt_at = self.next_attempt_at
+        gate.breaker = CircuitBreaker(
+            consecutive_failures=self.consecutive_failures,
+            failing_since=self.failing_since,
+            has_only_rejections=self.has_only_rejections,
+            error_rate=self.error_rate,
+            failed_at=self.failed_at,
+            last_was_rejection=self.last_was_rejection,
+            is_open=self.is_open,
+            connection_failures=self.connection_failures,
+        )
+        gate.rate_limiter = RateLimiter(
+            calls_per_second=self.calls_per_second,
+            failure_rate_after_failure=self.failure_rate_after_failure,
+            jitter=self.jitter,
+            last_call_at=self.last_call_at,
+        )
+        gate.slow_start = SlowStart(self.slow_start_at, list(self.recent_calls))
+
+    def heed_retry_after(self, until: int) -> None:
+        """Allows no call before a time; an earlier one does not shorten a later one."""
+        self.retry_after_until = max(self.retry_after_until, until)
+
+    def restart(self, now: int) -> None:
+        """Begins slow start, for a destination that the operator has restarted."""
+        self.is_open = False
+        self.error_rate = 0.0
+        self.consecutive_failures = 0
+        self.window_size = max(1.0, self.window_size)
+        self.slow_start_at = now
+
+    def relevant_until(self, limits: Limits) -> int:
+        """Returns until when the snapshot can change a decision; NEVER while the circuit is open."""
+        if self.is_open:
+            return NEVER
+        slow_start_end = 0 if self.slow_start_at is None else self.slow_start_at + limits.slow_start_duration
+        has_failed = (
+            self.consecutive_failures
+            or self.connection_failures
+            or self.error_rate > MIN_RELEVANT_ERROR_RATE
+            or self.window_size < 1
+        )
+        has_learned = has_failed or self.calls_per_second < math.inf
+        expires_at = self.last_call_at + (LEARNED_STATE_TTL_US if has_learned else limits.overload_window)
+        return max(self.retry_after_until, self.next_attempt_at, slow_start_end, expires_at)
--- /dev/null
+++ b/loftrelay/decisions/hibernation.py
@@ -0,0 +1,133 @@
+"""Hibernation: what is kept of destinations that this relay does not serve any more.
+
+A released destination is folded into a snapshot of what can still change a decision: a Retry-After, an open
+circuit, slow start, learned limits. The next list entry that names it restores it.
+"""
+
+from __future__ import annotations
+
+from loftrelay.decisions.entities import (
+    Destination,
+    Endpoint,
+    HibernatedDestination,
+    HibernatedEndpoint,
+)
+from loftrelay.decisions.estimators import DEMAND_SPAN_US, DecayingRate
+from loftrelay.decisions.gate import LEARNED_STATE_TTL_US, Gate, GateSnapshot
+from loftrelay.decisions.state import DecisionState
+from loftrelay.decisions.units import NEVER
+
+
+def is_idle(state: DecisionState, now: int, number: int) -> bool:
+    """Returns whether nothing of a destination is waiting, in flight or in a queue."""
+    destination = state.destinations.get(number)
+    if destination is None:
+        return True
+    return not (destination.unfinished or destination.in_flight or destination.cooldown_until > now)
+
+
+def hibernate(state: DecisionState, number: int) -> None:
+    """Folds an idle destination; one that is not idle stays as it is."""
+    destination = state.destinations.get(number)
+    if destination is None or not is_idle(state, state.now, number):
+        return
+    del state.destinations[number]
+    state.backlog.pop(number, None)
+    state.retry_after_destinations.pop(number, None)
+    earlier = state.hibernated.get(number)  # with endpoints that have not been listed again since
+    record = HibernatedDestination(
+        number=number,
+        gate=GateSnapshot.capture(destination.gate, state.now, state.limits),
+        demand=destination.demand.value,
+        demand_updated_at=destination.demand.updated_at,
+        endpoints=earlier.endpoints if earlier is not None else {},
+    )
+    for endpoint in destination.endpoints:
+        _hibernate_endpoint(state, record, endpoint)
+    destination.endpoints.clear()  # breaks the reference cycle, so that both are freed at once
+    state.hibernated[number] = record
+    # A call that was given up may still bring a Retry-After.
+    state.set_timer(state.now + state.limits.slow_start_duration, record)
+
+
+def _hibernate_endpoint(state: DecisionState, record: HibernatedDestination, endpoint: Endpoint) -> None:
+    del state.endpoints[endpoint.name]
+    state.removed_endpoints.pop(endpoint.name, None)
+    gate = None
+    if endpoint.gate is not endpoint.destination.gate:
+        gate = GateSnapshot.capture(endpoint.gate, state.now, state.limits)
+    record.endpoints[endpoint.name] = HibernatedEndpoint(
+        gate, endpoint.consecutive_failures, endpoint.avoid_until
+    )
+    state.hibernated_endpoints[endpoint.name] = record.number
+
+
+def get_destination(state: DecisionState, number: int) -> Destination:
+    """Returns a destination, restored or new if need be."""
+    destination = state.destinations.get(number)
+    if destination is not None:
+        return destination
+    destination = state.destinations[number] = Destination(number)
+    record = state.hibernated.get(number)
+    if record is not None and record.gate is not None:
+        record.gate.restore(destination.gate)
+        destination.demand = DecayingRate(DEMAND_SPAN_US, record.demand, record.demand_updated_at)
+        record.gate = None
+        state.set_timer(state.now, record)
+    return destination
+
+
+def restore_endpoint(state: DecisionState, endpoint: Endpoint) -> None:
+    """Gives an endpoint that is listed again what was kept of it."""
+    destination = endpoint.destination
+    record = state.hibernated.get(destination.number)
+    if record is None or (kept := record.endpoints.pop(endpoint.name, None)) is None:
+        return
+    endpoint.consecutive_failures, endpoint.avoid_until = kept.consecutive_failures, kept.avoid_until
+    if endpoint.gate is not destination.gate:
+        if kept.gate is not None:
+            kept.gate.restore(endpoint.gate)
+        else:
+            endpoint.gate.copy_learned_state(destination.gate)
+    elif kept.gate is not None:  # the settings have changed: it had limits of its own before
+        endpoint.gate.heed_retry_after(kept.gate.retry_after_until)
+    _forget_endpoint(state, endpoint.name, record)
+    state.set_timer(state.now, record)
+
+
+def gate_of(state: DecisionState, name: str) -> Gate | GateSnapshot | None:
+    """Returns the gate of an endpoint, listed or hibernated; None for an unknown one."""
+    if (endpoint := state.endpoints.get(name)) is not None:
+        return endpoint.gate
+    if (number := state.hibernated_endpoints.get(name)) is None:
+        return None
+    record = state.hibernated[number]
+    return record.endpoints[name].gate or record.gate or state.destinations[number].gate
+
+
+def drop_if_irrelevant(state: DecisionState, record: HibernatedDestination) -> None:
+    """Forgets a hibernated destination once it can change no decision; looks again later otherwise."""
+    if state.hibernated.get(record.number) is not record:
+        return
+    relevant_until = _relevant_until(state, record)
+    if relevant_until <= state.now:
+        del state.hibernated[record.number]
+        for name in record.endpoints:
+            _forget_endpoint(state, name, record)
+    elif relevant_until < NEVER:
+        state.set_timer(relevant_until, record)
+
+
+def _relevant_until(state: DecisionState, record: HibernatedDestination) -> int:
+    endpoints = record.endpoints.values()
+    if any(name in state.disabled_endpoints for name in record.endpoints):
+        return NEVER
+    gates = [gate for gate in (record.gate, *(each.gate for each in endpoints)) if gate is not None]
+    times = [gate.relevant_until(state.limits) for gate in gates]
+    times += [each.avoid_until + LEARNED_STATE_TTL_US for each in endpoints if each.consecutive_failures]
+    return max(times, default=0)
+
+
+def _forget_endpoint(state: DecisionState, name: str, record: HibernatedDestination) -> None:
+    if state.hibernated_endpoints.get(name) == record.number:  # or it has moved to another destination since
+        del state.hibernated_endpoints[name]
--- /dev/null
+++ b/loftrelay/decisions/idempotency.py
@@ -0,0 +1,63 @@
+"""Idempotency: whether a message that may have run can be attempted again, where and until when.
+
+An attempt with an unknown outcome may have taken effect. An idempotent message can always go again. One that
+its destination deduplicates can go again inside the dedup window and scope. Any other cannot.
+"""
+
+from __future__ import annotations
+
+from loftrelay.decisions.entities import Endpoint, OpenMessage
+from loftrelay.decisions.events import AttemptStatus
+from loftrelay.decisions.settings import DeliverySemantics
+from loftrelay.decisions.state import DecisionState
+from loftrelay.decisions.units import NEVER, SECOND_US
+
+GLOBAL_SCOPE = "all"
+ZONE_SCOPE = "zone"
+WINDOW_MARGIN_US = SECOND_US // 10  # the transit times of two calls may differ by this much
+MAX_WINDOW_MARGIN_SHARE = 10  # the margin is at most the window over this
+UNCERTAIN_STATUSES = (
+    AttemptStatus.ERROR,
+    AttemptStatus.TIMEOUT,
+    AttemptStatus.CONNECTION_LOST,
+    AttemptStatus.MALFORMED_RESPONSE,
+    AttemptStatus.CANCELLED,
+)  # the attempt may have run
+
+
+def dedup_window_end(state: DecisionState, message: OpenMessage) -> int:
+    """Returns until when the destination surely drops a repeat; NEVER where no window applies."""
+    if message.first_attempt_at is None or not message.is_deduplicated:
+        return NEVER
+    window = message.message_class.dedup_window or 0
+    margin = min(WINDOW_MARGIN_US, window // MAX_WINDOW_MARGIN_SHARE)
+    return message.first_attempt_at + window - margin - 2 * (state.settings.batch_interval or 0) - 1
+
+
+def may_repeat_at(state: DecisionState, message: OpenMessage, endpoint: Endpoint) -> bool:
+    """Returns whether a message that may have run can go to an endpoint now."""
+    if message.message_class.semantics is DeliverySemantics.IDEMPOTENT:
+        return True
+    if not message.is_deduplicated or state.now >= dedup_window_end(state, message):
+        return False
+    scope, first = message.message_class.dedup_scope, message.first_attempt_endpoint
+    if scope == GLOBAL_SCOPE or first is endpoint:
+        return True
+    return scope == ZONE_SCOPE and first is not None and endpoint.zone == first.zone
+
+
+def can_reject(message: OpenMessage) -> bool:
+    """Returns whether a message can be rejected, which promises that sending it again does no harm."""
+    if message.call is not None:
+        return False
+    semantics = message.message_class.semantics
+    if not message.may_have_run or semantics is DeliverySemantics.IDEMPOTENT:
+        return True
+    return message.is_deduplicated and message.message_class.dedup_scope == GLOBAL_SCOPE
+
+
+def mark_attempt(message: OpenMessage, sent_at: int, endpoint: Endpoint | None) -> None:
+    """Notes an attempt that may have run; only the first one counts."""
+    if message.first_attempt_at is None:
+        message.first_attempt_at = sent_at
+        message.first_attempt_endpoint = endpoint
--- /dev/null
+++ b/loftrelay/decisions/idle_connections.py
@@ -0,0 +1,62 @@
+"""Idle connections: when they are likely to be reset, and when they should be closed.
+
+Hosts and devices on the way drop connections that have been idle for long. A reset then ends a message that
+can't be repeated, where a new handshake would not. Resets are counted by idle time, in octaves.
+"""
+
+from __future__ import annotations
+
+from loftrelay.decisions.actions import CloseIdleConnections
+from loftrelay.decisions.entities import Endpoint
+from loftrelay.decisions.estimators import DecayingRate
+from loftrelay.decisions.events import AttemptStatus
+from loftrelay.decisions.state import DecisionState, IdleResetCounts
+from loftrelay.decisions.units import NEVER, SECOND_US
+
+MIN_IDLE_US = SECOND_US // 8  # below this a reset may have crossed a response, and tells nothing of idle time
+RESET_SPAN_US = 60 * SECOND_US
+MIN_RESETS = 2
+EXCESS_RESET_SHARE = 0.05  # over twice the share of fresh connections
+CONNECTION_SCARCITY_US = 30 * SECOND_US  # after a refused connection
+MAX_KEPT_GAP_US = 2 * SECOND_US  # between calls to an endpoint that accepts few connections, to keep one open
+
+
+def record_reset(state: DecisionState, idle: int, status: AttemptStatus) -> None:
+    """Counts a call on a connection that was idle for so many microseconds before."""
+    octave = (idle // MIN_IDLE_US).bit_length()
+    counts = state.idle_resets.get(octave)
+    if counts is None:
+        counts = IdleResetCounts(DecayingRate(RESET_SPAN_US), DecayingRate(RESET_SPAN_US))
+        state.idle_resets[octave] = counts
+    counts.calls.add(state.now)
+    if status is AttemptStatus.CONNECTION_LOST:
+        counts.resets.add(state.now)
+
+
+def max_connection_idle(state: DecisionState) -> int | None:
+    """Returns the idle time from which connections are often reset; None for no limit."""
+    threshold = 2 * _reset_share(state, 0) + EXCESS_RESET_SHARE
+    unreliable = [
+        octave for octave in state.idle_resets if octave and _reset_share(state, octave) > threshold
+    ]
+    return MIN_IDLE_US << min(unreliable) - 1 if unreliable else None
+
+
+def _reset_share(state: DecisionState, octave: int) -> float:
+    """Returns the share of calls that were reset; 0 where too few were to tell."""
+    counts = state.idle_resets.get(octave)
+    if counts is None:
+        return 0.0
+    calls, resets = counts.calls.read(state.now), counts.resets.read(state.now)
+    return resets / calls if resets * RESET_SPAN_US / SECOND_US > MIN_RESETS else 0.0
+
+
+def close_if_scarce(state: DecisionState, endpoint: Endpoint, status: AttemptStatus) -> None:
+    """Closes a rarely used connection to an endpoint whose kind accepts only few."""
+    if status is AttemptStatus.CONNECT_FAILED:
+        endpoint.kind_stats.connections_scarce_until = state.now + CONNECTION_SCARCITY_US
+    if endpoint.kind_stats.connections_scarce_until <= state.now or endpoint.in_flight:
+        return
+    if endpoint.call_rate.read(state.now) * MAX_KEPT_GAP_US < SECOND_US:
+        endpoint.last_used_at = NEVER
+        state.actions.append(CloseIdleConnections(endpoint.name))
--- /dev/null
+++ b/loftrelay/decisions/lifecycle.py
@@ -0,0 +1,185 @@
+"""Life cycle of a message: admitted or recovered, waiting, and over by exactly one end."""
+
+from __future__ import annotations
+
+from loftrelay.decisions import hibernation, ordering
+from loftrelay.decisions.actions import Action, FailMessage, RejectMessage
+from loftrelay.decisions.deadlines import latest_send_time
+from loftrelay.decisions.demand import arrival_weight
+from loftrelay.decisions.entities import OpenMessage
+from loftrelay.decisions.events import MessageRecovered, MessageSubmitted, OutcomeDisputed
+from loftrelay.decisions.idempotency import can_reject, dedup_window_end, mark_attempt
+from loftrelay.decisions.limits import DEFAULT_MAX_ATTEMPTS
+from loftrelay.decisions.quota import quota_factor
+from loftrelay.decisions.settings import DeliverySemantics, MessageClass
+from loftrelay.decisions.state import DecisionState
+from loftrelay.decisions.units import NEVER, SECOND_US
+
+LAST_ATTEMPT_MARGIN_US = SECOND_US // 4  # before the end of the dedup window, for a last attempt
+MAX_LAST_ATTEMPT_SHARE = 4  # the margin is at most the window over this
+
+
+def admit(state: DecisionState, event: MessageSubmitted, age: int = 0) -> OpenMessage:
+    """Takes on a message that came `age` microseconds ago, and has it wait for an endpoint."""
+    destination = hibernation.get_destination(state, event.destination)
+    message_class = _class_of(state, event)
+    terms = event.terms
+    max_attempts = terms.max_attempts if terms else state.settings.max_attempts
+    weight = 1.0 if message_class.priority_weight is None else message_class.priority_weight
+    message = OpenMessage(
+        name=event.message_id,
+        message_class=message_class,
+        destination=destination,
+        priority_weight=weight * quota_factor(state, event.tenant),
+        admitted_at=state.now,
+        deadline=state.now + max(0, event.time_remaining),
+        ordering_key=None,
+        max_attempts=max(1, max_attempts or DEFAULT_MAX_ATTEMPTS),
+    )
+    state.messages[event.message_id] = message
+    destination.unfinished += 1
+    state.arrivals.add(state.now, arrival_weight(age))
+    destination.demand.add(state.now, arrival_weight(age))
+    if message_class.is_ordered and event.ordering_key is not None:
+        ordering.join_queue(state, message, event.ordering_key)
+    enqueue(state, message)
+    return message
+
+
+def _class_of(state: DecisionState, event: MessageSubmitted) -> MessageClass:
+    """Returns the class that a message was admitted under; an unknown one is handled as at-most-once."""
+    if event.terms:
+        return event.terms.message_class
+    known = state.settings.classes.get(event.class_name)
+    if known is not None:
+        return known
+    return MessageClass(
+        name=event.class_name,
+        semantics=DeliverySemantics.UNKNOWN,
+        dedup_scope=None,
+        dedup_window=None,
+        latency_objective=None,
+        deadline=None,
+        priority_weight=None,
+        late_priority_weight=None,
+        is_ordered=False,
+    )
+
+
+def recover(state: DecisionState, event: MessageRecovered) -> None:
+    """Takes up a message from before a restart, with what restricts its further attempts."""
+    message = admit(state, event.submission, event.age)
+    message.admitted_at = state.now - event.age
+    message.attempts = event.attempts
+    message.not_before = state.now
+    if event.first_attempt_age is not None:
+        message.first_attempt_at = state.now - event.first_attempt_age
+        message.first_attempt_endpoint = state.endpoints.get(event.first_attempt_endpoint or "")
+    message.destination.waiting.pop(message.name)
+    if event.is_ended:
+        message.is_over = True
+        _close(state, message, is_reported=False)
+    else:
+        enqueue_or_end(state, message)
+
+
+def enqueue(state: DecisionState, message: OpenMessage) -> None:
+    """Has a message wait for an endpoint."""
+    destination = message.destination
+    destination.waiting[message.name] = message
+    state.retry_after_destinations[destination.number] = destination
+    state.backlog[destination.number] = destination
+    state.set_timer(min(latest_send_time(message), dedup_window_end(state, message)), message)
+
+
+def enqueue_or_end(state: DecisionState, message: OpenMessage) -> None:
+    """Has a message wait for its next attempt, or ends it where no attempt is possible any more."""
+    window_end = dedup_window_end(state, message)
+    if message.not_before >= window_end:
+        window = message.message_class.dedup_window or 0
+        margin = min(LAST_ATTEMPT_MARGIN_US, window // MAX_LAST_ATTEMPT_SHARE)
+        message.not_before = max(state.now, window_end - margin)
+    can_repeat = message.is_repeatable or not message.may_have_run
+    has_time = message.not_before < min(window_end, latest_send_time(message))
+    if not can_repeat or not has_time:
+        fail(state, message)
+    elif message.attempts < message.max_attempts:
+        enqueue(state, message)
+    else:
+        reject_or_fail(state, message, retry_after=0)
+
+
+def reject_or_fail(state: DecisionState, message: OpenMessage, retry_after: int) -> None:
+    """Ends a message by a rejection, where that is true, or as failed."""
+    if can_reject(message):
+        finish(state, message, RejectMessage(message.name, retry_after))
+    else:
+        fail(state, message)
+
+
+def fail(state: DecisionState, message: OpenMessage) -> None:
+    """Ends a message as failed."""
+    finish(state, message, FailMessage(message.name))
+
+
+def finish(state: DecisionState, message: OpenMessage, action: Action | None) -> None:
+    """Ends a message: at most one end is told, and no attempt follows.
+
+    Args:
+        state: the state of the decisions.
+        message: the message to end.
+        action: the end to tell; None where it is known already, or nobody waits for it.
+    """
+    if not message.is_over:
+        message.is_over = True
+        message.destination.waiting.pop(message.name, None)
+        if action is not None:
+            state.actions.append(action)
+    if message.call is None:
+        is_reported = action is None or not state.settings.awaits_final_status
+        _close(state, message, is_reported=is_reported)
+
+
+def _close(state: DecisionState, message: OpenMessage, *, is_reported: bool) -> None:
+    """Forgets a message; it stays first of its ordering key until its final status is reported."""
+    if state.messages.pop(message.name, None) is None:
+        return
+    if is_reported or message.ordering_key is None:
+        ordering.leave_queue(state, message)
+    else:
+        state.unreported[message.name] = message
+
+
+def final_status_reported(state: DecisionState, name: str) -> None:
+    """Lets the next message of the ordering key go, now that the end of this one is known."""
+    if message := state.unreported.pop(name, None):
+        ordering.leave_queue(state, message)
+
+
+def cancel(state: DecisionState, name: str) -> None:
+    """Ends a message whose client has left; nobody is told."""
+    if message := state.messages.get(name):
+        finish(state, message, None)
+
+
+def dispute_outcome(state: DecisionState, event: OutcomeDisputed) -> None:
+    """Takes back that an attempt did not run: its response may have been another call's."""
+    message = state.messages.get(event.message_id)
+    if message is None or message.is_over:
+        return
+    mark_attempt(message, state.now - event.attempt_age, state.endpoints.get(event.endpoint))
+    if message.ordering_key is not None and message.ordering_key.cooldown_until < NEVER:
+        ordering.start_cooldown(state, message.ordering_key, message.destination)
+    if message.call is None:
+        message.destination.waiting.pop(message.name, None)
+        enqueue_or_end(state, message)
+
+
+def check_deadline(state: DecisionState, message: OpenMessage) -> None:
+    """Fails a waiting message whose time left covers no usual call; looks again later otherwise."""
+    if message.is_over or message.call is not None:
+        return
+    if state.now >= latest_send_time(message):
+        fail(state, message)
+    else:
+        state.set_timer(latest_send_time(message), message)
--- /dev/null
+++ b/loftrelay/decisions/load_shedding.py
@@ -0,0 +1,70 @@
+"""Load shedding: messages that are ended early, since they can't be delivered in time or fill the relay."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from loftrelay.decisions.availability import blocked_until
+from loftrelay.decisions.deadlines import latest_send_time
+from loftrelay.decisions.entities import Destination, OpenMessage
+from loftrelay.decisions.idempotency import can_reject, dedup_window_end
+from loftrelay.decisions.lifecycle import reject_or_fail
+from loftrelay.decisions.state import DecisionState
+from loftrelay.decisions.units import SECOND_US
+
+QUEUE_HEADROOM_FRACTION = 8  # 1 / 8 of the queue is kept free
+MIN_QUEUE_HEADROOM = 2  # messages
+BACKLOG_DRAIN_RATE_PER_S = 8  # assumed, for the wait behind a backlog
+MIN_SHED_WAIT_US = SECOND_US  # messages with a shorter wait ahead stay
+
+
+@dataclass(slots=True, frozen=True)
+class ShedCandidate:
+    """A waiting message that may be shed. Lower values go first, older messages last."""
+
+    value: float  # priority weight by the microseconds that it still waits
+    message: OpenMessage
+    wait: int  # microseconds
+
+    @property
+    def sort_key(self) -> tuple[float, int]:
+        """Cheapest first; among equals the newest."""
+        return self.value, -self.message.admitted_at
+
+
+def end_blocked_messages(state: DecisionState) -> None:
+    """Ends messages at once whose time is over before the Retry-After of all their endpoints is."""
+    for destination in state.retry_after_destinations.values():
+        available = [each for each in destination.endpoints if each.is_available]
+        blocked_to = min((each.gate.retry_after_until for each in available), default=0)
+        if blocked_to <= state.now:
+            continue
+        retry_after = state.retry_advice(blocked_to - state.now)
+        for message in list(destination.waiting.values()):
+            if blocked_to >= min(latest_send_time(message), dedup_window_end(state, message)):
+                reject_or_fail(state, message, retry_after)
+    state.retry_after_destinations.clear()
+
+
+def shed_excess(state: DecisionState) -> None:
+    """Rejects the cheapest messages behind long waits, so that part of the queue stays free."""
+    max_open = state.limits.max_open_messages
+    headroom = max(MIN_QUEUE_HEADROOM, max_open // QUEUE_HEADROOM_FRACTION)
+    excess = len(state.messages) - max_open + headroom
+    if excess <= 0:
+        return
+    candidates: list[ShedCandidate] = []
+    for destination in state.backlog.values():
+        candidates += _candidates(state, destination)
+    for candidate in sorted(candidates, key=lambda each: each.sort_key)[:excess]:
+        reject_or_fail(state, candidate.message, state.retry_advice(candidate.wait))
+
+
+def _candidates(state: DecisionState, destination: Destination) -> list[ShedCandidate]:
+    gates = (endpoint.gate for endpoint in destination.endpoints)
+    allowed_at = min((blocked_until(state, gate, destination) for gate in gates), default=0)
+    wait = max(0, allowed_at - state.now) + len(destination.waiting) * SECOND_US // BACKLOG_DRAIN_RATE_PER_S
+    if wait <= MIN_SHED_WAIT_US:
+        return []
+    rejectable = (message for message in destination.waiting.values() if can_reject(message))
+    return [ShedCandidate(message.priority_weight / wait, message, wait) for message in rejectable]
--- a/loftrelay/decisions/simulator.py
+++ b/loftrelay/decisions/simulator.py
@@ -1,10 +1,15 @@
-"""Carries the simulator's wire to the interface and back; one Brain per instance. Decides nothing."""
+"""The simulator's wire: reads its messages as events, and writes actions as its replies.
+
+`python -m loftrelay.decisions.simulator` answers batches on standard input until it ends. Each simulated
+relay has a scheduler of its own. The names on the wire, also those of the settings, are mapped to the
+decisions' terms here.
+"""
 
 from __future__ import annotations
 
 import json
 import sys
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import Any, TextIO
 
 from loftrelay.decisions.actions import (
@@ -34,9 +39,18 @@
     TimerFired,
 )
 from loftrelay.decisions.scheduler import Scheduler
-from loftrelay.decisions.settings import DeliverySemantics, EndpointKind, MessageClass, RelaySettings, Tenant
+from loftrelay.decisions.settings import (
+    DeliverySemantics,
+    EndpointKind,
+    MessageClass,
+    RelaySettings,
+    Tenant,
+)
+
+MICROSECONDS_PER_MS = 1000
+MAX_QUOTED_LINE = 200  # characters of a line in an error message
 
-RESULTS = {
+STATUS_CODES: Mapping[int, AttemptStatus] = {
     200: AttemptStatus.OK,
     500: AttemptStatus.ERROR,
     503: AttemptStatus.REJECTED,
@@ -46,24 +60,24 @@
     499: AttemptStatus.CANCELLED,
     410: AttemptStatus.NOT_SENT,
 }
-EFFECTS = {
+SEMANTICS: Mapping[str, DeliverySemantics] = {
     "idempotent": DeliverySemantics.IDEMPOTENT,
     "deduplicated": DeliverySemantics.DEDUPLICATED,
     "at_most_once": DeliverySemantics.AT_MOST_ONCE,
 }
-STATES = {
+ENDPOINT_STATES: Mapping[str, EndpointState] = {
     "IN": EndpointState.ACTIVE,
     "LAME": EndpointState.DRAINING,
     "OUT": EndpointState.REMOVED,
 }
-FORMS = {
+LIST_KINDS: Mapping[str, EndpointListKind] = {
     "delta": EndpointListKind.DELTA,
     "full": EndpointListKind.FULL,
     "cached": EndpointListKind.CACHED,
     "failed": EndpointListKind.FAILED,
 }
 # Values that follow the name of each message.
-COUNTS = {
+VALUE_COUNTS: Mapping[str, int] = {
     "tick": 1,
     "end": 0,
     "page": 2,
@@ -78,217 +92,269 @@
     "sampled": 5,
     "inbox": 3,
 }
+# Settings: the part of the configuration and the key there, and the field.
+SETTING_KEYS: tuple[tuple[str | None, str, str], ...] = (
+    (None, "zone", "zone"),
+    (None, "peers_total", "relay_count"),
+    (None, "weight_kind", "listed_rate_kind"),
+    (None, "over_share_worth", "over_quota_weight"),
+    (None, "tick", "batch_interval"),
+    ("extra", "call_slots", "max_concurrent_calls"),
+    ("policy_limits", "most_tries", "max_attempts"),
+    ("policy_limits", "most_held", "max_open_messages"),
+    ("policy_limits", "max_retry_after", "max_retry_after"),
+    ("policy_limits", "conn_idle", "connection_idle_timeout"),
+    ("policy_limits", "connect_timeout", "connect_timeout"),
+    ("safety", "ask_every", "poll_interval"),
+    ("safety", "settle_after_doubt", "ordering_cooldown"),
+    ("safety", "cold", "slow_start_duration"),
+    ("safety", "cold_from", "slow_start_initial_fraction"),
+    ("safety", "fall_multiple", "overload_multiple"),
+    ("safety", "tip_after", "overload_window"),
+)
+FLAG_KEYS: tuple[tuple[str, str, str], ...] = (
+    ("policy_limits", "cancel", "can_cancel"),
+    ("policy_limits", "probes", "can_probe"),
+    ("policy_limits", "retry_after", "sends_retry_after"),
+)
+POLLING_DISCOVERY = "on_request"
+
+Pages = Mapping[int, tuple[EndpointEntry, ...]]
+Row = list[Any]
 
 
 class WireError(Exception):
     """A line that breaks the protocol."""
 
 
-def _mapping(value: Any) -> dict[str, Any]:
+def read_settings(config: Mapping[str, Any]) -> RelaySettings:
+    """Returns the settings of a configuration; absent ones are None, unknown ones are ignored."""
+    values: dict[str, Any] = {}
+    for part, key, field in SETTING_KEYS:
+        values[field] = (config if part is None else _mapping(config.get(part))).get(key)
+    for part, key, field in FLAG_KEYS:
+        values[field] = bool(_mapping(config.get(part)).get(key))
+    zone_costs = _mapping(config.get("extra")).get("fee_by_zone") or []
+    return RelaySettings(
+        classes={row["name"]: _read_class(row) for row in config.get("classes") or []},
+        tenants={row["name"]: _read_tenant(row) for row in config.get("tenants") or []},
+        endpoint_kinds=_read_endpoint_kinds(config),
+        zone_costs=dict(zip(config.get("localities") or [], zone_costs, strict=False)),
+        polls_endpoint_list=config.get("discovery") == POLLING_DISCOVERY,
+        **values,
+    )
+
+
+def _mapping(value: Any) -> Mapping[str, Any]:
     return value if isinstance(value, dict) else {}
 
 
-def read_settings(config: dict[str, Any]) -> RelaySettings:
-    """The told settings in the interface's terms; absent ones become None, unknown ones are passed over."""
-    extra, safety = _mapping(config.get("extra")), _mapping(config.get("safety"))
-    limits = _mapping(config.get("policy_limits"))
-    names = config.get("flavors") or []
-    bundles, apart = extra.get("bundle_max") or [], extra.get("own_limits") or []
-    kinds = {
-        name: EndpointKind(
-            name,
-            bundles[i] if i < len(bundles) else None,
-            bool(apart[i]) if i < len(apart) else False,
-        )
-        for i, name in enumerate(names)
-    }
-    classes = {
-        c["name"]: MessageClass(
-            name=c["name"],
-            semantics=EFFECTS.get(c.get("effect"), DeliverySemantics.UNKNOWN),
-            dedup_scope=c.get("key_scope"),
-            dedup_window=c.get("window"),
-            latency_objective=c.get("on_time"),
-            deadline=c.get("deadline"),
-            priority_weight=c.get("worth"),
-            late_priority_weight=c.get("late_worth"),
-            is_ordered=bool(c.get("in_order")),
-        )
-        for c in config.get("classes") or []
-    }
-    tenants = {
-        t["name"]: Tenant(t["name"], t.get("allowance_per_s"), t.get("fraction"))
-        for t in config.get("tenants") or []
-    }
-    return RelaySettings(
-        classes=classes,
-        tenants=tenants,
-        endpoint_kinds=kinds,
-        zone=config.get("zone"),
-        zone_costs=dict(zip(config.get("localities") or [], extra.get("fee_by_zone") or [], strict=False)),
-        relay_count=config.get("peers_total"),
-        max_concurrent_calls=extra.get("call_slots"),
-        max_attempts=limits.get("most_tries"),
-        max_open_messages=limits.get("most_held"),
-        polls_endpoint_list=config.get("discovery") == "on_request",
-        poll_interval=safety.get("ask_every"),
-        can_cancel=bool(limits.get("cancel")),
-        can_probe=bool(limits.get("probes")),
-        sends_retry_after=bool(limits.get("retry_after")),
-        max_retry_after=limits.get("max_retry_after"),
-        listed_rate_kind=config.get("weight_kind"),
-        over_quota_weight=config.get("over_share_worth"),
-        ordering_cooldown=safety.get("settle_after_doubt"),
-        slow_start_duration=safety.get("cold"),
-        slow_start_initial_fraction=safety.get("cold_from"),
-        overload_multiple=safety.get("fall_multiple"),
-        overload_window=safety.get("tip_after"),
-        batch_interval=config.get("tick"),
-        connection_idle_timeout=limits.get("conn_idle"),
-        connect_timeout=limits.get("connect_timeout"),
+def _read_class(row: Mapping[str, Any]) -> MessageClass:
+    return MessageClass(
+        name=row["name"],
+        semantics=SEMANTICS.get(row.get("effect", ""), DeliverySemantics.UNKNOWN),
+        dedup_scope=row.get("key_scope"),
+        dedup_window=row.get("window"),
+        latency_objective=row.get("on_time"),
+        deadline=row.get("deadline"),
+        priority_weight=row.get("worth"),
+        late_priority_weight=row.get("late_worth"),
+        is_ordered=bool(row.get("in_order")),
     )
 
 
-def _entry(row: list[Any]) -> EndpointEntry:
-    return EndpointEntry(row[0], row[4], STATES[row[3]], row[5], row[6], row[1])
+def _read_tenant(row: Mapping[str, Any]) -> Tenant:
+    return Tenant(row["name"], row.get("allowance_per_s"), row.get("fraction"))
 
 
-def _sync(v: list[Any], pages: dict[int, tuple[EndpointEntry, ...]]) -> Event:
-    form = FORMS[v[1]]
-    return EndpointListReceived(form, () if form is EndpointListKind.FAILED else pages[v[3]])
+def _read_endpoint_kinds(config: Mapping[str, Any]) -> dict[str, EndpointKind]:
+    extra = _mapping(config.get("extra"))
+    batch_sizes, own_limits = extra.get("bundle_max") or [], extra.get("own_limits") or []
+    kinds = {}
+    for position, name in enumerate(config.get("flavors") or []):
+        batch_size = batch_sizes[position] if position < len(batch_sizes) else None
+        has_own_limits = bool(own_limits[position]) if position < len(own_limits) else False
+        kinds[name] = EndpointKind(name, batch_size, has_own_limits)
+    return kinds
 
 
-def _accept(v: list[Any], pages: dict[int, tuple[EndpointEntry, ...]]) -> Event:
-    return MessageSubmitted(v[1], v[3], v[10], v[2], v[7] or 0, v[9])
+def _read_entry(row: Row) -> EndpointEntry:
+    return EndpointEntry(
+        endpoint=row[0],
+        destination=row[4],
+        state=ENDPOINT_STATES[row[3]],
+        zone=row[5],
+        kind=row[6],
+        listed_rate=row[1],
+    )
 
 
-def _outcome(v: list[Any], pages: dict[int, tuple[EndpointEntry, ...]]) -> Event:
-    report, result = _mapping(v[8]), RESULTS[v[4]]
-    wait = (v[2] or 0) * 1000 if result is AttemptStatus.REJECTED else 0
+def _read_list(values: Row, pages: Pages) -> Event:
+    kind = LIST_KINDS[values[1]]
+    return EndpointListReceived(kind, () if kind is EndpointListKind.FAILED else pages[values[3]])
+
+
+def _read_submission(values: Row, pages: Pages) -> Event:  # noqa: ARG001 - all readers have one signature
+    return MessageSubmitted(
+        message_id=values[1],
+        destination=values[3],
+        class_name=values[10],
+        tenant=values[2],
+        time_remaining=values[7] or 0,
+        ordering_key=values[9],
+    )
+
+
+def _read_outcome(values: Row, pages: Pages) -> Event:  # noqa: ARG001 - all readers have one signature
+    report, status = _mapping(values[8]), STATUS_CODES[values[4]]
+    is_rejection = status is AttemptStatus.REJECTED
     return AttemptEnded(
-        v[1], v[6] or 0, v[3], result, v[5] or 0, bool(v[7]), wait, report.get("x1"), report.get("x0")
+        message_id=values[1],
+        attempt=values[6] or 0,
+        endpoint=values[3],
+        status=status,
+        elapsed=values[5] or 0,
+        is_final=bool(values[7]),
+        retry_after=(values[2] or 0) * MICROSECONDS_PER_MS if is_rejection else 0,
+        rate_limit=report.get("x1"),
+        rate_limit_remaining=report.get("x0"),
     )
 
 
-EVENTS: dict[str, Callable[[list[Any], dict[int, tuple[EndpointEntry, ...]]], Event]] = {
-    "sync": _sync,
-    "accept": _accept,
-    "outcome": _outcome,
-    "streaming": lambda v, _: ResponseStarted(v[1], v[2] or 0),
-    "vanished": lambda v, _: MessageCancelled(v[1]),
-    "ring": lambda v, _: TimerFired(v[1]),
-    "sampled": lambda v, _: ProbeResult(v[3], RESULTS[v[2]], v[1] or 0),
+EVENT_READERS: Mapping[str, Callable[[Row, Pages], Event]] = {
+    "sync": _read_list,
+    "accept": _read_submission,
+    "outcome": _read_outcome,
+    "streaming": lambda values, _: ResponseStarted(values[1], values[2] or 0),
+    "vanished": lambda values, _: MessageCancelled(values[1]),
+    "ring": lambda values, _: TimerFired(values[1]),
+    "sampled": lambda values, _: ProbeResult(values[3], STATUS_CODES[values[2]], values[1] or 0),
 }
 
 
-def write_action(name: str, action: Action) -> list[Any]:
-    """One reply line for an action of the instance of that name."""
+def write_action(relay: str, action: Action) -> Row:
+    """Returns the reply for an action of a relay."""
     match action:
-        case SendAttempt(message, endpoint, timeout):
-            return ["submit_to", name, message, endpoint, timeout]
+        case SendAttempt(message_id, endpoint, timeout):
+            return ["submit_to", relay, message_id, endpoint, timeout]
         case SetTimer(delay, token):
-            return ["set_timer", name, delay, token]
-        case FailMessage(message):
-            return ["end_failed", name, message]
-        case RejectMessage(message, retry_in):
-            return ["refuse", name, message, retry_in]
-        case CancelAttempt(message, attempt):
-            return ["stop_attempt", name, message, attempt]
+            return ["set_timer", relay, delay, token]
+        case FailMessage(message_id):
+            return ["end_failed", relay, message_id]
+        case RejectMessage(message_id, retry_after):
+            return ["refuse", relay, message_id, retry_after]
+        case CancelAttempt(message_id, attempt):
+            return ["stop_attempt", relay, message_id, attempt]
         case SendProbe(endpoint):
-            return ["touch", name, endpoint]
+            return ["touch", relay, endpoint]
         case CloseIdleConnections(endpoint):
-            return ["let_go", name, endpoint]
+            return ["let_go", relay, endpoint]
         case WatchEndpointList():
-            return ["tail", name, True]
+            return ["tail", relay, True]
         case WriteLog(text):
-            return ["say_log", name, text]
+            return ["say_log", relay, text]
 
 
-class Adapter:
-    """All instances of one process. They share the parsed list pages and nothing else."""
+class SimulatedRelays:
+    """All relays of one process. They share the pages of the endpoint list and nothing else."""
 
     def __init__(self) -> None:
-        self.brains: dict[str, Scheduler] = {}
+        self.schedulers: dict[str, Scheduler] = {}
         self.pages: dict[int, tuple[EndpointEntry, ...]] = {}
-        self.now: int | None = None
+        self.now: int | None = None  # of the open batch
         self.batch: dict[str, list[Event]] = {}
 
-    def read(self, value: Any) -> list[list[Any]] | None:
-        """Takes one parsed line; gives the reply's lines when it closes a batch."""
-        if not isinstance(value, list) or not value or not isinstance(value[0], str):
-            raise WireError("not an array that opens with a name")
-        word, v = value[0], value[1:]
-        if word not in COUNTS:
-            raise WireError(f"unknown message {word!r}")
-        if len(v) != COUNTS[word]:
-            raise WireError(f"{word!r} takes {COUNTS[word]} values, got {len(v)}")
-        if (word == "tick") == (self.now is not None):
-            raise WireError(f"{word!r} is out of place")
+    def read(self, value: Any) -> list[Row] | None:
+        """Takes one parsed line; returns the reply's lines if it ends a batch.
+
+        Raises:
+            WireError: the line breaks the protocol.
+        """
+        word, values = self._check(value)
         if word == "tick":
-            if not isinstance(v[0], int) or isinstance(v[0], bool):
-                raise WireError("the clock is not a whole number")
-            self.now = v[0]
+            self._begin_batch(values[0])
         elif word == "end":
-            return self._close()
+            return self._end_batch()
         else:
             try:
-                self._take(word, v)
+                self._apply(word, values)
             except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
                 raise WireError(f"bad value in {word!r}: {error!r}") from error
         return None
 
-    def _take(self, word: str, v: list[Any]) -> None:
+    def _check(self, value: Any) -> tuple[str, Row]:
+        if not isinstance(value, list) or not value or not isinstance(value[0], str):
+            raise WireError("not an array that opens with a name")
+        word, values = value[0], value[1:]
+        if word not in VALUE_COUNTS:
+            raise WireError(f"unknown message {word!r}")
+        if len(values) != VALUE_COUNTS[word]:
+            raise WireError(f"{word!r} takes {VALUE_COUNTS[word]} values, got {len(values)}")
+        if (word == "tick") == (self.now is not None):
+            raise WireError(f"{word!r} is out of place")
+        return word, values
+
+    def _begin_batch(self, now: Any) -> None:
+        if not isinstance(now, int) or isinstance(now, bool):
+            raise WireError("the clock is not a whole number")
+        self.now = now
+
+    def _end_batch(self) -> list[Row]:
+        assert self.now is not None
+        reply: list[Row] = []
+        for name, events in self.batch.items():
+            actions = self.schedulers[name].handle_batch(self.now, events)
+            reply.extend(write_action(name, action) for action in actions)
+        self.batch, self.now = {}, None
+        reply.append(["ok"])
+        return reply
+
+    def _apply(self, word: str, values: Row) -> None:
         if word == "page":
-            self.pages[v[0]] = tuple(_entry(row) for row in v[1])
+            self.pages[values[0]] = tuple(_read_entry(row) for row in values[1])
             return
-        name = v[0]
+        name = values[0]
         if word == "spawn":
-            self.brains[name] = Scheduler(v[1], read_settings(_mapping(v[2])))
+            self.schedulers[name] = Scheduler(values[1], read_settings(_mapping(values[2])))
             self.batch[name] = []
             return
-        if name not in self.brains:
+        if name not in self.schedulers:
             raise WireError(f"{word!r} for an instance never spawned: {name!r}")
         if word == "retire":
-            del self.brains[name]
+            del self.schedulers[name]
             self.batch.pop(name, None)
-        elif word in EVENTS:
-            self.batch.setdefault(name, []).append(EVENTS[word](v, self.pages))
-
-    def _close(self) -> list[list[Any]]:
-        assert self.now is not None
-        reply: list[list[Any]] = []
-        for name, events in self.batch.items():
-            actions = self.brains[name].handle_batch(self.now, events)
-            reply.extend(write_action(name, action) for action in actions)
-        self.batch, self.now = {}, None
-        reply.append(["ok"])
-        return reply
+        elif word in EVENT_READERS:
+            self.batch.setdefault(name, []).append(EVENT_READERS[word](values, self.pages))
 
 
-def run(source: TextIO, sink: TextIO, complaints: TextIO) -> int:
-    """Answers batches until the input ends. Gives the exit status."""
-    adapter = Adapter()
+def run(source: TextIO, sink: TextIO, errors: TextIO) -> int:
+    """Answers batches until the input ends; returns the exit status."""
+    relays = SimulatedRelays()
     number = 0
     for number, line in enumerate(source, 1):
         if not line.strip():
             continue
         try:
-            reply = adapter.read(json.loads(line))
+            reply = relays.read(json.loads(line))
         except (ValueError, RecursionError) as error:
-            print(f"line {number}: not JSON ({error}): {line.strip()[:200]}", file=complaints)
+            print(f"line {number}: not JSON ({error}): {_quoted(line)}", file=errors)
             return 1
         except WireError as error:
-            print(f"line {number}: {error}: {line.strip()[:200]}", file=complaints)
+            print(f"line {number}: {error}: {_quoted(line)}", file=errors)
             return 1
         if reply is not None:
-            sink.write("".join(json.dumps(item, separators=(",", ":")) + "\n" for item in reply))
+            sink.write("".join(json.dumps(row, separators=(",", ":")) + "\n" for row in reply))
             sink.flush()
-    if adapter.now is not None:
-        print(f"line {number}: the input ended inside a batch", file=complaints)
+    if relays.now is not None:
+        print(f"line {number}: the input ended inside a batch", file=errors)
         return 1
     return 0
 
 
+def _quoted(line: str) -> str:
+    return line.strip()[:MAX_QUOTED_LINE]
+
+
 if __name__ == "__main__":
     sys.stdin.reconfigure(encoding="utf-8", errors="surrogateescape")  # type: ignore[union-attr]
     sys.exit(run(sys.stdin, sys.stdout, sys.stderr))
--- a/loftrelay/decisions/snapshot.py
+++ b/loftrelay/decisions/snapshot.py
@@ -1,8 +1,8 @@
-"""The module's whole state as JSON and back: what one process hands over to the next. It decides nothing.
+"""Snapshots: the whole state of the decisions as JSON, which one process hands over to the next.
 
-Objects are written once and referred to by number, so that what is shared stays shared. Only the types listed
-here can stand in a snapshot, and nothing in one is ever called: it is data, whoever wrote it. Two programs
-understand each other's snapshots if `shape()` is the same in both.
+Objects are written once and referred to by number, so that shared objects stay shared. Only the types in
+RECORDS and ENUMS can stand in a snapshot, under names of their own; nothing in one is ever called. Two
+programs understand each other's snapshots if `fingerprint()` is the same in both.
 """
 
 from __future__ import annotations
@@ -14,162 +14,230 @@
 import math
 import random
 from collections import deque
-from collections.abc import Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from enum import Enum
+from functools import cache
 from typing import Any
 
-from loftrelay.decisions import actions, events, scheduler, settings
-from loftrelay.decisions.events import Event
+from loftrelay.decisions import entities, events, limits, settings
+from loftrelay.decisions.circuit_breaker import CircuitBreaker
+from loftrelay.decisions.concurrency import ConcurrencyWindow
+from loftrelay.decisions.estimators import CallTimes, DecayingRate
+from loftrelay.decisions.gate import Gate, GateSnapshot
+from loftrelay.decisions.rate_limit import RateLimiter
 from loftrelay.decisions.scheduler import Scheduler
-from loftrelay.decisions.settings import RelaySettings
-
-VERSION = 1
+from loftrelay.decisions.slow_start import SlowStart
+from loftrelay.decisions.state import DecisionState, IdleResetCounts, TokenBucket
+from loftrelay.decisions.units import NEVER
+
+FORMAT_VERSION = 2
+LEFT_OUT = {"state": ("random", "actions")}  # fields that a snapshot does not carry, by record
+
+RECORDS: Mapping[str, type] = {
+    "state": DecisionState,
+    "limits": limits.Limits,
+    "settings": settings.RelaySettings,
+    "message_class": settings.MessageClass,
+    "message_terms": settings.MessageTerms,
+    "tenant": settings.Tenant,
+    "endpoint_kind": settings.EndpointKind,
+    "destination": entities.Destination,
+    "endpoint": entities.Endpoint,
+    "endpoint_kind_stats": entities.EndpointKindStats,
+    "call": entities.Call,
+    "ordering_key": entities.OrderingKey,
+    "message": entities.OpenMessage,
+    "hibernated_destination": entities.HibernatedDestination,
+    "hibernated_endpoint": entities.HibernatedEndpoint,
+    "gate": Gate,
+    "gate_snapshot": GateSnapshot,
+    "window": ConcurrencyWindow,
+    "rate_limiter": RateLimiter,
+    "circuit_breaker": CircuitBreaker,
+    "slow_start": SlowStart,
+    "call_times": CallTimes,
+    "decaying_rate": DecayingRate,
+    "token_bucket": TokenBucket,
+    "idle_reset_counts": IdleResetCounts,
+    "endpoint_entry": events.EndpointEntry,
+    "endpoint_list_received": events.EndpointListReceived,
+    "message_submitted": events.MessageSubmitted,
+    "message_recovered": events.MessageRecovered,
+    "ordering_key_cooldown": events.OrderingKeyCooldown,
+    "final_status_reported": events.FinalStatusReported,
+    "outcome_disputed": events.OutcomeDisputed,
+    "attempt_ended": events.AttemptEnded,
+    "response_started": events.ResponseStarted,
+    "message_cancelled": events.MessageCancelled,
+    "timer_fired": events.TimerFired,
+    "probe_result": events.ProbeResult,
+    "endpoint_disabled": events.EndpointDisabled,
+    "endpoint_enabled": events.EndpointEnabled,
+    "destinations_released": events.DestinationsReleased,
+    "settings_changed": events.SettingsChanged,
+}
+ENUMS: Mapping[str, type[Enum]] = {
+    "semantics": settings.DeliverySemantics,
+    "attempt_status": events.AttemptStatus,
+    "endpoint_state": events.EndpointState,
+    "endpoint_list_kind": events.EndpointListKind,
+}
+RECORD_NAMES = {record: name for name, record in RECORDS.items()}
+ENUM_NAMES = {enum: name for name, enum in ENUMS.items()}
 
 
 class SnapshotError(Exception):
-    """What was read is no snapshot of this shape."""
+    """What was read is no snapshot that this program understands."""
+
+
+def record_fields(name: str) -> list[str]:
+    """Returns the fields of a record that a snapshot carries, in their order there."""
+    return [
+        field.name for field in dataclasses.fields(RECORDS[name]) if field.name not in LEFT_OUT.get(name, ())
+    ]
 
 
-def _listed(module: Any, kind: type) -> dict[str, Any]:
-    found = {name: value for name, value in vars(module).items() if isinstance(value, type)}
-    return {
-        name: value
-        for name, value in sorted(found.items())
-        if value.__module__ == module.__name__
-        and (issubclass(value, kind) if kind is Enum else dataclasses.is_dataclass(value))
+FIELDS = {name: record_fields(name) for name in RECORDS}
+
+
+@cache
+def fingerprint() -> str:
+    """Returns a hash that changes with any field of any type in a snapshot."""
+    types = {
+        name: [(field.name, str(field.type)) for field in dataclasses.fields(record)]
+        for name, record in RECORDS.items()
     }
+    words = {name: [member.name for member in enum] for name, enum in ENUMS.items()}
+    description = json.dumps([FORMAT_VERSION, types, words])
+    return hashlib.sha256(description.encode()).hexdigest()[:16]
 
 
-RECORDS: dict[str, Any] = {}
-for _module in (settings, events, actions, scheduler):
-    RECORDS |= _listed(_module, object)
-WORDS = _listed(settings, Enum) | _listed(events, Enum) | _listed(scheduler, Enum)
-MODULE = "Brain"
-FIELDS = {name: [f.name for f in dataclasses.fields(record)] for name, record in RECORDS.items()}
-# What a Brain holds, beside what its settings say: all it learned, and all it has open.
-STATE = sorted(set(vars(Scheduler(0, RelaySettings()))) - {"random"})
+def write(scheduler: Scheduler, pending: Iterable[events.Event] = ()) -> str:
+    """Returns the snapshot of a scheduler and of events that it has not seen yet.
 
+    Timers of messages that are over are dropped first: they would only wake the scheduler for nothing.
+    """
+    state = scheduler.state
+    state.timers = [timer for timer in state.timers if not _is_of_ended_message(timer[2])]
+    heapq.heapify(state.timers)
+    snapshot = _Writer().write((state, list(pending)))
+    return json.dumps({"shape": fingerprint(), **snapshot}, separators=(",", ":"))
+
+
+def read(text: str, seed: int) -> tuple[Scheduler, list[events.Event]]:
+    """Returns the scheduler and the events of a snapshot.
+
+    The scheduler has to be given a batch at once: its timer is not set.
+
+    Raises:
+        SnapshotError: the text is no snapshot, or one of another fingerprint.
+    """
+    try:
+        snapshot = json.loads(text)
+        if snapshot["shape"] != fingerprint():
+            raise SnapshotError("it was written by a program of another version")
+        state, pending = _Reader(snapshot["rows"], seed).read(snapshot["root"])
+    except (KeyError, IndexError, TypeError, ValueError, AttributeError, RecursionError) as error:
+        raise SnapshotError(f"it can't be read: {error!r}") from error
+    if not isinstance(state, DecisionState) or not isinstance(pending, list):
+        raise SnapshotError("it holds no state")
+    scheduler = Scheduler(seed, state.settings)
+    scheduler.state = state
+    state.timer_set_for = NEVER
+    return scheduler, pending
 
-def shape() -> str:
-    """Changes when any field of any type in a snapshot does."""
-    told = [
-        VERSION,
-        STATE,
-        {name: [(f.name, str(f.type)) for f in dataclasses.fields(r)] for name, r in RECORDS.items()},
-        {name: [word.name for word in words] for name, words in WORDS.items()},
-    ]
-    return hashlib.sha256(json.dumps(told).encode()).hexdigest()[:16]
+
+def _is_of_ended_message(subject: object) -> bool:
+    return isinstance(subject, entities.OpenMessage) and subject.is_over
 
 
 class _Writer:
+    """Writes an object graph as rows, one an object."""
+
     def __init__(self) -> None:
         self.numbers: dict[int, int] = {}
-        self.objects: list[Any] = []  # kept, so that no number is given twice
+        self.objects: list[Any] = []  # kept alive, so that no id is given twice
         self.rows: list[Any] = []
 
-    def whole(self, value: Any) -> dict[str, Any]:
-        root = self.value(value)
-        at = 0
-        while at < len(self.objects):  # a list of what is left to write, in place of recursion
-            self.rows.append(self._row(self.objects[at]))
-            at += 1
+    def write(self, value: Any) -> dict[str, Any]:
+        """Returns the rows, and the value that refers to them."""
+        root = self._value(value)
+        position = 0
+        while position < len(self.objects):  # a work list: the graph is too deep for recursion
+            self.rows.append(self._row(self.objects[position]))
+            position += 1
         return {"root": root, "rows": self.rows}
 
     def _row(self, record: Any) -> list[Any]:
-        if isinstance(record, Scheduler):
-            return [MODULE, *(self.value(getattr(record, name)) for name in STATE)]
-        name = type(record).__name__
-        return [name, *(self.value(getattr(record, field)) for field in FIELDS[name])]
+        name = RECORD_NAMES[type(record)]
+        return [name, *(self._value(getattr(record, field)) for field in FIELDS[name])]
 
-    def value(self, value: Any) -> Any:
+    def _value(self, value: Any) -> Any:
         if value is None or isinstance(value, bool | int | str):
             return value
         if isinstance(value, float):
             return value if math.isfinite(value) else {"f": repr(value)}
-        if isinstance(value, Enum):
-            return {"e": [type(value).__name__, value.name]}
+        if isinstance(value, list):
+            return [self._value(each) for each in value]
+        if type(value) in RECORD_NAMES:
+            return {"r": self._reference(value)}
+        if type(value) in ENUM_NAMES:
+            return {"e": [ENUM_NAMES[type(value)], value.name]}
+        return self._container(value)
+
+    def _container(self, value: Any) -> dict[str, Any]:
         if isinstance(value, Mapping):
-            return {"d": [[self.value(k), self.value(v)] for k, v in value.items()]}
+            return {"d": [[self._value(key), self._value(each)] for key, each in value.items()]}
         if isinstance(value, tuple):
-            return {"t": [self.value(v) for v in value]}
+            return {"t": [self._value(each) for each in value]}
         if isinstance(value, deque):
-            return {"q": [self.value(v) for v in value]}
+            return {"q": [self._value(each) for each in value]}
         if isinstance(value, set | frozenset):
-            return {"s": [self.value(v) for v in value]}
-        if isinstance(value, list):
-            return [self.value(v) for v in value]
-        if isinstance(value, Scheduler) or type(value).__name__ in RECORDS:
-            if (number := self.numbers.get(id(value))) is None:
-                number = self.numbers[id(value)] = len(self.objects)
-                self.objects.append(value)
-            return {"r": number}
+            return {"s": [self._value(each) for each in value]}
         raise TypeError(f"{type(value)!r} can't stand in a snapshot")
 
+    def _reference(self, record: Any) -> int:
+        number = self.numbers.get(id(record))
+        if number is None:
+            number = self.numbers[id(record)] = len(self.objects)
+            self.objects.append(record)
+        return number
+
 
 class _Reader:
+    """Reads the rows back into an object graph."""
+
     def __init__(self, rows: list[Any], seed: int) -> None:
         self.rows = rows
         self.seed = seed
-        self.objects = [self._empty(row[0]) for row in rows]
-
-    def whole(self, root: Any) -> Any:
-        for row, made in zip(self.rows, self.objects, strict=True):
-            names = STATE if row[0] == MODULE else FIELDS[row[0]]
-            for name, value in zip(names, row[1:], strict=True):
-                object.__setattr__(made, name, self.value(value))
-            if row[0] == MODULE:
-                made.random = random.Random(self.seed)
-        return self.value(root)
-
-    def _empty(self, name: str) -> Any:
-        return Scheduler.__new__(Scheduler) if name == MODULE else object.__new__(RECORDS[name])
-
-    def value(self, value: Any) -> Any:
+        self.objects: list[Any] = [object.__new__(RECORDS[row[0]]) for row in rows]
+        self.readers: Mapping[str, Callable[[Any], Any]] = {
+            "f": float,
+            "e": lambda value: ENUMS[value[0]][value[1]],
+            "d": lambda value: {self._value(key): self._value(each) for key, each in value},
+            "t": lambda value: tuple(self._value(each) for each in value),
+            "q": lambda value: deque(self._value(each) for each in value),
+            "s": lambda value: {self._value(each) for each in value},
+            "r": lambda value: self.objects[value],
+        }
+
+    def read(self, root: Any) -> Any:
+        """Returns the value, all objects restored."""
+        for row, record in zip(self.rows, self.objects, strict=True):
+            for name, value in zip(FIELDS[row[0]], row[1:], strict=True):
+                object.__setattr__(record, name, self._value(value))
+            if isinstance(record, DecisionState):
+                record.random = random.Random(self.seed)
+                record.actions = []
+        return self._value(root)
+
+    def _value(self, value: Any) -> Any:
         if isinstance(value, list):
-            return [self.value(v) for v in value]
+            return [self._value(each) for each in value]
         if not isinstance(value, dict):
             return value
-        ((mark, told),) = value.items()
-        match mark:
-            case "f":
-                return float(told)
-            case "e":
-                return WORDS[told[0]][told[1]]
-            case "d":
-                return {self.value(k): self.value(v) for k, v in told}
-            case "t":
-                return tuple(self.value(v) for v in told)
-            case "q":
-                return deque(self.value(v) for v in told)
-            case "s":
-                return {self.value(v) for v in told}
-            case "r":
-                return self.objects[told]
-        raise SnapshotError(f"no such mark: {mark!r}")
-
-
-def write(module: Scheduler, events: Iterable[Event] = ()) -> str:
-    """The module, and events that it has not seen yet. Alarms of what is over are let go first: they hold all
-    messages of the last seconds, and would only wake the module for nothing.
-    """
-    module.alarms = [a for a in module.alarms if not (isinstance(a[2], scheduler.Message) and a[2].over)]
-    heapq.heapify(module.alarms)
-    told = _Writer().whole((module, list(events)))
-    return json.dumps({"shape": shape(), **told}, separators=(",", ":"))
-
-
-def read(text: str, seed: int) -> tuple[Scheduler, list[Event]]:
-    """Raises SnapshotError. The module is to be given a batch at once: its timers are not set."""
-    try:
-        told = json.loads(text)
-        if told["shape"] != shape():
-            raise SnapshotError("it was written by a program of another shape")
-        module, events = _Reader(told["rows"], seed).whole(told["root"])
-    except SnapshotError:
-        raise
-    except (KeyError, IndexError, TypeError, ValueError, AttributeError, RecursionError) as error:
-        raise SnapshotError(f"it can't be read: {error!r}") from error
-    if not isinstance(module, Scheduler) or not isinstance(events, list):
-        raise SnapshotError("it holds no module")
-    module.actions, module.armed = [], scheduler.NEVER
-    return module, events
+        ((mark, content),) = value.items()
+        reader = self.readers.get(mark)
+        if reader is None:
+            raise SnapshotError(f"no such mark: {mark!r}")
+        return reader(content)
--- /dev/null
+++ b/loftrelay/decisions/state.py
@@ -0,0 +1,104 @@
+"""The whole state of one relay's decisions. The rules are functions over it."""
+
+from __future__ import annotations
+
+import heapq
+import random
+from dataclasses import dataclass, field
+
+from loftrelay.decisions.actions import Action
+from loftrelay.decisions.entities import (
+    Destination,
+    Endpoint,
+    EndpointKindStats,
+    HibernatedDestination,
+    OpenMessage,
+    OrderingKey,
+)
+from loftrelay.decisions.estimators import DecayingRate
+from loftrelay.decisions.limits import Limits
+from loftrelay.decisions.settings import RelaySettings
+from loftrelay.decisions.units import NEVER
+
+TimerSubject = OpenMessage | OrderingKey | HibernatedDestination
+
+
+@dataclass(slots=True)
+class TokenBucket:
+    """Messages that a tenant may still send inside its quota."""
+
+    tokens: float
+    updated_at: int
+
+
+@dataclass(slots=True)
+class IdleResetCounts:
+    """Calls on connections of about the same idle time, and how many of them were reset; events a second."""
+
+    calls: DecayingRate
+    resets: DecayingRate
+
+
+@dataclass(slots=True)
+class DecisionState:
+    """Everything that the decisions know. Times are microseconds on the clock of the batches."""
+
+    settings: RelaySettings
+    limits: Limits
+    random: random.Random
+    now: int = 0
+    started_at: int = NEVER  # the first batch
+    actions: list[Action] = field(default_factory=list)  # of the current batch
+
+    destinations: dict[int, Destination] = field(default_factory=dict)
+    endpoints: dict[str, Endpoint] = field(default_factory=dict)
+    removed_endpoints: dict[str, Endpoint] = field(
+        default_factory=dict
+    )  # off the list, and still referred to
+    disabled_endpoints: set[str] = field(default_factory=set)  # by the operator
+    hibernated: dict[int, HibernatedDestination] = field(default_factory=dict)
+    hibernated_endpoints: dict[str, int] = field(default_factory=dict)  # name -> its destination
+    kind_stats: dict[str | None, EndpointKindStats] = field(default_factory=dict)
+
+    messages: dict[str, OpenMessage] = field(default_factory=dict)
+    ordering_keys: dict[str, OrderingKey] = field(default_factory=dict)
+    unreported: dict[str, OpenMessage] = field(default_factory=dict)  # over, and still first of their keys
+    backlog: dict[int, Destination] = field(default_factory=dict)  # destinations with waiting messages
+    # Destinations whose Retry-After may outlast the time of a message.
+    retry_after_destinations: dict[int, Destination] = field(default_factory=dict)
+
+    arrivals: DecayingRate = field(default_factory=DecayingRate)
+    quota_buckets: dict[str, TokenBucket] = field(default_factory=dict)  # by tenant
+    idle_resets: dict[int, IdleResetCounts] = field(default_factory=dict)  # by octave of the idle time
+    calls_in_flight: int = 0
+
+    timers: list[tuple[int, int, TimerSubject]] = field(default_factory=list)  # a heap
+    timer_sequence: int = 0
+    timer_set_for: int = NEVER
+    wake_at: int = NEVER  # when a message may go next, as far as the current batch found
+    poll_at: int = NEVER  # when the endpoint list is asked for next
+    poll_failures: int = 0
+
+    @classmethod
+    def create(cls, seed: int, settings: RelaySettings) -> DecisionState:
+        """Returns the state of a relay that has seen nothing yet."""
+        poll_at = 0 if settings.polls_endpoint_list else NEVER
+        return cls(settings, Limits.from_settings(settings), random.Random(seed), poll_at=poll_at)
+
+    def apply_settings(self, settings: RelaySettings) -> None:
+        """Uses new settings. Open messages keep their terms, endpoints the kind they were listed as."""
+        self.settings = settings
+        self.limits = Limits.from_settings(settings)
+
+    def set_timer(self, at: int, subject: TimerSubject) -> None:
+        """Has a message, ordering key or hibernated destination looked at again at a time."""
+        self.timer_sequence += 1
+        heapq.heappush(self.timers, (at, self.timer_sequence, subject))
+
+    def wake_no_later_than(self, at: int) -> None:
+        """Has the next batch run at a time, at the latest."""
+        self.wake_at = min(self.wake_at, at)
+
+    def retry_advice(self, wait: int) -> int:
+        """Returns the Retry-After of a rejection, as far as the settings allow one; 0 for none."""
+        return min(wait, self.settings.max_retry_after or 0) if self.settings.sends_retry_after else 0
--- /dev/null
+++ b/loftrelay/decisions/units.py
@@ -0,0 +1,6 @@
+"""Units of time used by the decisions: all times and durations are integer microseconds."""
+
+from __future__ import annotations
+
+SECOND_US = 1_000_000
+NEVER = 1 << 62  # a time that is never reached
--- a/loftrelay/journal/journal.py
+++ b/loftrelay/journal/journal.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.decisions.scheduler import UNCERTAIN_STATUSES
+from loftrelay.decisions.idempotency import UNCERTAIN_STATUSES
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import CompletedMessage, Message
 from loftrelay.relay.ports import JournalFullError
--- a/loftrelay/relay/engine.py
+++ b/loftrelay/relay/engine.py
@@ -405,7 +405,7 @@
     def resume(self) -> None:
         self.outcome_forwarder = None
         self.timer = None
-        self.scheduler.armed = 0  # the timer that was set is gone
+        self.scheduler.state.timer_set_for = 0  # the timer that was set is gone
         self.discovery.watch()
         self.status_reporter.move_to(self.discovery.address)
         self._post(TimerFired(0))
@@ -433,8 +433,8 @@
         slices: SubscribedDirectory | None = None,
     ) -> None:
         """In place of `connect`: goes on where another process stood still."""
-        self.scheduler, self.now = handed.scheduler, max(self._clock(), handed.scheduler.now)
-        self.disabled_hosts = set(handed.scheduler.out)
+        self.scheduler, self.now = handed.scheduler, max(self._clock(), handed.scheduler.state.now)
+        self.disabled_hosts = set(handed.scheduler.state.disabled_endpoints)
         self.destinations = handed.destinations
         self.accepted_classes.retired = {
             n: d for n, d in handed.retired_classes.items() if n not in self.settings.classes
@@ -461,7 +461,7 @@
         """Every message of the journal is known to the module, and the other way round."""
         heard = {event.message_id for event in self.events if isinstance(event, AttemptEnded)}
         coming = {event.message_id for event in self.events if isinstance(event, MessageSubmitted)}
-        for message in self.scheduler.messages.values():
+        for message in self.scheduler.state.messages.values():
             if message.call is not None and message.name not in heard:
                 self.message_states.adopt_attempt(
                     message.name, message.call.endpoint.name, sent_at.get(message.name)
@@ -477,7 +477,7 @@
                 self.message_states.enqueue(held.id)
             if held.final_status is not None:
                 self._tell(held.id, held.final_status)
-            elif held.id not in self.scheduler.messages and held.id not in coming:
+            elif held.id not in self.scheduler.state.messages and held.id not in coming:
                 log.error("%s is in the journal and was not handed over", held.id)
                 self._post(self._recovered(held, now))
 
@@ -757,7 +757,7 @@
             self.outcome_forwarder.attempt_ended(held.id, host, ending)
             return
         now = self._clock()
-        known = self.scheduler.messages.get(held.id)
+        known = self.scheduler.state.messages.get(held.id)
         if ending.is_final and not ending.is_late and known is not None and now >= known.deadline:
             # A loop that is a little late reads an answer when its message has had its time. Nobody knows
             # whether the platform counts it; a notice does no harm if it does. After a stall the answer has
@@ -951,7 +951,7 @@
             held.attempts += 1
             self.message_states.begin_attempt(held.id, self.now)
         # By the module's clock, which does not step, and as of now: a turn may have taken long.
-        ends = min(self.scheduler.messages[held.id].deadline for held in messages)
+        ends = min(self.scheduler.state.messages[held.id].deadline for held in messages)
         left = ends - self._clock() - ANSWER_MARGIN
         timeout = max(0, min(left, max(send.timeout for send in sends)))
         limits = [send.max_connection_idle for send in sends if send.max_connection_idle is not None]
--- a/tests/decisions/test_let_go.py
+++ b/tests/decisions/test_let_go.py
@@ -6,7 +6,7 @@
 import random
 import tracemalloc
 from collections.abc import Sequence
-from dataclasses import replace
+from dataclasses import asdict, replace
 from functools import partial
 from typing import Any
 
@@ -14,8 +14,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loftrelay.decisions import snapshot
+from loftrelay.decisions import lifecycle, snapshot
 from loftrelay.decisions.actions import FailMessage, SendAttempt, SetTimer
+from loftrelay.decisions.availability import next_call_at
+from loftrelay.decisions.demand import demand_rate
+from loftrelay.decisions.dispatch import send_call
 from loftrelay.decisions.events import (
     AttemptEnded,
     AttemptStatus,
@@ -32,7 +35,10 @@
     MessageSubmitted,
     TimerFired,
 )
-from loftrelay.decisions.scheduler import FADE, KEPT, Scheduler
+from loftrelay.decisions.gate import LEARNED_STATE_TTL_US, GateSnapshot
+from loftrelay.decisions.ordering import is_next
+from loftrelay.decisions.routing import may_attempt
+from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import RelaySettings
 from tests.decisions.test_rules import outage
 from tests.decisions.world import MS, SETTINGS, START, Driver, S, entry, sends
@@ -43,9 +49,9 @@
     d.feed(after=after)
     assert d.brain.is_idle(d.now, number)
     d.feed(DestinationsReleased((number,)))
-    assert number not in d.brain.destinations
-    assert number not in d.brain.backlog
-    assert not any(e.destination.number == number for e in d.brain.endpoints.values())
+    assert number not in d.brain.state.destinations
+    assert number not in d.brain.state.backlog
+    assert not any(e.destination.number == number for e in d.brain.state.endpoints.values())
 
 
 def listed(d: Driver, *entries: EndpointEntry, after: int = 0) -> None:
@@ -146,15 +152,15 @@
     d = Driver(entry("a"))
     d.feed(MessageSubmitted("m", 1, "safe", None, 20 * S, None), DestinationsReleased((1,)))
     assert d.sent
-    assert "a" in d.brain.endpoints
+    assert "a" in d.brain.state.endpoints
 
 
 def test_what_is_not_known_is_idle_and_nothing_is_let_go() -> None:
     d = Driver(entry("a"))
     assert d.brain.is_idle(d.now, 77)
     d.feed(DestinationsReleased((77, -1)))
-    assert not d.brain.dormant
-    assert set(d.brain.endpoints) == {"a"}
+    assert not d.brain.state.hibernated
+    assert set(d.brain.state.endpoints) == {"a"}
 
 
 def test_a_message_for_one_that_was_let_go_waits_for_its_listing() -> None:
@@ -226,28 +232,28 @@
     d = Driver(entry("a", kind=kind))
     d.warm()
     outage(d)
-    for name in list(d.brain.messages):
+    for name in list(d.brain.state.messages):
         d.feed(MessageCancelled(name))
-    assert d.brain.endpoints["a"].gate.outage
-    pause = d.brain.endpoints["a"].gate.open_at
+    assert d.brain.state.endpoints["a"].gate.breaker.is_open
+    pause = d.brain.state.endpoints["a"].gate.next_attempt_at
     let_go(d)
     listed(d, entry("a", kind=kind))
     d.feed(*[MessageSubmitted(f"m{i}", 1, "safe", None, 20 * S, None) for i in range(9)])
-    first_send(d, next(iter(d.brain.messages)))
+    first_send(d, next(iter(d.brain.state.messages)))
     assert d.now >= pause
-    assert d.brain.calls_out == 1
-    for name in list(d.brain.messages):
-        if d.brain.messages[name].call:
+    assert d.brain.state.calls_in_flight == 1
+    for name in list(d.brain.state.messages):
+        if d.brain.state.messages[name].call:
             d.outcome(name, AttemptStatus.CONNECT_FAILED)
         d.feed(MessageCancelled(name))
     let_go(d, after=S)
     d.feed(after=30 * 24 * 3600 * S)
-    assert d.brain.dormant  # an outage binds until a call succeeds
+    assert d.brain.state.hibernated  # an outage binds until a call succeeds
     listed(d, entry("a", kind=kind))
-    assert d.brain.endpoints["a"].gate.outage
+    assert d.brain.state.endpoints["a"].gate.breaker.is_open
     d.submit("n")
     d.outcome("n", AttemptStatus.OK)
-    assert d.brain.endpoints["a"].gate.cold_since == d.now
+    assert d.brain.state.endpoints["a"].gate.slow_start.started_at == d.now
 
 
 def back(d: Driver) -> None:
@@ -257,12 +263,12 @@
         d.outcome(f"w{i}", AttemptStatus.OK)
     outage(d, AttemptStatus.ERROR, seconds=12)
     d.submit("back")
-    while d.brain.endpoints["a"].gate.outage:
-        for name in [m for m in d.brain.messages if d.brain.messages[m].call]:
+    while d.brain.state.endpoints["a"].gate.breaker.is_open:
+        for name in [m for m in d.brain.state.messages if d.brain.state.messages[m].call]:
             d.outcome(name, AttemptStatus.OK, after=5 * MS)
         d.run(S)
-    for name in list(d.brain.messages):
-        if d.brain.messages[name].call:
+    for name in list(d.brain.state.messages):
+        if d.brain.state.messages[name].call:
             d.outcome(name, AttemptStatus.OK, after=5 * MS)
         d.feed(MessageCancelled(name))
 
@@ -272,20 +278,20 @@
     """No more calls in a window of two seconds than the budget allows, over all the times it is let go."""
     d = Driver(entry("a", kind=kind))
     back(d)
-    since = d.brain.endpoints["a"].gate.cold_since
+    since = d.brain.state.endpoints["a"].gate.slow_start.started_at
     assert since is not None
-    destination = d.brain.destinations[1]
-    rate = d.brain._own_rate(destination.endpoints[0].gate, destination)
+    destination = d.brain.state.destinations[1]
+    rate = demand_rate(d.brain.state, destination.endpoints[0].gate, destination)
     for i in range(400):
         if d.brain.is_idle(d.now, 1):
             let_go(d)
             listed(d, entry("a", kind=kind))
         d.submit(f"n{i}", after=20 * MS)
-        destination = d.brain.destinations[1]
-        rate = max(rate, d.brain._own_rate(destination.endpoints[0].gate, destination))
-        for name in [m for m in d.brain.messages if d.brain.messages[m].call]:
+        destination = d.brain.state.destinations[1]
+        rate = max(rate, demand_rate(d.brain.state, destination.endpoints[0].gate, destination))
+        for name in [m for m in d.brain.state.messages if d.brain.state.messages[m].call]:
             d.outcome(name, AttemptStatus.OK, after=MS)
-        for name in list(d.brain.messages):
+        for name in list(d.brain.state.messages):
             d.feed(MessageCancelled(name))
     times = [at for at, _ in d.sent if at > since]
     assert len(times) > 20
@@ -298,38 +304,38 @@
 def test_a_cold_return_ends_when_it_would_have_ended() -> None:
     d = Driver(entry("a"))
     back(d)
-    since = d.brain.endpoints["a"].gate.cold_since
+    since = d.brain.state.endpoints["a"].gate.slow_start.started_at
     assert since is not None
     let_go(d)
     listed(d, entry("a"), after=since + 9 * S - d.now)
-    assert d.brain.endpoints["a"].gate.cold_since == since
+    assert d.brain.state.endpoints["a"].gate.slow_start.started_at == since
     let_go(d)
-    d.feed(after=FADE)
-    assert not d.brain.dormant
-    assert not d.brain.dormant_of
+    d.feed(after=LEARNED_STATE_TTL_US)
+    assert not d.brain.state.hibernated
+    assert not d.brain.state.hibernated_endpoints
 
 
 def test_routes_apart_each_have_their_own() -> None:
     """Also those that are listed later than their siblings, or not before it is let go once more."""
     d = Driver(entry("a", kind="apart"), entry("b", kind="apart"), entry("c", kind="apart"))
     d.brain.apply_retry_after(d.now, "a", 50 * S)
-    d.brain.endpoints["b"].gate.outage = True
+    d.brain.state.endpoints["b"].gate.breaker.is_open = True
     until = d.now + 50 * S
     let_go(d)
     listed(d, entry("c", kind="apart"), after=S)
     assert d.brain.is_blocked(d.now, "a")
     assert not d.brain.is_blocked(d.now, "c")
     listed(d, entry("b", kind="apart"), after=S)
-    assert d.brain.endpoints["b"].gate.outage
-    assert not d.brain.endpoints["c"].gate.outage
+    assert d.brain.state.endpoints["b"].gate.breaker.is_open
+    assert not d.brain.state.endpoints["c"].gate.breaker.is_open
     let_go(d)
     listed(d, *(entry(name, kind="apart") for name in "abc"), after=S)
-    assert d.brain.endpoints["b"].gate.outage
-    assert not d.brain.endpoints["c"].gate.outage
+    assert d.brain.state.endpoints["b"].gate.breaker.is_open
+    assert not d.brain.state.endpoints["c"].gate.breaker.is_open
     assert d.brain.is_blocked(until - 1, "a")
     assert not d.brain.is_blocked(until, "a")
-    assert not d.brain.dormant
-    assert not d.brain.dormant_of
+    assert not d.brain.state.hibernated
+    assert not d.brain.state.hibernated_endpoints
 
 
 def test_a_learned_pace() -> None:
@@ -339,22 +345,22 @@
         d.submit(f"m{i}", after=10 * S)
         d.outcome(f"m{i}", AttemptStatus.REJECTED)
         d.feed(MessageCancelled(f"m{i}"))
-    gate = d.brain.endpoints["a"].gate
-    pace, opens = gate.pace, gate.open_at
+    gate = d.brain.state.endpoints["a"].gate
+    pace, opens = gate.rate_limiter.calls_per_second, gate.next_attempt_at
     assert pace < 10
     let_go(d)
     listed(d, entry("a"))
-    assert d.brain.endpoints["a"].gate is not gate
-    assert d.brain.endpoints["a"].gate.pace == pace
+    assert d.brain.state.endpoints["a"].gate is not gate
+    assert d.brain.state.endpoints["a"].gate.rate_limiter.calls_per_second == pace
     d.submit("n")
     assert first_send(d, "n") >= opens
     sent = d.now
     d.outcome("n", AttemptStatus.OK)
     let_go(d)
     listed(d, entry("a"))
-    grown = d.brain.endpoints["a"].gate
-    opens = sent + d.brain._gap(grown, grown.pace)
-    assert pace <= grown.pace <= 1.12 * pace
+    grown = d.brain.state.endpoints["a"].gate
+    opens = sent + grown.rate_limiter.interval(grown.rate_limiter.calls_per_second, d.brain.state.limits)
+    assert pace <= grown.rate_limiter.calls_per_second <= 1.12 * pace
     assert opens > sent + S
     d.submit("o")
     assert first_send(d, "o") == opens
@@ -363,36 +369,43 @@
 @pytest.mark.parametrize("kind", ["plain", "apart"])
 def test_all_that_is_learned_of_a_gate_is_there_again(kind: str) -> None:
     d = Driver(entry("a", kind=kind))
-    gate = d.brain.endpoints["a"].gate
-    learned = {
-        "window": 0.25,
-        "told_until": d.now + 9 * S,
-        "open_at": d.now + S,
-        "failures": 3,
-        "failing_since": 5,
-        "all_full": True,
-        "errors": 0.4,
-        "failed_at": d.now,
-        "refused": True,
-        "outage": True,
-        "cold_since": d.now,
-        "strays": 2,
-        "pace": 7.5,
-        "unlucky": 0.125,
-        "spread": 1.5,
-        "last_send": d.now - 1,
-    }
-    for name, value in learned.items():
-        assert getattr(gate, name) != value
-        setattr(gate, name, value)
-    gate.sends.extend([(d.now - 3 * S, 1.0), (d.now - S, 1.25), (d.now - 1, 1.0)])
+    gate = d.brain.state.endpoints["a"].gate
+    learned = GateSnapshot(
+        window_size=0.25,
+        retry_after_until=d.now + 9 * S,
+        next_attempt_at=d.now + S,
+        consecutive_failures=3,
+        failing_since=5,
+        has_only_rejections=True,
+        error_rate=0.4,
+        failed_at=d.now,
+        last_was_rejection=True,
+        is_open=True,
+        slow_start_at=d.now,
+        connection_failures=2,
+        calls_per_second=7.5,
+        failure_rate_after_failure=0.125,
+        jitter=1.5,
+        last_call_at=d.now - 1,
+        recent_calls=(),
+    )
+    limits = d.brain.state.limits
+    fresh = asdict(GateSnapshot.capture(gate, d.now, limits))
+    different = {name for name, value in asdict(learned).items() if fresh[name] != value}
+    assert different == set(fresh) - {"recent_calls"}
+    learned.restore(gate)
+    assert gate.breaker.is_open
+    assert gate.rate_limiter.calls_per_second == 7.5
+    assert gate.window.size == 0.25
+    assert gate.slow_start.started_at == d.now
+    gate.slow_start.recent_calls.extend([(d.now - 3 * S, 1.0), (d.now - S, 1.25), (d.now - 1, 1.0)])
     let_go(d)
     listed(d, entry("a", kind=kind))
-    other = d.brain.endpoints["a"].gate
+    other = d.brain.state.endpoints["a"].gate
     assert other is not gate
-    assert {name: getattr(other, name) for name in learned} == learned
-    assert list(other.sends) == [(d.now - S, 1.25), (d.now - 1, 1.0)]
-    assert {*learned, "sends"} == set(KEPT)
+    calls = ((d.now - S, 1.25), (d.now - 1, 1.0))
+    assert GateSnapshot.capture(other, d.now, limits) == replace(learned, recent_calls=calls)
+    assert list(other.slow_start.recent_calls) == list(calls)
 
 
 def test_an_endpoint_that_failed_last_gets_no_unsafe_message_past_a_sound_sibling() -> None:
@@ -404,7 +417,7 @@
     d.feed(MessageCancelled("m"))
     let_go(d, after=S)
     listed(d, entry("a"), entry("b"))
-    assert d.brain.endpoints[bad].failures == 1
+    assert d.brain.state.endpoints[bad].consecutive_failures == 1
     for i in range(9):
         d.submit(f"u{i}", "unsafe", after=5 * S)
         assert d.sent[-1][1].message_id == f"u{i}"
@@ -425,8 +438,8 @@
         d.feed(*while_let_go)
         at = d.now
         listed(d, entry("a"), after=S)
-        assert d.brain.endpoints["a"].gate.cold_since == at
-        assert d.brain.endpoints["a"].serves
+        assert d.brain.state.endpoints["a"].gate.slow_start.started_at == at
+        assert d.brain.state.endpoints["a"].is_available
 
 
 def test_taken_out_it_stays_out() -> None:
@@ -440,7 +453,7 @@
 def test_a_handover_carries_it() -> None:
     d = Driver(entry("a", kind="apart"), entry("b", 2))
     d.brain.apply_retry_after(d.now, "a", 50 * S)
-    d.brain.endpoints["b"].gate.outage = True
+    d.brain.state.endpoints["b"].gate.breaker.is_open = True
     until = d.now + 50 * S
     let_go(d)
     let_go(d, number=2)
@@ -451,7 +464,7 @@
     listed(d, entry("a", kind="apart"), entry("b", 2))
     assert d.brain.is_blocked(until - 1, "a")
     assert not d.brain.is_blocked(until, "a")
-    assert d.brain.endpoints["b"].gate.outage
+    assert d.brain.state.endpoints["b"].gate.breaker.is_open
 
 
 # What it costs
@@ -464,18 +477,18 @@
     d.submit("m", destination=3)
     d.outcome("m", AttemptStatus.REJECTED)
     d.feed(MessageCancelled("m"))
-    d.brain.endpoints["down"].gate.outage = True
+    d.brain.state.endpoints["down"].gate.breaker.is_open = True
     d.feed(DestinationsReleased((1, 2, 3, 4)))
     d.feed(after=10 * S)
-    assert set(d.brain.dormant) == {2, 3, 4}
+    assert set(d.brain.state.hibernated) == {2, 3, 4}
     d.feed(after=51 * S)
-    assert set(d.brain.dormant) == {3, 4}
-    d.feed(after=FADE)
-    assert set(d.brain.dormant) == {4}
-    assert d.brain.dormant_of == {"down": 4}
-    d.feed(after=FADE)
-    assert set(d.brain.dormant) == {4}
-    assert not d.brain.alarms
+    assert set(d.brain.state.hibernated) == {3, 4}
+    d.feed(after=LEARNED_STATE_TTL_US)
+    assert set(d.brain.state.hibernated) == {4}
+    assert d.brain.state.hibernated_endpoints == {"down": 4}
+    d.feed(after=LEARNED_STATE_TTL_US)
+    assert set(d.brain.state.hibernated) == {4}
+    assert not d.brain.state.timers
 
 
 def test_a_turn_costs_the_same_however_many_are_dormant() -> None:
@@ -486,12 +499,15 @@
         module.handle_batch(
             START, [EndpointListReceived(EndpointListKind.FULL, (*entries, entry("x", -1), entry("y", -2)))]
         )
-        for endpoint in module.endpoints.values():
-            endpoint.gate.outage = True
+        for endpoint in module.state.endpoints.values():
+            endpoint.gate.breaker.is_open = True
         module.handle_batch(START, [DestinationsReleased(tuple(range(size)))])
         module.handle_batch(START + 60 * S, [TimerFired(0)])
-        assert len(module.dormant) == size
-        module.dormant, module.dormant_of = Walked(module.dormant), Walked(module.dormant_of)
+        assert len(module.state.hibernated) == size
+        module.state.hibernated, module.state.hibernated_endpoints = (
+            Walked(module.state.hibernated),
+            Walked(module.state.hibernated_endpoints),
+        )
         batches: list[list[Event]] = [
             [DestinationsReleased((-1,))],
             [EndpointListReceived(EndpointListKind.DELTA, (entry("h7", 7),))],
@@ -499,8 +515,8 @@
             [MessageSubmitted("m", -2, "safe", None, S, None)],
         ]
         costs.append([steps(partial(module.handle_batch, START + 61 * S, batch)) for batch in batches])
-        assert module.dormant.walked == 0
-        assert module.dormant_of.walked == 0
+        assert module.state.hibernated.walked == 0
+        assert module.state.hibernated_endpoints.walked == 0
     assert all(0 < many <= 1.5 * few for few, many in zip(*costs, strict=True))
 
 
@@ -511,12 +527,20 @@
     module.handle_batch(
         START, [EndpointListReceived(EndpointListKind.FULL, tuple(entry(f"h{i}", i) for i in range(size)))]
     )
-    for number, endpoint in enumerate(module.endpoints.values()):
+    for number, endpoint in enumerate(module.state.endpoints.values()):
         gate = endpoint.gate
-        gate.outage, gate.told_until, gate.failures = True, START + 99 * S + number, 3
-        gate.open_at, gate.errors, gate.failed_at = START + number, number / 7e6 + 0.7, START + 9 + number
-        gate.failing_since, gate.last_send, gate.window = START - number, START - 2 * number, number / 7e6
-        gate.pace, gate.unlucky, gate.spread = number / 9e3 + 1.1, number / 9e4, number / 8e4 + 1.1
+        gate.retry_after_until = START + 99 * S + number
+        gate.next_attempt_at = START + number
+        gate.window.size = number / 7e6
+        gate.breaker.is_open = True
+        gate.breaker.consecutive_failures = 3
+        gate.breaker.error_rate = number / 7e6 + 0.7
+        gate.breaker.failed_at = START + 9 + number
+        gate.breaker.failing_since = START - number
+        gate.rate_limiter.last_call_at = START - 2 * number
+        gate.rate_limiter.calls_per_second = number / 9e3 + 1.1
+        gate.rate_limiter.failure_rate_after_failure = number / 9e4
+        gate.rate_limiter.jitter = number / 8e4 + 1.1
     gc.collect()
     tracemalloc.start()
     try:
@@ -526,7 +550,7 @@
         held = tracemalloc.get_traced_memory()[0] / size
     finally:
         tracemalloc.stop()
-    assert len(module.dormant) == size
+    assert len(module.state.hibernated) == size
     print(f"{held:.0f} bytes for each")
     assert 100 < held < 1_000
 
@@ -559,11 +583,11 @@
 
     def _dispatch(self) -> None:
         for send in self.theirs:
-            message, endpoint = self.messages[send.message_id], self.endpoints[send.endpoint]
-            assert self._may_send(message, endpoint) and self._in_turn(message), send
-            opens = self._opens(endpoint.gate, endpoint.destination)
-            assert opens <= self.now, (send, opens - self.now, endpoint.gate)
-            self._send_call(message, endpoint)
+            message, endpoint = self.state.messages[send.message_id], self.state.endpoints[send.endpoint]
+            assert may_attempt(self.state, message, endpoint) and is_next(self.state, message), send
+            opens = next_call_at(self.state, endpoint.gate, endpoint.destination)
+            assert opens <= self.state.now, (send, opens - self.state.now, endpoint.gate)
+            send_call(self.state, message, endpoint)
 
 
 HOSTS = [
@@ -595,7 +619,7 @@
         told = replace(SETTINGS, relay_count=instances, max_open_messages=10_000, max_attempts=3)
         self.module, self.judge = Scheduler(1, told), Judge(1, told)
         self.draw = Even()
-        self.module.random = self.judge.random = self.draw
+        self.module.state.random = self.judge.state.random = self.draw
         self.now, self.wake, self.number, self.returns, self.calls = START, START, 0, 0, 0
         self.out: dict[str, SendAttempt] = {}
         self.away: dict[str, EndpointEntry] = {}  # hosts of destinations that were let go
@@ -612,15 +636,15 @@
         self.out |= {send.message_id: send for send in self.judge.theirs}
         self.calls += len(self.judge.theirs)
         # What ends in one ends in the other: it is the gates that are compared.
-        ended = self.judge.messages.keys() ^ self.module.messages.keys()
+        ended = self.judge.state.messages.keys() ^ self.module.state.messages.keys()
         for name in ended:
             for module in (self.judge, self.module):
-                if (message := module.messages.get(name)) is not None and message.call is None:
-                    module._finish(message, None)
+                if (message := module.state.messages.get(name)) is not None and message.call is None:
+                    lifecycle.finish(module.state, message, None)
 
     def known(self, host: str) -> bool:
         """Listed, or let go not long ago."""
-        return host in self.module.endpoints or host in self.module.dormant_of
+        return host in self.module.state.endpoints or host in self.module.state.hibernated_endpoints
 
     def pass_time(self, delay: int) -> None:
         end = self.now + delay
@@ -651,7 +675,7 @@
                 self.feed([DestinationsReleased((number,))], [])
                 if idle:
                     self.away |= {e.endpoint: e for e in HOSTS if e.destination == number}
-                    assert number not in self.module.destinations
+                    assert number not in self.module.state.destinations
             case "list" | "list some" if self.away:
                 # Routes apart come together: a route's part of the demand goes by those that are listed.
                 some = sorted(self.away)[: None if what == "list" else 1 + pick % 2]
@@ -703,7 +727,7 @@
             result = weather if draw.random() < 0.9 else draw.choice([AttemptStatus.OK, *BAD])
             delay = draw.choice([0, 5 * MS, 20 * MS, 100 * MS, 700 * MS, 2 * S])
             play.step(draw.choice(OFTEN), draw.randrange(100), delay, result)
-            dormant = [kept.gate for kept in play.module.dormant.values()]
-            outages += any(gate is not None and gate.outage for gate in dormant)
+            dormant = [kept.gate for kept in play.module.state.hibernated.values()]
+            outages += any(gate is not None and gate.is_open for gate in dormant)
         returns, calls = returns + play.returns, calls + play.calls
     assert returns > 500 and calls > 1_000 and outages > 100, (returns, calls, outages)
--- a/tests/decisions/test_long_lists.py
+++ b/tests/decisions/test_long_lists.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from loftrelay.decisions.endpoint_table import MIN_REMOVAL_CHECKS
 from loftrelay.decisions.events import (
     AttemptStatus,
     EndpointEntry,
@@ -15,7 +16,7 @@
     EndpointListReceived,
     EndpointState,
 )
-from loftrelay.decisions.scheduler import LEAST_LOOKS, Scheduler
+from loftrelay.decisions.scheduler import Scheduler
 from tests.decisions.world import SETTINGS, START, Driver, S, entry
 from tests.standins.work import Walked, steps
 
@@ -31,7 +32,7 @@
 def told(module: Scheduler, *entries: EndpointEntry) -> int:
     """The steps that a change takes."""
     listing = EndpointListReceived(EndpointListKind.DELTA, entries)
-    return steps(lambda: module.handle_batch(module.now + 100_000, [listing]))
+    return steps(lambda: module.handle_batch(module.state.now + 100_000, [listing]))
 
 
 @pytest.fixture(scope="module")
@@ -43,7 +44,10 @@
             START,
             [EndpointListReceived(EndpointListKind.FULL, tuple(entry(f"h{i}", i) for i in range(size)))],
         )
-        module.endpoints, module.destinations = Walked(module.endpoints), Walked(module.destinations)
+        module.state.endpoints, module.state.destinations = (
+            Walked(module.state.endpoints),
+            Walked(module.state.destinations),
+        )
     return made
 
 
@@ -52,10 +56,10 @@
     few, many = (told(modules[size], *CHANGES[what]) for size in (FEW, MANY))
     assert 0 < many <= 1.5 * few
     for module in modules.values():
-        assert isinstance(module.endpoints, Walked)
-        assert module.endpoints.walked == 0
-        assert isinstance(module.destinations, Walked)
-        assert module.destinations.walked == 0
+        assert isinstance(module.state.endpoints, Walked)
+        assert module.state.endpoints.walked == 0
+        assert isinstance(module.state.destinations, Walked)
+        assert module.state.destinations.walked == 0
 
 
 def test_the_count_sees_a_walk(modules: dict[int, Scheduler]) -> None:
@@ -63,9 +67,9 @@
     few, many = (steps(modules[size].avoided_endpoint_count) for size in (FEW, MANY))
     assert many > 40 * few
     for size, module in modules.items():
-        assert isinstance(module.endpoints, Walked)
-        assert size - 9 < module.endpoints.walked < size + 9
-        module.endpoints.walked = 0
+        assert isinstance(module.state.endpoints, Walked)
+        assert size - 9 < module.state.endpoints.walked < size + 9
+        module.state.endpoints.walked = 0
 
 
 def gone(d: Driver, *names: str) -> tuple[EndpointEntry, ...]:
@@ -80,15 +84,15 @@
     d.feed(
         EndpointListReceived(EndpointListKind.DELTA, (entry("b", 2, state=EndpointState.REMOVED),)), after=S
     )
-    assert set(d.brain.endpoints) == {"a", "b", "c"}
-    assert set(d.brain.gone) == {"a", "b"}
+    assert set(d.brain.state.endpoints) == {"a", "b", "c"}
+    assert set(d.brain.state.removed_endpoints) == {"a", "b"}
     d.feed(EndpointListReceived(EndpointListKind.DELTA, ()), after=S)
-    assert set(d.brain.endpoints) == {"b", "c"}
-    assert d.brain.destinations[1].endpoints == []
+    assert set(d.brain.state.endpoints) == {"b", "c"}
+    assert d.brain.state.destinations[1].endpoints == []
     d.outcome("m", AttemptStatus.OK)
     d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("d", 4),)))
-    assert set(d.brain.endpoints) == {"c", "d"}
-    assert not d.brain.gone
+    assert set(d.brain.state.endpoints) == {"c", "d"}
+    assert not d.brain.state.removed_endpoints
 
 
 def test_one_that_is_gone_and_listed_again_stays() -> None:
@@ -97,8 +101,8 @@
     d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a", state=EndpointState.REMOVED),)))
     d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a"),)), after=S)
     d.feed(EndpointListReceived(EndpointListKind.DELTA, ()), after=9 * S)
-    assert set(d.brain.endpoints) == {"a"}
-    assert not d.brain.gone
+    assert set(d.brain.state.endpoints) == {"a"}
+    assert not d.brain.state.removed_endpoints
     assert d.submit("m")
     assert d.sent[-1][1].endpoint == "a"
 
@@ -106,33 +110,33 @@
 def test_many_that_are_gone_and_bind_for_long_cost_a_change_no_more_than_a_few() -> None:
     """Routes that went in an outage stay: each change looks at some of them, and at all in turn."""
     costs = []
-    for size in (2 * LEAST_LOOKS, 80 * LEAST_LOOKS):
+    for size in (2 * MIN_REMOVAL_CHECKS, 80 * MIN_REMOVAL_CHECKS):
         names = [f"h{i}" for i in range(size)]
         d = Driver(*(entry(name, i, kind="apart") for i, name in enumerate(names)))
         for name in names:
-            d.brain.endpoints[name].gate.outage = True
+            d.brain.state.endpoints[name].gate.breaker.is_open = True
         d.feed(
             EndpointListReceived(
                 EndpointListKind.DELTA, tuple(replace(entry(n), state=EndpointState.REMOVED) for n in names)
             )
         )
-        assert len(d.brain.gone) == size
+        assert len(d.brain.state.removed_endpoints) == size
         costs.append(told(d.brain))
-        for endpoint in d.brain.endpoints.values():
-            endpoint.gate.outage = False
-        for _ in range(size // LEAST_LOOKS):
+        for endpoint in d.brain.state.endpoints.values():
+            endpoint.gate.breaker.is_open = False
+        for _ in range(size // MIN_REMOVAL_CHECKS):
             d.feed(EndpointListReceived(EndpointListKind.DELTA, ()))
-        assert not d.brain.endpoints
-        assert not d.brain.gone
+        assert not d.brain.state.endpoints
+        assert not d.brain.state.removed_endpoints
     assert costs[1] <= 1.5 * costs[0]
 
 
 def test_a_whole_list_looks_at_all_that_are_gone() -> None:
-    names = [f"h{i}" for i in range(3 * LEAST_LOOKS)]
+    names = [f"h{i}" for i in range(3 * MIN_REMOVAL_CHECKS)]
     d = Driver(*(entry(name) for name in names))
     d.feed(EndpointListReceived(EndpointListKind.FULL, (entry("x"),)))
-    assert set(d.brain.endpoints) == {"x"}
-    assert not d.brain.gone
+    assert set(d.brain.state.endpoints) == {"x"}
+    assert not d.brain.state.removed_endpoints
 
 
 def test_what_an_endpoint_takes_of_memory() -> None:
@@ -148,5 +152,5 @@
     finally:
         tracemalloc.stop()
     print(f"{held:.0f} bytes for each")
-    assert len(module.endpoints) == size
+    assert len(module.state.endpoints) == size
     assert 400 < held < 1_200
--- a/tests/decisions/test_ordinary_path.py
+++ b/tests/decisions/test_ordinary_path.py
@@ -65,34 +65,34 @@
         len(sends(d.feed(*[MessageSubmitted(f"x{i}", 1, "safe", None, 20 * S, None) for i in range(9)]))) == 1
     )
     for _ in range(30):
-        for name in [n for n in d.brain.messages if d.brain.messages[n].call]:
+        for name in [n for n in d.brain.state.messages if d.brain.state.messages[n].call]:
             d.outcome(name, AttemptStatus.OK)
         d.submit(f"y{d.now}")
         d.submit(f"z{d.now}")
-        assert d.brain.calls_out <= 6  # three quarters of 8
-    assert d.brain.destinations[1].gate.window >= 6
+        assert d.brain.state.calls_in_flight <= 6  # three quarters of 8
+    assert d.brain.state.destinations[1].gate.window.size >= 6
 
 
 def test_a_sick_destination_holds_at_most_half() -> None:
     d = Driver(entry("a"))
     d.warm(12)
-    d.brain.destinations[1].gate.cold_since = d.now
-    d.brain.destinations[1].demand.value = 1000.0
+    d.brain.state.destinations[1].gate.slow_start.started_at = d.now
+    d.brain.state.destinations[1].demand.value = 1000.0
     d.feed(*[MessageSubmitted(f"x{i}", 1, "safe", None, 20 * S, None) for i in range(9)])
-    assert d.brain.calls_out == 4
+    assert d.brain.state.calls_in_flight == 4
 
 
 def test_refusals_become_a_growing_pause_for_the_destination() -> None:
     d = Driver(entry("a"))
     d.warm()
-    gate, pauses = d.brain.destinations[1].gate, []
+    gate, pauses = d.brain.state.destinations[1].gate, []
     for i in range(4):
         assert sends(d.submit(f"m{i}")) == [f"m{i}"]
         d.outcome(f"m{i}", AttemptStatus.REJECTED)
-        pauses.append(gate.open_at - d.now)
+        pauses.append(gate.next_attempt_at - d.now)
         assert not sends(d.submit(f"n{i}"))  # a fresh message must wait, too
         d.feed(MessageCancelled(f"m{i}"), MessageCancelled(f"n{i}"))
-        d.now = max(gate.open_at, d.now + 5 * S)
+        d.now = max(gate.next_attempt_at, d.now + 5 * S)
     assert pauses[0] >= S // 2
     assert all(later > 1.5 * earlier for earlier, later in pairwise(pauses))
 
@@ -103,16 +103,16 @@
     d.submit("u0", tenant="u")
     first = d.sent[0][1].message_id
     assert sends(d.outcome(first, AttemptStatus.OK))[0] != "t11"
-    assert d.brain.messages["t11"].worth < d.brain.messages["u0"].worth == 1.0
+    assert d.brain.state.messages["t11"].priority_weight < d.brain.state.messages["u0"].priority_weight == 1.0
 
 
 def test_bundles_share_one_call_and_one_slot() -> None:
     d = Driver(entry("a", kind="bundled"))
     out = sends(d.feed(*[MessageSubmitted(f"x{i}", 1, "safe", None, 20 * S, None) for i in range(9)]))
     assert len(out) == 5
-    assert d.brain.calls_out == 1
+    assert d.brain.state.calls_in_flight == 1
     d.feed(*[d.outcome_event(name, AttemptStatus.OK) for name in out])
-    assert d.brain.calls_out == 1  # the next call, with the other four
+    assert d.brain.state.calls_in_flight == 1  # the next call, with the other four
     assert len(d.sent) == 9
 
 
@@ -148,18 +148,18 @@
 def test_a_reset_of_a_kept_connection_is_no_failure_of_the_destination() -> None:
     d = Driver(entry("a"))
     d.warm()
-    gate = d.brain.destinations[1].gate
-    window = gate.window
+    gate = d.brain.state.destinations[1].gate
+    window = gate.window.size
     for i in range(3):
         d.submit(f"m{i}", "unsafe")
         d.feed(replace(d.outcome_event(f"m{i}", AttemptStatus.CONNECTION_LOST), connection_idle=20 * MS))
-        assert (gate.window == window) == (i < 2)  # three in a row do tell of the host
+        assert (gate.window.size == window) == (i < 2)  # three in a row do tell of the host
     d.run(20 * S)
     d.warm()
-    window = gate.window
+    window = gate.window.size
     d.submit("new", "unsafe")
     d.feed(replace(d.outcome_event("new", AttemptStatus.CONNECTION_LOST), connection_idle=0))
-    assert gate.window < window
+    assert gate.window.size < window
 
 
 def test_resets_right_after_an_answer_teach_no_idle_limit() -> None:
@@ -208,9 +208,9 @@
     d.submit("order1", "unsafe")
     d.submit("order2", "unsafe")
     d.submit("update", time_remaining=20 * S)
-    d.brain.messages["short" if leads else "order1"].worth = 9.0
+    d.brain.state.messages["short" if leads else "order1"].priority_weight = 9.0
     went = sends(away(d, EndpointState.ACTIVE))
-    calls = {m: d.brain.messages[m].call for m in went}
+    calls = {m: d.brain.state.messages[m].call for m in went}
     assert "short" in went
     assert calls["short"] is not calls.get("order1")
     assert calls["short"] is not calls.get("order2")
@@ -224,16 +224,16 @@
 def test_a_bundle_cut_off_by_one_message_tells_nothing_of_its_host(result: AttemptStatus) -> None:
     """It lived for as long as that one: 140 such calls in 5 s were held against hosts."""
     d = bundle_driver()
-    gate = d.brain.endpoints["a"].gate
-    window, closed = gate.window, len(d.log)
+    gate = d.brain.state.endpoints["a"].gate
+    window, closed = gate.window.size, len(d.log)
     away(d, EndpointState.DRAINING)
     d.submit("short", time_remaining=S // 2)
-    d.brain.messages["short"].worth = 9.0
+    d.brain.state.messages["short"].priority_weight = 9.0
     d.submit("update")
     assert set(sends(away(d, EndpointState.ACTIVE))) == {"short", "update"}
     d.feed(*(d.outcome_event(m, result, after=100 * MS) for m in ("short", "update")), after=100 * MS)
-    assert gate.window == window
-    assert gate.failures == 0
+    assert gate.window.size == window
+    assert gate.breaker.consecutive_failures == 0
     assert not any(isinstance(a, CloseIdleConnections) for a in d.log[closed:])
 
 
@@ -254,6 +254,6 @@
         for name, of, left in (("near", "keyed", 30 * MS), ("order", "unsafe", S))
     )
     d.feed(near, order)
-    calls = {name: d.brain.messages[name].call for name in ("near", "order")}
+    calls = {name: d.brain.state.messages[name].call for name in ("near", "order")}
     assert calls["near"] is not calls["order"]
     assert any(calls.values())
--- a/tests/decisions/test_out_of_service.py
+++ b/tests/decisions/test_out_of_service.py
@@ -137,9 +137,9 @@
     driver = Driver(entry("a"), entry("b"))  # one gate for both
     driver.feed(EndpointDisabled("a"))
     driver.feed(EndpointEnabled("a"), after=5 * S)
-    assert driver.brain.endpoints["b"].gate.cold_since is None
+    assert driver.brain.state.endpoints["b"].gate.slow_start.started_at is None
     driver.feed(EndpointDisabled("a"), EndpointDisabled("b"))
     driver.feed(EndpointEnabled("a"), after=5 * S)
-    assert driver.brain.endpoints["b"].gate.cold_since == driver.now
+    assert driver.brain.state.endpoints["b"].gate.slow_start.started_at == driver.now
     driver.feed(EndpointEnabled("b"), after=S)
-    assert driver.brain.endpoints["b"].gate.cold_since == driver.now - S
+    assert driver.brain.state.endpoints["b"].gate.slow_start.started_at == driver.now - S
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -7,6 +7,7 @@
 import pytest
 
 from loftrelay.decisions.actions import CloseIdleConnections, FailMessage, RejectMessage
+from loftrelay.decisions.demand import demand_rate
 from loftrelay.decisions.events import (
     AttemptStatus,
     EndpointListKind,
@@ -227,17 +228,17 @@
     assert not sends(actions)
     assert not ends(actions)
     assert not d.run(60 * S)
-    assert "m" not in d.brain.messages
+    assert "m" not in d.brain.state.messages
     assert not d.feed(MessageCancelled("m"), TimerFired(3))
 
 
 def outage(d: Driver, result: AttemptStatus = AttemptStatus.CONNECT_FAILED, seconds: int = 6) -> None:
     start, n = d.now, 0
     while d.now < start + seconds * S:
-        if not d.brain.calls_out:
+        if not d.brain.state.calls_in_flight:
             d.submit(f"out{n}")
             n += 1
-        for name in [m for m in d.brain.messages if d.brain.messages[m].call]:
+        for name in [m for m in d.brain.state.messages if d.brain.state.messages[m].call]:
             d.outcome(name, result, after=100 * MS)
         d.run(500 * MS)
 
@@ -251,16 +252,16 @@
     for i in range(40):  # ten a second, served
         d.submit(f"w{i}", after=50 * MS)
         d.outcome(f"w{i}", AttemptStatus.OK)
-    destination = d.brain.destinations[1]
+    destination = d.brain.state.destinations[1]
     outage(d, result, seconds=12)
-    assert destination.gate.outage
+    assert destination.gate.breaker.is_open
     d.feed(*[MessageSubmitted(f"b{i}", 1, "safe", None, 20 * S, None) for i in range(60)])
     back: int | None = None
-    rate = d.brain._own_rate(destination.gate, destination)
+    rate = demand_rate(d.brain.state, destination.gate, destination)
     times = []
     for _ in range(3000):
-        rate = max(rate, d.brain._own_rate(destination.gate, destination))
-        for name in [m for m in d.brain.messages if d.brain.messages[m].call]:
+        rate = max(rate, demand_rate(d.brain.state, destination.gate, destination))
+        for name in [m for m in d.brain.state.messages if d.brain.state.messages[m].call]:
             d.outcome(name, AttemptStatus.OK, after=5 * MS)
             back = back or d.now
         d.feed(after=5 * MS)
@@ -288,8 +289,8 @@
 def test_a_trial_goes_with_the_message_that_has_most_time() -> None:
     d = Driver(entry("a"))
     outage(d, AttemptStatus.CONNECT_FAILED, seconds=8)
-    assert d.brain.destinations[1].gate.outage
-    d.feed(*[MessageCancelled(name) for name in d.brain.messages])
+    assert d.brain.state.destinations[1].gate.breaker.is_open
+    d.feed(*[MessageCancelled(name) for name in d.brain.state.messages])
     d.submit("short", time_remaining=9 * S)
     d.submit("long", time_remaining=18 * S)
     while d.sent[-1][1].message_id not in ("short", "long"):
@@ -300,8 +301,8 @@
 def test_a_trial_risks_one_message_not_a_bundle() -> None:
     """Found on a hang: trial bundles spent the tries and key windows of all their messages."""
     d = Driver(entry("a", kind="bundled"))
-    gate = next(iter(d.brain.endpoints.values())).gate
-    gate.outage, gate.window = True, 0.5
+    gate = next(iter(d.brain.state.endpoints.values())).gate
+    gate.breaker.is_open, gate.window.size = True, 0.5
     assert (
         len(sends(d.feed(*[MessageSubmitted(f"x{i}", 1, "safe", None, 20 * S, None) for i in range(4)]))) == 1
     )
@@ -311,13 +312,13 @@
     """Found in incident i716ca5: relays that all return when told keep a counted limit empty for ever."""
     d = Driver(entry("a"))
     d.warm()
-    gate, pauses = d.brain.destinations[1].gate, []
+    gate, pauses = d.brain.state.destinations[1].gate, []
     for i in range(6):
-        d.now = max(gate.open_at, gate.told_until, d.now + 3 * S)
+        d.now = max(gate.next_attempt_at, gate.retry_after_until, d.now + 3 * S)
         if not sends(d.submit(f"m{i}")):
             assert sends(d.run(20 * S)) == [f"m{i}"]
         d.outcome(f"m{i}", AttemptStatus.REJECTED, wait=2 * S)
-        pauses.append(max(gate.open_at, gate.told_until) - d.now)
+        pauses.append(max(gate.next_attempt_at, gate.retry_after_until) - d.now)
         d.feed(MessageCancelled(f"m{i}"))
     assert pauses[0] < 4 * S
     assert pauses[5] > 5 * S
@@ -348,14 +349,14 @@
     """Found in incident i65fbf5: two lost calls in a row passed for an outage, with a cold budget after."""
     d = Driver(entry("a"))
     d.warm()
-    gate = d.brain.destinations[1].gate
+    gate = d.brain.state.destinations[1].gate
     for i in range(8):
         result = AttemptStatus.OK if i % 3 else AttemptStatus.TIMEOUT
         d.submit(f"m{i}", after=2 * S)
         d.outcome(f"m{i}", result, after=300 * MS)
         d.feed(MessageCancelled(f"m{i}"))
-        assert not gate.outage
-        assert gate.cold_since is None
+        assert not gate.breaker.is_open
+        assert gate.slow_start.started_at is None
 
 
 def test_keyed_messages_time_out_as_soon_as_safe_ones() -> None:
@@ -375,28 +376,28 @@
     for backlog in (0, 15):
         d = Driver(entry("a"))
         d.warm()
-        gate = d.brain.destinations[1].gate
+        gate = d.brain.state.destinations[1].gate
         d.feed(*[MessageSubmitted(f"b{i}", 1, "safe", None, 20 * S, None) for i in range(backlog)])
-        gate.pace = 0.5
+        gate.rate_limiter.calls_per_second = 0.5
         for i in range(5):
             d.submit(f"m{i}", after=3 * S)
-            for name in [m for m in d.brain.messages if d.brain.messages[m].call]:
+            for name in [m for m in d.brain.state.messages if d.brain.state.messages[m].call]:
                 d.outcome(name, AttemptStatus.OK)
-        paces[backlog] = gate.pace
+        paces[backlog] = gate.rate_limiter.calls_per_second
     assert 0.5 < paces[0] < paces[15]
 
 
 def test_refusals_slow_full_bundles_down() -> None:
     """The pace in calls was held against messages a second, so that each refusal of a bundle raised it."""
     d = Driver(entry("a", kind="bundled"))
-    gate = d.brain.endpoints["a"].gate
+    gate = d.brain.state.endpoints["a"].gate
     for i in range(6):
         d.feed(*[MessageSubmitted(f"m{i}-{k}", 1, "safe", None, 20 * S, None) for k in range(50)], after=S)
-        while not d.brain.calls_out:
+        while not d.brain.state.calls_in_flight:
             d.run(S)
-        out = [m.name for m in d.brain.messages.values() if m.call is not None]
+        out = [m.name for m in d.brain.state.messages.values() if m.call is not None]
         d.feed(*[d.outcome_event(name, AttemptStatus.REJECTED) for name in out])
-    assert gate.pace < 50 / 5  # what full bundles need for so many messages
+    assert gate.rate_limiter.calls_per_second < 50 / 5  # what full bundles need for so many messages
 
 
 def test_time_outs_are_longer_while_slots_lie_idle() -> None:
@@ -440,7 +441,7 @@
     d.submit("m", of)
     d.outcome("m", AttemptStatus.REJECTED)
     assert not ends(d.feed(OutcomeDisputed("m", "a", 60 * MS)))
-    ran_at = d.brain.messages["m"].ran_at
+    ran_at = d.brain.state.messages["m"].first_attempt_at
     assert ran_at == d.now - 60 * MS  # from where a key's window runs
     again = d.run(30 * S)
     assert sends(again) == ["m"]
@@ -488,7 +489,7 @@
         assert not sends(d.feed(outcome))
         assert not ends(d.log)
         d.run(S // 20)
-        assert d.brain.messages["m"].call is None
+        assert d.brain.state.messages["m"].call is None
         d.run(S // 10)
-        assert d.brain.messages["m"].call is not None
-    assert d.brain.messages["m"].depth == 1
+        assert d.brain.state.messages["m"].call is not None
+    assert d.brain.state.messages["m"].attempts == 1
--- a/tests/decisions/test_scale.py
+++ b/tests/decisions/test_scale.py
@@ -71,7 +71,7 @@
     d = Driver(entry("a"), relay_count=200, tenants={"t": Tenant("t", 20.0, 0.1)})
     for i in range(4):  # a tenth of a message a second is its part
         d.submit(f"t{i}", after=10 * S, tenant="t")
-        assert d.brain.messages[f"t{i}"].worth == 1.0
+        assert d.brain.state.messages[f"t{i}"].priority_weight == 1.0
         d.outcome(f"t{i}", AttemptStatus.OK)
 
 
@@ -121,8 +121,8 @@
         d.feed(
             MessageSubmitted(f"m{i}", 1, "safe", "t", 20 * S, None), after=int(chance.expovariate(0.6) * S)
         )
-        message = d.brain.messages.get(f"m{i}")
-        over += message is not None and message.worth < 1
+        message = d.brain.state.messages.get(f"m{i}")
+        over += message is not None and message.priority_weight < 1
         if message is not None:
             d.feed(MessageCancelled(f"m{i}"))
     assert over < 20
--- a/tests/decisions/test_settings_and_list.py
+++ b/tests/decisions/test_settings_and_list.py
@@ -83,7 +83,7 @@
     for i in range(16):
         d.submit(f"m{i}", destination=i)
         d.outcome(f"m{i}", AttemptStatus.REJECTED, wait=9 * S)
-    assert len(d.brain.messages) <= 14
+    assert len(d.brain.state.messages) <= 14
     assert len(ends(d.log)) >= 2
 
 
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import dataclasses
 import json
 import random
 from dataclasses import replace
@@ -84,10 +85,10 @@
     waiting = [MessageSubmitted("last", 1, "safe", None, 9 * S, None)]
     other, events = snapshot.read(snapshot.write(module, waiting), seed=1)
     assert events == waiting
-    assert module.messages
-    assert set(other.messages) == set(module.messages)
-    module.random, other.random = random.Random(5), random.Random(5)
-    module.armed = other.armed
+    assert module.state.messages
+    assert set(other.state.messages) == set(module.state.messages)
+    module.state.random, other.state.random = random.Random(5), random.Random(5)
+    module.state.timer_set_for = other.state.timer_set_for
     for _ in range(60):
         events = play.events()
         actions = module.handle_batch(play.now, events)
@@ -100,11 +101,22 @@
     module.handle_batch(START, [EndpointListReceived(EndpointListKind.FULL, tuple(HOSTS))])
     module.handle_batch(START, [MessageSubmitted(f"m{i}", 1, "strict", None, 9 * S, "k") for i in range(3)])
     other, _ = snapshot.read(snapshot.write(module), 1)
-    assert other.endpoints["a1"].gate is other.endpoints["a2"].gate is other.destinations[1].gate
-    assert other.messages["m1"].key is other.keys["k"] is other.messages["m2"].key
-    assert [message.name for message in other.keys["k"].queue] == ["m0", "m1", "m2"]
-    assert other.messages["m0"].call is not None
-    assert other.messages["m0"].call.endpoint is other.endpoints[other.messages["m0"].call.endpoint.name]
+    assert (
+        other.state.endpoints["a1"].gate
+        is other.state.endpoints["a2"].gate
+        is other.state.destinations[1].gate
+    )
+    assert (
+        other.state.messages["m1"].ordering_key
+        is other.state.ordering_keys["k"]
+        is other.state.messages["m2"].ordering_key
+    )
+    assert [message.name for message in other.state.ordering_keys["k"].pending] == ["m0", "m1", "m2"]
+    assert other.state.messages["m0"].call is not None
+    assert (
+        other.state.messages["m0"].call.endpoint
+        is other.state.endpoints[other.state.messages["m0"].call.endpoint.name]
+    )
 
 
 def written() -> str:
@@ -142,12 +154,17 @@
 
 def test_only_listed_types_can_be_written() -> None:
     module = Scheduler(1, SETTINGS)
-    module.out = {object()}  # type: ignore[arg-type]
+    module.state.disabled_endpoints = {object()}  # type: ignore[arg-type]
     with pytest.raises(TypeError, match="can't stand in a snapshot"):
         snapshot.write(module)
 
 
-def test_the_shape_tells_fields_apart(monkeypatch: pytest.MonkeyPatch) -> None:
-    before = snapshot.shape()
-    monkeypatch.setattr(snapshot, "STATE", [*snapshot.STATE, "more"])
-    assert snapshot.shape() != before
+def test_the_fingerprint_tells_fields_apart(monkeypatch: pytest.MonkeyPatch) -> None:
+    before = snapshot.fingerprint()
+    records = {**snapshot.RECORDS, "more": dataclasses.make_dataclass("More", ["field"])}
+    monkeypatch.setattr(snapshot, "RECORDS", records)
+    snapshot.fingerprint.cache_clear()
+    try:
+        assert snapshot.fingerprint() != before
+    finally:
+        snapshot.fingerprint.cache_clear()
--- a/tests/decisions/test_told_waits.py
+++ b/tests/decisions/test_told_waits.py
@@ -69,17 +69,25 @@
 def test_a_call_that_was_taken_back_costs_no_try_and_teaches_nothing() -> None:
     d = Driver(entry("a"), max_attempts=1)
     d.warm()
-    gate = d.brain.endpoints["a"].gate
-    gate.strays, gate.failures, gate.failed_at = 2, 1, d.now - 1
+    gate = d.brain.state.endpoints["a"].gate
+    gate.breaker.connection_failures, gate.breaker.consecutive_failures, gate.breaker.failed_at = (
+        2,
+        1,
+        d.now - 1,
+    )
     d.submit("m", "strict", ordering_key="k")
     d.submit("n", "strict", ordering_key="k")
-    luck = list(d.brain.endpoints["a"].kin.luck)
+    luck = list(d.brain.state.endpoints["a"].kind_stats.success_rate_after_failure)
     d.brain.apply_retry_after(d.now, "a", S)
     event = replace(d.outcome_event("m", AttemptStatus.NOT_SENT, over=False), postponed_for=1)
     assert not ends(d.feed(event))
-    assert gate.in_flight == 0
-    assert d.brain.calls_out == 0
-    assert (gate.strays, gate.failures, d.brain.endpoints["a"].kin.luck) == (2, 1, luck)
+    assert gate.window.in_flight == 0
+    assert d.brain.state.calls_in_flight == 0
+    assert (
+        gate.breaker.connection_failures,
+        gate.breaker.consecutive_failures,
+        d.brain.state.endpoints["a"].kind_stats.success_rate_after_failure,
+    ) == (2, 1, luck)
     at = d.now
     while not (sent := sends(d.run(20 * S))):
         pass
@@ -96,16 +104,18 @@
     for name in ("x", "y"):
         d.submit(name, time_remaining=100 * S)
     d.submit("m", of, time_remaining=3 * S)
-    assert "m" in d.brain.messages
+    assert "m" in d.brain.state.messages
     if ran:
-        d.brain.messages["m"].ran_at = d.now  # and its key is known to one zone alone
-        d.brain.messages["m"].about = replace(d.brain.messages["m"].about, dedup_scope="zone")
+        d.brain.state.messages["m"].first_attempt_at = d.now  # and its key is known to one zone alone
+        d.brain.state.messages["m"].message_class = replace(
+            d.brain.state.messages["m"].message_class, dedup_scope="zone"
+        )
     d.brain.apply_retry_after(d.now, "a", 60 * S)
     d.submit("n", time_remaining=100 * S)
-    assert "m" in d.brain.messages  # another route may take it yet
+    assert "m" in d.brain.state.messages  # another route may take it yet
     d.brain.apply_retry_after(d.now, "b", 61 * S)
     actions = d.submit("o", time_remaining=2 * S)
     assert ends(actions) == [(end, "m"), (RejectMessage, "o")]
-    assert "n" in d.brain.messages
+    assert "n" in d.brain.state.messages
     assert all(a.retry_after == 2 * S for a in actions if isinstance(a, RejectMessage))
     assert ends(d.submit("p", time_remaining=40 * S, after=MS)) == [(RejectMessage, "p")]
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -11,6 +11,7 @@
 import pytest
 
 from loftrelay.config.platform import Config
+from loftrelay.decisions import lifecycle
 from loftrelay.decisions.actions import SendAttempt
 from loftrelay.decisions.events import AttemptEnded, AttemptStatus
 from loftrelay.decisions.simulator import read_settings
@@ -147,8 +148,8 @@
             held = Message(name, 0, "order", "acme", 1, None, now, now + remaining)
             engine.journal.admit(held)
             engine.message_states.enqueue(name)
-            engine.scheduler.now = engine._clock()
-            engine.scheduler._accept(engine._submission(held), 0)
+            engine.scheduler.state.now = engine._clock()
+            lifecycle.admit(engine.scheduler.state, engine._submission(held))
         sends = [SendAttempt(name, "h", remaining, None) for name, remaining in lives.items()]
         engine._call("h", sends, batch)
         gone = (wall_clock() - now) / 1e6
@@ -167,7 +168,7 @@
 
     async def main() -> None:
         engine = make_engine(tmp_path)
-        engine.scheduler.told = replace(engine.scheduler.told, awaits_final_status=True)
+        engine.scheduler.state.settings = replace(engine.scheduler.state.settings, awaits_final_status=True)
         engine.delivery.send_call = lambda host, messages, terms: None  # type: ignore[method-assign]
         now = wall_clock()
         for name in ("m", "next"):
@@ -177,18 +178,21 @@
             engine.journal.admit(held)
             engine.message_states.enqueue(name)
             engine._post(engine._submission(held))
-        while engine.scheduler.messages.get("m") is None or engine.scheduler.messages["m"].call is None:
+        while (
+            engine.scheduler.state.messages.get("m") is None
+            or engine.scheduler.state.messages["m"].call is None
+        ):
             await asyncio.sleep(0.001)
         if late:
-            while engine._clock() < engine.scheduler.messages["m"].deadline:
+            while engine._clock() < engine.scheduler.state.messages["m"].deadline:
                 time.sleep(0.01)  # the loop does not run
         engine.attempt_ended(
             engine.journal.messages["m"], "h", AttemptResult(AttemptStatus.OK, is_final=True)
         )
-        while "m" in engine.scheduler.messages:
+        while "m" in engine.scheduler.state.messages:
             await asyncio.sleep(0.001)
         assert ("m" in engine.journal.messages) == late == bool(engine.status_reporter.pending)
-        assert (engine.scheduler.messages["next"].depth > 0) != late
+        assert (engine.scheduler.state.messages["next"].attempts > 0) != late
         engine.status_reporter.close()
         engine.discovery.close()
         engine.delivery.close()
--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from loftrelay.decisions.entities import Destination, Endpoint
 from loftrelay.decisions.events import (
     DestinationsReleased,
     EndpointEntry,
@@ -18,7 +19,6 @@
     EndpointListReceived,
     EndpointState,
 )
-from loftrelay.decisions.scheduler import Destination, Endpoint
 from loftrelay.delivery.connection_pool import Group, Server
 from loftrelay.discovery.client import read_rows
 from loftrelay.net.address import Address
@@ -58,9 +58,17 @@
                 Walked(engine.endpoint_entries),
                 Walked(engine.batch_sizes),
             )
-            brain.endpoints, brain.destinations = Walked(brain.endpoints), Walked(brain.destinations)
+            brain.state.endpoints, brain.state.destinations = (
+                Walked(brain.state.endpoints),
+                Walked(brain.state.destinations),
+            )
             costs.append(steps(partial(listed, engine, EndpointListKind.DELTA, change)))
-            for of in (engine.endpoint_entries, engine.batch_sizes, brain.endpoints, brain.destinations):
+            for of in (
+                engine.endpoint_entries,
+                engine.batch_sizes,
+                brain.state.endpoints,
+                brain.state.destinations,
+            ):
                 assert isinstance(of, Walked)
                 assert of.walked == 0
             close(engine)
@@ -93,7 +101,9 @@
                 *(entry(f"a{i}", i, EndpointState.REMOVED) for i in range(100)),
             )
             assert more() == [101, 100, 101, 100]
-            engine.scheduler.handle_batch(engine.scheduler.now + 1, [DestinationsReleased(tuple(range(100)))])
+            engine.scheduler.handle_batch(
+                engine.scheduler.state.now + 1, [DestinationsReleased(tuple(range(100)))]
+            )
             for i in range(100):
                 engine.delivery.remove_host(f"b{i}")
             assert more() == [0, 0, 1, 1]
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -174,7 +174,7 @@
         )
         engine._turn()
         assert answers == dict.fromkeys(("a", "c", "d"), (202, 0))
-        assert [m.name for m in engine.scheduler.keys["k"].queue] == ["a", "c", "d"]
+        assert [m.name for m in engine.scheduler.state.ordering_keys["k"].pending] == ["a", "c", "d"]
         assert slices.wanted == [1, 2]
         close(engine)
 
@@ -308,19 +308,19 @@
         assert slices.wanted == [1, 2]
         assert engine.recovering == {1, 2}
         engine._turn()
-        assert not engine.scheduler.messages
+        assert not engine.scheduler.state.messages
         assert engine.release_destinations([1, 2]) == []
         engine.final_status_reported("told")  # heard before the module knows of it
         engine.destination_resolved(2, ResolutionStatus.UNAVAILABLE)
         assert slices.wanted == [1, 2, 2]  # tried on
         hold(engine, 1)
         engine._turn()
-        assert not engine.scheduler.messages
+        assert not engine.scheduler.state.messages
         hold(engine, 2)
         engine._turn()
-        assert list(engine.scheduler.messages) == ["a", "b", "c"]
-        assert not engine.scheduler.unnoticed
-        ran_on = engine.scheduler.messages["a"].ran_on
+        assert list(engine.scheduler.state.messages) == ["a", "b", "c"]
+        assert not engine.scheduler.state.unreported
+        ran_on = engine.scheduler.state.messages["a"].first_attempt_endpoint
         assert ran_on is not None
         assert ran_on.name == "h1"
         close(engine)
@@ -328,7 +328,7 @@
         engine, slices = make(tmp_path)
         engine.replay_recovered()  # no registry answers for too long
         engine._turn()
-        assert sorted(engine.scheduler.messages) == ["a", "b", "c"]
+        assert sorted(engine.scheduler.state.messages) == ["a", "b", "c"]
         engine.destination_resolved(1, ResolutionStatus.UNAVAILABLE)
         assert slices.wanted == [1, 2]  # not tried on by the engine
         close(engine)
@@ -357,8 +357,8 @@
         assert set(engine.batch_sizes) == set(engine.endpoint_entries)
         assert engine.events[-1] == DestinationsReleased((1, 7))
         engine._turn()
-        assert "h1" not in engine.scheduler.endpoints
-        assert "h2" in engine.scheduler.endpoints
+        assert "h1" not in engine.scheduler.state.endpoints
+        assert "h2" in engine.scheduler.state.endpoints
         submit(engine, answers, message("again", 1))
         assert "again" in engine.pending_submissions
         hold(engine, 1)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import ast
+import tomllib
 from pathlib import Path
 
 import pytest
@@ -85,3 +86,24 @@
     for path in files:
         if path.name != "simulator.py":
             assert not imports(path) & INPUT_OUTPUT, path
+
+
+MAX_DECISION_LINES = 400  # not blank
+MAX_METHODS = 25
+
+
+@pytest.mark.parametrize("path", sorted(ROOT.glob("decisions/*.py")), ids=lambda path: path.stem)
+def test_a_rule_of_the_decisions_stands_in_a_small_module(path: Path) -> None:
+    text = path.read_text()
+    assert sum(bool(line.strip()) for line in text.splitlines()) <= MAX_DECISION_LINES
+    for node in ast.walk(ast.parse(text)):
+        if isinstance(node, ast.ClassDef):
+            methods = [each for each in node.body if isinstance(each, ast.FunctionDef)]
+            assert len(methods) <= MAX_METHODS, node.name
+
+
+def test_the_deploy_file_names_every_module_of_the_decisions() -> None:
+    deploy = tomllib.loads((ROOT.parent / "deploy" / "balancer.toml").read_text())
+    rules = {path.relative_to(ROOT.parent).as_posix() for path in ROOT.glob("decisions/*.py")}
+    not_rules = {f"loftrelay/decisions/{name}.py" for name in ("__init__", "simulator", "snapshot")}
+    assert set(deploy["policy"]) == rules - not_rules
