--- /dev/null
+++ b/tests/program/test_stored_state.py
@@ -0,0 +1,183 @@
+"""Stored state written by the program of commit 32c0038 is read, and what it holds is delivered.
+
+The files and what that program itself did with them stand in tests/fixtures/state_32c0038 (README.md there).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import logging
+import shutil
+from dataclasses import asdict
+from pathlib import Path
+from typing import Any, cast
+
+import pytest
+
+from loftrelay.gossip.operator_overrides import Calls
+from loftrelay.journal.journal import Journal
+from loftrelay.relay.message import Message
+from loftrelay.service.gossip_member import GossipMember
+from loftrelay.state.hosts_out import HostsOut
+from loftrelay.state.last_config import LastFile
+from loftrelay.store.backend import Query
+from loftrelay.store.sqlite import SQLiteStore
+from loftrelay.store.state_machine import Answer, State
+from tests.standins.recovered import recover
+
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "state_32c0038"
+CONTENTS: dict[str, Any] = json.loads((FIXTURES / "journal_contents.json").read_text())
+RECOVERY: dict[str, Any] = json.loads((FIXTURES / "recovery.json").read_text())
+JOURNALS = ("journal", "journal_compacted", "journal_of_store")
+DISK_BYTES = 1_000_000
+FIELD_NAMES = {
+    "number": "sequence",
+    "key": "ordering_key",
+    "taken_at": "admitted_at",
+    "tried_at": "attempt_started_at",
+    "tried_on": "attempt_host",
+    "ran_at": "first_attempt_at",
+    "ran_on": "first_attempt_host",
+    "notice": "final_status",
+    "terms": "packed_terms",
+}  # name in the records of 32c0038 -> field of Message; the others have the same name
+
+
+def expected_message(stored: dict[str, Any]) -> dict[str, Any]:
+    fields = {FIELD_NAMES.get(name, name): value for name, value in stored.items()}
+    return {**fields, "body": bytes.fromhex(fields["body"])}
+
+
+def actual_message(message: Message) -> dict[str, Any]:
+    fields = asdict(message)
+    packed = fields["packed_terms"]
+    return {**fields, "packed_terms": None if packed is None else list(packed)}
+
+
+@pytest.mark.parametrize("name", JOURNALS)
+@pytest.mark.parametrize("read_only", [True, False])
+def test_every_message_of_a_journal_is_read_as_it_was(tmp_path: Path, name: str, read_only: bool) -> None:
+    shutil.copytree(FIXTURES / name, tmp_path / "state")
+    journal = Journal(tmp_path / "state", DISK_BYTES, read_only)
+    expected = CONTENTS[name]
+    assert {id_: actual_message(message) for id_, message in journal.messages.items()} == {
+        id_: expected_message(stored) for id_, stored in expected["messages"].items()
+    }
+    if read_only:
+        assert list(journal.messages) == list(expected["messages"])
+    assert journal.uncertain_keys == expected["uncertain_keys"]
+    assert list(journal.uncertain_keys) == list(expected["uncertain_keys"])
+    for id_, (status, expires_at) in expected["completed"].items():
+        completed = journal.completed(id_)
+        assert completed is not None
+        assert (completed.status, completed.expires_at) == (status, expires_at)
+    assert journal.completed("forgotten-order") is None
+    journal.close()
+
+
+@pytest.mark.parametrize("name", JOURNALS)
+def test_a_journal_that_was_read_and_rewritten_is_read_again(tmp_path: Path, name: str) -> None:
+    """The start of an owner drops the old segments: what they hold is written anew."""
+    shutil.copytree(FIXTURES / name, tmp_path / "state")
+    old = {path.name for path in (tmp_path / "state").iterdir()}
+    Journal(tmp_path / "state", DISK_BYTES).close()
+    assert not old & {path.name for path in (tmp_path / "state").iterdir()}
+    journal = Journal(tmp_path / "state", DISK_BYTES, True)
+    assert {id_: actual_message(message) for id_, message in journal.messages.items()} == {
+        id_: expected_message(stored) for id_, stored in CONTENTS[name]["messages"].items()
+    }
+    assert all(journal.completed(id_) is not None for id_ in CONTENTS[name]["completed"])
+    journal.close()
+
+
+@pytest.mark.parametrize("name", JOURNALS)
+def test_a_relay_started_on_old_state_delivers_reports_and_answers_as_the_old_one(
+    tmp_path: Path, name: str
+) -> None:
+    record = FIXTURES / "record.sqlite" if name == "journal_of_store" else None
+    expected = RECOVERY[name]
+    unfinished = {*expected["calls"], *(report["id"] for report in expected["reports"])}
+    unfinished -= {id_ for id_ in unfinished if id_.startswith("forgotten-")}  # these are resubmitted
+    unfinished -= {id_ for id_ in expected["resubmitted"] if expected["resubmitted"][id_] == 202}
+    actual = asyncio.run(recover(tmp_path, FIXTURES / name, unfinished, record=record))
+    bodies = actual.pop("bodies")
+    assert actual == expected
+    for id_, stored in CONTENTS[name]["messages"].items():
+        if id_ in bodies:
+            assert bodies[id_] == bytes.fromhex(stored["body"])
+
+
+def test_disabled_hosts_are_read() -> None:
+    assert HostsOut(FIXTURES).load() == {"h1", "host with spaces", "höst"}
+
+
+def test_disabled_hosts_are_written_as_before(tmp_path: Path) -> None:
+    HostsOut(tmp_path).save({"höst", "h1", "host with spaces"})
+    assert (tmp_path / "hosts-out.json").read_bytes() == (FIXTURES / "hosts-out.json").read_bytes()
+
+
+def test_the_last_configuration_is_read_and_written_as_before(tmp_path: Path) -> None:
+    config = LastFile(FIXTURES).load()
+    assert config == {
+        "name": "n1",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:9",
+        "seed": "8c1f30d2",
+        "settings": {"classes": [], "tick": 5000},
+    }
+    LastFile(tmp_path).save({**config, "known": {"revision": 1}})
+    assert (tmp_path / "last-config.json").read_bytes() == (FIXTURES / "last-config.json").read_bytes()
+
+
+def test_operator_overrides_are_read_and_written_as_before(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    member = cast(Any, object.__new__(GossipMember))
+    shutil.copy(FIXTURES / "fleet-calls.json", tmp_path)
+    member.path = tmp_path / "fleet-calls.json"
+    with caplog.at_level(logging.ERROR):
+        loaded = member._load()
+    assert not caplog.records
+    assert [(call.host, call.out, call.stamp, call.origin) for call in loaded] == [
+        ("h1", True, 1_790_000_000_000, "n1"),
+        ("h2", False, 1_790_000_000_006, "n1"),
+    ]
+    member.calls = Calls("n1", 1)
+    member.calls.load(loaded, ["h3"])
+    assert member.calls.known["h3"].stamp == 0
+    del member.calls.known["h3"]
+    member.path.unlink()
+    member._save()
+    assert member.path.read_bytes() == (FIXTURES / "fleet-calls.json").read_bytes()
+
+
+def test_every_row_of_a_store_is_read(tmp_path: Path) -> None:
+    shutil.copy(FIXTURES / "record.sqlite", tmp_path)
+    store = SQLiteStore(tmp_path / "record.sqlite")
+    assert store.verify() == []
+    found = {entry.message: entry for entry in store.select(Query())}
+    store.close()
+    assert {name: (entry.state, entry.answer, entry.attempts) for name, entry in found.items()} == {
+        "store-untried": (State.TAKEN, None, 0),
+        "store-out": (State.OUT, None, 1),
+        "store-waiting": (State.WAITING, None, 1),
+        "store-ended": (State.ENDED, Answer.FAILED, 1),
+        "store-delivered-unrecorded": (State.ENDED, Answer.DELIVERED, 1),
+        "store-lost": (State.TAKEN, None, 0),
+        "store-lost-out": (State.OUT, None, 1),
+        "store-told-delivered": (State.TOLD, Answer.DELIVERED, 1),
+        "store-told-failed": (State.TOLD, Answer.FAILED, 1),
+        "store-told-refused": (State.TOLD, Answer.REFUSED, 0),
+    }
+    waiting = found["store-waiting"]
+    assert (waiting.host, waiting.result, waiting.run, waiting.number) == ("h0", "FULL", 1, 3)
+    about = waiting.about
+    assert (about.instance, about.class_name, about.tenant, about.destination, about.key) == (
+        "n1",
+        "order",
+        "acme",
+        1,
+        "key-store-waiting",
+    )
+    assert about.deadline == 4_102_444_800_000_000
--- /dev/null
+++ b/tests/standins/recovered.py
@@ -0,0 +1,118 @@
+"""A relay started on stored state of another program: what it delivers, reports and answers.
+
+`python -m tests.standins.recovered ROOT STATE` prints this for the program in ROOT, for fixtures.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import shutil
+import sqlite3
+import sys
+import tempfile
+from collections import Counter
+from pathlib import Path
+from typing import Any
+
+from tests.standins.platform import HANG, ROOT, SETTINGS, World, deliver, free_port
+
+CENTURY_US = 3_155_760_000_000_000
+CLASSES = [
+    *SETTINGS["classes"],
+    *(
+        {
+            "name": name,
+            "effect": "deduplicated",
+            "key_scope": "all",
+            "window": window,
+            "deadline": 24_000_000,
+            "on_time": 3_000_000,
+            "worth": 2,
+        }
+        for name, window in (("alarm", CENTURY_US), ("brief", 1_000_000))
+    ),
+]
+RESUBMITTED = tuple(
+    f"{state}-{name}"
+    for state in ("delivered", "undeliverable", "forgotten")
+    for name in ("status", "order", "alarm", "brief")
+)
+
+
+async def recover(
+    folder: Path, state: Path, unfinished: set[str], root: Path = ROOT, record: Path | None = None
+) -> dict[str, Any]:
+    """Starts the program of `root` on a copy of `state` until all of `unfinished` have ended."""
+    async with World(folder, classes=CLASSES) as world:
+        world.root = root
+        world.control = f"127.0.0.1:{free_port()}"
+        shutil.copytree(state, folder / "state")
+        if record is not None:
+            shutil.copy(record, folder / "record.sqlite")
+            (folder / "record.toml").write_text(f'file = "{folder / "record.sqlite"}"\n')
+            world.arguments = ["--record", str(folder / "record.toml")]
+        host = await world.host(deliver)
+        await world.start()
+        await world.until(lambda: unfinished <= {*host.ids, *(notice["id"] for notice in world.notices)})
+        resubmitted = {}
+        if record is None:
+            for name in RESUBMITTED:
+                of = name.rpartition("-")[2]
+                resubmitted[name] = await world.hand_in(name, of, path=f"/{of}/{name}")
+        else:
+            for name in ("store-told-delivered", "store-told-failed", "store-told-refused"):
+                resubmitted[name] = await world.hand_in(name, "order", path=f"/order/{name}")
+        async with asyncio.timeout(HANG):
+            while "app.outstanding=0" not in await world.call("show-stat"):
+                await asyncio.sleep(0.02)
+        rows = await finished_rows(folder / "record.sqlite") if record is not None else []
+        await world.kill()
+        return {
+            "calls": dict(sorted(Counter(host.ids).items())),
+            "bodies": {request.id: request.body for request in host.requests},
+            "idempotency_keys": {
+                request.id: request.headers["idempotency-key"]
+                for request in host.requests
+                if "idempotency-key" in request.headers
+            },
+            "reports": sorted(world.notices, key=lambda report: str(report["id"])),
+            "resubmitted": resubmitted,
+            "rows": rows,
+        }
+
+
+async def finished_rows(store: Path) -> list[list[object]]:
+    """Id, state, answer and attempts of each message, once the end of every message was reported."""
+    database = sqlite3.connect(f"file:{store}?mode=ro", uri=True)
+    try:
+        async with asyncio.timeout(HANG):
+            while database.execute("SELECT count(*) FROM messages WHERE told_at IS NULL").fetchone() != (0,):
+                await asyncio.sleep(0.02)
+        rows = database.execute("SELECT id, run, state, answer, attempts, result FROM messages ORDER BY id")
+        return [list(row) for row in rows]
+    finally:
+        database.close()
+
+
+def main(root: Path, fixtures: Path) -> None:
+    contents = json.loads((fixtures / "journal_contents.json").read_text())
+    results = {}
+    for name, record in (
+        ("journal", None),
+        ("journal_compacted", None),
+        ("journal_of_store", fixtures / "record.sqlite"),
+    ):
+        unfinished = set(contents[name]["messages"])
+        if record is not None:
+            unfinished -= {"store-delivered-unrecorded"}
+            unfinished |= {"store-lost", "store-lost-out"}
+        with tempfile.TemporaryDirectory() as folder:
+            result = asyncio.run(recover(Path(folder), fixtures / name, unfinished, root, record))
+        del result["bodies"]  # they stand in journal_contents.json
+        results[name] = result
+    print(json.dumps(results, indent=1))
+
+
+if __name__ == "__main__":
+    main(Path(sys.argv[1]), Path(sys.argv[2]))
