--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -29,7 +29,7 @@
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "state_32c0038"
 CONTENTS: dict[str, Any] = json.loads((FIXTURES / "journal_contents.json").read_text())
 RECOVERY: dict[str, Any] = json.loads((FIXTURES / "recovery.json").read_text())
-JOURNALS = ("journal", "journal_compacted", "journal_of_store")
+JOURNALS = ("journal", "journal_compacted", "journal_of_store", "journal_handover")
 DISK_BYTES = 1_000_000
 FIELD_NAMES = {
     "number": "sequence",
@@ -91,7 +91,7 @@
     journal.close()
 
 
-@pytest.mark.parametrize("name", JOURNALS)
+@pytest.mark.parametrize("name", RECOVERY)
 def test_a_relay_started_on_old_state_delivers_reports_and_answers_as_the_old_one(
     tmp_path: Path, name: str
 ) -> None:
