--- /dev/null
+++ b/tests/program/test_wire.py
@@ -0,0 +1,22 @@
+"""What a relay and a registry write is, byte for byte, what the program of commit 32c0038 wrote."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from tests.standins.wire import SCENES, play
+
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "wire_32c0038"
+
+
+@pytest.mark.parametrize("scene", SCENES)
+def test_the_bytes_are_as_before(tmp_path: Path, scene: str) -> None:
+    actual = asyncio.run(play(scene, tmp_path))
+    assert actual.splitlines() == (FIXTURES / f"{scene}.txt").read_text().splitlines()
+
+
+def test_every_recorded_scene_is_played() -> None:
+    assert {path.stem for path in FIXTURES.glob("*.txt")} == set(SCENES)
--- a/tests/standins/registries.py
+++ b/tests/standins/registries.py
@@ -10,7 +10,7 @@
 
 from loftrelay.discovery.subscription import preference
 from loftrelay.net.address import parse_address
-from tests.standins.platform import HANG, ROOT, World, free_port
+from tests.standins.platform import HANG, World, free_port
 
 FLEET = "windwacht"
 
@@ -56,7 +56,7 @@
             "registry",
             "--settings",
             str(path),
-            cwd=ROOT,
+            cwd=self.world.root,
             stderr=asyncio.subprocess.PIPE,
         )
         log = self.logs[address] = []
--- /dev/null
+++ b/tests/standins/wire.py
@@ -0,0 +1,407 @@
+"""The bytes that a relay and a registry write in set scenes, for a comparison of two programs.
+
+`python -m tests.standins.wire ROOT FOLDER` writes a file for each scene with the program in ROOT. What
+differs from run to run (ports, clock readings, incarnations) is replaced by a word in angle brackets.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import re
+import sys
+import tempfile
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+
+from tests.standins.platform import (
+    HANG,
+    ROOT,
+    Peer,
+    PeerConnection,
+    Request,
+    World,
+    deliver,
+    free_port,
+    message,
+    reply,
+)
+from tests.standins.recovered import CLASSES
+from tests.standins.registries import Registries
+
+VARYING = (
+    (rb"127\.0\.0\.1:\d+", b"<address>"),
+    (rb"\r\nRequest-Timeout-Ms: \d+", b"\r\nRequest-Timeout-Ms: <ms>"),
+    (rb"subscriber=n1\.\w+", b"subscriber=n1.<incarnation>"),
+    (rb'"age_ms":\d+', b'"age_ms":<ms>'),
+    (rb'(?<=Content-Length: )\d+(?=\r\n\r\n\{"fleet")', b"<bytes>"),  # by the digits of age_ms
+    (rb"(?<=text/plain\r\nContent-Length: )[1-9]\d*", b"<bytes>"),
+    (rb"(?m)^([a-z0-9_]+) [\d.e+-]+$", rb"\1 <number>"),
+    (rb"(?m)^(app\.\w+(?:\.[\w-]+)*)=.*$", rb"\1=<number>"),
+)
+
+
+def normalized(data: bytes) -> str:
+    for pattern, word in VARYING:
+        data = re.sub(pattern, word, data)
+    return data.decode("latin-1")
+
+
+class RawConnection(PeerConnection):
+    def data_received(self, data: bytes) -> None:
+        assert isinstance(self.peer, RawPeer)
+        before = len(self.peer.requests)
+        self.unfinished = getattr(self, "unfinished", b"") + data
+        super().data_received(data)
+        if len(self.peer.requests) > before:
+            self.peer.raw.append(self.unfinished)
+            self.unfinished = b""
+
+
+class RawPeer(Peer):
+    """A peer that keeps the bytes of each request."""
+
+    raw: list[bytes]
+
+    async def start(self, port: int = 0) -> None:
+        self.raw = []
+        loop = asyncio.get_running_loop()
+        self.server = await loop.create_server(lambda: RawConnection(self), "127.0.0.1", port)
+
+
+class RawWorld(World):
+    """A world whose peers keep the bytes of each request."""
+
+    async def peer(self, script: Callable[[Request], Awaitable[bytes | None]]) -> RawPeer:
+        peer = RawPeer(self, script)
+        await peer.start()
+        self.peers.append(peer)
+        return peer
+
+
+def raw_of(peer: Peer) -> list[str]:
+    assert isinstance(peer, RawPeer)
+    return [normalized(raw) for raw in peer.raw]
+
+
+async def response(address: tuple[str, int], raw: bytes) -> str:
+    """All that is answered to these bytes on a connection of its own, `<end>` where the server closes it."""
+    reader, writer = await asyncio.open_connection(*address)
+    answer = b""
+    before, end, body = raw.partition(b"\r\n\r\n")
+    waits = b"100-continue" in before
+    async with asyncio.timeout(HANG):
+        writer.write(before + end if waits else raw)
+        while True:
+            head = await reader.readuntil(b"\r\n\r\n")
+            answer += head
+            if waits and head.startswith(b"HTTP/1.1 100"):
+                writer.write(body)
+                continue
+            length = re.search(rb"(?i)content-length: (\d+)", head)
+            if length is not None and not raw.startswith(b"HEAD"):
+                answer += await reader.readexactly(int(length[1]))
+            if b"connection: close" in head.lower():
+                with contextlib.suppress(ConnectionError):
+                    answer += await reader.read()
+                answer += b"<end>"
+            break
+    writer.close()
+    return normalized(answer)
+
+
+SUBMISSIONS = {  # in their order: later ones meet the ids of earlier ones
+    "accepted": message("m1", "order"),
+    "accepted, idempotent": message("m2"),
+    "accepted, chunked body": message("m3", Content_Length="", Transfer_Encoding="chunked").removesuffix(
+        b"hello"
+    )
+    + b"5\r\nhello\r\n0\r\n\r\n",
+    "100-continue": message("m4", Expect="100-continue"),
+    "accepted, to fail": message("bad", "order", path="/order/bad"),
+    "destination unknown": message("m5", dest=77),
+    "deadline passed": message("m6", Request_Timeout_Ms="0"),
+    "no id": message("", Request_Id=""),
+    "malformed id": message("a b"),
+    "class differs from path": message("m7", Request_Class="order"),
+    "class unknown": message("m7", "nothing"),
+    "path too long": message("m7", path="/status/a/b"),
+    "no tenant": message("m7", Tenant=""),
+    "tenant unknown": message("m7", Tenant="nobody"),
+    "no timeout": message("m7", Request_Timeout_Ms=""),
+    "malformed timeout": message("m7", Request_Timeout_Ms="1.5"),
+    "timeout too long": message("m7", Request_Timeout_Ms="999999"),
+    "no destination": message("m7", X_Consignee=""),
+    "malformed destination": message("m7", X_Consignee="dest=x"),
+    "key too long": message("m7", "order", path="/order/" + "k" * 257),
+    "malformed idempotency key": message("m7", Idempotency_Key="k" * 257),
+    "method not allowed": message("m7", method="GET"),
+    "repeated header": message("m7").replace(b"Tenant:", b"Tenant: acme\r\nTenant:"),
+    "two lengths of the body": message("m7", Transfer_Encoding="chunked"),
+    "body too long": message("m7", Content_Length="65537"),
+    "two requests at once": message("m7") + message("m8"),
+    "not HTTP": b"nonsense\r\n\r\n",
+    "unknown version": message("m7").replace(b"HTTP/1.1", b"HTTP/3.1"),
+    "HTTP/1.0": message("m9").replace(b"HTTP/1.1", b"HTTP/1.0"),
+    "client closes": message("m10", Connection="close"),
+    "ready": b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n",
+    "ready, HEAD": b"HEAD /health/ready HTTP/1.1\r\nHost: x\r\n\r\n",
+    "ready, POST": b"POST /health/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
+    "no such path": b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n",
+}
+RESUBMISSIONS = {
+    "delivered before": message("m1", "order"),
+    "failed before": message("bad", "order", path="/order/bad"),
+}
+
+
+async def client_responses(world: RawWorld) -> list[str]:
+    async def script(request: Request) -> bytes:
+        return reply(500 if request.id == "bad" else 200)
+
+    host = await world.host(script)
+    await world.start()
+    answers = [f"# {name}\n{await response(world.address, raw)}" for name, raw in SUBMISSIONS.items()]
+    await world.until(lambda: {"m1", "bad"} <= set(host.ids) and bool(world.notices))
+    async with asyncio.timeout(HANG):
+        while "app.outstanding=0" not in await world.call("show-stat"):
+            await asyncio.sleep(0.02)
+    return answers + [
+        f"# {name}\n{await response(world.address, raw)}" for name, raw in RESUBMISSIONS.items()
+    ]
+
+
+async def overload_responses(world: RawWorld) -> list[str]:
+    """With room for two messages, neither of which can be delivered."""
+    world.name()
+    await world.start()
+    answers = [await response(world.address, message(f"m{n}", path="/status")) for n in range(4)]
+    return [*answers, await response(world.address, message("order", "order"))]
+
+
+async def host_calls(world: RawWorld) -> list[str]:
+    single, batch = await world.host(deliver), await world.peer(deliver)
+
+    async def batch_script(request: Request) -> bytes:
+        return reply(200)
+
+    batch.script = batch_script
+    await world.start()
+    await world.hand_in("first", "order", body=bytes(range(256)))
+    await world.until(lambda: single.answered == 1)
+    await world.hand_in("second", "alarm", Idempotency_Key="client 7")
+    await world.until(lambda: single.answered == 2)
+    await world.hand_in("third", "status", body=b"", Client_Retry="1")
+    await world.until(lambda: single.answered == 3)
+    world.name(2, "bulk")
+    for number, of in enumerate(("order", "status", "alarm")):
+        async with asyncio.timeout(HANG):
+            while await world.hand_in(f"batch{number}", of, 2) == 503:
+                await asyncio.sleep(0.02)
+    world.list_host(2, "bulk", "Ready", batch.address)
+    await world.until(lambda: batch.answered >= 1)
+    return [*raw_of(single), *raw_of(batch)]
+
+
+async def status_reports(world: RawWorld) -> list[str]:
+    async def fail(request: Request) -> bytes:
+        return reply(500)
+
+    await world.host(fail)
+    world.name(2)
+    await world.start()
+    for name, of, dest, timeout in (
+        ("failed", "order", 1, "20000"),
+        ("expired", "status", 2, "300"),
+        ('q"uote', "order", 1, "20000"),
+    ):
+        before = len(world.notices)
+        await world.hand_in(name, of, dest, path=f"/{of}/{name}", Request_Timeout_Ms=timeout)
+        await world.until(lambda n=before: len(world.notices) > n)  # type: ignore[misc]
+    return [raw for raw in raw_of(world.discovery) if "/reports" in raw.partition("\r\n")[0]]
+
+
+async def discovery_calls(world: RawWorld) -> list[str]:
+    await world.host(deliver)
+    await world.start()
+    await world.until(lambda: len(world.discovery.requests) >= 2)
+    world.name(2)
+    await world.until(lambda: len(world.discovery.requests) >= 3)
+    return raw_of(world.discovery)[:3]
+
+
+async def admin_replies(world: RawWorld) -> list[str]:
+    await world.host(deliver)
+    await world.start()
+    lines = (
+        "ready",
+        "show-stat",
+        "disable-server h0",
+        "disable-server h0",
+        "ready",
+        "enable-server h0",
+        "enable-server h0",
+        "disable-server nobody",
+        "disable-server",
+        "disable-server a b",
+        "ready now",
+        "nothing",
+        "",
+        "x" * 600,
+    )
+    return [f"# {line[:40]}\n{normalized((await world.call(line)).encode())}" for line in lines]
+
+
+class RecordingProxy:
+    """Passes bytes on between a relay and a registry, and keeps them."""
+
+    def __init__(self, address: str) -> None:
+        self.host, _, port = address.rpartition(":")
+        self.port = int(port)
+        self.exchanged: list[tuple[str, bytes]] = []
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    async def start(self) -> str:
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=1 << 24)
+        return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
+
+    def close(self) -> None:
+        self.server.close()
+        for task in self.tasks:
+            task.cancel()
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        there_reader, there_writer = await asyncio.open_connection(self.host, self.port, limit=1 << 24)
+        for way, source, target in (("call", reader, there_writer), ("answer", there_reader, writer)):
+            task = asyncio.create_task(self._pass_on(way, source, target))
+            self.tasks.add(task)
+            task.add_done_callback(self.tasks.discard)
+
+    async def _pass_on(self, way: str, source: asyncio.StreamReader, target: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
+            while True:
+                data = await source.readuntil(b"\r\n\r\n")
+                if (length := re.search(rb"(?i)content-length: (\d+)", data)) is not None:
+                    data += await source.readexactly(int(length[1]))
+                self.exchanged.append((way, data))
+                target.write(data)
+        target.close()
+
+    def seen(self, way: str, text: bytes) -> list[str]:
+        return [normalized(data) for direction, data in self.exchanged if direction == way and text in data]
+
+
+async def registry_calls(world: RawWorld) -> list[str]:
+    """A relay that subscribes at a registry: its calls, the registry's answers, and the registry's calls."""
+    async with Registries(world, 1, wait_ms=10_000) as registries:
+        proxy = RecordingProxy(registries.addresses[0])
+        path = world.folder / "subscription.toml"
+        path.write_text(path.read_text().replace(registries.addresses[0], await proxy.start()))
+        try:
+            host = await world.host(deliver)
+            await world.start()
+            await world.hand_in_once_listed("m1", 1)
+            await world.until(lambda: host.ids == ["m1"])
+            world.list_host(1, "plain", "Terminating", "127.0.0.1:9")
+            async with asyncio.timeout(HANG):
+                while not proxy.seen("answer", b'"Terminating"'):
+                    await asyncio.sleep(0.02)
+            changes, watches = proxy.seen("call", b"add="), proxy.seen("call", b"wait=")
+            told = proxy.seen("answer", b'"Ready"'), proxy.seen("answer", b'"Terminating"')
+            figures = normalized((await world.call("show-stat")).encode())
+            return [figures, changes[0], watches[0], told[0][0], told[1][0], *raw_of(world.discovery)[:1]]
+        finally:
+            proxy.close()
+
+
+REGISTRY_CALLS = (
+    "GET /registry/instances?fleet=windwacht&subscriber=r9.1&seq=1&index=0&add=1,2&reset=1",
+    "GET /registry/instances?fleet=windwacht&subscriber=r9.1&seq=1&index=0&add=1,2&reset=1",
+    "GET /registry/instances?fleet=windwacht&subscriber=r9.1&seq=2&index=2&have=1&drop=2",
+    "GET /registry/instances?fleet=windwacht&subscriber=r9.1&index=2&wait=0",
+    "GET /registry/instances?fleet=windwacht&subscriber=r9.1&seq=1&index=0&add=3",
+    "GET /registry/instances?fleet=windwacht&subscriber=nobody.1&index=2&wait=0",
+    "GET /registry/instances?fleet=windwacht&subscriber=nobody.1&seq=2&add=1",
+    "GET /registry/instances?fleet=other&subscriber=r9.1&index=2&wait=0",
+    "GET /registry/instances?fleet=windwacht&subscriber=r9.1&index=x&wait=0",
+    "GET /registry/instances?fleet=windwacht&subscriber=r9.1&index=2",
+    "GET /registry/instances?fleet=windwacht&index=2&wait=0",
+    "GET /registry/instances?fleet=windwacht&subscriber=r9.1&index=2&wait=0&more=1",
+    "GET /registry/instances",
+    "GET /health/ready",
+    "HEAD /health/ready",
+    "GET /figures",
+    "GET /nothing",
+    "POST /registry/instances",
+)
+
+
+async def registry_answers(world: RawWorld) -> list[str]:
+    await world.host(deliver)
+    async with Registries(world, 1) as registries:
+        host, _, port = registries.addresses[0].rpartition(":")
+        ready = b"GET /health/ready HTTP/1.1\r\nHost: registry\r\n\r\n"
+        async with asyncio.timeout(HANG):
+            while not (await response((host, int(port)), ready)).startswith("HTTP/1.1 200"):
+                await asyncio.sleep(0.02)
+        calls = [f"{line} HTTP/1.1\r\nHost: registry\r\n\r\n".encode() for line in REGISTRY_CALLS]
+        return [
+            f"# {line}\n{await response((host, int(port)), call)}"
+            for line, call in zip(REGISTRY_CALLS, calls, strict=True)
+        ]
+
+
+async def admin_figures_with_fleet_and_store(world: RawWorld) -> list[str]:
+    (world.folder / "record.toml").write_text(f'file = "{world.folder / "record.sqlite"}"\n')
+    (world.folder / "fleet.toml").write_text(f'[fleet]\nlisten = "127.0.0.1:{free_port()}"\n')
+    world.arguments = [
+        "--record",
+        str(world.folder / "record.toml"),
+        "--fleet",
+        str(world.folder / "fleet.toml"),
+    ]
+    await world.host(deliver)
+    await world.start()
+    return [normalized((await world.call("show-stat")).encode())]
+
+
+SCENES: dict[str, Callable[[RawWorld], Awaitable[list[str]]]] = {
+    scene.__name__: scene
+    for scene in (
+        client_responses,
+        overload_responses,
+        host_calls,
+        status_reports,
+        discovery_calls,
+        admin_replies,
+        admin_figures_with_fleet_and_store,
+        registry_calls,
+        registry_answers,
+    )
+}
+
+
+async def play(name: str, folder: Path, root: Path = ROOT) -> str:
+    """The bytes of one scene as text: lines end at each LF, other control characters are escaped."""
+    settings = {"policy_limits": {**LIMITS, "most_held": 2 if name == "overload_responses" else 100}}
+    world = RawWorld(folder, classes=CLASSES, **settings)
+    async with world:
+        world.root = root
+        world.control = f"127.0.0.1:{free_port()}"
+        pieces = await SCENES[name](world)
+    lines = "\n\n".join(pieces).split("\n")
+    return "".join(f"{line.encode('unicode_escape').decode()}\n" for line in lines)
+
+
+LIMITS = {"conn_idle": 15_000_000, "connect_timeout": 1_000_000, "most_tries": 12}
+
+
+def main(root: Path, fixtures: Path, names: list[str]) -> None:
+    fixtures.mkdir(parents=True, exist_ok=True)
+    for name in names or SCENES:
+        with tempfile.TemporaryDirectory() as folder:
+            (fixtures / f"{name}.txt").write_text(asyncio.run(play(name, Path(folder), root)))
+
+
+if __name__ == "__main__":
+    main(Path(sys.argv[1]), Path(sys.argv[2]), sys.argv[3:])
