--- /dev/null
+++ b/loftrelay/discovery/destination_table.py
@@ -0,0 +1,235 @@
+"""Destinations that a relay subscribes to, with their endpoints as of the revisions received."""
+
+from __future__ import annotations
+
+import math
+from collections import Counter, OrderedDict
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass, field, replace
+
+from loftrelay.decisions.events import EndpointState
+from loftrelay.discovery.subscription_actions import Row
+from loftrelay.registry.protocol import MOST_CELLS
+
+SWEEP_INTERVAL_S = 1.0
+
+
+@dataclass(slots=True)
+class Destination:
+    """One subscribed destination.
+
+    Attributes:
+        rows: Its endpoints by id; None until the first full response.
+        revision: Revision of the last full response. A higher revision of the whole subscription also
+            covers this destination.
+        needs_full: The rows may be wrong: the next full response replaces them and is passed on whole.
+    """
+
+    rows: dict[str, Row] | None = None
+    revision: int = 0
+    needs_full: bool = False
+
+    @property
+    def is_resolved(self) -> bool:
+        """Whether its endpoints have been received."""
+        return self.rows is not None
+
+    @property
+    def is_known_empty(self) -> bool:
+        """Whether it is known to have no endpoint."""
+        return self.rows is not None and not self.rows and not self.needs_full
+
+    def invalidate(self) -> None:
+        """Requires a full response before the rows are relied on again."""
+        self.needs_full = self.is_resolved
+
+
+@dataclass(slots=True)
+class ListUpdate:
+    """Effect of one response on the table.
+
+    Attributes:
+        removed: Endpoints that are gone. They are passed on first: an endpoint may have moved to another
+            destination.
+        changed: New and changed endpoints.
+        refreshed: Destinations received in full, in order, each with whether it had an endpoint then.
+    """
+
+    removed: list[Row] = field(default_factory=list)
+    changed: list[Row] = field(default_factory=list)
+    refreshed: dict[int, bool] = field(default_factory=dict)
+
+
+@dataclass(slots=True)
+class DestinationTable:
+    """Holds the subscribed destinations and applies responses to them.
+
+    Attributes:
+        idle_after: Seconds without a message after which a destination may be released.
+        capacity: Destinations held before those used least recently may be released, too.
+        counts: The subscription's counters.
+        destinations: All that are resolved or being looked up.
+        last_used: When each last had a message, least recently used first.
+        destination_of: Destination of each endpoint.
+        swept_at: When idle destinations were last looked for.
+    """
+
+    idle_after: float
+    capacity: int
+    counts: Counter[str]
+    destinations: dict[int, Destination] = field(default_factory=dict)
+    last_used: OrderedDict[int, float] = field(default_factory=OrderedDict)
+    destination_of: dict[str, int] = field(default_factory=dict)
+    swept_at: float = -math.inf
+
+    def __contains__(self, number: int) -> bool:
+        return number in self.destinations
+
+    def get(self, number: int) -> Destination | None:
+        """Returns the destination, or None where it is not held."""
+        return self.destinations.get(number)
+
+    def add(self, number: int) -> Destination:
+        """Adds a destination that is to be resolved."""
+        destination = self.destinations[number] = Destination()
+        return destination
+
+    def adopt(self, now: float, numbers: Iterable[int], rows: Iterable[Row]) -> None:
+        """Takes over destinations and endpoints of another process, all as resolved."""
+        for number in numbers:
+            self.destinations[number] = Destination({})
+            self.last_used[number] = now
+        for row in rows:
+            endpoint, number = row[0].endpoint, row[0].destination
+            destination = self.destinations.setdefault(number, Destination({}))
+            assert destination.rows is not None
+            destination.rows[endpoint] = row
+            self.destination_of[endpoint] = number
+            self.last_used.setdefault(number, now)
+
+    def mark_used(self, now: float, number: int) -> None:
+        """Records a message for a destination."""
+        self.last_used[number] = now
+        self.last_used.move_to_end(number)
+
+    def mark_used_if_held(self, now: float, number: int) -> None:
+        """Records a message for a destination that is held; does nothing for another."""
+        if number in self.last_used:
+            self.mark_used(now, number)
+
+    def release(self, number: int) -> bool:
+        """Forgets a destination. Returns whether it was held."""
+        destination = self.destinations.pop(number, None)
+        if destination is None:
+            return False
+        for endpoint in destination.rows or ():
+            if self.destination_of.get(endpoint) == number:
+                del self.destination_of[endpoint]
+        self.last_used.pop(number, None)
+        return True
+
+    def discard_unresolved(self, number: int) -> None:
+        """Forgets a destination whose endpoints were never received."""
+        destination = self.destinations.get(number)
+        if destination is not None and not destination.is_resolved:
+            del self.destinations[number], self.last_used[number]
+
+    def invalidate_all(self) -> None:
+        """Requires a full response for every destination."""
+        for destination in self.destinations.values():
+            destination.invalidate()
+
+    def forget_revisions(self) -> None:
+        """Requires full responses, of any revision: the source has restarted its revisions."""
+        for destination in self.destinations.values():
+            destination.revision = 0
+        self.invalidate_all()
+
+    @property
+    def sweep_due_at(self) -> float:
+        """When the next sweep can find something."""
+        if not self.last_used:
+            return math.inf
+        if len(self.destinations) > self.capacity:
+            return self.swept_at + SWEEP_INTERVAL_S
+        oldest_use = next(iter(self.last_used.values()))
+        return max(self.swept_at + SWEEP_INTERVAL_S, oldest_use + self.idle_after)
+
+    def sweep(self, now: float) -> tuple[int, ...]:
+        """Returns idle and surplus destinations, at most as many as fit into one call."""
+        self.swept_at = now
+        surplus = len(self.destinations) - self.capacity
+        found: list[int] = []
+        for number, used in self.last_used.items():
+            is_idle = used + self.idle_after <= now
+            if len(found) == MOST_CELLS or (not is_idle and len(found) >= surplus):
+                break
+            found.append(number)
+        return tuple(found)
+
+    def apply_changes(self, revision: int, full: Iterable[int], rows: Sequence[Row]) -> ListUpdate:
+        """Applies single changed rows, save those of the destinations in `full`."""
+        update = ListUpdate()
+        skipped = set(full)
+        for row in rows:
+            number = row[0].destination
+            destination = self.destinations.get(number)
+            if number in skipped or destination is None or destination.rows is None or destination.needs_full:
+                continue
+            if destination.revision > revision:
+                self.counts["overtaken"] += 1
+                continue
+            self._apply_row(number, destination.rows, row, update)
+        return update
+
+    def apply_full(self, revision: int, full: Iterable[int], rows: Sequence[Row]) -> ListUpdate:
+        """Replaces the endpoints of the destinations in `full` by those among `rows`."""
+        members: dict[int, list[Row]] = {number: [] for number in full}
+        for row in rows:
+            if row[0].destination in members and row[0].state is not EndpointState.REMOVED:
+                members[row[0].destination].append(row)
+        update = ListUpdate()
+        for number, received in members.items():
+            destination = self.destinations.get(number)
+            if destination is not None:
+                self._replace(number, destination, revision, received, update)
+        return update
+
+    def _replace(
+        self, number: int, destination: Destination, revision: int, received: list[Row], update: ListUpdate
+    ) -> None:
+        is_usable = destination.rows is not None and not destination.needs_full
+        if is_usable and destination.revision > revision:
+            self.counts["overtaken"] += 1
+            return
+        self.counts["cells"] += 1
+        if destination.rows is None:
+            destination.rows = {}
+        listed = {row[0].endpoint for row in received}
+        for endpoint in [endpoint for endpoint in destination.rows if endpoint not in listed]:
+            self._remove(number, destination.rows, endpoint, update)
+        for row in received:
+            self._apply_row(number, destination.rows, row, update)
+        destination.revision, destination.needs_full = revision, False
+        update.refreshed[number] = bool(destination.rows)
+
+    def _apply_row(self, number: int, rows: dict[str, Row], row: Row, update: ListUpdate) -> None:
+        endpoint = row[0].endpoint
+        if row[0].state is EndpointState.REMOVED:
+            self._remove(number, rows, endpoint, update)
+            return
+        if rows.get(endpoint) == row and not self.destinations[number].needs_full:
+            return
+        previous = self.destinations.get(self.destination_of.get(endpoint, number))
+        if previous is not None and previous.rows is not None and previous.rows is not rows:
+            self._remove(self.destination_of[endpoint], previous.rows, endpoint, update)
+        rows[endpoint] = row
+        self.destination_of[endpoint] = number
+        update.changed.append(row)
+
+    def _remove(self, number: int, rows: dict[str, Row], endpoint: str, update: ListUpdate) -> None:
+        row = rows.pop(endpoint, None)
+        if row is not None and self.destination_of.get(endpoint) == number:
+            del self.destination_of[endpoint]
+            entry, address = row
+            update.removed.append((replace(entry, state=EndpointState.REMOVED), address))
--- a/loftrelay/discovery/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -1,4 +1,4 @@
-"""The list of a relay that holds the destinations it serves alone: carries out what interest.py says."""
+"""The list of a relay that holds the destinations it serves alone: carries out what subscription.py says."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from loftrelay.discovery.client import CONNECT, MOST_PARSED, PATIENCE, read_list
 from loftrelay.discovery.http_client import Caller
 from loftrelay.discovery.settings import SubscriptionSettings
-from loftrelay.discovery.subscription import (
+from loftrelay.discovery.subscription import SubscriptionState
+from loftrelay.discovery.subscription_actions import (
     Action,
-    Call,
+    CancelCalls,
     Channel,
-    HangUp,
-    Interest,
-    LetGo,
+    DestinationResolved,
+    EntriesChanged,
+    LogLine,
+    ReleaseDestinations,
     Row,
-    Say,
-    Sliced,
-    Tell,
+    StartCall,
 )
 from loftrelay.net.address import Address
 from loftrelay.net.http import Answer, AnswerTooLong, ConnectionBroken
@@ -67,10 +67,10 @@
         self.address = notices
         self.revision: int | None = None
         self.tell, self.sliced, self.let_go = tell, sliced, let_go
-        self.interest = Interest(
+        self.subscription = SubscriptionState(
             told.registries, told.fleet, name, secrets.token_hex(8), told.timing, secrets.randbits(64)
         )
-        self.counts: Counter[str] = self.interest.counts
+        self.counts: Counter[str] = self.subscription.counts
         self.answered = asyncio.Event()  # by a registry, since the start
         self.callers: dict[Channel, Caller] = {}
         self.tasks: dict[Channel, asyncio.Task[None]] = {}
@@ -84,11 +84,11 @@
         self.tell(EndpointListReceived(EndpointListKind.CACHED, ()), {})
 
     def watch(self) -> None:
-        self.interest.start(self._now())
+        self.subscription.start(self._now())
         self._do()
 
     def pause(self) -> None:
-        self.interest.pause()
+        self.subscription.pause()
         self._do()
 
     def resume(self, revision: int | None) -> None:
@@ -96,7 +96,7 @@
         self.watch()
 
     def adopt(self, revision: int | None, destinations: Iterable[int], rows: Iterable[Row]) -> None:
-        self.interest.adopt(self._now(), revision, destinations, rows)
+        self.subscription.adopt(self._now(), revision, destinations, rows)
         self.revision = revision
 
     def move_to(self, address: Address) -> None:
@@ -109,25 +109,25 @@
             self.timer.cancel()
 
     def resolve(self, destination: int) -> None:
-        self.interest.want(self._now(), destination)
+        self.subscription.resolve(self._now(), destination)
         self._do()
 
     def mark_used(self, destination: int) -> None:
-        self.interest.use(self._now(), destination)
+        self.subscription.mark_used(self._now(), destination)
 
     def figure_lines(self) -> list[str]:
         """For the door, in the form of the others."""
-        interest = self.interest
+        subscription = self.subscription
         told = {
-            "held": sum(cell.hosts is not None for cell in interest.cells.values()),
-            "wanted": len(interest.wants),
-            "hosts": len(interest.where),
-            "registry": interest.place,
+            "held": sum(cell.is_resolved for cell in subscription.table.destinations.values()),
+            "wanted": len(subscription.lookups.deadlines),
+            "hosts": len(subscription.table.destination_of),
+            "registry": subscription.session.selection.position,
             **{name: self.counts[name] for name in COUNTS},
         }
         return [f"app.slices_{name}={value}" for name, value in told.items()]
 
-    # What interest.py says
+    # What subscription.py says
 
     @staticmethod
     def _now() -> float:
@@ -138,41 +138,41 @@
             return  # the engine asks while it is told: that comes next
         self.doing = True
         try:
-            while actions := self.interest.take():
+            while actions := self.subscription.take_actions():
                 for action in actions:
                     try:
                         self._do_one(action)
                     except Exception:
                         # A fault of the program. Who waits for the rest has to hear it all the same.
                         log.exception("a registry's news was not taken")
-                        self.interest.spoilt(self._now())
+                        self.subscription.processing_failed(self._now())
         finally:
             self.doing = False
             self._set_timer()
-        self.revision = self.interest.index or None
-        if self.interest.answered:
+        self.revision = self.subscription.revision or None
+        if self.subscription.has_answered:
             self.answered.set()
 
     def _do_one(self, action: Action) -> None:
         match action:
-            case Call():
+            case StartCall():
                 self.tasks[action.channel] = asyncio.create_task(self._ask(action))
-            case HangUp():
+            case CancelCalls():
                 self._hang_up()
-            case Tell(rows):
+            case EntriesChanged(rows):
                 entries = tuple(entry for entry, _ in rows)
                 self.tell(
                     EndpointListReceived(EndpointListKind.DELTA, entries), {e.endpoint: at for e, at in rows}
                 )
-            case Sliced(destination, state):
+            case DestinationResolved(destination, state):
                 self.sliced(destination, state)
-            case LetGo(destinations):
-                self.interest.let_go(self._now(), destinations, self.let_go(destinations))
-            case Say(text):
+            case ReleaseDestinations(destinations):
+                self.subscription.release(self._now(), destinations, self.let_go(destinations))
+            case LogLine(text):
                 log.info("%s", text)
 
     def _set_timer(self) -> None:
-        due = self.interest.due
+        due = self.subscription.due_at
         if due != self.timer_at:
             if self.timer is not None:
                 self.timer.cancel()
@@ -182,7 +182,7 @@
 
     def _tick(self, due: float) -> None:
         self.timer, self.timer_at = None, math.inf
-        self.interest.tick(max(due, self._now()))
+        self.subscription.tick(max(due, self._now()))
         self._do()
 
     def _hang_up(self) -> None:
@@ -193,7 +193,7 @@
             caller.close()
         self.callers.clear()
 
-    async def _ask(self, call: Call) -> None:
+    async def _ask(self, call: StartCall) -> None:
         caller = self.callers.get(call.channel)
         if caller is None or caller.address != call.registry:
             if caller is not None:
@@ -205,24 +205,24 @@
             self.counts["bytes_in"] += _size(answer)
             if answer.status != 200:
                 text = answer.body[:MOST_ERROR].decode(errors="replace").strip()
-                self.interest.refused(self._now(), call.number, answer.status, text)
+                self.subscription.call_rejected(self._now(), call.number, answer.status, text)
             else:
                 told = read_answer(answer.body)
                 row = {"revision": told.revision, "complete": False, "members": told.members}
                 rows = read_list(row)[2]
-                self.interest.heard(self._now(), call.number, told, rows)
+                self.subscription.call_answered(self._now(), call.number, told, rows)
             self._do()
         except AnswerTooLong as error:
             why = f"answers over {error.limit} bytes, which are not taken"
-            self.interest.failed(self._now(), call.number, why, too_long=True)
+            self.subscription.call_failed(self._now(), call.number, why, is_too_long=True)
         except (OSError, ConnectionBroken) as error:
-            self.interest.failed(self._now(), call.number, f"does not answer: {error!r}")
+            self.subscription.call_failed(self._now(), call.number, f"does not answer: {error!r}")
         except (ValueError, RecursionError) as error:
-            self.interest.failed(self._now(), call.number, f"answers what can't be read: {error}")
+            self.subscription.call_failed(self._now(), call.number, f"answers what can't be read: {error}")
         except Exception:
             # A fault of the program: without a further call the relay would never hear of a drain again.
             log.exception("a call to a registry failed")
-            self.interest.spoilt(self._now())
+            self.subscription.processing_failed(self._now())
         self._do()
 
 
--- /dev/null
+++ b/loftrelay/discovery/subscription_calls.py
@@ -0,0 +1,80 @@
+"""Builds the subscription's calls to a registry and tracks which of them are outstanding."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from loftrelay.discovery.subscription_actions import Action, CancelCalls, Channel, StartCall
+from loftrelay.net.address import Address
+from loftrelay.registry.protocol import Change, Watch, target
+
+WATCH_WAIT_S = 2.0  # for which a registry may hold a watch
+
+
+@dataclass(frozen=True, slots=True)
+class OutstandingChange:
+    """A change that was sent and not answered yet."""
+
+    request: Change
+    number: int
+
+
+@dataclass(slots=True)
+class OutstandingCalls:
+    """At most one change, one watch and one check of another registry are outstanding at a time.
+
+    Attributes:
+        fleet: Name of the fleet, sent with each call.
+        subscriber: Name of the subscription.
+        actions: Where calls are appended.
+        change: The outstanding change.
+        watch: Number of the outstanding watch.
+        watch_revision: Revision from which on the last watch asked for changes.
+        check: Number of the outstanding check.
+        check_position: Position of the registry that the last check was sent to.
+        number: Number of the last call.
+    """
+
+    fleet: str
+    subscriber: str
+    actions: list[Action]
+    change: OutstandingChange | None = None
+    watch: int | None = None
+    watch_revision: int = 0
+    check: int | None = None
+    check_position: int = 0
+    number: int = 0
+
+    def send_change(self, registry: Address, change: Change) -> None:
+        """Sends a change of the subscription."""
+        self.change = OutstandingChange(change, self._start(Channel.CHANGES, registry, target(change), 0.0))
+
+    def send_watch(self, registry: Address, revision: int) -> None:
+        """Sends a watch for what is newer than `revision`."""
+        self.watch_revision = revision
+        watch = Watch(self.fleet, self.subscriber, revision, int(WATCH_WAIT_S * 1000))
+        self.watch = self._start(Channel.WATCH, registry, target(watch), WATCH_WAIT_S)
+
+    def send_check(self, registry: Address, position: int) -> None:
+        """Checks another registry by an empty subscription, while the watch goes on."""
+        self.check_position = position
+        check = Change(self.fleet, f"{self.subscriber}.look", self.number, reset=True)
+        self.check = self._start(Channel.FAILBACK_CHECK, registry, target(check), 0.0)
+
+    def cancel_all(self) -> None:
+        """Ends all calls."""
+        self.actions.append(CancelCalls())
+        self.change = self.watch = self.check = None
+
+    def is_change(self, number: int) -> bool:
+        """Whether the call is the outstanding change."""
+        return self.change is not None and number == self.change.number
+
+    def is_subscription_call(self, number: int) -> bool:
+        """Whether the call is the outstanding change or watch."""
+        return number == self.watch or self.is_change(number)
+
+    def _start(self, channel: Channel, registry: Address, request_target: str, wait: float) -> int:
+        self.number += 1
+        self.actions.append(StartCall(channel, self.number, registry, request_target, wait))
+        return self.number
--- a/tests/discovery/registries.py
+++ b/tests/discovery/registries.py
@@ -9,18 +9,17 @@
 from dataclasses import dataclass, field, replace
 
 from loftrelay.decisions.events import EndpointEntry, EndpointState
-from loftrelay.discovery.subscription import (
+from loftrelay.discovery.subscription import SubscriptionState, Timing
+from loftrelay.discovery.subscription_actions import (
     Action,
-    Call,
+    CancelCalls,
     Channel,
-    HangUp,
-    Interest,
-    LetGo,
+    DestinationResolved,
+    EntriesChanged,
+    LogLine,
+    ReleaseDestinations,
     Row,
-    Say,
-    Sliced,
-    Tell,
-    Timing,
+    StartCall,
 )
 from loftrelay.net.address import Address
 from loftrelay.registry.protocol import GONE, UNAVAILABLE, Answer, Change, Watch, checksum, read_target
@@ -159,14 +158,16 @@
 
 
 class Relay:
-    """One Interest against registries, with the time and the net in the hands of the test."""
+    """One SubscriptionState against registries, with the time and the net in the hands of the test."""
 
     def __init__(
         self, registries: list[Registry], timing: Timing = TIMING, seed: int = 1, name: str = "n1"
     ) -> None:
         self.registries = {registry.address: registry for registry in registries}
         self.random = random.Random(seed)
-        self.interest = Interest([r.address for r in registries], FLEET, name, f"{seed:x}", timing, seed)
+        self.subscription = SubscriptionState(
+            [r.address for r in registries], FLEET, name, f"{seed:x}", timing, seed
+        )
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.number = 0
@@ -175,14 +176,14 @@
         self.busy: set[int] = set()  # that the engine does not let go
         self.offered: list[int] = []
         self.lines: list[str] = []
-        self.calls: list[tuple[float, Call]] = []
+        self.calls: list[tuple[float, StartCall]] = []
         self.delay = 0.001  # seconds each way: at the most
         self.loss = self.doubled = 0.0
 
     @property
     def first(self) -> Registry:
         """The registry in use."""
-        return self.registries[self.interest.order[self.interest.place].address]
+        return self.registries[self.subscription.session.selection.current.address]
 
     def at(self, time: float, what: Callable[[], None]) -> None:
         self.number += 1
@@ -192,7 +193,7 @@
         end = self.now + seconds
         self.do()
         while True:
-            due = self.interest.due
+            due = self.subscription.due_at
             at = min(due, self.queue[0][0] if self.queue else due)
             if at > end:
                 break
@@ -200,33 +201,33 @@
             if self.queue and self.queue[0][0] <= self.now:
                 heapq.heappop(self.queue)[2]()
             else:
-                self.interest.tick(self.now)
+                self.subscription.tick(self.now)
             self.do()
         self.now = end
 
     def do(self) -> None:
-        while actions := self.interest.take():
+        while actions := self.subscription.take_actions():
             for action in actions:
                 self._do(action)
 
     def _do(self, action: Action) -> None:
         match action:
-            case Call():
+            case StartCall():
                 self._call(action)
-            case Tell(rows):
+            case EntriesChanged(rows):
                 for row in rows:
                     self._row(row)
-            case Sliced(cell, state):
+            case DestinationResolved(cell, state):
                 self.sliced.append((cell, state, self.now))
-            case LetGo(cells):
+            case ReleaseDestinations(cells):
                 self.offered += cells
                 gone = [cell for cell in cells if cell not in self.busy]
                 for cell in gone:
                     self.hosts.pop(cell, None)
-                self.interest.let_go(self.now, cells, gone)
-            case Say(text):
+                self.subscription.release(self.now, cells, gone)
+            case LogLine(text):
                 self.lines.append(text)
-            case HangUp():
+            case CancelCalls():
                 pass  # what comes on hung-up connections all the same is no longer believed
 
     def _row(self, row: Row) -> None:
@@ -237,16 +238,16 @@
         else:
             hosts[entry.endpoint] = row
 
-    def _call(self, call: Call) -> None:
+    def _call(self, call: StartCall) -> None:
         self.calls.append((self.now, call))
-        registry, interest = self.registries[call.registry], self.interest
+        registry, subscription = self.registries[call.registry], self.subscription
         over = False
 
         def fail(why: str) -> None:
             nonlocal over
             if not over:
                 over = True
-                interest.failed(self.now, call.number, why)
+                subscription.call_failed(self.now, call.number, why)
 
         def answered(told: Answer | int) -> None:
             if self.random.random() < self.loss:
@@ -257,13 +258,13 @@
 
         def hear(told: Answer | int) -> None:
             nonlocal over
-            over = True  # a doubled one still comes: the interest has to know
+            over = True  # a doubled one still comes: the subscription has to know
             if told in (BROKEN, TOO_LONG):
-                interest.failed(self.now, call.number, "broken", too_long=told == TOO_LONG)
+                subscription.call_failed(self.now, call.number, "broken", is_too_long=told == TOO_LONG)
             elif isinstance(told, int):
-                interest.refused(self.now, call.number, told, "no")
+                subscription.call_rejected(self.now, call.number, told, "no")
             else:
-                interest.heard(self.now, call.number, told, tuple(told.members))
+                subscription.call_answered(self.now, call.number, told, tuple(told.members))
 
         def arrive() -> None:
             if registry.dead:
@@ -274,15 +275,15 @@
                     self.at(self.now + call.wait, lambda: registry.time_out(self.now, answered))
 
         self.at(self.now + self.random.uniform(0, self.delay), arrive)
-        limit = call.wait + PATIENCE if call.channel is not Channel.LOOK else PATIENCE
+        limit = call.wait + PATIENCE if call.channel is not Channel.FAILBACK_CHECK else PATIENCE
         self.at(self.now + limit, lambda: fail("no answer"))
 
     def holds(self, told: List) -> bool:
         """Whether what the engine has equals the list, for all that it asked for."""
-        cells = {cell for cell, about in self.interest.cells.items() if about.hosts is not None}
+        cells = {cell for cell, about in self.subscription.table.destinations.items() if about.is_resolved}
         return all(self.hosts.get(cell, {}) == told.of(cell) for cell in cells)
 
     def want(self, *cells: int) -> None:
         for cell in cells:
-            self.interest.want(self.now, cell)
+            self.subscription.resolve(self.now, cell)
         self.do()
--- a/tests/discovery/test_subscriber.py
+++ b/tests/discovery/test_subscriber.py
@@ -11,9 +11,10 @@
 import pytest
 
 from loftrelay.decisions.events import EndpointListKind, EndpointListReceived
+from loftrelay.discovery.registry_selection import preference_order
 from loftrelay.discovery.settings import SubscriptionSettings
 from loftrelay.discovery.subscriber import Subscriber
-from loftrelay.discovery.subscription import Timing, preference
+from loftrelay.discovery.subscription import Timing
 from loftrelay.net.address import Address, parse_address
 from loftrelay.registry.protocol import PATH, Answer, Change, Watch, checksum, read_target, write_answer
 from loftrelay.relay.ports import ResolutionStatus
@@ -107,7 +108,7 @@
 async def two(w: World, first: Callable[[Request], Awaitable[bytes | None]]) -> tuple[Peer, Sound, Relay]:
     """A relay that prefers the registry of this script to a sound one."""
     peers = [await w.peer(never), await w.peer(never)]
-    order = preference("n1", [parse_address(peer.address) for peer in peers])
+    order = preference_order("n1", [parse_address(peer.address) for peer in peers])
     peers.sort(key=lambda peer: order.index(parse_address(peer.address)))
     sound = Sound()
     peers[0].script, peers[1].script = first, sound
--- a/tests/discovery/test_interest.py
+++ b/tests/discovery/test_subscription.py
@@ -11,7 +11,10 @@
 from hypothesis import strategies as st
 
 from loftrelay.decisions.events import EndpointState
-from loftrelay.discovery.subscription import RETURN, Channel, Mode, Timing, preference
+from loftrelay.discovery.registry_selection import FAILBACK_DELAY_S, preference_order
+from loftrelay.discovery.registry_session import Mode
+from loftrelay.discovery.subscription import Timing
+from loftrelay.discovery.subscription_actions import Channel
 from loftrelay.registry.protocol import MOST_CELLS, Answer, Change, Watch, read_target, target
 from loftrelay.relay.ports import ResolutionStatus
 from tests.discovery.registries import FLEET, List, Registry, Relay
@@ -28,9 +31,9 @@
     for registry in registries:
         registry.hear(0.0, told)
     relay = Relay(registries, Timing(**timing))  # type: ignore[arg-type]
-    relay.interest.start(0.0)
+    relay.subscription.start(0.0)
     relay.run(0.1)
-    assert relay.interest.mode is Mode.WATCHING
+    assert relay.subscription.mode is Mode.WATCHING
     return told, registries, relay
 
 
@@ -86,7 +89,7 @@
 def test_first_messages_with_all_registries_away_hear_so_in_time_and_are_held_once_one_is_back(
     dead: bool,
 ) -> None:
-    told, registries, relay = make(wait=0.2)
+    told, registries, relay = make(lookup_timeout=0.2)
     for registry in registries:
         registry.dead, registry.up = dead, dead  # dead, or standing still
     relay.run(5.0)  # the watch has found out
@@ -106,7 +109,7 @@
 
 
 def test_a_wait_is_not_prolonged_by_asking_again() -> None:
-    _, registries, relay = make(number=1, wait=0.2)
+    _, registries, relay = make(number=1, lookup_timeout=0.2)
     registries[0].up = False
     for _ in range(3):
         relay.want(1)
@@ -158,20 +161,20 @@
     """The watch's answer told the change of a cell that was not held yet: the older whole cell is not
     taken."""
     told, registries, relay = make(number=1)
-    interest = relay.interest
-    relay.interest.want(relay.now, 1)
-    interest.tick(relay.now + 0.003)
-    (call,) = [a for a in interest.take() if getattr(a, "channel", None) is Channel.CHANGES]
+    subscription = relay.subscription
+    relay.subscription.resolve(relay.now, 1)
+    subscription.tick(relay.now + 0.003)
+    (call,) = [a for a in subscription.take_actions() if getattr(a, "channel", None) is Channel.CHANGES]
     late: list[object] = []
     registries[0].ask(relay.now, call.target, late.append)  # type: ignore[union-attr]
     told.set("h1", 1, EndpointState.DRAINING)
     tell(relay, told)  # answers the watch
     relay.run(0.01)
-    assert interest.index == told.revision
+    assert subscription.revision == told.revision
     assert relay.hosts == {}
-    interest.heard(relay.now, call.number, late[0], tuple(late[0].members))  # type: ignore[union-attr, arg-type, attr-defined]
+    subscription.call_answered(relay.now, call.number, late[0], tuple(late[0].members))  # type: ignore[union-attr, arg-type, attr-defined]
     relay.run(0.1)
-    assert interest.counts["overtaken"] == 1
+    assert subscription.counts["overtaken"] == 1
     assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
     assert relay.sliced[0][:2] == (
         1,
@@ -185,7 +188,7 @@
     relay.want(1, 2)
     relay.run(0.1)
     ((watch, _),) = registries[0].waiting
-    number = relay.interest.watch
+    number = relay.subscription.session.calls.watch
     assert number is not None
     told.set("h1", 1, EndpointState.DRAINING)
     told.set("h2", 2, EndpointState.DRAINING)
@@ -196,7 +199,7 @@
     told.set("h1", 1, EndpointState.ACTIVE)
     registries[0].hear(relay.now, told)
     relay.hosts.pop(1)  # let go, and wanted once more
-    relay.interest.let_go(relay.now, [1], [1])
+    relay.subscription.release(relay.now, [1], [1])
     relay.want(1)
     relay.run(0.05)
     (answer,) = late
@@ -204,17 +207,17 @@
     assert list(relay.hosts[1]) == ["h1"]
     if whole:
         answer = replace(answer, cells=(1, 2))
-    relay.interest.heard(relay.now, number, answer, tuple(answer.members))
+    relay.subscription.call_answered(relay.now, number, answer, tuple(answer.members))
     relay.do()
     assert relay.hosts[1]["h1"][0].state is EndpointState.ACTIVE
-    assert relay.interest.counts["overtaken"] == 1
+    assert relay.subscription.counts["overtaken"] == 1
     assert relay.hosts[2]["h2"][0].state is EndpointState.DRAINING
     relay.run(0.2)
     assert relay.holds(told)
 
 
 def test_first_messages_go_before_what_nobody_waits_for() -> None:
-    _, registries, relay = make(number=1, wait=2.5)
+    _, registries, relay = make(number=1, lookup_timeout=2.5)
     registries[0].dead = True
     registries[0].start_anew()
     relay.want(*range(1, 2501))
@@ -231,7 +234,7 @@
 
 @pytest.mark.parametrize("too_long", [True, False])
 def test_destinations_of_many_hosts_are_asked_for_fewer_at_a_time(too_long: bool) -> None:
-    told, registries, relay = make(number=1, cells=0, wait=60.0)
+    told, registries, relay = make(number=1, cells=0, lookup_timeout=60.0)
     for host in range(2_000):
         told.set(f"h{host}", 1 + host % 100, EndpointState.ACTIVE)
     registries[0].hear(relay.now, told)
@@ -253,7 +256,7 @@
 
 
 def test_one_whose_hosts_alone_are_too_many_keeps_no_other_from_being_told() -> None:
-    told, registries, relay = make(number=2, cells=10, wait=1.0)
+    told, registries, relay = make(number=2, cells=10, lookup_timeout=1.0)
     for host in range(100, 140):
         told.set(f"h{host}", 99, EndpointState.ACTIVE)
     for registry in registries:
@@ -270,14 +273,14 @@
     tell(relay, told)
     relay.run(0.1)
     assert relay.holds(told)
-    assert relay.interest.mode is Mode.WATCHING
-    moved, calls = relay.interest.counts["moved"], len(changes(relay))
+    assert relay.subscription.mode is Mode.WATCHING
+    moved, calls = relay.subscription.counts["moved"], len(changes(relay))
     relay.want(99)
     relay.run(0.1)
     assert relay.sliced[-1][:2] == (99, ResolutionStatus.UNAVAILABLE)
-    assert (relay.interest.counts["moved"], len(changes(relay))) == (moved, calls)
+    assert (relay.subscription.counts["moved"], len(changes(relay))) == (moved, calls)
     assert [line for line in relay.lines if "do not fit" in line] == [
-        "the hosts of destination 99 do not fit into an answer"
+        "the endpoints of destination 99 do not fit into a response"
     ]
     # One that is held and grows: what is known of it stands, and the others are told on.
     for host in range(200, 240):
@@ -311,10 +314,10 @@
 
 def test_relays_spread_over_registries_and_move_only_from_the_one_that_goes() -> None:
     names = [f"relay-{number}" for number in range(2400)]
-    first = {name: preference(name, PLACES)[0] for name in names}
+    first = {name: preference_order(name, PLACES)[0] for name in names}
     shares = Counter(first.values())
     assert all(700 < shares[place] < 900 for place in PLACES)
-    after = {name: preference(name, PLACES[:2])[0] for name in names}
+    after = {name: preference_order(name, PLACES[:2])[0] for name in names}
     assert all(after[name] == first[name] for name in names if first[name] != PLACES[2])
 
 
@@ -345,17 +348,17 @@
     assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
     first.resume(relay.now)  # with the list as it was: it answers all that it had not read
     looks = 0
-    while relay.now < began + RETURN * 3:
+    while relay.now < began + FAILBACK_DELAY_S * 3:
         relay.first.hear(relay.now, told)
         relay.run(1.0)
         assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
         assert relay.first is not first
-        looks = sum(call.channel is Channel.LOOK for _, call in relay.calls)
+        looks = sum(call.channel is Channel.FAILBACK_CHECK for _, call in relay.calls)
     assert looks  # it was seen to be there, and behind
     while relay.first is not first:
         tell(relay, told)
         relay.run(1.0)
-        assert relay.now < began + RETURN * 20
+        assert relay.now < began + FAILBACK_DELAY_S * 20
     assert relay.holds(told)
 
 
@@ -374,16 +377,16 @@
     first.start_anew()
     relay.run(3.0)
     assert list(relay.hosts[1]) == ["h5"]
-    assert relay.interest.counts["older"] >= 1
+    assert relay.subscription.counts["older"] >= 1
     other.hear(relay.now, told)
     relay.run(2.0)
     assert relay.first is other
-    assert relay.interest.mode is Mode.WATCHING
+    assert relay.subscription.mode is Mode.WATCHING
 
 
 def test_where_all_registries_tell_older_revisions_the_slice_is_taken_anew() -> None:
     """Discovery counts anew. Until that is sure, the relay goes on by what it has."""
-    told, _, relay = make(stale=6.0)
+    told, _, relay = make(stale_after=6.0)
     for _ in range(20):
         told.set("h1", 1, EndpointState.ACTIVE)
     tell(relay, told)
@@ -402,34 +405,34 @@
     assert list(relay.hosts[1]) == ["h7"]
     assert relay.hosts[2] == {}
     assert relay.holds(anew)
-    assert sum("taken anew" in line for line in relay.lines) == 1
+    assert sum("resolving all destinations anew" in line for line in relay.lines) == 1
     assert relay.now - began < 12
 
 
 def test_old_news_makes_a_relay_try_another_once_in_a_while_and_stay_with_the_freshest() -> None:
-    told, _, relay = make(number=3, stale=6.0)
+    told, _, relay = make(number=3, stale_after=6.0)
     relay.want(1)
     relay.run(0.1)
-    first, moved = relay.first, relay.interest.counts["moved"]
+    first, moved = relay.first, relay.subscription.counts["moved"]
     for _ in range(30):  # the one in use hears nothing of discovery any more, the others do
         for registry in relay.registries.values():
             if registry is not first:
                 registry.hear(relay.now, told)
         relay.run(1.0)
     assert relay.first is not first
-    assert relay.interest.counts["moved"] - moved <= 2
+    assert relay.subscription.counts["moved"] - moved <= 2
     began = relay.now  # discovery is away from all
     relay.run(120.0)
     ages = [registry.heard for registry in relay.registries.values()]
     assert relay.first.heard == max(ages)
-    assert relay.interest.counts["moved"] - moved <= (relay.now - began) / 6.0
+    assert relay.subscription.counts["moved"] - moved <= (relay.now - began) / 6.0
     assert list(relay.hosts[1]) == ["h1"]
 
 
 def test_one_that_was_left_lately_is_looked_at_where_the_one_in_use_is_cut_off() -> None:
     """It stood still for 10 s and was left; then the other lost discovery: that showed 48 s later."""
     for shift in range(8):
-        told, registries, relay = make(number=2, stale=6.0)
+        told, registries, relay = make(number=2, stale_after=6.0)
         relay.want(1)
         relay.run(0.1 + 0.3 * shift)
         first = relay.first
@@ -446,8 +449,10 @@
         first.dead = False
         hear(1, first, other)
         assert relay.first is other
-        relay.interest.return_at = relay.now + 600.0  # it is not gone back to for other reasons
-        began, moved = relay.now, relay.interest.counts["moved"]
+        relay.subscription.session.selection.failback_at = (
+            relay.now + 600.0
+        )  # it is not gone back to for other reasons
+        began, moved = relay.now, relay.subscription.counts["moved"]
         hear(3, first)
         told.set("h1", 1, EndpointState.REMOVED)
         told.set("h6", 1, EndpointState.ACTIVE)
@@ -455,15 +460,15 @@
             hear(1, first)
             assert relay.now - began < 12.0, shift
         hear(30, first)
-        assert relay.interest.counts["moved"] - moved == 1
+        assert relay.subscription.counts["moved"] - moved == 1
         assert relay.first is first
 
 
 def test_looks_grow_rarer_where_discovery_is_away_from_all() -> None:
-    _, registries, relay = make(number=3, stale=6.0, idle=3600.0)
+    _, registries, relay = make(number=3, stale_after=6.0, idle_after=3600.0)
     relay.want(1)
     relay.run(600.1)
-    looks = sum(call.channel is Channel.LOOK for _, call in relay.calls)
+    looks = sum(call.channel is Channel.FAILBACK_CHECK for _, call in relay.calls)
     assert 8 <= looks <= 60
     assert len(registries) == 3
     assert list(relay.hosts[1]) == ["h1"]
@@ -477,7 +482,7 @@
         registries = [Registry(place) for place in PLACES]
         relay = Relay(registries, seed=number)
         tell(relay, told)
-        relay.interest.start(0.0)
+        relay.subscription.start(0.0)
         relay.run(0.1)
         first = relay.first
         first.dead = True
@@ -491,7 +496,7 @@
                 registry.hear(relay.now, told)
             assert relay.now < 60
         backs.append(relay.now)
-    assert max(backs) - min(backs) > RETURN * 0.6
+    assert max(backs) - min(backs) > FAILBACK_DELAY_S * 0.6
     assert max(Counter(int(back) for back in backs).values()) <= 8
 
 
@@ -505,11 +510,11 @@
     registries[0].dead = True
     relays = [Relay(registries, seed=number, name=f"relay-{number}") for number in range(480)]
     for relay in relays:
-        relay.interest.start(0.0)
+        relay.subscription.start(0.0)
         relay.want(*range(1, 11))
     for relay in relays:
         relay.run(0.2)
-    assert all(relay.interest.mode is Mode.WATCHING and relay.holds(told) for relay in relays)
+    assert all(relay.subscription.mode is Mode.WATCHING and relay.holds(told) for relay in relays)
     assert all({s[1] for s in relay.sliced} == {ResolutionStatus.RESOLVED} for relay in relays)
     assert max(len(relay.calls) for relay in relays) <= 4  # one failed, a change or two, the watch
     shares = [len(registry.sets) for registry in registries]
@@ -537,7 +542,7 @@
     registry = Registry(PLACES[0], fleet="other")
     registry.hear(0.0, told)
     relay = Relay([registry])
-    relay.interest.start(0.0)
+    relay.subscription.start(0.0)
     relay.want(1)
     relay.run(20.0)
     assert relay.hosts == {}
@@ -557,13 +562,13 @@
     told.set("h7", 7, EndpointState.DRAINING)
     registries[0].start_anew()
     registries[0].hear(relay.now, told)
-    before, cells = relay.now, relay.interest.counts["cells"]
+    before, cells = relay.now, relay.subscription.counts["cells"]
     relay.run(2.5)
     pieces = changes(relay, before)
     assert [len(p.have) for p in pieces] == [MOST_CELLS, MOST_CELLS, 500]
     assert not any(p.add for p in pieces)
     assert [p.reset for p in pieces] == [True, False, False]
-    assert relay.interest.counts["cells"] - cells == 1
+    assert relay.subscription.counts["cells"] - cells == 1
     assert relay.holds(told)
     assert relay.hosts[7]["h7"][0].state is EndpointState.DRAINING
 
@@ -572,22 +577,22 @@
     told, registries, relay = make(number=1)
     relay.want(1, 2)
     relay.run(0.1)
-    cells, seq = registries[0].sets[relay.interest.subscriber]
+    cells, seq = registries[0].sets[relay.subscription.subscriber]
     cells.discard(2)  # as many as a set with another in its place: the sum tells
     cells.add(3)
     told.set("h2", 2, EndpointState.DRAINING)
     registries[0].hear(relay.now, told)
     relay.run(2.2)
     assert relay.holds(told)
-    assert registries[0].sets[relay.interest.subscriber][0] == {1, 2}
-    assert seq < registries[0].sets[relay.interest.subscriber][1]
+    assert registries[0].sets[relay.subscription.subscriber][0] == {1, 2}
+    assert seq < registries[0].sets[relay.subscription.subscriber][1]
 
 
 def test_what_is_idle_is_let_go_and_dropped_in_one_call_and_what_is_in_use_stays() -> None:
-    told, registries, relay = make(number=1, cells=50, idle=10.0)
+    told, registries, relay = make(number=1, cells=50, idle_after=10.0)
     relay.want(*range(1, 51))
     relay.run(5.0)
-    relay.interest.use(relay.now, 1)
+    relay.subscription.mark_used(relay.now, 1)
     relay.busy = {2, 3}
     before = relay.now
     relay.run(7.5)
@@ -595,11 +600,11 @@
     assert sorted(relay.offered) == list(range(2, 51))
     dropped = [call.drop for call in changes(relay, before) if call.drop]
     assert [sorted(drop) for drop in dropped] == [list(range(4, 51))]
-    assert registries[0].sets[relay.interest.subscriber][0] == {1, 2, 3}
+    assert registries[0].sets[relay.subscription.subscriber][0] == {1, 2, 3}
     relay.busy = set()
     relay.run(12.0)
     assert relay.hosts == {}
-    assert registries[0].sets[relay.interest.subscriber][0] == set()
+    assert registries[0].sets[relay.subscription.subscriber][0] == set()
     relay.want(1)
     relay.run(0.1)
     assert relay.holds(told)
@@ -607,7 +612,7 @@
 
 
 def test_over_the_most_those_used_least_lately_are_let_go() -> None:
-    _, _, relay = make(number=1, cells=40, most=20)
+    _, _, relay = make(number=1, cells=40, capacity=20)
     for cell in range(1, 41):
         relay.want(cell)
         relay.run(0.1)
@@ -616,7 +621,7 @@
 
 
 def test_one_let_go_and_wanted_before_the_registry_heard_is_held_again() -> None:
-    told, registries, relay = make(number=1, idle=10.0)
+    told, registries, relay = make(number=1, idle_after=10.0)
     relay.want(1)
     relay.run(10.2)
     assert relay.hosts == {}
@@ -625,7 +630,7 @@
     assert relay.holds(told)
     assert list(relay.hosts) == [1]
     relay.run(3.0)
-    assert registries[0].sets[relay.interest.subscriber][0] == {1}
+    assert registries[0].sets[relay.subscription.subscriber][0] == {1}
     told.set("h1", 1, EndpointState.DRAINING)
     tell(relay, told)
     relay.run(0.1)
@@ -636,30 +641,30 @@
     told, registries, relay = make(number=1)
     relay.want(1, 2)
     relay.run(0.1)
-    relay.interest.pause()
+    relay.subscription.pause()
     relay.do()
     told.set("h2", 2, EndpointState.DRAINING)
     tell(relay, told)
     after = Relay(registries, seed=2)
     after.now = relay.now
     rows = [row for hosts in relay.hosts.values() for row in hosts.values()]
-    after.interest.adopt(after.now, relay.interest.index, list(relay.hosts), rows)
+    after.subscription.adopt(after.now, relay.subscription.revision, list(relay.hosts), rows)
     after.hosts = relay.hosts
-    after.interest.start(after.now)
+    after.subscription.start(after.now)
     after.run(0.1)
     assert after.holds(told)
     assert after.hosts[2]["h2"][0].state is EndpointState.DRAINING
     (piece,) = changes(after)
     assert piece.have == (1, 2)
     assert not piece.add
-    assert after.interest.counts["cells"] == 1
+    assert after.subscription.counts["cells"] == 1
 
 
 def test_a_pause_asks_nothing_and_misses_nothing() -> None:
     told, _, relay = make()
     relay.want(1)
     relay.run(0.1)
-    relay.interest.pause()
+    relay.subscription.pause()
     relay.do()
     calls = len(relay.calls)
     relay.want(2)
@@ -668,7 +673,7 @@
     assert relay.sliced[-1][:2] == (2, ResolutionStatus.UNAVAILABLE)
     told.set("h1", 1, EndpointState.DRAINING)
     tell(relay, told)
-    relay.interest.start(relay.now)
+    relay.subscription.start(relay.now)
     relay.run(0.1)
     assert relay.holds(told)
     assert set(relay.hosts) == {1, 2}
@@ -678,12 +683,12 @@
     told, registries, relay = make(number=1)
     relay.want(1)
     relay.run(0.1)
-    before = relay.interest.counts["watches"]
+    before = relay.subscription.counts["watches"]
     for _ in range(1000):
         told.set("h1", 1, EndpointState.ACTIVE)
         registries[0].hear(relay.now, told)
         relay.run(0.001)
-    assert relay.interest.counts["watches"] - before <= 1.0 / 0.05 + 2
+    assert relay.subscription.counts["watches"] - before <= 1.0 / 0.05 + 2
     assert all(isinstance(read_target(c.target), Watch | Change) for _, c in relay.calls)
 
 
@@ -692,7 +697,7 @@
 
 def settle(relay: Relay) -> None:
     """It may be going back to its first registry just now."""
-    if relay.interest.mode is not Mode.WATCHING or relay.interest.asked is not None:
+    if relay.subscription.mode is not Mode.WATCHING or relay.subscription.session.calls.change is not None:
         relay.run(0.1)
 
 
@@ -718,11 +723,11 @@
     chance = random.Random(seed)
     told = List()
     registries = [Registry(place) for place in PLACES[:number]]
-    relay = Relay(registries, Timing(idle=20.0, most=6), seed)
+    relay = Relay(registries, Timing(idle_after=20.0, capacity=6), seed)
     relay.delay, relay.loss, relay.doubled = 0.5, 0.1, 0.2
     for registry in registries:
         registry.hear(0.0, told)
-    relay.interest.start(0.0)
+    relay.subscription.start(0.0)
     for what, which, wait in steps:
         registry = registries[which % number]
         if what == "want":
@@ -750,10 +755,10 @@
         elif what == "lose":
             registry.start_anew()
         elif what == "pause":
-            relay.interest.pause()
+            relay.subscription.pause()
             relay.do()
             relay.run(wait)
-            relay.interest.start(relay.now)
+            relay.subscription.start(relay.now)
         relay.run(wait)
     relay.loss = relay.doubled = 0.0
     relay.delay = 0.01
@@ -767,8 +772,8 @@
             registry.hear(relay.now, told)
         relay.run(1.0)
     settle(relay)
-    assert relay.interest.mode is Mode.WATCHING
-    assert relay.interest.index == told.revision
+    assert relay.subscription.mode is Mode.WATCHING
+    assert relay.subscription.revision == told.revision
     relay.want(1, 2, 3)
     relay.run(0.15)
     for registry in registries:
@@ -776,8 +781,8 @@
     relay.run(0.1)
     settle(relay)
     assert relay.holds(told)
-    assert {1, 2, 3} <= set(relay.interest.cells)
+    assert {1, 2, 3} <= set(relay.subscription.table.destinations)
     assert {s[0] for s in relay.sliced[wanted:]} >= {1, 2, 3}
-    assert relay.first.sets[relay.interest.subscriber][0] == relay.interest.told
+    assert relay.first.sets[relay.subscription.subscriber][0] == relay.subscription.session.batch.subscribed
     where = {host: cell for cell, hosts in relay.hosts.items() for host in hosts}
-    assert where == relay.interest.where
+    assert where == relay.subscription.table.destination_of
--- a/tests/discovery/test_subscription_replay.py
+++ b/tests/discovery/test_subscription_replay.py
@@ -1,6 +1,6 @@
 """Replays seeded schedules of faults: actions, their times and the counters as recorded at 3e43f95, by hash.
 
-The wording of log lines is checked in test_interest.py, so that only their time counts here.
+The wording of log lines is checked in test_subscription.py, so that only their time counts here.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 import pytest
 
 from loftrelay.decisions.events import EndpointState
-from loftrelay.discovery.subscription import (
+from loftrelay.discovery.subscription import Timing
+from loftrelay.discovery.subscription_actions import (
     Action,
-    Call,
+    CancelCalls,
     Channel,
-    HangUp,
-    LetGo,
-    Say,
-    Sliced,
-    Tell,
-    Timing,
+    DestinationResolved,
+    EntriesChanged,
+    LogLine,
+    ReleaseDestinations,
+    StartCall,
 )
 from tests.discovery.registries import List, Registry, Relay
 
 RECORDED: dict[str, str] = json.loads((Path(__file__).parent / "subscription_replay.json").read_text())
 PLACES = [("10.0.0.1", 7500), ("10.0.0.2", 7500), ("10.0.0.3", 7500)]
-CHANNELS = {Channel.CHANGES: "changes", Channel.WATCH: "watch", Channel.LOOK: "check"}
+CHANNELS = {Channel.CHANGES: "changes", Channel.WATCH: "watch", Channel.FAILBACK_CHECK: "check"}
 
 
 class RecordingRelay(Relay):
@@ -39,26 +39,26 @@
         self.record: list[str] = []
 
     def _do(self, action: Action) -> None:
-        self.record.append(f"{self.now!r} {self.interest.due!r} {render(action)}")
+        self.record.append(f"{self.now!r} {self.subscription.due_at!r} {render(action)}")
         super()._do(action)
 
 
 def render(action: Action) -> str:
     match action:
-        case Call(channel, number, registry, target, wait):
+        case StartCall(channel, number, registry, target, wait):
             return f"call {CHANNELS[channel]} {number} {registry} {target} {wait!r}"
-        case HangUp():
+        case CancelCalls():
             return "cancel"
-        case Tell(rows):
+        case EntriesChanged(rows):
             fields = [
                 (e.endpoint, e.destination, e.state.name, e.zone, e.kind, e.listed_rate, a) for e, a in rows
             ]
             return f"entries {fields!r}"
-        case Sliced(destination, state):
+        case DestinationResolved(destination, state):
             return f"resolved {destination} {state.name}"
-        case LetGo(destinations):
+        case ReleaseDestinations(destinations):
             return f"release {destinations!r}"
-        case Say():
+        case LogLine():
             return "log"
 
 
@@ -90,18 +90,18 @@
         case 10:
             registry.start_anew()
         case 11:
-            relay.interest.pause()
+            relay.subscription.pause()
             relay.do()
             relay.run(chance.random())
-            relay.interest.start(relay.now)
+            relay.subscription.start(relay.now)
         case 12:
-            relay.interest.spoilt(relay.now)
+            relay.subscription.processing_failed(relay.now)
             relay.do()
         case 13:
             registry.most_rows = chance.choice([2, 5, 1 << 30])
         case 14:
             relay.busy = set(chance.sample(range(1, 31), 5))
-            relay.interest.use(relay.now, 1 + chance.randrange(30))
+            relay.subscription.mark_used(relay.now, 1 + chance.randrange(30))
         case _:  # discovery counts anew
             if chance.random() < 0.2:
                 told.revision = 1
@@ -115,19 +115,19 @@
     chance = random.Random(seed)
     told = List()
     registries = [Registry(place) for place in PLACES[: 1 + seed % 3]]
-    timing = Timing(wait=0.2, idle=chance.choice([5.0, 60.0]), most=chance.choice([6, 100]), stale=6.0)
+    timing = Timing(0.2, idle_after=chance.choice([5.0, 60.0]), capacity=chance.choice([6, 100]))
     relay = RecordingRelay(registries, timing, seed)
     relay.delay, relay.loss, relay.doubled = chance.choice([0.001, 0.5]), chance.choice([0.0, 0.1]), 0.1
     change_list(relay, told, registries, chance)
     if seed % 4 == 0:
         rows = [row for row, _ in told.rows.values()]
-        relay.interest.adopt(0.0, told.revision, {row[0].destination for row in rows}, rows)
+        relay.subscription.adopt(0.0, told.revision, {row[0].destination for row in rows}, rows)
         for row in rows:
             relay.hosts.setdefault(row[0].destination, {})[row[0].endpoint] = row
-    relay.interest.start(0.0)
+    relay.subscription.start(0.0)
     for _ in range(120):
         step(relay, told, registries, chance)
-    relay.record.append(f"{relay.now!r} {sorted(relay.interest.counts.items())!r}")
+    relay.record.append(f"{relay.now!r} {sorted(relay.subscription.counts.items())!r}")
     return sha256("\n".join(relay.record).encode()).hexdigest()
 
 
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -230,7 +230,9 @@
         await registries.until("slices_moved", 1)
         assert any(f"registry {first} does not answer" in line for line in w.log)
         # The first change at the next registry tells it, and the watch begins after that.
-        await w.until(lambda: any(f"registry {second} tells the slice" in line for line in w.log))
+        await w.until(
+            lambda: any(f"registry {second} serves this relay's destinations" in line for line in w.log)
+        )
         hosts[0].requests.clear()
         for number in range(10):
             assert await w.hand_in(f"after{number}") == 202
@@ -318,7 +320,7 @@
         assert await served_by(w, [new], "before") == 0
         await registries.kill(first)
         await registries.until("slices_older", 1)
-        assert any(f"registry {second} tells an older revision" in line for line in w.log)
+        assert any(f"registry {second} has an older revision" in line for line in w.log)
         assert await w.hand_in("after") == 202
         await w.until(lambda: "after" in new.ids)
         await registries.start(first)
@@ -497,7 +499,7 @@
     told = load_subscription(Path(__file__).parents[2] / "deploy" / "subscription.toml")
     assert told.fleet == "windwacht"
     assert len(told.registries) == 2
-    assert told.timing.wait == 0.2
+    assert told.timing.lookup_timeout == 0.2
     path = tmp_path / "many.toml"
     path.write_text(f"[subscription]\nregistries = {json.dumps([f'10.0.0.1:{n}' for n in range(1, 1025)])}\n")
     assert len(load_subscription(path).registries) == 1024
--- a/tests/standins/registries.py
+++ b/tests/standins/registries.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from loftrelay.discovery.subscription import preference
+from loftrelay.discovery.registry_selection import preference_order
 from loftrelay.net.address import parse_address
 from tests.standins.platform import HANG, ROOT, World, free_port
 
@@ -42,7 +42,7 @@
 
     def order(self) -> list[str]:
         """As the relay prefers them."""
-        places = preference(self.world.name_, [parse_address(address) for address in self.addresses])
+        places = preference_order(self.world.name_, [parse_address(address) for address in self.addresses])
         return [f"{host}:{port}" for host, port in places]
 
     async def start(self, address: str, discovery: str = "") -> None:
