--- a/loftrelay/cli/demo.py
+++ b/loftrelay/cli/demo.py
@@ -17,8 +17,8 @@
 from typing import Any, TextIO
 
 from loftrelay.cli.record import print_table
-from loftrelay.demo.clients import TIME, Account, Client, Message
-from loftrelay.demo.peers import Discovery, Partner, Peer
+from loftrelay.demo.clients import MESSAGE_TIMEOUT_S, Client, ClientStatistics, Message
+from loftrelay.demo.peers import DestinationPeer, DiscoveryPeer, HTTPPeer
 from loftrelay.store.backend import Query, StoreError
 from loftrelay.store.sqlite import SQLiteStore
 from loftrelay.store.state_machine import Answer, Entry
@@ -54,19 +54,19 @@
 UNSAFE = {about["name"] for about in SETTINGS["classes"] if about["effect"] == "at_most_once"}
 
 
-class DemoFailed(Exception):
+class DemoError(Exception):
     """One plain line."""
 
 
-class Relay:
+class RelayProcess:
     """The relay as a process of its own. What it says is kept in `relay.log`."""
 
     def __init__(self, folder: Path, config: dict[str, Any]) -> None:
         self.folder = folder
         self.address = ("", 0)
         self.process: asyncio.subprocess.Process | None = None
-        self.reading: asyncio.Task[None] | None = None
-        self.store_said: list[str] = []  # that it was slow or away
+        self.log_task: asyncio.Task[None] | None = None
+        self.store_warnings: list[str] = []  # that it was slow or away
         (folder / "config.json").write_text(json.dumps(config))
         # Nobody cuts the power here: each commit outlasts the process without a sync, so that a slow disk
         # shows the same as a quick one.
@@ -91,15 +91,15 @@
                 "RELAY_STATE": str(self.folder / "state"),
             },
         )
-        self.reading = asyncio.create_task(self._read(self.process, listens))
+        self.log_task = asyncio.create_task(self._copy_log(self.process, listens))
         try:
             async with asyncio.timeout(START):
                 self.address = await listens
         except TimeoutError:
             await self.kill()
-            raise DemoFailed(f"the relay did not start: see {self.folder / 'relay.log'}") from None
+            raise DemoError(f"the relay did not start: see {self.folder / 'relay.log'}") from None
 
-    async def _read(
+    async def _copy_log(
         self, process: asyncio.subprocess.Process, listens: asyncio.Future[tuple[str, int]]
     ) -> None:
         assert process.stderr is not None
@@ -108,45 +108,43 @@
                 log.write(line)
                 log.flush()
                 if b"the store of record is slow" in line or b"the store of record is away" in line:
-                    self.store_said.append(line.decode().strip().partition(": ")[2])
+                    self.store_warnings.append(line.decode().strip().partition(": ")[2])
                 if b"listens on" in line and not listens.done():
                     host, _, port = line.decode().split()[-1].rpartition(":")
                     listens.set_result((host, int(port)))
         if not listens.done():
-            listens.set_exception(
-                DemoFailed(f"the relay ended at its start: see {self.folder / 'relay.log'}")
-            )
+            listens.set_exception(DemoError(f"the relay ended at its start: see {self.folder / 'relay.log'}"))
 
     async def kill(self) -> None:
         """SIGKILL, in the midst of whatever it does."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
-            await self._ended()
+            await self._wait()
 
     async def stop(self) -> None:
         assert self.process is not None
         self.process.terminate()
         try:
             async with asyncio.timeout(END):
-                await self._ended()
+                await self._wait()
         except TimeoutError:
             await self.kill()
 
-    async def _ended(self) -> None:
-        assert self.process is not None and self.reading is not None
+    async def _wait(self) -> None:
+        assert self.process is not None and self.log_task is not None
         await self.process.wait()
-        await self.reading
+        await self.log_task
 
 
 @dataclass
-class Result:
+class DemoResult:
     entries: list[Entry]
-    taken: set[str]
+    admitted: set[str]
     effects: Counter[str]
-    notices: dict[str, str]
-    wrong: list[str]
-    store_said: list[str] = field(default_factory=list)  # by the relay: that the store was slow, or away
-    turned_away: int = 0  # times that a client was told to come again
+    final_statuses: dict[str, str]
+    store_faults: list[str]
+    store_warnings: list[str] = field(default_factory=list)  # by the relay: that the store was slow, or away
+    rejections: int = 0  # times that a client was told to come again
 
     @property
     def duplicates(self) -> int:
@@ -156,9 +154,9 @@
 
     def disagreements(self) -> list[str]:
         """Where the store, the partner, the clients and the platform tell different things."""
-        said = list(self.wrong)
+        said = list(self.store_faults)
         by_name = {entry.message: entry for entry in self.entries}
-        said += [f"{name}: taken on, and not in the store" for name in sorted(self.taken - set(by_name))]
+        said += [f"{name}: taken on, and not in the store" for name in sorted(self.admitted - set(by_name))]
         said += [f"{name}: ran, and not in the store" for name in sorted(set(self.effects) - set(by_name))]
         for name, entry in by_name.items():
             if entry.told_at is None:
@@ -193,18 +191,18 @@
         store.close()
 
 
-async def show(folder: Path, count: int, seed: int, kill: bool, out: TextIO) -> Result:
+async def show(folder: Path, count: int, seed: int, kill: bool, out: TextIO) -> DemoResult:
     """Raises DemoFailed."""
-    discovery, partners = Discovery(), [Partner(seed), Partner(seed + 1)]
-    account = Account()
+    discovery, partners = DiscoveryPeer(), [DestinationPeer(seed), DestinationPeer(seed + 1)]
+    account = ClientStatistics()
     async with (
-        Peer(discovery.respond) as registry,
-        Peer(partners[0].respond) as a,
-        Peer(partners[1].respond) as b,
+        HTTPPeer(discovery.respond) as registry,
+        HTTPPeer(partners[0].respond) as a,
+        HTTPPeer(partners[1].respond) as b,
     ):
         for number, peer in enumerate((a, b), 1):
-            discovery.add(number, peer.address)
-        relay = Relay(
+            discovery.add_endpoint(number, peer.address)
+        relay = RelayProcess(
             folder,
             {
                 "name": "demo",
@@ -212,7 +210,7 @@
                 "discovery": registry.address,
                 "seed": f"{seed:x}",
                 "limits": LIMITS,
-                "known": discovery.whole,
+                "known": discovery.full_list,
                 "settings": SETTINGS,
             },
         )
@@ -225,7 +223,7 @@
             async def client(line: Sequence[Message]) -> None:
                 own = Client(lambda: relay.address, account)
                 for message in line:
-                    await own.hand_in(message)
+                    await own.submit(message)
                 own.close()
 
             clients = [asyncio.create_task(client(line)) for line in messages(count, seed)]
@@ -233,8 +231,8 @@
             def progress() -> None:
                 ran = sum(sum(partner.effects.values()) for partner in partners)
                 print(
-                    f"  handed in {len(account.taken):>6} of {count}   run by partners {ran:>6}   "
-                    f"told of to the platform {len(discovery.notices):>4}",
+                    f"  handed in {len(account.admitted):>6} of {count}   run by partners {ran:>6}   "
+                    f"told of to the platform {len(discovery.final_statuses):>4}",
                     file=out,
                     flush=True,
                 )
@@ -243,7 +241,7 @@
             last = time.monotonic()
             while not all(task.done() for task in clients):
                 await asyncio.sleep(0.02)
-                if kill and not killed and len(account.taken) >= count // 2:
+                if kill and not killed and len(account.admitted) >= count // 2:
                     killed = True
                     print("  the relay is killed (SIGKILL) and started again", file=out, flush=True)
                     await relay.kill()
@@ -252,11 +250,13 @@
                     shown, last = True, time.monotonic()
                     progress()
             await asyncio.gather(*clients)
-            until = time.monotonic() + TIME + 2
+            until = time.monotonic() + MESSAGE_TIMEOUT_S + 2
             while True:
                 entries, wrong = await asyncio.to_thread(read_store, folder / "record.sqlite")
                 open_ = [entry for entry in entries if entry.told_at is None]
-                if (not open_ and account.taken <= {e.message for e in entries}) or time.monotonic() > until:
+                if (
+                    not open_ and account.admitted <= {e.message for e in entries}
+                ) or time.monotonic() > until:
                     break
                 await asyncio.sleep(0.1)
             progress()
@@ -267,12 +267,18 @@
     effects: Counter[str] = Counter()
     for partner in partners:
         effects.update(partner.effects)
-    return Result(
-        entries, account.taken, effects, discovery.notices, wrong, relay.store_said, account.refused
+    return DemoResult(
+        entries,
+        account.admitted,
+        effects,
+        discovery.final_statuses,
+        wrong,
+        relay.store_warnings,
+        account.rejections,
     )
 
 
-def report(result: Result, out: TextIO) -> int:
+def report(result: DemoResult, out: TextIO) -> int:
     """Prints the table and the line; the command's status."""
     rows = []
     for name in sorted({entry.about.class_name for entry in result.entries}):
@@ -298,10 +304,11 @@
         print(f"disagreement: {line}", file=out)
     if len(said) > 20:
         print(f"and {len(said) - 20} more", file=out)
-    if result.store_said:
+    if result.store_warnings:
+        warnings = result.store_warnings
         print(
-            f"the store's disk was slow or its file held by another, {len(result.store_said)} times (first: "
-            f"{result.store_said[0]}): clients were turned away {result.turned_away} times and came again, "
+            f"the store's disk was slow or its file held by another, {len(warnings)} times (first: "
+            f"{warnings[0]}): clients were turned away {result.rejections} times and came again, "
             "and messages may have run out of time",
             file=out,
         )
@@ -339,13 +346,13 @@
     asked = parser().parse_args(arguments)
     try:
         if asked.messages < 1:
-            raise DemoFailed(f"--messages {asked.messages}: at least 1")
+            raise DemoError(f"--messages {asked.messages}: at least 1")
         folder = (asked.folder or Path(tempfile.mkdtemp(prefix="loftrelay-demo-"))).resolve()
         folder.mkdir(parents=True, exist_ok=True)
         if any(folder.iterdir()):
-            raise DemoFailed(f"{folder} is not empty: the demo writes nothing beside what is there")
+            raise DemoError(f"{folder} is not empty: the demo writes nothing beside what is there")
         result = asyncio.run(show(folder, asked.messages, asked.seed, asked.kill, sys.stdout))
-    except (DemoFailed, OSError, StoreError) as error:
+    except (DemoError, OSError, StoreError) as error:
         print(f"loftrelay: demo: {error}", file=sys.stderr)
         return 2
     return report(result, sys.stdout)
--- a/loftrelay/config/platform.py
+++ b/loftrelay/config/platform.py
@@ -38,19 +38,21 @@
     name: str
     listen: Address
     discovery: Address
-    state: Path
+    state_dir: Path
     seed: int
-    most_clients: int
-    most_to_hosts: int
-    disk_bytes: int
+    max_client_connections: int
+    max_host_connections: int
+    journal_bytes: int
     settings: RelaySettings
-    known: Mapping[str, Any]
-    control: Address | None = None  # where operators call; None: no door
-    told: Mapping[str, Any] = field(default_factory=dict)  # the file, as it stands
-    accept: int | None = None  # descriptor of a socket that listens already, for all processes of this relay
+    cached_endpoint_list: Mapping[str, Any]
+    admin_address: Address | None = None  # where operators call; None: no door
+    document: Mapping[str, Any] = field(default_factory=dict)  # the file, as it stands
+    listen_fd: int | None = (
+        None  # descriptor of a socket that listens already, for all processes of this relay
+    )
 
 
-def read_file(environ: Mapping[str, str]) -> dict[str, Any]:
+def read_document(environ: Mapping[str, str]) -> dict[str, Any]:
     path = environ.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
@@ -63,7 +65,7 @@
     return told
 
 
-def read_told(told: Mapping[str, Any], path: str) -> RelaySettings:
+def parse_settings(told: Mapping[str, Any], path: str) -> RelaySettings:
     """The settings of a file, checked. Raises ConfigError."""
     try:
         check_settings(told.get("settings"))
@@ -76,21 +78,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class ConfigChange:
     """What a file that was read again sets."""
 
     discovery: Address
     settings: RelaySettings
-    told: Mapping[str, Any]
+    document: Mapping[str, Any]
 
 
-def reload(environ: Mapping[str, str], in_force: Mapping[str, Any]) -> Change:
+def reload_config(environ: Mapping[str, str], in_force: Mapping[str, Any]) -> ConfigChange:
     """Reads the file again, whole, and checks it whole. Once it has been replaced, what it says of discovery
     goes before the environment. Raises ConfigError: then nothing of it may be used.
     """
-    told = read_file(environ)
+    told = read_document(environ)
     path = environ["RELAY_CONFIG"]
-    settings = read_told(told, path)
+    settings = parse_settings(told, path)
     try:
         check_change(in_force["settings"], told["settings"])
         for key in ("name", "listen", "limits"):
@@ -98,7 +100,7 @@
                 raise ValueError(f"it tells no {key}")
         if "discovery" not in told:
             raise ValueError("it tells no discovery")
-        return Change(parse_address(told["discovery"]), settings, told)
+        return ConfigChange(parse_address(told["discovery"]), settings, told)
     except ValueError as error:
         raise ConfigError(f"{path}: {error}") from error
 
@@ -108,7 +110,7 @@
     what was last in force. `fleet`: the relay is to know others. Raises ConfigError.
     """
     try:
-        return _config(environ, read_file(environ), environ["RELAY_CONFIG"], fleet)
+        return _config(environ, read_document(environ), environ["RELAY_CONFIG"], fleet)
     except ConfigError as error:
         kept = LastFile(Path(environ["RELAY_STATE"])) if environ.get("RELAY_STATE") else None
         told = kept.load() if kept is not None else None
@@ -131,7 +133,7 @@
         listen = parse_address(environ.get("RELAY_LISTEN") or told["listen"])
         discovery = parse_address(environ.get("RELAY_DISCOVERY") or told["discovery"])
         seed = int(str(told.get("seed", "0")), 16)
-        settings = read_told(told, path)
+        settings = parse_settings(told, path)
         to_hosts = min(
             (sockets - OTHER_DESCRIPTORS) // 2,
             2 * (settings.max_concurrent_calls or sockets) + LEAST_TO_HOSTS,
@@ -141,16 +143,16 @@
             name=environ.get("RELAY_NAME") or str(told["name"]),
             listen=listen,
             discovery=discovery,
-            state=Path(environ["RELAY_STATE"]),
+            state_dir=Path(environ["RELAY_STATE"]),
             seed=seed,
-            most_clients=min(clients, int(limits.get("memory_mb", 64)) * CLIENTS_A_MB),
-            most_to_hosts=to_hosts,
-            disk_bytes=_journal_room(float(limits.get("disk_mb", 3)), control is not None or fleet),
+            max_client_connections=min(clients, int(limits.get("memory_mb", 64)) * CLIENTS_A_MB),
+            max_host_connections=to_hosts,
+            journal_bytes=_journal_room(float(limits.get("disk_mb", 3)), control is not None or fleet),
             settings=settings,
-            known=told.get("known") or {},
-            control=parse_address(control) if control else None,
-            told=told,
-            accept=_descriptor(environ.get("RELAY_ACCEPT_FD")),
+            cached_endpoint_list=told.get("known") or {},
+            admin_address=parse_address(control) if control else None,
+            document=told,
+            listen_fd=_descriptor(environ.get("RELAY_ACCEPT_FD")),
         )
     except KeyError as error:
         raise ConfigError(f"{error.args[0]} is not told, neither in the environment nor in {path}") from error
--- a/loftrelay/config/toml_file.py
+++ b/loftrelay/config/toml_file.py
@@ -26,10 +26,10 @@
     name: str
     default: bool | int | float | str | tuple[str, ...]
     unit: str
-    about: str
-    least: float = 0
-    most: float = 1_000_000
-    words: Sequence[str] = ()
+    description: str
+    minimum: float = 0
+    maximum: float = 1_000_000
+    choices: Sequence[str] = ()
 
     def check(self, value: Any) -> bool | int | float | str | tuple[str, ...]:
         """The value, or ValueError with what it should be."""
@@ -42,19 +42,19 @@
                 raise ValueError("is not true or false")
             return value
         if isinstance(self.default, str):
-            if not self.words:
+            if not self.choices:
                 if not isinstance(value, str) or "\0" in value:
                     raise ValueError("is not a text")
                 return value
-            if value not in self.words:
-                raise ValueError(f"is not one of {', '.join(self.words)}")
+            if value not in self.choices:
+                raise ValueError(f"is not one of {', '.join(self.choices)}")
             return str(value)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise ValueError(f"is not a number of {self.unit}")
         if isinstance(self.default, int) and not isinstance(value, int):
             raise ValueError(f"is not a whole number of {self.unit}")
-        if not self.least <= value <= self.most:
-            raise ValueError(f"is not from {self.least:g} to {self.most:g} {self.unit}")
+        if not self.minimum <= value <= self.maximum:
+            raise ValueError(f"is not from {self.minimum:g} to {self.maximum:g} {self.unit}")
         return value
 
 
--- a/loftrelay/demo/peers.py
+++ b/loftrelay/demo/peers.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-MOST_HEAD = 64 << 10
+MAX_HEAD_BYTES = 64 << 10
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,12 +34,12 @@
     return Request(method, target, headers, body)
 
 
-def answer(status: int, body: bytes = b"", **headers: str) -> bytes:
+def format_response(status: int, body: bytes = b"", **headers: str) -> bytes:
     told = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
     return f"HTTP/1.1 {status} Demo\r\nContent-Length: {len(body)}\r\n{told}\r\n".encode() + body
 
 
-class Peer:
+class HTTPPeer:
     """Listens on a free port of loopback; `respond` gives each request's answer. Use as an async context."""
 
     def __init__(self, respond: Callable[[Request], Awaitable[bytes]]) -> None:
@@ -47,8 +47,8 @@
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def __aenter__(self) -> Peer:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=MOST_HEAD)
+    async def __aenter__(self) -> HTTPPeer:
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=MAX_HEAD_BYTES)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -79,19 +79,19 @@
             writer.transport.abort()
 
 
-class Discovery:
+class DiscoveryPeer:
     """One list that never changes, and the notices that it was sent."""
 
     def __init__(self) -> None:
-        self.members: list[dict[str, Any]] = []
-        self.notices: dict[str, str] = {}  # message -> status
+        self.endpoints: list[dict[str, Any]] = []
+        self.final_statuses: dict[str, str] = {}  # message -> status
 
     @property
-    def whole(self) -> dict[str, Any]:
-        return {"revision": 1, "complete": True, "members": self.members}
+    def full_list(self) -> dict[str, Any]:
+        return {"revision": 1, "complete": True, "members": self.endpoints}
 
-    def add(self, destination: int, address: str) -> None:
-        self.members.append(
+    def add_endpoint(self, destination: int, address: str) -> None:
+        self.endpoints.append(
             {
                 "id": f"host-{destination}",
                 "host_port": address,
@@ -108,16 +108,18 @@
         if request.target == "/reports":
             for line in request.body.splitlines():
                 notice = json.loads(line)
-                self.notices[notice["id"]] = notice["status"]
-            return answer(204)
+                self.final_statuses[notice["id"]] = notice["status"]
+            return format_response(204)
         if "index=" in request.target:
             wait = int(request.target.partition("wait=")[2] or 0)
             await asyncio.sleep(wait / 1000)  # nothing will change
-            return answer(200, json.dumps({**self.whole, "complete": False, "members": []}).encode())
-        return answer(200, json.dumps(self.whole).encode())
+            return format_response(
+                200, json.dumps({**self.full_list, "complete": False, "members": []}).encode()
+            )
+        return format_response(200, json.dumps(self.full_list).encode())
 
 
-class Partner:
+class DestinationPeer:
     """Runs what it is sent, and seldom turns away or fails, by one seed. `effects` is its true account.
 
     Harm: one that turned 6 of 100 away, whatever its load, was held to be overloaded, and 177 of 1,000
@@ -134,10 +136,10 @@
         await asyncio.sleep(self.random.uniform(0.002, 0.01))
         chance = self.random.random()
         if chance < 0.004:
-            return answer(429, X_Come_Back_Ms="50")  # it never ran
+            return format_response(429, X_Come_Back_Ms="50")  # it never ran
         if chance < 0.006:
-            return answer(503)
+            return format_response(503)
         if chance < 0.012:
-            return answer(500)  # here it did not run, but nobody could know
+            return format_response(500)  # here it did not run, but nobody could know
         self.effects[request.headers["request-id"]] += 1
-        return answer(200)
+        return format_response(200)
--- a/loftrelay/discovery/settings.py
+++ b/loftrelay/discovery/settings.py
@@ -14,10 +14,14 @@
 KEYS = (
     Key("fleet", "fleet", "", "of the registries: those of another one are not believed"),
     Key("registries", (), "", "their addresses and ports"),
-    Key("wait_ms", 200, "ms", "for which a first message waits for its destination", least=1, most=10_000),
-    Key("idle_s", 300, "s", "without a message after which a destination is let go", least=1, most=86_400),
-    Key("most", 16_384, "destinations", "that are held, while those in use allow it", least=1_024),
-    Key("stale_ms", 6_000, "ms", "age of a registry's news from which on another is tried", least=100),
+    Key(
+        "wait_ms", 200, "ms", "for which a first message waits for its destination", minimum=1, maximum=10_000
+    ),
+    Key(
+        "idle_s", 300, "s", "without a message after which a destination is let go", minimum=1, maximum=86_400
+    ),
+    Key("most", 16_384, "destinations", "that are held, while those in use allow it", minimum=1_024),
+    Key("stale_ms", 6_000, "ms", "age of a registry's news from which on another is tried", minimum=100),
 )
 
 
--- a/loftrelay/gossip/settings.py
+++ b/loftrelay/gossip/settings.py
@@ -18,8 +18,10 @@
     Key("listen", "", "", "address and port for the other relays' datagrams; port 0: a free one"),
     Key("advertise", "", "", "where the others send them, if that is not `listen`"),
     Key("seeds", (), "", "addresses and ports of some relays of the fleet"),
-    Key("beat_ms", 200, "ms", "between two probes", least=20, most=60_000),
-    Key("suspect_ms", 1000, "ms", "before a suspicion that several share counts", least=40, most=600_000),
+    Key("beat_ms", 200, "ms", "between two probes", minimum=20, maximum=60_000),
+    Key(
+        "suspect_ms", 1000, "ms", "before a suspicion that several share counts", minimum=40, maximum=600_000
+    ),
 )
 MOST_NAME = 64
 
--- a/loftrelay/metrics/registry.py
+++ b/loftrelay/metrics/counters.py
@@ -31,29 +31,31 @@
     """Every process counts from 0."""
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
-        self.ends: Counter[tuple[str, FinalStatus]] = Counter()
+        self.final_statuses: Counter[tuple[str, FinalStatus]] = Counter()
         self.classes: dict[str, None] = {}  # all that were ever in force, in order
         self.forwards = 0  # messages written whole to hosts
         self.sighup_applied = 0
         self.sighup_rejected = 0
-        self.lists_refused = 0
-        self.know(classes)
+        self.lists_rejected = 0
+        self.add_classes(classes)
 
-    def know(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """Shows these classes from now on, also with 0. A class that was dropped keeps its counts."""
         self.classes.update(dict.fromkeys(classes))
 
     def count_final_status(self, class_name: str, end: FinalStatus) -> None:
-        self.know((class_name,))
-        self.ends[class_name, end] += 1
+        self.add_classes((class_name,))
+        self.final_statuses[class_name, end] += 1
 
-    def forwarded(self, messages: int) -> None:
+    def count_forwarded(self, messages: int) -> None:
         self.forwards += messages
 
     def lines(self, gauges: Gauges) -> list[str]:
         """`app.NAME=VALUE`, one each."""
         told: dict[str, int] = {
-            f"{end.value}.{name}": self.ends[name, end] for end in FinalStatus for name in self.classes
+            f"{end.value}.{name}": self.final_statuses[name, end]
+            for end in FinalStatus
+            for name in self.classes
         }
         told |= {
             "forwards": self.forwards,
@@ -63,6 +65,6 @@
             "sighup_applied": self.sighup_applied,
             "sighup_rejected": self.sighup_rejected,
         }
-        if self.lists_refused:
-            told["lists_refused"] = self.lists_refused
+        if self.lists_rejected:
+            told["lists_refused"] = self.lists_rejected
         return [f"{PREFIX}{name}={value}" for name, value in told.items()]
--- a/loftrelay/registry/settings.py
+++ b/loftrelay/registry/settings.py
@@ -14,10 +14,12 @@
     Key("fleet", "fleet", "", "whose relays are answered: those of another one are not"),
     Key("listen", "", "", "address and port for relays; port 0: a free one"),
     Key("discovery", "", "", "address and port of the platform's discovery"),
-    Key("keep_gone", 20_000, "hosts", "no longer listed that are remembered", most=10_000_000),
-    Key("forget_s", 30.0, "s", "after which a subscription without a call is dropped", least=1, most=3600),
-    Key("idle_s", 60.0, "s", "for which a connection without a call is kept", least=1, most=3600),
-    Key("most_list_mb", 1024, "MB", "of one answer of discovery", least=1, most=65_536),
+    Key("keep_gone", 20_000, "hosts", "no longer listed that are remembered", maximum=10_000_000),
+    Key(
+        "forget_s", 30.0, "s", "after which a subscription without a call is dropped", minimum=1, maximum=3600
+    ),
+    Key("idle_s", 60.0, "s", "for which a connection without a call is kept", minimum=1, maximum=3600),
+    Key("most_list_mb", 1024, "MB", "of one answer of discovery", minimum=1, maximum=65_536),
 )
 
 
--- a/loftrelay/relay/engine.py
+++ b/loftrelay/relay/engine.py
@@ -43,7 +43,7 @@
 )
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import RelaySettings
-from loftrelay.metrics.registry import FinalStatus, Gauges, Metrics
+from loftrelay.metrics.counters import FinalStatus, Gauges, Metrics
 from loftrelay.net.address import Address
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.fault_points import fault_point
@@ -624,7 +624,7 @@
         """The settings and where discovery is, from now on. What was taken on before keeps its terms."""
         self.settings = settings
         self.accepted_classes.apply_settings(settings, wall_clock())
-        self.metrics.know(settings.classes)
+        self.metrics.add_classes(settings.classes)
         self.batch_interval = (settings.batch_interval or NO_TICK) / 1e6
         self._post(SettingsChanged(settings))
         self.move_discovery(discovery)
@@ -667,7 +667,7 @@
 
     def list_rejected(self) -> None:
         """A list was too long to be taken. Whatever is in force stays."""
-        self.metrics.lists_refused += 1
+        self.metrics.lists_rejected += 1
         self.has_no_list = not self.destinations
 
     def endpoints_listed(self, listing: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
--- a/loftrelay/server/admin/commands.py
+++ b/loftrelay/server/admin/commands.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from loftrelay.metrics.registry import Gauges, Metrics
+from loftrelay.metrics.counters import Gauges, Metrics
 from loftrelay.relay.engine import Engine
 from loftrelay.server.admin.server import Done
 
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -36,18 +36,18 @@
 
     Raises OSError where the folder of the journal can't be used.
     """
-    journal = journal or Journal(config.state, config.disk_bytes)
+    journal = journal or Journal(config.state_dir, config.journal_bytes)
     engine = Engine(config.seed, config.settings, journal, record)
     delivery = HostClient(
         config.settings.connect_timeout,
         config.settings.connection_idle_timeout,
-        config.most_to_hosts,
+        config.max_host_connections,
         connections,
         config.seed,
         journal.record_attempt,
         engine.attempt_ended,
         engine.outcome_disputed,
-        engine.metrics.forwarded,
+        engine.metrics.count_forwarded,
         engine.stall_detector,
         engine.retry_after_received,
         engine.is_blocked,
@@ -78,5 +78,12 @@
     if handed is not None:
         engine.take_over(delivery, discovery, notices, handed, slices)
     else:
-        engine.connect(delivery, discovery, notices, config.known, HostsOut(config.state).load(), slices)
+        engine.connect(
+            delivery,
+            discovery,
+            notices,
+            config.cached_endpoint_list,
+            HostsOut(config.state_dir).load(),
+            slices,
+        )
     return engine, journal
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from loftrelay.config.platform import Config, ConfigError, reload
+from loftrelay.config.platform import Config, ConfigError, reload_config
 from loftrelay.delivery.connection_pool import Limits
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
@@ -55,9 +55,9 @@
         self.config, self.connections, self.record, self.fleet = config, connections, record, fleet
         self.subscription = subscription
         self.joined: GossipMember | None = None
-        self.relay = Relay(HostsOut(config.state))
-        self.last = LastFile(config.state)
-        self.told: Mapping[str, Any] = config.told  # the file in force
+        self.relay = Relay(HostsOut(config.state_dir))
+        self.last = LastFile(config.state_dir)
+        self.told: Mapping[str, Any] = config.document  # the file in force
         self.ending = asyncio.Event()
         self.owns = True  # of what it ends with
         self.to_read = False  # SIGHUP came before anything could be read again
@@ -79,13 +79,13 @@
                 self.giver.have_file_read()
             return
         try:
-            change = reload(os.environ, self.told)
+            change = reload_config(os.environ, self.told)
         except ConfigError as error:
             engine.metrics.sighup_rejected += 1
             log.error("the configuration stays as it was: %s", error)
             return
-        self.told = change.told
-        self.last.save(change.told)
+        self.told = change.document
+        self.last.save(change.document)
         if self.record is not None:
             from loftrelay.service.store_setup import modes
 
@@ -101,12 +101,12 @@
         door = await self._open_door()
         taker: HandoverReceiver | None = None
         lock: Lock | None
-        if config.accept is None:
-            if (lock := Lock.take(config.state)) is None:
-                raise OSError(f"another process of this relay holds {config.state}")
-            journal = Journal(config.state, config.disk_bytes)
+        if config.listen_fd is None:
+            if (lock := Lock.take(config.state_dir)) is None:
+                raise OSError(f"another process of this relay holds {config.state_dir}")
+            journal = Journal(config.state_dir, config.journal_bytes)
         else:
-            taker = HandoverReceiver(config.state, config.disk_bytes, config.seed)
+            taker = HandoverReceiver(config.state_dir, config.journal_bytes, config.seed)
             try:
                 journal = await self._unless_stopped(taker)
             except Stopped:
@@ -130,13 +130,13 @@
             await self._subscribe(engine, handed is not None)
         if taker is None:
             await self._catch_up(engine)
-        server = Server(engine, config.most_clients)
-        address = await server.listen(config.listen, config.accept)
+        server = Server(engine, config.max_client_connections)
+        address = await server.listen(config.listen, config.listen_fd)
         if taker is not None:
             taker.attach(engine, server.adopt, self.relay.change, self.read_again)
             if recorder is None:  # what the store has not said yet can't be handed over
                 self.giver = HandoverSender(
-                    config.state,
+                    config.state_dir,
                     lock,
                     engine,
                     server,
@@ -227,12 +227,12 @@
     def _read_what_was_missed(self, engine: Engine) -> None:
         """The file may have been replaced, and SIGHUP sent to the process before, since this one read it."""
         try:
-            change = reload(os.environ, self.told)
+            change = reload_config(os.environ, self.told)
         except ConfigError:
             return  # what is in force stays
-        if change.told != self.told:
-            self.told = change.told
-            self.last.save(change.told)
+        if change.document != self.told:
+            self.told = change.document
+            self.last.save(change.document)
             engine.apply_settings(change.settings, change.discovery)
 
     async def _join(self, engine: Engine) -> asyncio.Task[None]:
@@ -240,8 +240,10 @@
         from loftrelay.service.gossip_member import GossipMember  # with its encoding, only where it is used
 
         assert self.fleet is not None
-        config, beside = self.config, self.config.accept is not None
-        self.joined = GossipMember(self.fleet, config.name, config.state, engine, self.relay.change_for_fleet)
+        config, beside = self.config, self.config.listen_fd is not None
+        self.joined = GossipMember(
+            self.fleet, config.name, config.state_dir, engine, self.relay.change_for_fleet
+        )
         self.relay.more.append(self.joined.figure_lines)
         starting = asyncio.create_task(self.joined.start(wait=beside))
         if not beside:
@@ -249,10 +251,10 @@
         return starting
 
     async def _open_door(self) -> Door | None:
-        if self.config.control is None:
+        if self.config.admin_address is None:
             return None
         door = Door(self.relay)
-        address = await door.listen(self.config.control)
+        address = await door.listen(self.config.admin_address)
         log.info("%s is open to operators on %s:%d", self.config.name, *address)
         return door
 
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from loftrelay.cli.demo import Result, main, report
+from loftrelay.cli.demo import DemoResult, main, report
 from loftrelay.store.state_machine import Answer, Entry, apply
 from tests.standins.platform import ROOT
 from tests.store.test_sqlite import life
@@ -52,12 +52,12 @@
 
 def test_a_store_that_is_slow_is_named_as_the_reason(capsys: pytest.CaptureFixture[str]) -> None:
     slow = ["the store of record is slow: a commit took 0.80 s"]
-    assert report(Result([entry("a")], {"a"}, Counter("a"), {}, [], slow, 3), sys.stdout) == 0
+    assert report(DemoResult([entry("a")], {"a"}, Counter("a"), {}, [], slow, 3), sys.stdout) == 0
     said = capsys.readouterr().out.splitlines()
     assert "a commit took 0.80 s" in said[-2]
     assert "turned away 3 times" in said[-2]
     assert LAST.fullmatch(said[-1])
-    report(Result([entry("a")], {"a"}, Counter("a"), {}, []), sys.stdout)
+    report(DemoResult([entry("a")], {"a"}, Counter("a"), {}, []), sys.stdout)
     assert "slow" not in capsys.readouterr().out
 
 
@@ -83,19 +83,19 @@
 
 
 def test_each_disagreement_is_found() -> None:
-    sound = Result([entry("a")], {"a"}, Counter("a"), {}, [])
+    sound = DemoResult([entry("a")], {"a"}, Counter("a"), {}, [])
     assert sound.disagreements() == []
     assert sound.duplicates == 0
     assert replace(sound, effects=Counter("aa")).duplicates == 1
     status = replace(sound.entries[0], about=replace(sound.entries[0].about, class_name="status"))
     assert replace(sound, entries=[status], effects=Counter("aa")).duplicates == 0  # it may run again
     for result, says in (
-        (replace(sound, taken={"a", "b"}), "b: taken on, and not in the store"),
+        (replace(sound, admitted={"a", "b"}), "b: taken on, and not in the store"),
         (replace(sound, effects=Counter("ab")), "b: ran, and not in the store"),
         (replace(sound, effects=Counter()), "a: delivered, ran 0 times"),
         (replace(sound, entries=[replace(entry("a"), told_at=None)]), "a: its end is not told"),
         (replace(sound, entries=[entry("a", Answer.REFUSED)]), "a: refused, ran 1 times"),
-        (replace(sound, wrong=["torn"]), "torn"),
+        (replace(sound, store_faults=["torn"]), "torn"),
     ):
         assert result.disagreements() == [says]
 
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from loftrelay.config.platform import ConfigError, load_config, reload
+from loftrelay.config.platform import ConfigError, load_config, reload_config
 from loftrelay.config.validation import InvalidSettingError, check_change, check_settings
 from tests.standins.platform import SETTINGS
 
@@ -48,7 +48,7 @@
 def read(folder: Path, text: bytes) -> Any:
     path = folder / "config.json"
     path.write_bytes(text)
-    return reload({"RELAY_CONFIG": str(path)}, FILE)
+    return reload_config({"RELAY_CONFIG": str(path)}, FILE)
 
 
 def test_cut_off_at_every_byte_it_changes_nothing(tmp_path: Path) -> None:
--- a/tests/delivery/test_settings.py
+++ b/tests/delivery/test_settings.py
@@ -89,9 +89,9 @@
             assert about.startswith(f"true or false; default {str(key.default).lower()}: ")
         elif isinstance(key.default, str):
             assert f'default "{key.default}"' in about
-            assert all(f'"{word}"' in about for word in key.words)
+            assert all(f'"{word}"' in about for word in key.choices)
         else:
-            unit, bounds = units.get(key.unit, key.unit), f"{key.least:.9g} to {key.most:.9g}"
+            unit, bounds = units.get(key.unit, key.unit), f"{key.minimum:.9g} to {key.maximum:.9g}"
             assert about.startswith(f"{unit}, {bounds}; default {key.default:g}: "), (key.name, about)
 
 
--- a/tests/metrics/test_registry.py
+++ b/tests/metrics/test_counters.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loftrelay.metrics.registry import FinalStatus, Gauges, Metrics
+from loftrelay.metrics.counters import FinalStatus, Gauges, Metrics
 
 GAUGES = Gauges(outstanding=14, discovered=5, ejected=1)
 
@@ -16,10 +16,10 @@
     figures = Metrics(["a", "b"])
     assert shown(figures)["app.aborted.b"] == 0
     figures.count_final_status("a", FinalStatus.SUCCEEDED)
-    figures.know(["b", "c"])
+    figures.add_classes(["b", "c"])
     figures.count_final_status("c", FinalStatus.REJECTED)
     figures.count_final_status("gone-before-the-start", FinalStatus.ABORTED)
-    figures.forwarded(3)
+    figures.count_forwarded(3)
     told = shown(figures)
     assert told["app.succeeded.a"] == 1
     assert told["app.declined.c"] == 1
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -14,7 +14,7 @@
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.journal.journal import Journal
-from loftrelay.metrics.registry import FinalStatus
+from loftrelay.metrics.counters import FinalStatus
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.handover import HandoverError, read_attempt_result, read_state, write_attempt_result
@@ -108,10 +108,12 @@
     def check(self, before: int = 0) -> None:
         """`before`: taken by another process, and ended or handed over there."""
         shown = dict(line.split("=") for line in self.engine.metric_lines())
-        ended = sum(self.engine.metrics.ends.values())
+        ended = sum(self.engine.metrics.final_statuses.values())
         outstanding = int(shown["app.outstanding"])
         assert self.handed_in - self.withdrawn == before + ended + outstanding
-        declined = sum(n for (_, end), n in self.engine.metrics.ends.items() if end is FinalStatus.REJECTED)
+        declined = sum(
+            n for (_, end), n in self.engine.metrics.final_statuses.items() if end is FinalStatus.REJECTED
+        )
         assert declined >= 0
         assert outstanding == len(self.engine.journal.messages)
 
@@ -131,7 +133,7 @@
             steps.step()
             steps.check()
         assert steps.statuses[202] > 20
-        assert sum(engine.metrics.ends.values()) > 10
+        assert sum(engine.metrics.final_statuses.values()) > 10
         close(engine)
 
     asyncio.run(main())
@@ -163,7 +165,7 @@
         handed = read_state(state, 2)
         journal.close()
         second_journal.take_ownership()
-        ended_before = sum(first.metrics.ends.values())
+        ended_before = sum(first.metrics.final_statuses.values())
         second, _ = build(config(tmp_path), journal=second_journal, handed=handed)
         assert set(second.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)) == {
             held.id for held, _ in steps.out
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -90,7 +90,7 @@
     folder: Path, most_held: int = 100, handed: handover.HandoverState | None = None
 ) -> tuple[Engine, FakeSlices]:
     config, slices = config_of(folder, most_held), FakeSlices()
-    journal = Journal(folder, config.disk_bytes)
+    journal = Journal(folder, config.journal_bytes)
     engine = Engine(1, config.settings, journal)
     hosts = HostClient(
         None,
@@ -101,7 +101,7 @@
         journal.record_attempt,
         engine.attempt_ended,
         engine.outcome_disputed,
-        engine.metrics.forwarded,
+        engine.metrics.count_forwarded,
         engine.stall_detector,
         engine.retry_after_received,
         engine.is_blocked,
--- a/tests/store/test_settings.py
+++ b/tests/store/test_settings.py
@@ -52,6 +52,6 @@
     assert list(lines) == [key.name for key in KEYS]
     for key in KEYS:
         if not isinstance(key.default, str):
-            assert f"{key.least:.9g} to {key.most:.9g}; default {key.default:g}: " in lines[key.name]
-        elif key.words:
+            assert f"{key.minimum:.9g} to {key.maximum:.9g}; default {key.default:g}: " in lines[key.name]
+        elif key.choices:
             assert f'default "{key.default}"' in lines[key.name]
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -39,7 +39,7 @@
     "relay/message_terms.py",
     "relay/handover.py",
     "upgrade/state_machine.py",
-    "metrics/registry.py",
+    "metrics/counters.py",
     "server/admin/protocol.py",
     "config/validation.py",
     "gossip/swim.py",
