--- a/loftrelay/__main__.py
+++ b/loftrelay/__main__.py
@@ -127,7 +127,7 @@
     start_log()
     connections, record, fleet, subscription = Limits(), None, None, None
     try:
-        config = load_config(os.environ, fleet=asked.fleet is not None)
+        config = load_config(os.environ, is_gossiping=asked.fleet is not None)
         if asked.connections:
             from loftrelay.delivery.settings import load_limits
 
--- a/loftrelay/config/__init__.py
+++ b/loftrelay/config/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' files: TOML in which every key is checked before anything is used."""
+"""Configuration: the platform's JSON and environment, and the operators' TOML files, checked before use."""
--- a/loftrelay/config/validation.py
+++ b/loftrelay/config/validation.py
@@ -1,201 +1,241 @@
-"""Checks the settings that the platform's file tells, whole, before any of them is used. No input or output.
+"""Checks the `settings` of the platform's file before any of them is used. No input or output.
 
-A start asks for what a relay can't do without. A file that replaces one in force has to tell every key that
-this one told, too: a file that was cut or written by half must not pass for one with other settings.
+`check_settings` requires what a relay can't work without. `check_change` requires in addition that a file
+which replaces one in force has every key of its predecessor, so that a truncated file is not taken for one
+with other settings. The names here are those of the file; `parse_settings` maps them to the program's terms.
 """
 
 from __future__ import annotations
 
+import math
 from collections.abc import Callable, Mapping
 from typing import Any
 
-Check = Callable[[Any], str | None]  # what is wrong with a value, or None
+# Returns what is wrong with a value, or None.
+Check = Callable[[Any], str | None]
 
 
 class InvalidSettingError(ValueError):
-    """Names the key and the value."""
+    """A setting is missing or has a value that can't be used.
 
+    Attributes:
+        path: Where it stands, as `settings.classes[0].deadline`.
+        problem: What is wrong with it.
+    """
 
-def _whole(value: Any) -> bool:
-    return isinstance(value, int) and not isinstance(value, bool)
-
-
-def _number(value: Any) -> bool:
-    return isinstance(value, int | float) and not isinstance(value, bool) and value == value
+    def __init__(self, path: str, problem: str) -> None:
+        super().__init__(f"{path} {problem}")
+        self.path = path
+        self.problem = problem
 
 
-def text(value: Any) -> str | None:
-    return None if isinstance(value, str) and value else "is not a text"
+def string(value: Any) -> str | None:
+    """Checks for a string that is not empty."""
+    return None if isinstance(value, str) and value else "is not a string"
 
 
-def flag(value: Any) -> str | None:
+def boolean(value: Any) -> str | None:
+    """Checks for true or false."""
     return None if isinstance(value, bool) else "is not true or false"
 
 
-def over_zero(value: Any) -> str | None:
-    if not _whole(value):
+def positive_integer(value: Any) -> str | None:
+    """Checks for a whole number over 0."""
+    if not _is_integer(value):
         return "is not a whole number"
     return None if value > 0 else "is not over 0"
 
 
-def not_negative(value: Any) -> str | None:
-    if not _whole(value):
+def non_negative_integer(value: Any) -> str | None:
+    """Checks for a whole number of 0 or more."""
+    if not _is_integer(value):
         return "is not a whole number"
     return None if value >= 0 else "is under 0"
 
 
-def amount(value: Any) -> str | None:
-    if not _number(value):
+def non_negative_number(value: Any) -> str | None:
+    """Checks for a number of 0 or more."""
+    if not _is_number(value):
         return "is not a number"
     return None if value >= 0 else "is under 0"
 
 
-def share(value: Any) -> str | None:
-    if not _number(value):
+def fraction(value: Any) -> str | None:
+    """Checks for a number from 0 to 1."""
+    if not _is_number(value):
         return "is not a number"
     return None if 0 <= value <= 1 else "is not from 0 to 1"
 
 
-CLASS: Mapping[str, Check] = {
-    "name": text,
-    "effect": text,
-    "deadline": over_zero,
-    "on_time": over_zero,
-    "worth": amount,
-    "late_worth": share,
-    "window": not_negative,
-    "key_scope": text,
-    "in_order": flag,
-    "streamed": flag,
+def _is_integer(value: Any) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool)
+
+
+def _is_number(value: Any) -> bool:
+    return isinstance(value, int | float) and not isinstance(value, bool) and not math.isnan(value)
+
+
+CLASS_CHECKS: Mapping[str, Check] = {
+    "name": string,
+    "effect": string,
+    "deadline": positive_integer,
+    "on_time": positive_integer,
+    "worth": non_negative_number,
+    "late_worth": fraction,
+    "window": non_negative_integer,
+    "key_scope": string,
+    "in_order": boolean,
+    "streamed": boolean,
+}
+REQUIRED_CLASS_KEYS = ("name", "effect", "deadline")
+# A class of a new file may leave these out even where every class in force has them.
+OPTIONAL_CLASS_KEYS = frozenset({"in_order"})
+TENANT_CHECKS: Mapping[str, Check] = {
+    "name": string,
+    "allowance_per_s": non_negative_number,
+    "fraction": non_negative_number,
 }
-CLASS_NEEDS = ("name", "effect", "deadline")
-# Beside these a class of a new file needs what every class in force tells; a class may do without this:
-OPTIONAL = frozenset({"in_order"})
-TENANT: Mapping[str, Check] = {"name": text, "allowance_per_s": amount, "fraction": amount}
-PARTS: Mapping[str, Mapping[str, Check]] = {
+SECTION_CHECKS: Mapping[str, Mapping[str, Check]] = {
     "policy_limits": {
-        "most_tries": over_zero,
-        "most_held": over_zero,
-        "conn_idle": over_zero,
-        "connect_timeout": over_zero,
-        "max_retry_after": not_negative,
-        "cancel": flag,
-        "probes": flag,
-        "retry_after": flag,
+        "most_tries": positive_integer,
+        "most_held": positive_integer,
+        "conn_idle": positive_integer,
+        "connect_timeout": positive_integer,
+        "max_retry_after": non_negative_integer,
+        "cancel": boolean,
+        "probes": boolean,
+        "retry_after": boolean,
     },
     "safety": {
-        "ask_every": over_zero,
-        "cold": not_negative,
-        "cold_from": share,
-        "fall_multiple": amount,
-        "settle_after_doubt": not_negative,
-        "tip_after": over_zero,
+        "ask_every": positive_integer,
+        "cold": non_negative_integer,
+        "cold_from": fraction,
+        "fall_multiple": non_negative_number,
+        "settle_after_doubt": non_negative_integer,
+        "tip_after": positive_integer,
     },
-    "extra": {"call_slots": over_zero},
+    "extra": {"call_slots": positive_integer},
 }
-ALONE: Mapping[str, Check] = {
-    "tick": over_zero,
-    "peers_total": over_zero,
-    "over_share_worth": share,
-    "zone": text,
-    "discovery": text,
-    "weight_kind": text,
+TOP_LEVEL_CHECKS: Mapping[str, Check] = {
+    "tick": positive_integer,
+    "peers_total": positive_integer,
+    "over_share_worth": fraction,
+    "zone": string,
+    "discovery": string,
+    "weight_kind": string,
 }
-LISTS: Mapping[str, tuple[str, Check]] = {
-    "bundle_max": ("extra", over_zero),
-    "own_limits": ("extra", flag),
-    "fee_by_zone": ("extra", amount),
+# Lists inside the section `extra`, by the check of their items.
+EXTRA_LIST_CHECKS: Mapping[str, Check] = {
+    "bundle_max": positive_integer,
+    "own_limits": boolean,
+    "fee_by_zone": non_negative_number,
 }
+TOP_LEVEL_STRING_LISTS = ("flavors", "localities")
 
 
-def check_settings(told: Any, path: str = "settings") -> None:
-    """Raises Wrong where a relay can't work by these settings. Keys that it does not know are passed over."""
-    if not isinstance(told, Mapping):
-        raise InvalidSettingError(f"{path} is not an object")
-    _classes(told.get("classes"), f"{path}.classes")
-    for row, where in _rows(told, "tenants", path):
-        _check(row, TENANT, where, needs=("name",))
-    for name, keys in PARTS.items():
-        part = told.get(name, {})
-        if not isinstance(part, Mapping):
-            raise InvalidSettingError(f"{path}.{name} is not an object")
-        _check(part, keys, f"{path}.{name}")
-    _check(told, ALONE, path)
-    for name, (part_name, check) in LISTS.items():
-        for i, value in enumerate(_list(told.get(part_name, {}), name, f"{path}.{part_name}")):
-            if (why := check(value)) is not None:
-                raise InvalidSettingError(f"{path}.{part_name}.{name}[{i}] = {value!r} {why}")
-    for name in ("flavors", "localities"):
-        for i, value in enumerate(_list(told, name, path)):
-            if (why := text(value)) is not None:
-                raise InvalidSettingError(f"{path}.{name}[{i}] = {value!r} {why}")
+def check_settings(settings: Any, path: str = "settings") -> None:
+    """Checks settings in full. Unknown keys are ignored.
+
+    Raises:
+        InvalidSettingError: A relay can't work with these settings.
+    """
+    settings = _require_object(settings, path)
+    _check_classes(settings.get("classes"), f"{path}.classes")
+    for i, row in enumerate(_list(settings, "tenants", path)):
+        _check_object(row, TENANT_CHECKS, f"{path}.tenants[{i}]", required=("name",))
+    for name, checks in SECTION_CHECKS.items():
+        _check_object(settings.get(name, {}), checks, f"{path}.{name}")
+    _check_object(settings, TOP_LEVEL_CHECKS, path)
+    extra = settings.get("extra", {})
+    for name, check in EXTRA_LIST_CHECKS.items():
+        _check_items(extra, name, f"{path}.extra", check)
+    for name in TOP_LEVEL_STRING_LISTS:
+        _check_items(settings, name, path, string)
 
 
 def check_change(old: Mapping[str, Any], new: Any) -> None:
-    """What a file in force told, one that replaces it tells as well. Raises Wrong."""
-    _told_too(old, new, "settings", skip=frozenset({"classes", "tenants"}))
-    classes = [row.keys() for row in old["classes"]]
-    needed = set.intersection(*map(set, classes)) - OPTIONAL
-    for i, row in enumerate(new["classes"]):
-        for key in sorted(needed - row.keys()):
-            raise InvalidSettingError(f"settings.classes[{i}] tells no {key}")
+    """Checks that new settings, themselves valid, have every key of the ones in force.
+
+    Classes and tenants may be added and dropped; each needs the keys that all of its kind in force have.
+
+    Raises:
+        InvalidSettingError: A key is missing, or has a value of another kind.
+    """
+    _require_same_keys(old, new, "settings", ignored=frozenset({"classes", "tenants"}))
+    required = _common_keys(old["classes"]) - OPTIONAL_CLASS_KEYS
+    _require_keys(new["classes"], required, "settings.classes")
     if "tenants" in old and "tenants" not in new:
-        raise InvalidSettingError("settings tells no tenants")
-    tenants = [set(row) for row in old.get("tenants") or ()]
-    for i, row in enumerate(new.get("tenants") or ()):
-        for key in sorted((set.intersection(*tenants) if tenants else set()) - row.keys()):
-            raise InvalidSettingError(f"settings.tenants[{i}] tells no {key}")
+        raise InvalidSettingError("settings", "has no tenants")
+    _require_keys(new.get("tenants") or [], _common_keys(old.get("tenants") or []), "settings.tenants")
 
 
-def _classes(rows: Any, path: str) -> None:
+def _check_classes(rows: Any, path: str) -> None:
     if not isinstance(rows, list) or not rows:
-        raise InvalidSettingError(f"{path} = {rows!r} names no class")
+        raise InvalidSettingError(path, f"= {rows!r} names no class")
     names: set[str] = set()
     for i, row in enumerate(rows):
-        if not isinstance(row, Mapping):
-            raise InvalidSettingError(f"{path}[{i}] is not an object")
-        _check(row, CLASS, f"{path}[{i}]", CLASS_NEEDS)
+        _check_object(row, CLASS_CHECKS, f"{path}[{i}]", REQUIRED_CLASS_KEYS)
         if row["name"] in names:
-            raise InvalidSettingError(f"{path}[{i}].name = {row['name']!r} stands there twice")
+            raise InvalidSettingError(f"{path}[{i}].name", f"= {row['name']!r} is a duplicate")
         names.add(row["name"])
 
 
-def _check(row: Mapping[str, Any], keys: Mapping[str, Check], path: str, needs: tuple[str, ...] = ()) -> None:
-    for name in needs:
-        if name not in row:
-            raise InvalidSettingError(f"{path} tells no {name}")
-    for name, check in keys.items():
-        # null stands for what is not told, except where it is needed
-        if name in row and (row[name] is not None or name in needs) and (why := check(row[name])) is not None:
-            raise InvalidSettingError(f"{path}.{name} = {row[name]!r} {why}")
+def _check_object(value: Any, checks: Mapping[str, Check], path: str, required: tuple[str, ...] = ()) -> None:
+    entries = _require_object(value, path)
+    for name in required:
+        if name not in entries:
+            raise InvalidSettingError(path, f"has no {name}")
+    for name, check in checks.items():
+        # null stands for a key that is left out, except where it is required
+        if name in entries and (entries[name] is not None or name in required):
+            _check_value(entries[name], check, f"{path}.{name}")
+
+
+def _check_items(section: Mapping[str, Any], name: str, path: str, check: Check) -> None:
+    for i, item in enumerate(_list(section, name, path)):
+        _check_value(item, check, f"{path}.{name}[{i}]")
+
+
+def _check_value(value: Any, check: Check, path: str) -> None:
+    problem = check(value)
+    if problem is not None:
+        raise InvalidSettingError(path, f"= {value!r} {problem}")
 
 
-def _list(part: Any, name: str, path: str) -> list[Any]:
-    value = part.get(name)
+def _require_object(value: Any, path: str) -> Mapping[str, Any]:
+    if not isinstance(value, Mapping):
+        raise InvalidSettingError(path, "is not an object")
+    return value
+
+
+def _list(section: Mapping[str, Any], name: str, path: str) -> list[Any]:
+    """Returns a list of a section; an empty one where it is left out or null."""
+    value = section.get(name)
     if value is None:
         return []
     if not isinstance(value, list):
-        raise InvalidSettingError(f"{path}.{name} = {value!r} is not a list")
+        raise InvalidSettingError(f"{path}.{name}", f"= {value!r} is not a list")
     return value
 
 
-def _rows(told: Mapping[str, Any], name: str, path: str) -> list[tuple[Mapping[str, Any], str]]:
-    rows = _list(told, name, path)
+def _common_keys(rows: list[Mapping[str, Any]]) -> set[str]:
+    return set.intersection(*map(set, rows)) if rows else set()
+
+
+def _require_keys(rows: list[Mapping[str, Any]], required: set[str], path: str) -> None:
     for i, row in enumerate(rows):
-        if not isinstance(row, Mapping):
-            raise InvalidSettingError(f"{path}.{name}[{i}] is not an object")
-    return [(row, f"{path}.{name}[{i}]") for i, row in enumerate(rows)]
+        for key in sorted(required - row.keys()):
+            raise InvalidSettingError(f"{path}[{i}]", f"has no {key}")
 
 
-def _told_too(old: Any, new: Any, path: str, skip: frozenset[str] = frozenset()) -> None:
+def _require_same_keys(old: Any, new: Any, path: str, ignored: frozenset[str] = frozenset()) -> None:
     if isinstance(old, Mapping):
-        if not isinstance(new, Mapping):
-            raise InvalidSettingError(f"{path} is not an object")
+        entries = _require_object(new, path)
         for key, value in old.items():
-            if key in skip:
+            if key in ignored:
                 continue
-            if key not in new:
-                raise InvalidSettingError(f"{path} tells no {key}")
-            _told_too(value, new[key], f"{path}.{key}")
+            if key not in entries:
+                raise InvalidSettingError(path, f"has no {key}")
+            _require_same_keys(value, entries[key], f"{path}.{key}")
     elif isinstance(old, list) != isinstance(new, list):
-        raise InvalidSettingError(f"{path} = {new!r} is of another kind than before")
+        raise InvalidSettingError(path, f"= {new!r} is of another type than before")
--- a/loftrelay/metrics/__init__.py
+++ b/loftrelay/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""What the relay counts and shows: facts are counted once, where known; gauges are asked of their owners."""
+"""Counters of one process, and the lines in which operators read them."""
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -42,6 +42,7 @@
     "metrics/counters.py",
     "server/admin/protocol.py",
     "config/validation.py",
+    "config/resource_limits.py",
     "gossip/swim.py",
     "gossip/broadcast_queue.py",
     "gossip/operator_overrides.py",
