--- a/loftrelay/cli/__init__.py
+++ b/loftrelay/cli/__init__.py
@@ -1,1 +1,1 @@
-"""What the command line does beside running a relay, one module for each command."""
+"""The command line: `main` chooses the command, each of which has a module of its own."""
--- a/loftrelay/cli/ctl.py
+++ b/loftrelay/cli/ctl.py
@@ -1,4 +1,4 @@
-"""`ctl`: one call at a relay's door for operators."""
+"""The command `ctl`: makes one call to a relay's admin endpoint and prints the reply."""
 
 from __future__ import annotations
 
@@ -7,59 +7,94 @@
 import socket
 import sys
 from collections.abc import Sequence
+from enum import IntEnum
 
-from loftrelay.net.address import parse_address
+from loftrelay.net.address import Address, parse_address
 
-YES, NO, USAGE, UNREACHED = 0, 1, 2, 3  # exit status
-MOST_ANSWER = 1 << 20
+MAX_REPLY_BYTES = 1 << 20
+READ_BYTES = 65536
+DEFAULT_TIMEOUT_S = 5.0
+# The last line of a reply with metrics.
+METRICS_END = "\nEND\n"
 
 
-def parser() -> argparse.ArgumentParser:
-    about = argparse.ArgumentParser(
+class ExitStatus(IntEnum):
+    """Exit status of the command."""
+
+    YES = 0  # the reply is YES, or metrics
+    NO = 1
+    USAGE = 2
+    NO_REPLY = 3
+
+
+def main(arguments: Sequence[str]) -> int:
+    """Makes the call and returns the exit status."""
+    parser = build_parser()
+    options = parser.parse_args(arguments)
+    address = _parse_endpoint(parser, options.address)
+    line = options.call if options.id is None else f"{options.call} {options.id}"
+    try:
+        reply = call(address, line, options.timeout)
+    except OSError as error:
+        print(f"loftrelay ctl: {options.address} does not answer: {error}", file=sys.stderr)
+        return ExitStatus.NO_REPLY
+    is_refusal = reply.startswith("NO")
+    if not is_refusal and not _is_complete(options.call, reply):
+        print(f"loftrelay ctl: {options.address} ended its answer early", file=sys.stderr)
+        return ExitStatus.NO_REPLY
+    print(reply, end="")
+    return ExitStatus.NO if is_refusal else ExitStatus.YES
+
+
+def call(address: Address, line: str, timeout: float) -> str:
+    """Sends one line and returns the reply, up to the end of the connection.
+
+    Args:
+        address: The admin endpoint.
+        line: The call.
+        timeout: Seconds for the connect and for each read.
+
+    Raises:
+        OSError: The endpoint can't be reached, or does not reply in time.
+    """
+    with socket.create_connection(address, timeout=timeout) as connection:
+        connection.sendall(line.encode() + b"\n")
+        reply = bytearray()
+        while len(reply) < MAX_REPLY_BYTES and (data := connection.recv(READ_BYTES)):
+            reply += data
+    return reply.decode("utf-8", "replace")
+
+
+def build_parser() -> argparse.ArgumentParser:
+    """Returns the parser of this command's options."""
+    parser = argparse.ArgumentParser(
         prog="python -m loftrelay ctl",
-        description="Makes one call at a relay's door and prints its answer.",
-        epilog="Exit status: 0 for YES or figures, 1 for NO, 2 for a bad command line, 3 without an answer.",
+        description="Makes one call to a relay's admin endpoint and prints its reply.",
+        epilog="Exit status: 0 for YES or metrics, 1 for NO, 2 for a bad command line, 3 without a reply.",
     )
-    about.add_argument(
+    parser.add_argument(
         "--address",
         default=os.environ.get("RELAY_CONTROL"),
         metavar="HOST:PORT",
-        help="the door's address; without it what RELAY_CONTROL says",
+        help="the admin endpoint; without it the value of RELAY_CONTROL",
     )
-    about.add_argument("--timeout", type=float, default=5.0, metavar="SECONDS", help="for the answer (5)")
-    about.add_argument("call", choices=("ready", "show-stat", "disable-server", "enable-server"))
-    about.add_argument("id", nargs="?", help="of the host, for the last two")
-    return about
+    parser.add_argument(
+        "--timeout", type=float, default=DEFAULT_TIMEOUT_S, metavar="SECONDS", help="for the reply (5)"
+    )
+    parser.add_argument("call", choices=("ready", "show-stat", "disable-server", "enable-server"))
+    parser.add_argument("id", nargs="?", help="of the host, for the last two")
+    return parser
 
 
-def main(arguments: Sequence[str]) -> int:
-    asking = parser()
-    asked = asking.parse_args(arguments)
-    if not asked.address:
-        asking.error("tell --address, or set RELAY_CONTROL")
+def _parse_endpoint(parser: argparse.ArgumentParser, text: str | None) -> Address:
+    """Ends the program with the usage where there is no address."""
+    if not text:
+        parser.error("give --address, or set RELAY_CONTROL")
     try:
-        address = parse_address(asked.address)
+        return parse_address(text)
     except ValueError as error:
-        asking.error(str(error))
-    line = " ".join((asked.call, *([asked.id] if asked.id is not None else [])))
-    try:
-        answer = call(address, line, asked.timeout)
-    except OSError as error:
-        print(f"loftrelay ctl: {asked.address} does not answer: {error}", file=sys.stderr)
-        return UNREACHED
-    whole = answer.endswith("\nEND\n") if asked.call == "show-stat" else answer.endswith("\n")
-    if not whole and not answer.startswith("NO"):
-        print(f"loftrelay ctl: {asked.address} ended its answer early", file=sys.stderr)
-        return UNREACHED
-    print(answer, end="")
-    return NO if answer.startswith("NO") else YES
-
-
-def call(address: tuple[str, int], line: str, timeout: float) -> str:
-    """The whole answer. Raises OSError."""
-    with socket.create_connection(address, timeout=timeout) as door:
-        door.sendall(line.encode() + b"\n")
-        parts: list[bytes] = []
-        while sum(map(len, parts)) < MOST_ANSWER and (part := door.recv(65536)):
-            parts.append(part)
-    return b"".join(parts).decode("utf-8", "replace")
+        parser.error(str(error))
+
+
+def _is_complete(name: str, reply: str) -> bool:
+    return reply.endswith(METRICS_END if name == "show-stat" else "\n")
--- a/loftrelay/cli/registry.py
+++ b/loftrelay/cli/registry.py
@@ -1,4 +1,4 @@
-"""`registry`: runs one registry in the foreground, until SIGTERM."""
+"""The command `registry`: runs one registry in the foreground, until SIGTERM."""
 
 from __future__ import annotations
 
@@ -9,27 +9,37 @@
 from collections.abc import Sequence
 from pathlib import Path
 
+from loftrelay.cli.log import configure_logging
 from loftrelay.config.toml_file import SettingsError
 from loftrelay.registry.service import Registry
 from loftrelay.registry.settings import RegistrySettings, load_registry
 
-OK, CANT_START, BAD_FILE = 0, 1, 2  # exit status
+OK = 0
+CANNOT_START = 1
+BAD_CONFIGURATION = 2
 
 
-def parser() -> argparse.ArgumentParser:
-    about = argparse.ArgumentParser(
-        prog="python -m loftrelay registry",
-        description="Runs one registry: it holds discovery's whole list and tells each relay its slice.",
-        epilog="SIGHUP reads the file again: `discovery` alone may change in service. Exit status: 0 after "
-        "SIGTERM, 1 if the address can't be listened on, 2 for a wrong file or command line.",
-    )
-    about.add_argument(
-        "--settings", type=Path, metavar="FILE", required=True, help="its file (as deploy/registry.toml)"
-    )
-    return about
+def main(arguments: Sequence[str]) -> int:
+    """Runs a registry and returns the exit status."""
+    configure_logging()
+    options = build_parser().parse_args(arguments)
+    try:
+        asyncio.run(serve(options.settings, load_registry(options.settings)))
+    except SettingsError as error:
+        print(f"loftrelay registry: {error}", file=sys.stderr)
+        return BAD_CONFIGURATION
+    except OSError as error:
+        print(f"loftrelay registry: can't start: {error}", file=sys.stderr)
+        return CANNOT_START
+    return OK
 
 
 async def serve(path: Path, settings: RegistrySettings) -> None:
+    """Runs one registry; SIGTERM and SIGINT stop it in order, SIGHUP reloads its file.
+
+    Raises:
+        OSError: The registry can't listen.
+    """
     registry = Registry(path, settings)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -38,14 +48,15 @@
     await registry.run()
 
 
-def main(arguments: Sequence[str]) -> int:
-    asked = parser().parse_args(arguments)
-    try:
-        asyncio.run(serve(asked.settings, load_registry(asked.settings)))
-    except SettingsError as error:
-        print(f"loftrelay registry: {error}", file=sys.stderr)
-        return BAD_FILE
-    except OSError as error:
-        print(f"loftrelay registry: can't start: {error}", file=sys.stderr)
-        return CANT_START
-    return OK
+def build_parser() -> argparse.ArgumentParser:
+    """Returns the parser of this command's options."""
+    parser = argparse.ArgumentParser(
+        prog="python -m loftrelay registry",
+        description="Runs one registry: it holds discovery's full list and serves each relay its part of it.",
+        epilog="SIGHUP reloads the file: `discovery` alone may change in service. Exit status: 0 after "
+        "SIGTERM, 1 if the address can't be listened on, 2 for a bad file or command line.",
+    )
+    parser.add_argument(
+        "--settings", type=Path, metavar="FILE", required=True, help="its file (as deploy/registry.toml)"
+    )
+    return parser
--- /dev/null
+++ b/loftrelay/cli/run.py
@@ -0,0 +1,129 @@
+"""The command without a name: runs one relay in the foreground, until SIGTERM."""
+
+from __future__ import annotations
+
+import argparse
+import asyncio
+import os
+import signal
+import sys
+from collections.abc import Sequence
+from dataclasses import dataclass
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from loftrelay.cli.log import configure_logging
+from loftrelay.config.platform import Config, load_config
+from loftrelay.config.toml_file import SettingsError
+from loftrelay.delivery.connection_pool import Limits
+from loftrelay.service.lifecycle import Service
+
+if TYPE_CHECKING:  # each is loaded with its operator's file, which keeps other starts quick
+    from loftrelay.discovery.settings import SubscriptionSettings
+    from loftrelay.gossip.settings import FleetSettings
+    from loftrelay.store.settings import RecordSettings
+
+OK = 0
+CANNOT_START = 1
+BAD_CONFIGURATION = 2
+
+
+@dataclass(frozen=True, slots=True)
+class OperatorFiles:
+    """The operators' files, read and checked; None for one that was not given."""
+
+    connections: Limits
+    record: RecordSettings | None
+    fleet: FleetSettings | None
+    subscription: SubscriptionSettings | None
+
+
+def main(arguments: Sequence[str]) -> int:
+    """Runs a relay and returns the exit status."""
+    options = build_parser().parse_args(arguments)
+    configure_logging()
+    try:
+        config = load_config(os.environ, is_gossiping=options.fleet is not None)
+        asyncio.run(serve(config, load_operator_files(options)))
+    except SettingsError as error:
+        print(f"loftrelay: configuration: {error}", file=sys.stderr)
+        return BAD_CONFIGURATION
+    except OSError as error:
+        print(f"loftrelay: can't start: {error}", file=sys.stderr)
+        return CANNOT_START
+    return OK
+
+
+async def serve(config: Config, files: OperatorFiles) -> None:
+    """Runs one relay; SIGTERM and SIGINT stop it in order, SIGHUP reloads the configuration.
+
+    Raises:
+        OSError: The relay can't serve.
+    """
+    service = Service(config, files.connections, files.record, files.fleet, files.subscription)
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, service.terminate)
+    loop.add_signal_handler(signal.SIGHUP, service.read_again)
+    await service.run()
+
+
+def load_operator_files(options: argparse.Namespace) -> OperatorFiles:
+    """Reads the files that the command line names.
+
+    Raises:
+        SettingsError: One of them can't be used.
+    """
+    connections, record, fleet, subscription = Limits(), None, None, None
+    if options.connections:
+        from loftrelay.delivery.settings import load_limits
+
+        connections = load_limits(options.connections)
+    if options.record:
+        from loftrelay.store.settings import load_record
+
+        record = load_record(options.record)
+    if options.fleet:
+        from loftrelay.gossip.settings import load_fleet
+
+        fleet = load_fleet(options.fleet, os.environ)
+    if options.subscription:
+        from loftrelay.discovery.settings import load_subscription
+
+        subscription = load_subscription(options.subscription)
+    return OperatorFiles(connections, record, fleet, subscription)
+
+
+def build_parser() -> argparse.ArgumentParser:
+    """Returns the parser of this command's options."""
+    parser = argparse.ArgumentParser(
+        prog="python -m loftrelay",
+        description="Runs one relay in the foreground, until SIGTERM. Other commands, each with --help: "
+        "record (reads the store of record), demo (shows a relay at work on this machine alone), "
+        "ctl (one call to a relay's admin endpoint), registry (serves each relay its part of the list).",
+        epilog="RELAY_CONFIG names the platform's file; RELAY_STATE the directory that outlasts the process. "
+        "RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY override the file. SIGHUP reloads the file.",
+    )
+    _add_file(
+        parser,
+        "--connections",
+        "limits of connections to hosts (as deploy/connections.toml); without it the platform's alone",
+    )
+    _add_file(parser, "--record", "the store of record (as deploy/record.toml); without it the journal alone")
+    _add_file(
+        parser,
+        "--fleet",
+        "the relays that this one gossips with (as deploy/fleet.toml); needs the extra `fleet`; without it "
+        "none. RELAY_FLEET_LISTEN overrides its `listen`",
+    )
+    _add_file(
+        parser,
+        "--subscription",
+        "the registries from which this relay gets the destinations that it serves (as "
+        "deploy/subscription.toml); without it discovery lists all",
+    )
+    return parser
+
+
+def _add_file(parser: argparse.ArgumentParser, option: str, description: str) -> None:
+    parser.add_argument(option, type=Path, metavar="FILE", help=description)
--- a/tests/cli/test_ctl.py
+++ b/tests/cli/test_ctl.py
@@ -1,4 +1,4 @@
-"""`ctl` against a door over loopback sockets, and where none is."""
+"""`ctl` against an admin endpoint on loopback, and without one."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from loftrelay.cli import ctl
 
 
-def answering(answer: bytes) -> tuple[str, threading.Thread]:
-    """A door for one call."""
+def start_endpoint(reply: bytes) -> tuple[str, threading.Thread]:
+    """Starts an endpoint that answers one call."""
     listening = socket.create_server(("127.0.0.1", 0))
 
     def serve() -> None:
@@ -20,7 +20,7 @@
             with connection:
                 while not connection.recv(1024).endswith(b"\n"):
                     pass
-                connection.sendall(answer)
+                connection.sendall(reply)
 
     thread = threading.Thread(target=serve)
     thread.start()
@@ -28,37 +28,37 @@
 
 
 @pytest.mark.parametrize(
-    ("call", "answer", "status"),
+    ("call", "reply", "status"),
     [
-        (["ready"], b"YES\n", ctl.YES),
-        (["ready"], b"NO not ready\n", ctl.NO),
-        (["show-stat"], b"app.forwards=1\nEND\n", ctl.YES),
-        (["show-stat"], b"app.forwards=1\n", ctl.UNREACHED),
-        (["disable-server", "s-1"], b"NO no host has the id s-1\n", ctl.NO),
-        (["enable-server", "s-1"], b"", ctl.UNREACHED),
+        (["ready"], b"YES\n", ctl.ExitStatus.YES),
+        (["ready"], b"NO not ready\n", ctl.ExitStatus.NO),
+        (["show-stat"], b"app.forwards=1\nEND\n", ctl.ExitStatus.YES),
+        (["show-stat"], b"app.forwards=1\n", ctl.ExitStatus.NO_REPLY),
+        (["disable-server", "s-1"], b"NO no host has the id s-1\n", ctl.ExitStatus.NO),
+        (["enable-server", "s-1"], b"", ctl.ExitStatus.NO_REPLY),
     ],
 )
-def test_the_exit_status_tells_the_answer(
-    call: list[str], answer: bytes, status: int, capsys: pytest.CaptureFixture[str]
+def test_the_exit_status_follows_the_reply(
+    call: list[str], reply: bytes, status: int, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    address, thread = answering(answer)
+    address, thread = start_endpoint(reply)
     assert ctl.main(["--address", address, *call]) == status
     thread.join()
-    out, complaint = capsys.readouterr()
-    assert out == (answer.decode() if status != ctl.UNREACHED else "")
-    assert bool(complaint) == (status == ctl.UNREACHED)
+    out, error = capsys.readouterr()
+    assert out == (reply.decode() if status != ctl.ExitStatus.NO_REPLY else "")
+    assert bool(error) == (status == ctl.ExitStatus.NO_REPLY)
 
 
-def test_nobody_answers(capsys: pytest.CaptureFixture[str]) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        port = taken.getsockname()[1]
-    assert ctl.main(["--address", f"127.0.0.1:{port}", "ready"]) == ctl.UNREACHED
+def test_an_endpoint_that_nothing_listens_on(capsys: pytest.CaptureFixture[str]) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as unused:
+        port = unused.getsockname()[1]
+    assert ctl.main(["--address", f"127.0.0.1:{port}", "ready"]) == ctl.ExitStatus.NO_REPLY
     assert "does not answer" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("line", [[], ["--address", "x", "ready"], ["--address", "a:1", "reboot"]])
-def test_a_bad_command_line(line: list[str], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_bad_command_line_ends_with_the_usage(line: list[str], monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("RELAY_CONTROL", raising=False)
     with pytest.raises(SystemExit) as ended:
         ctl.main(line or ["ready"])
-    assert ended.value.code == ctl.USAGE
+    assert ended.value.code == ctl.ExitStatus.USAGE
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -18,7 +18,7 @@
     "journal": {"decisions", "relay"},
     "store": {"decisions", "relay", "config"},
     "demo": set[str](),
-    "cli": {"store", "registry", "demo", "config", "net"},
+    "cli": {"store", "registry", "demo", "config", "net", "service", "delivery", "discovery", "gossip"},
     "registry": {"net", "config"},
     "discovery": {"decisions", "relay", "net", "registry", "config"},
     "delivery": {"decisions", "relay", "net", "config"},
