--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -135,13 +135,18 @@
                 _, complete, entries = read_list(json.loads(told))
                 form = EndpointListKind.FULL if complete else EndpointListKind.DELTA
                 listing = EndpointListReceived(form, tuple(entry for entry, _ in entries))
-                engine.endpoints_listed(listing, {entry.endpoint: address for entry, address in entries})
+                engine.endpoints.listed(listing, {entry.endpoint: address for entry, address in entries})
 
             async def taken(told: bytes, count: int) -> float:
                 began = time.process_time()
                 asyncio.get_running_loop().call_soon(take, told)
                 await asyncio.sleep(0)
-                await until(lambda: not engine.turn_due and len(engine.scheduler.state.endpoints) == count)
+                await until(
+                    lambda: (
+                        not engine.context.loop.is_batch_due
+                        and len(engine.context.scheduler.state.endpoints) == count
+                    )
+                )
                 return time.process_time() - began
 
             await taken(whole_list(10), 10)
@@ -154,9 +159,9 @@
             peak = max(0, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024 - peak)
             grown = uss() - before
             again = await taken(body, size)
-            engine.status_reporter.close()
-            engine.discovery.close()
-            engine.delivery.close()
+            engine.context.status_reporter.close()
+            engine.context.discovery.close()
+            engine.context.delivery.close()
             return {
                 "list_bytes": grown,
                 "list_peak_bytes": peak,
--- /dev/null
+++ b/loftrelay/relay/attempts.py
@@ -0,0 +1,209 @@
+"""Attempts: begins the calls that were decided, once all gates allow them, and takes in their outcomes."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+from collections.abc import Sequence
+from dataclasses import dataclass, replace
+from functools import partial
+
+from loftrelay.decisions.actions import SendAttempt
+from loftrelay.decisions.events import AttemptEnded, AttemptStatus, OutcomeDisputed
+from loftrelay.relay.batch_loop import US_PER_S
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.context import RelayContext
+from loftrelay.relay.events import not_sent
+from loftrelay.relay.final_statuses import FinalStatuses
+from loftrelay.relay.message import Message
+from loftrelay.relay.message_terms import is_repeatable
+from loftrelay.relay.ports import AttemptResult, CallOptions
+
+log = logging.getLogger(__name__)
+
+# How long a decision may wait for the gates: any change of its destination may come meanwhile.
+MAX_GATE_WAIT_S = 0.1
+MAX_GATE_WAIT_UNCHANGED_S = 1.0  # while the destination has told of nothing but success
+# A call ends this long before the first deadline in it: later responses don't count.
+ANSWER_MARGIN_US = 20_000
+MIN_GATE_RETRY_MS = 20  # before an attempt that a gate held back is decided anew
+LONG_RETRY_AFTER_US = 60_000_000  # worth a line in the log
+
+
+@dataclass(frozen=True, slots=True)
+class GatedCall:
+    """A call that waits for the gates."""
+
+    host: str
+    messages: list[Message]
+    options: CallOptions
+
+
+class Attempts:
+    """The calls of one relay."""
+
+    def __init__(self, context: RelayContext, final_statuses: FinalStatuses) -> None:
+        self.context = context
+        self.final_statuses = final_statuses
+
+    def begin(self, host: str, sends: Sequence[SendAttempt], *, is_batch: bool) -> None:
+        """Begins one call with attempts that were decided.
+
+        It may take as long as its most patient message, and ends as a whole before the first deadline in it.
+        """
+        messages = [self.context.journal.messages[send.message_id] for send in sends]
+        for message in messages:
+            message.attempts += 1
+            self.context.message_states.begin_attempt(message.id, self.context.loop.now)
+        options = self._options(sends, messages, is_batch=is_batch)
+        self._request_gate(0, GatedCall(host, messages, options))
+
+    def _options(
+        self, sends: Sequence[SendAttempt], messages: Sequence[Message], *, is_batch: bool
+    ) -> CallOptions:
+        open_messages = self.context.scheduler.state.messages
+        deadline = min(open_messages[message.id].deadline for message in messages)
+        # By the clock of the decisions, which does not step, and as of now: a batch may have taken long.
+        remaining = deadline - self.context.loop.clock() - ANSWER_MARGIN_US
+        timeout = max(0, min(remaining, max(send.timeout for send in sends)))
+        idle_limits = [send.max_connection_idle for send in sends if send.max_connection_idle is not None]
+        send_limits = [send.send_within / US_PER_S for send in sends if send.send_within is not None]
+        return CallOptions(
+            timeout=timeout / US_PER_S,
+            is_batch=is_batch,
+            is_at_most_once=any(not is_repeatable(message.packed_terms) for message in messages),
+            max_connection_idle=min(idle_limits, default=None),
+            send_within=min(send_limits, default=math.inf),
+        )
+
+    def _request_gate(self, position: int, call: GatedCall) -> None:
+        """Asks each gate in turn; then the call goes out."""
+        gates = self.context.attempt_gates
+        if position == len(gates):
+            self.context.delivery.send_call(call.host, call.messages, call.options)
+            return
+        requested_at = asyncio.get_running_loop().time()
+        done = partial(self._gate_answered, position, call, requested_at)
+        gates[position].request_attempt(call.messages, call.host, done)
+
+    def _gate_answered(self, position: int, call: GatedCall, requested_at: float, is_granted: bool) -> None:
+        waited = asyncio.get_running_loop().time() - requested_at
+        if is_granted and not self.context.is_stopping and self._is_still_valid(call, requested_at, waited):
+            options = replace(
+                call.options,
+                timeout=max(0.0, call.options.timeout - waited),
+                send_within=call.options.send_within - waited,
+            )
+            self._request_gate(position + 1, replace(call, options=options))
+        else:
+            self._hold_back(position, call)
+
+    def _is_still_valid(self, call: GatedCall, requested_at: float, waited: float) -> bool:
+        changed_at = self.context.changed_at.get(call.messages[0].destination, 0.0)
+        return waited < (MAX_GATE_WAIT_UNCHANGED_S if changed_at < requested_at else MAX_GATE_WAIT_S)
+
+    def _hold_back(self, position: int, call: GatedCall) -> None:
+        """Has a call decided anew that a gate did not allow in time. It costs its messages no attempt."""
+        gates = self.context.attempt_gates
+        for gate in gates[: position + 1]:
+            for message in call.messages:
+                gate.attempt_ended(message.id, AttemptStatus.NOT_SENT.value)
+        retry_ms = max(MIN_GATE_RETRY_MS, gates[position].retry_after_ms)
+        for message in call.messages:
+            message.attempts -= 1
+            self.context.message_states.end_attempt(message.id)
+            self.context.post(not_sent(message, call.host, retry_ms * 1000))
+
+    def ended(self, message: Message, host: str, result: AttemptResult) -> None:
+        """Takes in the outcome of one message's attempt."""
+        context = self.context
+        if context.outcome_forwarder is not None:
+            context.outcome_forwarder.attempt_ended(message.id, host, result)
+            return
+        now = context.loop.clock()
+        result = self._without_late_answer(message, result, now)
+        sent_at = context.message_states.end_attempt(message.id)
+        attempt = message.attempts - 1
+        was_sent = not (result.is_stale or result.is_blocked)
+        if not was_sent:
+            reason = "a Retry-After" if result.is_blocked else "a stall, a drain or the end of a dedup window"
+            log.info("message %s not sent: %s came after the decision", message.id, reason)
+            message.attempts -= 1  # it costs no attempt
+        if result.is_final:
+            self.final_statuses.delivered(message)
+        else:
+            context.journal.record_attempt_result(message, result.status)
+            for gate in context.attempt_gates:
+                gate.attempt_ended(message.id, result.status.value)
+        for observer in context.observers:
+            observer.attempt_ended(message, host, result)
+        if not result.is_final or result.retry_after:
+            context.note_change(message.destination)
+        elapsed = now - sent_at if sent_at is not None else 0
+        context.post(
+            AttemptEnded(
+                message_id=message.id,
+                attempt=attempt,
+                endpoint=host,
+                status=result.status,
+                elapsed=elapsed,
+                is_final=result.is_final,
+                retry_after=result.retry_after,
+                rate_limit=None,
+                rate_limit_remaining=None,
+                connection_idle=result.connection_idle,
+                is_expired=result.is_expired,
+                postponed_for=int(not was_sent),
+                is_late=result.is_late,
+            )
+        )
+
+    def _without_late_answer(self, message: Message, result: AttemptResult, now: int) -> AttemptResult:
+        """Takes back a delivery that was read after the deadline: the platform may not count it.
+
+        A final status does no harm if it does. After a stall the response has come long since, and counts.
+        """
+        known = self.context.scheduler.state.messages.get(message.id)
+        if not result.is_final or result.is_late or known is None or now < known.deadline:
+            return result
+        log.info("message %s answered after its deadline", message.id)
+        return replace(result, is_final=False, is_expired=True)
+
+    def retry_after_received(self, host: str, retry_after: int) -> None:
+        """Heeds a Retry-After as soon as it is read, whatever becomes of the rest of the response.
+
+        Calls that it forbids and that are not written completely are withdrawn.
+
+        Args:
+            host: that sent it.
+            retry_after: microseconds from now.
+        """
+        if self.context.outcome_forwarder is not None:
+            self.context.outcome_forwarder.retry_after_received(host, retry_after)
+            return
+        if retry_after >= LONG_RETRY_AFTER_US:
+            seconds = retry_after / US_PER_S
+            log.warning("host %s sent Retry-After of %.0f s, which a restart forgets", host, seconds)
+        self.context.scheduler.apply_retry_after(self.context.loop.clock(), host, retry_after)
+        self.context.delivery.withdraw_blocked_calls()
+
+    def is_blocked(self, host: str) -> bool:
+        """Returns whether a Retry-After forbids a call to a host now."""
+        return self.context.scheduler.is_blocked(self.context.loop.clock(), host)
+
+    def outcome_disputed(self, message_id: str, host: str, sent_at: int) -> None:
+        """Takes back a rejection that may have been another call's response: the message may have run.
+
+        Args:
+            message_id: the message.
+            host: where it was rejected.
+            sent_at: when that attempt was sent, in microseconds of the wall clock.
+        """
+        if self.context.outcome_forwarder is not None:
+            self.context.outcome_forwarder.outcome_disputed(message_id, host, sent_at)
+            return
+        message = self.context.journal.messages.get(message_id)
+        if message is not None and message.final_status is None:
+            self.context.journal.record_dispute(message, host, sent_at)
+            self.context.post(OutcomeDisputed(message_id, host, max(0, wall_clock() - sent_at)))
--- a/loftrelay/relay/handover.py
+++ b/loftrelay/relay/handover.py
@@ -1,4 +1,7 @@
-"""What one process tells the next beside the journal, as JSON and back. It does no input or output."""
+"""What one process hands to the next beside the journal, as JSON and back. No input or output.
+
+The names in the JSON are mapped to the fields of HandoverState here.
+"""
 
 from __future__ import annotations
 
@@ -10,104 +13,138 @@
 from loftrelay.decisions.events import AttemptStatus, EndpointEntry, EndpointState, Event
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.net.address import Address
+from loftrelay.relay.message_terms import PackedTerms
 from loftrelay.relay.ports import AttemptResult
 
+MALFORMED = (KeyError, TypeError, ValueError, AttributeError, IndexError)
+
 
 class HandoverError(ValueError):
-    """What was told can't be used."""
+    """What was handed over can't be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
+    """The state of a predecessor."""
+
     scheduler: Scheduler
-    events: list[Event]  # that it has not seen yet
-    entries: list[tuple[EndpointEntry, Address]]  # the list of hosts
+    events: list[Event]  # that the scheduler has not seen yet
+    entries: list[tuple[EndpointEntry, Address]]  # the endpoint list
     revision: int | None  # of that list
     discovery: Address
     destinations: set[int]  # that a list has named
-    sent_at: dict[str, int]  # of attempts that are out, on the clock that all processes share
-    retired_classes: dict[str, tuple[tuple[Any, ...], int]]  # classes that are taken for a while yet
-    is_subscription: bool = (
-        False  # the list names the destinations alone that the relay served, as of slice_revision
-    )
+    sent_at: dict[str, int]  # of attempts in flight, by message, in microseconds of the shared clock
+    retired_classes: dict[str, tuple[PackedTerms, int]]  # classes still accepted, and until when
+    is_subscription: bool = False  # the list names only the destinations that the predecessor served
     subscription_revision: int | None = None
 
 
 def write_state(
-    module: Scheduler,
+    *,
+    scheduler: Scheduler,
     events: Iterable[Event],
     entries: Iterable[tuple[EndpointEntry, Address]],
     revision: int | None,
     discovery: Address,
     destinations: Iterable[int],
     sent_at: Mapping[str, int],
-    dropped: Mapping[str, tuple[tuple[Any, ...], int]],
-    sliced: bool = False,
+    retired_classes: Mapping[str, tuple[PackedTerms, int]],
+    is_subscription: bool = False,
 ) -> dict[str, Any]:
-    """`sliced`: the list is a slice. Whoever follows without registries then asks for the whole list, also a
-    program that knows of no slices: no revision is told it.
+    """Returns the state of a predecessor as JSON values; the arguments are the fields of HandoverState.
+
+    The revision of a subscription stands apart: a successor without registries then asks for the full list.
     """
-    return {
-        "module": snapshot.write(module, events),
-        "list": [
-            [list(address), e.endpoint, e.destination, e.state.value, e.zone, e.kind, e.listed_rate]
-            for e, address in entries
-        ],
-        "revision": None if sliced else revision,
-        **({"slice": {"revision": revision}} if sliced else {}),
+    state: dict[str, Any] = {
+        "module": snapshot.write(scheduler, events),
+        "list": [_write_entry(entry, address) for entry, address in entries],
+        "revision": None if is_subscription else revision,
+    }
+    if is_subscription:
+        state["slice"] = {"revision": revision}
+    return state | {
         "discovery": list(discovery),
         "destinations": sorted(destinations),
         "sent_at": dict(sent_at),
-        "dropped": {name: [list(packed), until] for name, (packed, until) in dropped.items()},
+        "dropped": {name: [list(terms), until] for name, (terms, until) in retired_classes.items()},
     }
 
 
-def read_state(told: Mapping[str, Any], seed: int) -> HandoverState:
-    """Raises HandoverError."""
+def read_state(state: Mapping[str, Any], seed: int) -> HandoverState:
+    """Returns the state that a predecessor wrote.
+
+    Raises:
+        HandoverError: it is malformed, or was written by a program of another version.
+    """
     try:
-        module, events = snapshot.read(told["module"], seed)
-        host, port = told["discovery"]
-        return HandoverState(
-            module,
-            events,
-            [
-                (
-                    EndpointEntry(name, int(cell), EndpointState(state), zone, kind, rate),
-                    (str(at[0]), int(at[1])),
-                )
-                for at, name, cell, state, zone, kind, rate in told["list"]
-            ],
-            told["revision"],
-            (str(host), int(port)),
-            set(map(int, told["destinations"])),
-            {str(name): int(at) for name, at in told["sent_at"].items()},
-            {str(name): (tuple(packed), int(until)) for name, (packed, until) in told["dropped"].items()},
-            "slice" in told,
-            told["slice"]["revision"] if "slice" in told else None,
-        )
-    except (snapshot.SnapshotError, KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
+        return _read_state(state, seed)
+    except (snapshot.SnapshotError, *MALFORMED) as error:
         raise HandoverError(f"what was handed over can't be used: {error!r}") from error
 
 
-def write_attempt_result(ending: AttemptResult) -> list[Any]:
+def _read_state(state: Mapping[str, Any], seed: int) -> HandoverState:
+    scheduler, events = snapshot.read(state["module"], seed)
+    host, port = state["discovery"]
+    retired = state["dropped"].items()
+    return HandoverState(
+        scheduler=scheduler,
+        events=events,
+        entries=[_read_entry(row) for row in state["list"]],
+        revision=state["revision"],
+        discovery=(str(host), int(port)),
+        destinations=set(map(int, state["destinations"])),
+        sent_at={str(name): int(sent_at) for name, sent_at in state["sent_at"].items()},
+        retired_classes={str(name): (tuple(terms), int(until)) for name, (terms, until) in retired},
+        is_subscription="slice" in state,
+        subscription_revision=state["slice"]["revision"] if "slice" in state else None,
+    )
+
+
+def _write_entry(entry: EndpointEntry, address: Address) -> list[Any]:
+    return [
+        list(address),
+        entry.endpoint,
+        entry.destination,
+        entry.state.value,
+        entry.zone,
+        entry.kind,
+        entry.listed_rate,
+    ]
+
+
+def _read_entry(row: list[Any]) -> tuple[EndpointEntry, Address]:
+    address, endpoint, destination, state, zone, kind, listed_rate = row
+    entry = EndpointEntry(endpoint, int(destination), EndpointState(state), zone, kind, listed_rate)
+    return entry, (str(address[0]), int(address[1]))
+
+
+def write_attempt_result(result: AttemptResult) -> list[Any]:
+    """Returns the outcome of an attempt as JSON values."""
     row = [
-        ending.status.value,
-        ending.is_final,
-        ending.is_expired,
-        ending.retry_after,
-        ending.connection_idle,
+        result.status.value,
+        result.is_final,
+        result.is_expired,
+        result.retry_after,
+        result.connection_idle,
     ]
-    return [*row, True] if ending.is_blocked else row  # only then: earlier programs read five
+    return [*row, True] if result.is_blocked else row  # earlier programs read five values
 
 
-def read_attempt_result(told: list[Any]) -> AttemptResult:
-    """Raises HandoverError."""
+def read_attempt_result(row: list[Any]) -> AttemptResult:
+    """Returns the outcome of an attempt that a predecessor wrote.
+
+    Raises:
+        HandoverError: it is malformed.
+    """
     try:
-        result, over, expired, wait, idle, *more = told
-        idle = None if idle is None else int(idle)
-        held = bool(more and more[0])
+        status, is_final, is_expired, retry_after, connection_idle, *more = row
         return AttemptResult(
-            AttemptStatus(result), bool(over), bool(expired), int(wait), idle, is_blocked=held
+            status=AttemptStatus(status),
+            is_final=bool(is_final),
+            is_expired=bool(is_expired),
+            retry_after=int(retry_after),
+            connection_idle=None if connection_idle is None else int(connection_idle),
+            is_blocked=bool(more and more[0]),
         )
     except (KeyError, TypeError, ValueError) as error:
         raise HandoverError(f"an outcome can't be read: {error!r}") from error
--- a/loftrelay/relay/message.py
+++ b/loftrelay/relay/message.py
@@ -1,4 +1,4 @@
-"""One message that the relay has taken on and that is not over."""
+"""Messages of the journal: those that are not over, and what is remembered of those that are."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CompletedMessage:
-    """How a message ended that is over: its id gets this answer when it is handed in once more."""
+    """How a message ended: its id gets this answer when it is submitted again."""
 
     status: int
     expires_at: int  # wall-clock microseconds
@@ -17,10 +17,13 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message that is not over. Times are wall-clock microseconds."""
+    """One message that is not over. Times are wall-clock microseconds.
+
+    The names of the fields in stored records are mapped in the journal.
+    """
 
     id: str
-    sequence: int  # its place in the order in which messages were taken on
+    sequence: int  # its place in the order of admission
     class_name: str
     tenant: str | None
     destination: int
@@ -29,12 +32,10 @@
     deadline: int
     body: bytes = b""
     attempts: int = 0
-    attempt_started_at: int | None = None  # an attempt whose outcome is not known, and where
+    attempt_started_at: int | None = None  # an attempt without a known outcome
     attempt_host: str | None = None
-    first_attempt_at: int | None = None  # the first attempt that may have run, and where
+    first_attempt_at: int | None = None  # the first attempt that may have run
     first_attempt_host: str | None = None
-    final_status: dict[str, Any] | None = None  # its end, until the platform has heard it
-    packed_terms: Sequence[Any] | None = (
-        None  # taken on under (core/terms.py); None: an older program took it on
-    )
-    idempotency_key: str | None = None  # by which its host drops repeats; goes on unchanged
+    final_status: dict[str, Any] | None = None  # until the platform has acknowledged it
+    packed_terms: Sequence[Any] | None = None  # see message_terms; None: an older program admitted it
+    idempotency_key: str | None = None  # by which its host drops repeats; forwarded unchanged
--- a/loftrelay/relay/message_terms.py
+++ b/loftrelay/relay/message_terms.py
@@ -1,79 +1,93 @@
-"""The terms that a message is taken on under, as the journal tells them, and the classes that are accepted.
+"""The terms under which a message is admitted, as the journal stores them, and the classes that are accepted.
 
-It does no input or output.
+No input or output.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from functools import lru_cache
 from typing import Any
 
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass, MessageTerms, RelaySettings
 
-HARMLESS = (DeliverySemantics.IDEMPOTENT.value, DeliverySemantics.DEDUPLICATED.value)
-# Clients go on using a class that was dropped until they have heard of it, and then hand in once more what
-# was refused: it is taken under its old terms for so long (microseconds).
-LEAST_GRACE = 5_000_000
+# As in the journal: semantics, dedup scope and window, latency objective, deadline, priority weight, its late
+# share, whether ordered, most attempts.
+PackedTerms = tuple[Any, ...]
 
+REPEATABLE_VALUES = (DeliverySemantics.IDEMPOTENT.value, DeliverySemantics.DEDUPLICATED.value)
+# Clients go on using a removed class until they know of it, and submit rejected messages again.
+MIN_RETIREMENT_US = 5_000_000
 
-def pack(about: MessageClass, max_attempts: int | None) -> tuple[Any, ...]:
+
+def pack(message_class: MessageClass, max_attempts: int | None) -> PackedTerms:
+    """Returns the terms of a class as the journal stores them."""
     return (
-        about.semantics.value,
-        about.dedup_scope,
-        about.dedup_window,
-        about.latency_objective,
-        about.deadline,
-        about.priority_weight,
-        about.late_priority_weight,
-        about.is_ordered,
+        message_class.semantics.value,
+        message_class.dedup_scope,
+        message_class.dedup_window,
+        message_class.latency_objective,
+        message_class.deadline,
+        message_class.priority_weight,
+        message_class.late_priority_weight,
+        message_class.is_ordered,
         max_attempts,
     )
 
 
 def unpack(class_name: str, packed: Sequence[Any]) -> MessageTerms:
+    """Returns the terms that `pack` stored."""
     return _unpack(class_name, tuple(packed))
 
 
 @lru_cache(maxsize=256)
-def _unpack(class_name: str, packed: tuple[Any, ...]) -> MessageTerms:
-    effect, *rest, max_attempts = packed
-    return MessageTerms(MessageClass(class_name, DeliverySemantics(effect), *rest), max_attempts)
+def _unpack(class_name: str, packed: PackedTerms) -> MessageTerms:
+    semantics, *rest, max_attempts = packed
+    return MessageTerms(MessageClass(class_name, DeliverySemantics(semantics), *rest), max_attempts)
 
 
 def is_repeatable(packed: Sequence[Any] | None) -> bool:
-    """Whether a message of these terms may run twice. Without terms nobody knows."""
-    return packed is not None and packed[0] in HARMLESS
+    """Returns whether a message of these terms may run twice; unknown terms say no."""
+    return packed is not None and packed[0] in REPEATABLE_VALUES
 
 
 def is_idempotent(packed: Sequence[Any] | None) -> bool:
-    """Whether a message of these terms may run again at any time. Where a destination drops repeats, it does
-    so for a while alone: its id has to be known for as long as a client may hand it in again.
+    """Returns whether a message of these terms may run again at any time.
+
+    A destination that drops repeats does so for a while only: the id of such a message has to be known for as
+    long as a client may submit it again.
     """
     return packed is not None and packed[0] == DeliverySemantics.IDEMPOTENT.value
 
 
 class AcceptedClasses:
-    """The classes that messages may be handed in under: those in force, and for a while those dropped."""
+    """The classes under which messages are admitted: those in force, and for a while those removed."""
 
     def __init__(self, settings: RelaySettings) -> None:
         self.in_force = settings
-        self.retired: dict[str, tuple[tuple[Any, ...], int]] = {}  # with when it is turned away
+        # Terms, and until when (wall clock, microseconds).
+        self.retired: dict[str, tuple[PackedTerms, int]] = {}
 
     def apply_settings(self, settings: RelaySettings, now: int) -> None:
-        old = self.in_force
+        """Uses the classes of new settings, and retires those that are not in them."""
+        before = self.in_force
         self.in_force = settings
-        for name, about in old.classes.items():
+        for name, message_class in before.classes.items():
             if name not in settings.classes:
-                grace = max(LEAST_GRACE, about.deadline or 0)
-                self.retired[name] = pack(about, old.max_attempts), now + grace
+                accepted_for = max(MIN_RETIREMENT_US, message_class.deadline or 0)
+                self.retired[name] = pack(message_class, before.max_attempts), now + accepted_for
         for name in settings.classes:
             self.retired.pop(name, None)
 
-    def terms(self, class_name: str, now: int) -> tuple[Any, ...] | None:
-        """None for a class that is not taken."""
-        if (about := self.in_force.classes.get(class_name)) is not None:
-            return pack(about, self.in_force.max_attempts)
+    def restore_retired(self, retired: Mapping[str, tuple[PackedTerms, int]]) -> None:
+        """Takes over the retired classes of a predecessor."""
+        self.retired = {name: each for name, each in retired.items() if name not in self.in_force.classes}
+
+    def terms(self, class_name: str, now: int) -> PackedTerms | None:
+        """Returns the terms of a class; None for one that is not accepted."""
+        message_class = self.in_force.classes.get(class_name)
+        if message_class is not None:
+            return pack(message_class, self.in_force.max_attempts)
         packed, until = self.retired.get(class_name, ((), 0))
         if until <= now:
             self.retired.pop(class_name, None)
@@ -81,7 +95,9 @@
         return packed
 
     def message_class(self, class_name: str, now: int) -> MessageClass | None:
-        if (about := self.in_force.classes.get(class_name)) is not None:
-            return about
+        """Returns a class that is accepted; None for any other."""
+        message_class = self.in_force.classes.get(class_name)
+        if message_class is not None:
+            return message_class
         packed = self.terms(class_name, now)
         return unpack(class_name, packed).message_class if packed is not None else None
--- a/loftrelay/relay/pending_submissions.py
+++ b/loftrelay/relay/pending_submissions.py
@@ -1,59 +1,62 @@
-"""First messages that wait until their destination is known: unanswered, and in no journal.
+"""Submissions that wait until their destination is resolved: unanswered, and in no journal.
 
-It does no input or output.
+No input or output.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
 
 from loftrelay.relay.message import Message
-
-Answer = Callable[[int, int], None]  # a status, and when to come back (ms)
+from loftrelay.relay.message_state import Answer
 
 
 @dataclass(frozen=True, slots=True)
 class PendingSubmission:
-    held: Message
+    """One message whose destination is not known yet."""
+
+    message: Message
     answer: Answer
-    ends: float  # its time, in the loop's seconds
+    deadline: float  # seconds of the event loop's clock
 
 
 class PendingSubmissions:
+    """All of one relay, in their order."""
+
     def __init__(self) -> None:
-        self.by_destination: dict[
-            int, dict[str, PendingSubmission]
-        ] = {}  # destination -> by message, in their order
-        self.destinations: dict[str, int] = {}  # message -> its destination
+        self.by_destination: dict[int, dict[str, PendingSubmission]] = {}
+        self.destinations: dict[str, int] = {}  # by message
 
     def __len__(self) -> int:
         return len(self.destinations)
 
-    def __contains__(self, message: str) -> bool:
-        return message in self.destinations
-
-    def add(self, parked: PendingSubmission) -> bool:
-        """Whether it is the first of its destination."""
-        held = parked.held
-        first = held.destination not in self.by_destination
-        self.by_destination.setdefault(held.destination, {})[held.id] = parked
-        self.destinations[held.id] = held.destination
-        return first
-
-    def cancel(self, message: str) -> None:
-        """Its client went."""
-        if (destination := self.destinations.pop(message, None)) is not None:
-            del self.by_destination[destination][message]
-            if not self.by_destination[destination]:
-                del self.by_destination[destination]
+    def __contains__(self, message_id: str) -> bool:
+        return message_id in self.destinations
+
+    def add(self, submission: PendingSubmission) -> bool:
+        """Adds a submission; returns whether it is the first of its destination."""
+        message = submission.message
+        is_first = message.destination not in self.by_destination
+        self.by_destination.setdefault(message.destination, {})[message.id] = submission
+        self.destinations[message.id] = message.destination
+        return is_first
+
+    def cancel(self, message_id: str) -> None:
+        """Drops a submission whose client has left."""
+        destination = self.destinations.pop(message_id, None)
+        if destination is None:
+            return
+        del self.by_destination[destination][message_id]
+        if not self.by_destination[destination]:
+            del self.by_destination[destination]
 
     def take(self, destination: int) -> list[PendingSubmission]:
-        """All of one destination; none is parked any more."""
-        parked = list(self.by_destination.pop(destination, {}).values())
-        for one in parked:
-            del self.destinations[one.held.id]
-        return parked
+        """Removes and returns all submissions of a destination."""
+        submissions = list(self.by_destination.pop(destination, {}).values())
+        for submission in submissions:
+            del self.destinations[submission.message.id]
+        return submissions
 
     def take_all(self) -> list[PendingSubmission]:
-        return [one for destination in list(self.by_destination) for one in self.take(destination)]
+        """Removes and returns all submissions."""
+        return [each for destination in list(self.by_destination) for each in self.take(destination)]
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -1,4 +1,4 @@
-"""What the engine asks of the parts round it. They know the engine and this file, never each other."""
+"""The ports of the engine: what it asks of the packages around it. They know the engine, never each other."""
 
 from __future__ import annotations
 
@@ -14,176 +14,247 @@
 
 
 class JournalFullError(Exception):
-    """The record was not written, for want of room."""
+    """A record was not written, for want of room."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How one attempt ended."""
+    """How one attempt ended. Durations are in microseconds."""
 
     status: AttemptStatus
     is_final: bool = False  # delivered: nothing more is owed
-    is_expired: bool = False  # its host holds that its time is up: its end is owed, and never an attempt more
-    retry_after: int = 0  # told wait, microseconds
-    connection_idle: int | None = None  # how long its connection had stood idle, microseconds; 0: a new one
-    is_stale: bool = False  # not begun, or not whole when taken back: what was decided holds no more
-    is_blocked: bool = (
-        False  # not begun, or not whole when taken back: its host told to wait since it was decided
-    )
-    is_late: bool = False  # the process stood still while it was out: when it came is not known
+    is_expired: bool = False  # its host takes the deadline as over: an end is owed, and no attempt more
+    retry_after: int = 0
+    connection_idle: int | None = None  # how long its connection was idle before; 0: a new one
+    is_stale: bool = False  # not begun, or not written completely: the decision holds no more
+    is_blocked: bool = False  # not begun, or not written completely: a Retry-After came after the decision
+    is_late: bool = False  # the process was stalled meanwhile: when the response came is not known
 
 
 @dataclass(frozen=True, slots=True)
 class CallOptions:
-    """How a call is to be made."""
+    """How a call is to be made. Times are in seconds, unless named otherwise."""
 
-    timeout: float  # seconds
+    timeout: float
     is_batch: bool
     is_at_most_once: bool  # it holds a message that must not run twice
-    max_connection_idle: int | None  # no connection that has stood idle for so long (microseconds) carries it
-    send_within: float = math.inf  # seconds in which its last byte goes out, or none does
+    max_connection_idle: int | None  # microseconds; no connection that was idle for so long may carry it
+    send_within: float = math.inf  # its last byte goes out within this time, or none does
 
 
 class Journal(Protocol):
-    """The messages that are not over, and keys whose last attempt may still run, over restarts."""
+    """The messages that are not over, and ordering keys whose last attempt may still run, over restarts."""
 
     messages: dict[str, Message]
-    uncertain_keys: dict[str, int]
+    uncertain_keys: dict[str, int]  # key -> when an attempt was given up that may still run, wall clock
 
-    def completed(self, message: str) -> CompletedMessage | None: ...
-    def admit(self, held: Message) -> None: ...
-    def record_attempt_result(self, held: Message, result: AttemptStatus) -> None: ...
-    def record_final_status(self, message: str, notice: dict[str, Any]) -> None: ...
-    def record_dispute(self, held: Message, host: str, ran_at: int) -> None: ...
-    def complete(self, message: str, status: int = 0) -> None: ...
-    def close(self) -> None: ...
+    def completed(self, message: str) -> CompletedMessage | None:
+        """Returns how a message ended, while its id is remembered."""
+
+    def admit(self, held: Message) -> None:
+        """Records a new message.
+
+        Raises:
+            JournalFullError: there is no room for it.
+        """
+
+    def record_attempt_result(self, held: Message, result: AttemptStatus) -> None:
+        """Records that an attempt ended other than by a delivery."""
+
+    def record_final_status(self, message: str, notice: dict[str, Any]) -> None:
+        """Records how a message ends; it is over once that is reported."""
+
+    def record_dispute(self, held: Message, host: str, ran_at: int) -> None:
+        """Records that a rejected attempt may have run after all."""
+
+    def complete(self, message: str, status: int = 0) -> None:
+        """Records that a message is over; its id is remembered with a status other than 0."""
+
+    def close(self) -> None:
+        """Closes the files."""
 
 
 class StoreDecision(Protocol):
-    """What a store of record said of a message that is to be taken on."""
+    """What a store says of a message that is to be admitted."""
 
-    retry_after_ms: int  # refused: when to come back
+    retry_after_ms: int  # rejected: when the client may submit it again
 
     @property
     def status(self) -> int:
         """Of the answer to its client, where its id is known; 0: it is new, and stored."""
-        ...
 
 
 class AttemptGate(Protocol):
-    """Says whether a call that the module has decided may begin: a store that must have its intent, what may
-    be sent at all, whose message it is. Calls back from the loop, at once or later.
+    """Allows or refuses an attempt that was decided, for instance a store that has to have its intent.
+
+    It calls back from the event loop, at once or later.
     """
 
     @property
     def retry_after_ms(self) -> int:
-        """After a no: when to ask again, at the least."""
-        ...
+        """After a refusal: when to ask again, at the earliest."""
+
+    def request_attempt(self, messages: Sequence[Message], host: str, done: Callable[[bool], None]) -> None:
+        """Asks for an attempt; `done` is called with whether it may begin."""
 
-    def request_attempt(
-        self, messages: Sequence[Message], host: str, done: Callable[[bool], None]
-    ) -> None: ...
     def attempt_ended(self, message: str, result: str) -> None:
-        """Of an attempt that it let begin, or was asked for; a delivery is told by Watcher.ended alone."""
-        ...
+        """Tells the outcome of an attempt that was asked for, deliveries aside."""
 
 
 class RelayObserver(Protocol):
-    """Hears what this relay sees for itself; what others see comes back by Engine.hear."""
+    """Is told what this relay sees for itself."""
 
-    def attempt_ended(self, held: Message, host: str, ending: AttemptResult) -> None: ...
-    def endpoint_disabled(self, host: str) -> None: ...
-    def endpoint_enabled(self, host: str) -> None: ...
+    def attempt_ended(self, held: Message, host: str, ending: AttemptResult) -> None:
+        """An attempt has ended."""
+
+    def endpoint_disabled(self, host: str) -> None:
+        """The operator has disabled a host here."""
+
+    def endpoint_enabled(self, host: str) -> None:
+        """The operator has enabled a host here."""
 
 
 class MessageStore(AttemptGate, Protocol):
     """The store of record, where the operator has set one. Calls back from the loop, at once or later."""
 
-    def admit(self, held: Message, done: Callable[[StoreDecision], None]) -> None: ...
+    def admit(self, held: Message, done: Callable[[StoreDecision], None]) -> None:
+        """Stores a new message, or says what is known of its id."""
+
     def record_final_status(
         self, message: str, answer: str, result: str | None, done: Callable[[], None]
-    ) -> None: ...
-    def final_status_reported(self, message: str) -> None: ...
-    def recorded_answer(self, message: str) -> str | None: ...
-    def recover(self, held: Message | None, message: str, unsafe: bool) -> str: ...
-    def unfinished_without_journal(self, held: Mapping[str, Message]) -> Sequence[str]: ...
+    ) -> None:
+        """Stores how a message ends."""
+
+    def final_status_reported(self, message: str) -> None:
+        """Stores that whoever waits for the end of a message has it."""
+
+    def recorded_answer(self, message: str) -> str | None:
+        """Returns how a message ended, as stored before a restart; None while it has not."""
+
+    def recover(self, held: Message | None, message: str, unsafe: bool) -> str:
+        """Reconciles the record of a message with the journal; returns the remedy, by name.
+
+        Args:
+            held: the message in the journal, if it is there.
+            message: its id.
+            unsafe: whether it must not run twice.
+        """
+
+    def unfinished_without_journal(self, held: Mapping[str, Message]) -> Sequence[str]:
+        """Returns the ids of messages that are unfinished in the store and not in the journal."""
 
 
 class Delivery(Protocol):
-    """Carries calls out. Each message of a call ends by one Engine.ended."""
+    """Carries calls out. Each message of a call ends by one `Attempts.ended`."""
 
     @property
-    def is_busy(self) -> bool: ...
-    def add_host(self, host: str, address: Address, destination: int) -> None: ...
-    def drain_host(self, host: str) -> None: ...
-    def remove_host(self, host: str) -> None: ...
-    def close_idle_connections(self, host: str) -> None: ...
-    def close_all_idle_connections(self) -> None: ...
+    def is_busy(self) -> bool:
+        """Whether a call is in flight."""
+
+    def add_host(self, host: str, address: Address, destination: int) -> None:
+        """Adds a host, or changes its address."""
+
+    def drain_host(self, host: str) -> None:
+        """Begins no more calls to a host; those that are decided come back as stale."""
+
+    def remove_host(self, host: str) -> None:
+        """Forgets a host once its calls have ended."""
+
+    def close_idle_connections(self, host: str) -> None:
+        """Closes the idle connections to a host."""
+
+    def close_all_idle_connections(self) -> None:
+        """Closes all idle connections."""
+
     def withdraw_blocked_calls(self) -> None:
-        """A wait was told: calls to hosts that Engine.bound names now are taken back, each message by one
-        Engine.ended, as long as their last byte is not written.
-        """
+        """Withdraws calls that a Retry-After forbids now, as long as their last byte is not written."""
+
+    def send_call(self, host: str, messages: list[Message], terms: CallOptions) -> None:
+        """Begins a call."""
 
-    def send_call(self, host: str, messages: list[Message], terms: CallOptions) -> None: ...
     def withdraw_unsent_calls(self) -> list[tuple[Message, str]]:
-        """Takes back the calls of which not a byte was written: the messages, and where they were to go."""
-        ...
+        """Withdraws calls of which no byte is written; returns their messages, and the host of each."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Ends all calls, and closes all connections."""
 
 
 class EndpointDirectory(Protocol):
-    """The list of hosts. What it says comes by Engine.listed."""
+    """The endpoint list. What it says comes by `Endpoints.listed`."""
 
     address: Address
     revision: int | None
 
-    def load_cached(self, known: Mapping[str, Any]) -> None: ...
-    def watch(self) -> None: ...
-    def pause(self) -> None: ...
-    def resume(self, revision: int | None) -> None: ...
-    def move_to(self, address: Address) -> None: ...
-    def close(self) -> None: ...
+    def load_cached(self, known: Mapping[str, Any]) -> None:
+        """Takes in the list as last known."""
+
+    def watch(self) -> None:
+        """Watches the list for changes."""
+
+    def pause(self) -> None:
+        """Stops watching."""
+
+    def resume(self, revision: int | None) -> None:
+        """Goes on watching from a revision that another process had."""
+
+    def move_to(self, address: Address) -> None:
+        """Asks at another address from now on."""
+
+    def close(self) -> None:
+        """Stops for good."""
 
 
 class ResolutionStatus(Enum):
-    """What became of a destination that was asked for. It is told by Engine.sliced."""
+    """What became of a destination that was to be resolved."""
 
     RESOLVED = auto()  # its hosts are in the list now
-    NOT_FOUND = auto()  # nobody lists it
-    UNAVAILABLE = auto()  # nobody could say within the time set
+    NOT_FOUND = auto()  # no host is listed for it
+    UNAVAILABLE = auto()  # no registry answered within the time set
 
 
 class SubscribedDirectory(Protocol):
-    """A directory that holds the destinations alone that this relay serves (docs/slices.md)."""
+    """An endpoint directory that holds only the destinations that this relay serves (docs/slices.md)."""
 
     def resolve(self, destination: int) -> None:
-        """A message came for one that is not held: one Engine.sliced follows, in the time set, at the latest.
+        """Subscribes to a destination; one `Engine.destination_resolved` follows, within the time set.
+
         Asked again meanwhile, the one answer stands for all.
         """
 
     def mark_used(self, destination: int) -> None:
-        """A message came for one that is held: it is not idle."""
+        """Notes that a message came for a destination: it is not idle."""
 
     def adopt(
         self, revision: int | None, destinations: Iterable[int], rows: Iterable[tuple[EndpointEntry, Address]]
     ) -> None:
-        """Before `resume`: what another process of this relay held, whole as of that revision."""
+        """Takes over what another process of this relay held, complete as of a revision; before `resume`."""
 
 
 class StatusReporter(Protocol):
-    """Where the platform is told of ends. What it has heard comes by Engine.noticed."""
+    """Reports final statuses to the platform. What it acknowledges comes by `FinalStatuses.reported`."""
 
     @property
-    def pending(self) -> int: ...
-    def report(self, message: str, notice: dict[str, Any]) -> None: ...
-    def move_to(self, address: Address) -> None: ...
-    def close(self) -> None: ...
+    def pending(self) -> int:
+        """Final statuses that are not acknowledged yet."""
+
+    def report(self, message: str, notice: dict[str, Any]) -> None:
+        """Reports a final status, until it is acknowledged."""
+
+    def move_to(self, address: Address) -> None:
+        """Reports to another address from now on."""
+
+    def close(self) -> None:
+        """Stops reporting."""
 
 
 class OutcomeForwarder(Protocol):
-    """Hears what becomes known of calls while another process decides, or is about to."""
+    """Is told the outcomes of calls while another process decides, or is about to."""
+
+    def retry_after_received(self, host: str, wait: int) -> None:
+        """A host sent a Retry-After, in microseconds."""
+
+    def attempt_ended(self, message: str, host: str, ending: AttemptResult) -> None:
+        """An attempt has ended."""
 
-    def retry_after_received(self, host: str, wait: int) -> None: ...
-    def attempt_ended(self, message: str, host: str, ending: AttemptResult) -> None: ...
-    def outcome_disputed(self, message: str, host: str, ran_at: int) -> None: ...
+    def outcome_disputed(self, message: str, host: str, ran_at: int) -> None:
+        """A rejected attempt may have run after all; `ran_at` is in microseconds of the wall clock."""
--- /dev/null
+++ b/loftrelay/relay/recovery.py
@@ -0,0 +1,155 @@
+"""Recovery: takes up the messages of the journal after a restart.
+
+The store, where there is one, is reconciled with the journal first. The decisions have to know where each
+message last ran: where destinations are subscribed to, they are resolved before the messages are replayed.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Mapping
+from typing import Any
+
+from loftrelay.decisions.events import AttemptStatus, OrderingKeyCooldown
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.context import RelayContext
+from loftrelay.relay.events import recovery_of
+from loftrelay.relay.final_statuses import FinalStatuses
+from loftrelay.relay.message import Message
+from loftrelay.relay.message_terms import is_idempotent, is_repeatable
+from loftrelay.relay.ports import MessageStore, ResolutionStatus
+from loftrelay.relay.statuses import (
+    DELIVERED,
+    FAILED,
+    STATUS_DELIVERED,
+    STORED_DELIVERED,
+    STORED_FAILED,
+    rejected_or_failed,
+)
+
+log = logging.getLogger(__name__)
+
+
+class Recovery:
+    """The start of one relay from its journal."""
+
+    def __init__(self, context: RelayContext, final_statuses: FinalStatuses) -> None:
+        self.context = context
+        self.final_statuses = final_statuses
+        self.messages: list[Message] = []  # that the decisions have not been told of yet
+        self.unresolved: set[int] = set()  # destinations of theirs that are not known yet
+
+    def run(self, cached_list: Mapping[str, Any]) -> None:
+        """Takes up all messages in the order in which they were admitted.
+
+        Args:
+            cached_list: the endpoint list as last known.
+        """
+        context = self.context
+        context.discovery.load_cached(cached_list)
+        for message in context.messages_in_order():
+            self._end_interrupted_attempt(message)
+        self._restore_cooldowns()
+        self.messages = [message for message in context.messages_in_order() if self._reconcile(message)]
+        recovered = self.messages
+        if context.subscription is None:
+            self.replay()
+        for message in recovered:
+            if message.final_status is not None:
+                self.final_statuses.report(message.id, message.final_status)
+            else:
+                context.message_states.enqueue(message.id)
+        self._end_lost_messages()
+        if recovered:
+            log.info("%d messages recovered", len(recovered))
+        if context.subscription is not None:
+            self._resolve_destinations(recovered)
+
+    def _end_interrupted_attempt(self, message: Message) -> None:
+        if message.packed_terms is None:
+            message.packed_terms = self.context.accepted_classes.terms(message.class_name, wall_clock())
+        if message.attempt_started_at is not None:
+            self.context.journal.record_attempt_result(message, AttemptStatus.CONNECTION_LOST)
+
+    def _restore_cooldowns(self) -> None:
+        """Holds ordering keys back whose last attempt may still be running."""
+        now, cooldown = wall_clock(), self.context.settings.ordering_cooldown or 0
+        for key, given_up_at in self.context.journal.uncertain_keys.items():
+            remaining = given_up_at + cooldown - now
+            if remaining > 0:
+                self.context.post(OrderingKeyCooldown(key, remaining))
+
+    def _resolve_destinations(self, messages: list[Message]) -> None:
+        assert self.context.subscription is not None
+        self.unresolved = {message.destination for message in messages if message.final_status is None}
+        for destination in sorted(self.unresolved):
+            self.context.subscription.resolve(destination)
+        if not self.unresolved:
+            self.replay()
+
+    def destination_resolved(self, destination: int, status: ResolutionStatus) -> None:
+        """Replays the messages once the last of their destinations is resolved."""
+        if destination not in self.unresolved:
+            return
+        if status is ResolutionStatus.UNAVAILABLE and self.context.subscription is not None:
+            self.context.subscription.resolve(destination)
+            return
+        self.unresolved.discard(destination)
+        if not self.unresolved:
+            self.replay()
+
+    def replay(self) -> None:
+        """Tells the decisions of the recovered messages, unless they have been told already."""
+        self.unresolved.clear()
+        messages, self.messages = self.messages, []
+        now = wall_clock()
+        for message in messages:
+            if message.id in self.context.journal.messages:  # its end may have become known meanwhile
+                self.context.post(recovery_of(message, now))
+
+    # Reconciliation with the store
+
+    def _reconcile(self, message: Message) -> bool:
+        """Returns whether a message of the journal goes on, after what the store has of it."""
+        store = self.context.store
+        if store is None:
+            return True
+        answer = store.recorded_answer(message.id)
+        remedy = store.recover(message, message.id, not is_repeatable(message.packed_terms))
+        if remedy in ("AGREE", "FORGET"):
+            self._forget(message, answer)
+            return False
+        if remedy == "STORE" and message.final_status is None:
+            answer = STORED_DELIVERED
+        final_status = message.final_status
+        is_delivered = final_status is not None and final_status["status"] == STATUS_DELIVERED
+        if is_delivered or answer == STORED_DELIVERED:
+            self.final_statuses.delivered(message)
+            return False
+        if remedy == "TELL_AGAIN" and message.final_status is None:
+            self.context.journal.record_final_status(message.id, rejected_or_failed(answer))
+        if remedy == "FAIL" and message.first_attempt_at is None:
+            self.context.journal.record_dispute(message, message.attempt_host or "", wall_clock())
+        return True
+
+    def _forget(self, message: Message, answer: str | None) -> None:
+        """Drops a message that the store has as over; its id keeps the answer if it must not run again."""
+        statuses = {STORED_DELIVERED: DELIVERED, STORED_FAILED: FAILED}
+        status = 0 if is_idempotent(message.packed_terms) else statuses.get(answer or "", 0)
+        self.context.journal.complete(message.id, status)
+
+    def _end_lost_messages(self) -> None:
+        """Ends what the store has unfinished and the journal lost: nobody knows whether it ran."""
+        store = self.context.store
+        if store is None:
+            return
+        for message_id in store.unfinished_without_journal(self.context.journal.messages):
+            self._end_lost_message(store, message_id)
+
+    def _end_lost_message(self, store: MessageStore, message_id: str) -> None:
+        answer = store.recorded_answer(message_id)
+        store.recover(None, message_id, True)
+        if answer == STORED_DELIVERED:
+            store.final_status_reported(message_id)
+        else:
+            self.final_statuses.report(message_id, rejected_or_failed(answer))
--- a/loftrelay/relay/shutdown_schedule.py
+++ b/loftrelay/relay/shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""How the time between SIGTERM and the end of the process is used. It does no input or output."""
+"""The schedule of a graceful shutdown, between SIGTERM and the end of the process. No input or output."""
 
 from __future__ import annotations
 
@@ -7,30 +7,39 @@
 
 from loftrelay.decisions.settings import MessageClass
 
-# Seconds from SIGTERM to SIGKILL: so many, or the longest time that a message can have and so many more. The
-# pages tell the first alone; the second was measured (docs/endings.md, "Questions").
-GRACE, BEYOND_DEADLINE = 3.7, 0.8
-# Before SIGKILL, in seconds: calls are begun until, messages taken on until, the process ends.
-NO_CALLS, NO_MESSAGES, AT_AN_END = 0.9, 0.25, 0.1
-LAST_ANSWERS = 0.06  # before its end: who has no answer by then gets one, and is left this long to read it
+US_PER_S = 1e6
+# From SIGTERM to SIGKILL: the shorter of GRACE_S and the longest deadline plus AFTER_DEADLINE_S.
+GRACE_S = 3.7
+AFTER_DEADLINE_S = 0.8
+# Before SIGKILL:
+LAST_CALL_S = 0.9
+LAST_ADMISSION_S = 0.25
+EXIT_S = 0.1
+LAST_ANSWER_S = 0.06  # before the exit, for clients to read their last answer
 
 
 @dataclass(frozen=True, slots=True)
-class LastPhase:
+class ShutdownSchedule:
     """Seconds from SIGTERM on."""
 
-    begin: float  # calls are begun until then
-    take: float  # messages are taken on until then: clients have nowhere else to go before the restart
-    answer: float  # then whoever waits gets a last answer
-    end: float  # at the latest
+    last_call: float  # calls begin until then
+    # Messages are admitted until then: clients have nowhere else to go before the restart.
+    last_admission: float
+    last_answer: float  # whoever still waits is answered then
+    exit: float  # the process ends then at the latest
 
 
-def last_phase(classes: Iterable[MessageClass]) -> LastPhase:
-    """For the classes that messages are taken on under."""
-    deadlines = [about.deadline for about in classes]
-    grace = GRACE
+def shutdown_schedule(classes: Iterable[MessageClass]) -> ShutdownSchedule:
+    """Returns the schedule for the classes under which messages are admitted."""
+    deadlines = [message_class.deadline for message_class in classes]
+    grace = GRACE_S
     if deadlines and None not in deadlines:
         longest = max(deadline for deadline in deadlines if deadline is not None)
-        grace = min(GRACE, longest / 1e6 + BEYOND_DEADLINE)
-    end = grace - AT_AN_END
-    return LastPhase(max(0.0, grace - NO_CALLS), grace - NO_MESSAGES, end - LAST_ANSWERS, end)
+        grace = min(GRACE_S, longest / US_PER_S + AFTER_DEADLINE_S)
+    exit_at = grace - EXIT_S
+    return ShutdownSchedule(
+        last_call=max(0.0, grace - LAST_CALL_S),
+        last_admission=grace - LAST_ADMISSION_S,
+        last_answer=exit_at - LAST_ANSWER_S,
+        exit=exit_at,
+    )
--- /dev/null
+++ b/loftrelay/relay/statuses.py
@@ -0,0 +1,37 @@
+"""Statuses of responses to clients, and the words for final statuses in records."""
+
+from __future__ import annotations
+
+from typing import Any
+
+ACCEPTED = 202
+REJECTED = 503
+FAILED = 500
+DELIVERED = 200  # to an id that is submitted again after its delivery
+
+STATUS_DELIVERED = "delivered"
+STATUS_REJECTED = "deferred"
+STATUS_FAILED = "undeliverable"
+STORED_DELIVERED = "delivered"
+STORED_REJECTED = "refused"
+STORED_FAILED = "failed"
+
+FinalStatusRecord = dict[str, Any]  # as in the journal and in reports to the platform
+
+
+def final_status_record(status: int, retry_after_ms: int) -> FinalStatusRecord:
+    """Returns the final status of a message that is failed or rejected."""
+    record: FinalStatusRecord = {"status": STATUS_FAILED if status == FAILED else STATUS_REJECTED}
+    if retry_after_ms:
+        record["again_ms"] = retry_after_ms
+    return record
+
+
+def rejected_or_failed(stored_answer: str | None) -> FinalStatusRecord:
+    """Returns the final status of a message by what the store has of it."""
+    return {"status": STATUS_REJECTED if stored_answer == STORED_REJECTED else STATUS_FAILED}
+
+
+def stored_answer(final_status: FinalStatusRecord) -> str:
+    """Returns the store's word for a final status that is told to the platform."""
+    return STORED_FAILED if final_status["status"] == STATUS_FAILED else STORED_REJECTED
--- a/loftrelay/server/admin/commands.py
+++ b/loftrelay/server/admin/commands.py
@@ -68,17 +68,17 @@
         engine = self.engine
         if engine is None:
             return "not ready"
-        if listed and not engine.knows_host(host):
+        if listed and not engine.endpoints.is_known(host):
             return f"no host has the id {host}"
-        if (host in engine.disabled_hosts) == out:
+        if (host in engine.endpoints.disabled) == out:
             return None
         try:
-            self.store.save(engine.disabled_hosts | {host} if out else engine.disabled_hosts - {host})
+            self.store.save(engine.endpoints.disabled | {host} if out else engine.endpoints.disabled - {host})
         except OSError as error:
             log.error("which hosts are out can't be written: %s", error)
             return f"it can't be written down: {error}"
         if out:
-            engine.disable_host(host)
+            engine.endpoints.disable(host)
         else:
-            engine.enable_host(host)
+            engine.endpoints.enable(host)
         return None
--- a/loftrelay/server/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -22,7 +22,8 @@
 from loftrelay.net.address import Address
 from loftrelay.net.http import unread
 from loftrelay.relay.clock import wall_clock
-from loftrelay.relay.engine import REFUSED_HERE_MS, Engine
+from loftrelay.relay.engine import Engine
+from loftrelay.relay.intake import OVERLOAD_RETRY_AFTER_MS
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_terms import AcceptedClasses
 
@@ -257,7 +258,7 @@
 
     def _withdraw(self) -> None:
         if self.pending is not None:
-            self.server.engine.cancel(self.pending)
+            self.server.engine.intake.cancel(self.pending)
             self.pending = None
 
     def _read(self) -> None:
@@ -291,20 +292,20 @@
         if self.request.target == READY.encode():
             if self.request.method not in (b"GET", b"HEAD"):
                 raise BadRequest(405, "only GET and HEAD")
-            self._answer(503 if self.server.engine.has_no_list else 200)
+            self._answer(503 if self.server.engine.endpoints.has_no_list else 200)
             return
         engine = self.server.engine
         # A message's time counts from when its client wrote it: on a loop that is late that was a while ago.
-        age = engine.stall_detector.age(asyncio.get_running_loop().time())
+        age = engine.context.stall_detector.age(asyncio.get_running_loop().time())
         arrived = wall_clock() - int(age * 1e6)
-        held = read_message(engine.accepted_classes, self.request, arrived, bytes(self.body))
-        if engine.is_client_waiting(held.id):
+        held = read_message(engine.context.accepted_classes, self.request, arrived, bytes(self.body))
+        if engine.intake.is_client_waiting(held.id):
             raise BadRequest(409, "a request with this id is open")
-        if (known := engine.known_answer(held.id)) is not None:
+        if (known := engine.intake.known_answer(held.id)) is not None:
             self._answer(*known)
         else:
             self.pending, self.due = held.id, math.inf
-            engine.submit(held, self._answer)
+            engine.intake.submit(held, self._answer)
 
     def _refuse(self, status: int, reason: str) -> None:
         """Answers what can't be read, if an answer can still be given, and closes a little later: a close
@@ -316,7 +317,7 @@
             return
         headers = [("Connection", "close")]
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
-            headers.append(("Retry-After", f"{REFUSED_HERE_MS / 1000:g}"))
+            headers.append(("Retry-After", f"{OVERLOAD_RETRY_AFTER_MS / 1000:g}"))
         if status == HTTPStatus.METHOD_NOT_ALLOWED and self.request is not None:
             headers.append(("Allow", "GET, HEAD" if self.request.target == READY.encode() else "POST"))
         self._respond(status, headers, reason)
@@ -568,8 +569,8 @@
     def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
         self.sweeping = loop.call_later(SWEEP, self._sweep)
-        self.engine.stall_detector.look(loop.time())
-        self.engine.stall_detector.expect(self.sweeping.when())
+        self.engine.context.stall_detector.look(loop.time())
+        self.engine.context.stall_detector.expect(self.sweeping.when())
         for client in (*self.clients(), *self.lingering):
             if client.due <= loop.time() and (client.refused or not self.frozen):
                 client.overdue()
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -45,12 +45,12 @@
         connections,
         config.seed,
         journal.record_attempt,
-        engine.attempt_ended,
-        engine.outcome_disputed,
-        engine.metrics.count_forwarded,
-        engine.stall_detector,
-        engine.retry_after_received,
-        engine.is_blocked,
+        engine.attempts.ended,
+        engine.attempts.outcome_disputed,
+        engine.context.metrics.count_forwarded,
+        engine.context.stall_detector,
+        engine.attempts.retry_after_received,
+        engine.attempts.is_blocked,
     )
     where = config.discovery if handed is None else handed.discovery
     discovery: EndpointDirectory
@@ -59,9 +59,9 @@
         discovery = DiscoveryClient(
             where,
             config.settings.poll_interval,
-            engine.endpoints_listed,
-            lambda: engine.endpoint_entries,
-            engine.list_rejected,
+            engine.endpoints.listed,
+            lambda: engine.endpoints.entries,
+            engine.endpoints.list_rejected,
         )
     else:
         from loftrelay.discovery.subscriber import Subscriber  # only where it is used
@@ -70,11 +70,11 @@
             subscription,
             config.name,
             where,
-            engine.endpoints_listed,
+            engine.endpoints.listed,
             engine.destination_resolved,
             engine.release_destinations,
         )
-    notices = FinalStatusReporter(where, engine.final_status_reported)
+    notices = FinalStatusReporter(where, engine.final_statuses.reported)
     if handed is not None:
         engine.take_over(delivery, discovery, notices, handed, slices)
     else:
--- a/loftrelay/service/gossip_member.py
+++ b/loftrelay/service/gossip_member.py
@@ -50,9 +50,9 @@
 
     async def start(self, wait: bool) -> None:
         """`wait`: for the process before this one to give its socket up. Raises OSError."""
-        self.calls.load(self._load(), self.engine.disabled_hosts)
+        self.calls.load(self._load(), self.engine.endpoints.disabled)
         self._settle(list(self.calls.known.values()))
-        self.engine.observers.append(self)
+        self.engine.context.observers.append(self)
         while True:
             try:
                 host, port = await self.node.open(wall_clock() // 1000)
@@ -65,8 +65,8 @@
                 return
 
     def close(self) -> None:
-        if self in self.engine.observers:
-            self.engine.observers.remove(self)
+        if self in self.engine.context.observers:
+            self.engine.context.observers.remove(self)
         if self.retry is not None:
             self.retry.cancel()
         self.node.close()
@@ -111,7 +111,7 @@
     def _settle(self, calls: list[Call]) -> None:
         """Makes them hold; one that can't yet (a handover, a folder that takes nothing) is tried anew."""
         for call in calls:
-            if (call.host in self.engine.disabled_hosts) == call.out:
+            if (call.host in self.engine.endpoints.disabled) == call.out:
                 continue
             if (why := self.change(call.host, call.out)) is not None:
                 log.error("a call of %s for host %s does not hold yet: %s", call.origin, call.host, why)
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -14,7 +14,7 @@
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.fault_points import fault_point
-from loftrelay.relay.shutdown_schedule import last_phase
+from loftrelay.relay.shutdown_schedule import shutdown_schedule
 from loftrelay.server.admin.commands import Relay
 from loftrelay.server.admin.server import Door
 from loftrelay.server.http.server import Server
@@ -73,7 +73,7 @@
 
     def read_again(self) -> None:
         engine = self.relay.engine
-        if engine is None or engine.outcome_forwarder is not None:
+        if engine is None or engine.context.outcome_forwarder is not None:
             self.to_read = True  # once it serves, or serves again
             if self.giver is not None and not self.giver.owns:
                 self.giver.have_file_read()
@@ -81,7 +81,7 @@
         try:
             change = reload_config(os.environ, self.told)
         except ConfigError as error:
-            engine.metrics.sighup_rejected += 1
+            engine.context.metrics.sighup_rejected += 1
             log.error("the configuration stays as it was: %s", error)
             return
         self.told = change.document
@@ -91,7 +91,7 @@
 
             self.recorder.modes = {**self.recorder.modes, **modes(change.settings, self.record)}
         engine.apply_settings(change.settings, change.discovery)
-        engine.metrics.sighup_applied += 1
+        engine.context.metrics.sighup_applied += 1
 
     # From start to end
 
@@ -165,16 +165,16 @@
             await self._end_in_order(server, began)
         else:
             assert self.giver is not None
-            end = began + last_phase(engine.settings.classes.values()).end
-            while engine.delivery.is_busy or self.giver.unfinished:
+            end = began + shutdown_schedule(engine.context.settings.classes.values()).exit
+            while engine.context.delivery.is_busy or self.giver.unfinished:
                 if asyncio.get_running_loop().time() >= end:
                     break
                 await asyncio.sleep(LOOK)
         held = f"{len(journal.messages)} messages in its journal" if self.owns else "nothing of its own"
         log.info("%s ends with %s", config.name, held)
-        engine.status_reporter.close()
-        engine.discovery.close()
-        engine.delivery.close()
+        engine.context.status_reporter.close()
+        engine.context.discovery.close()
+        engine.context.delivery.close()
         if self.giver is not None:
             self.giver.close()
         if door is not None:
@@ -193,14 +193,14 @@
         """
         end = asyncio.get_running_loop().time() + CATCH_UP
         await asyncio.sleep(
-            engine.batch_interval
+            engine.context.loop.interval
         )  # the first turn: a wait, so that it runs when the process does
         while (
-            engine.status_reporter.pending
+            engine.context.status_reporter.pending
             and asyncio.get_running_loop().time() < end
             and not self.ending.is_set()
         ):
-            await asyncio.sleep(engine.batch_interval)
+            await asyncio.sleep(engine.context.loop.interval)
 
     async def _subscribe(self, engine: Engine, handed: bool) -> None:
         """It serves once a registry has answered. With none that does it serves all the same after a while:
@@ -208,21 +208,21 @@
         """
         from loftrelay.discovery.subscriber import Subscriber
 
-        subscriber = engine.subscription
+        subscriber = engine.context.subscription
         assert isinstance(subscriber, Subscriber)
         self.relay.more.append(subscriber.figure_lines)
-        self.relay.more.append(lambda: [f"app.slices_parked={len(engine.pending_submissions)}"])
+        self.relay.more.append(lambda: [f"app.slices_parked={len(engine.intake.pending)}"])
         if handed:
             return
         loop = asyncio.get_running_loop()
         began = loop.time()
         while not self.ending.is_set() and loop.time() < began + REGISTRY:
-            if engine.recovering and loop.time() >= began + RECOVER:
-                engine.replay_recovered()
-            if subscriber.answered.is_set() and not engine.recovering:
+            if engine.recovery.unresolved and loop.time() >= began + RECOVER:
+                engine.recovery.replay()
+            if subscriber.answered.is_set() and not engine.recovery.unresolved:
                 break
             await asyncio.sleep(LOOK)
-        engine.replay_recovered()
+        engine.recovery.replay()
 
     def _read_what_was_missed(self, engine: Engine) -> None:
         """The file may have been replaced, and SIGHUP sent to the process before, since this one read it."""
@@ -270,17 +270,19 @@
 
     async def _end_in_order(self, server: Server, began: float) -> None:
         loop, engine = asyncio.get_running_loop(), server.engine
-        phase = last_phase(engine.settings.classes.values())
+        schedule = shutdown_schedule(engine.context.settings.classes.values())
         server.stopping = True
-        await asyncio.sleep(began + phase.begin - loop.time())
-        engine.stop_admitting()
+        await asyncio.sleep(began + schedule.last_call - loop.time())
+        engine.intake.stop()
         log.info("%s begins no more calls", self.config.name)
-        await asyncio.sleep(began + phase.take - loop.time())
+        await asyncio.sleep(began + schedule.last_admission - loop.time())
         await server.close()
-        while loop.time() < began + phase.answer and (engine.has_unfinished_work or server.unfinished):
+        while loop.time() < began + schedule.last_answer and (
+            engine.has_unfinished_work or server.unfinished
+        ):
             await asyncio.sleep(LOOK)
         server.end()
-        while loop.time() < began + phase.end and (engine.has_unfinished_work or server.unfinished):
+        while loop.time() < began + schedule.exit and (engine.has_unfinished_work or server.unfinished):
             await asyncio.sleep(LOOK)
 
     # What the handover asks
--- a/loftrelay/upgrade/predecessor.py
+++ b/loftrelay/upgrade/predecessor.py
@@ -145,12 +145,12 @@
                     self.since = self._now()
                     self.moved(True)
                     self.front.freeze()
-                    self.engine.pause(self)
+                    self.engine.handover.pause(self)
                     fault_point("frozen")
                     again = LONGEST_STILL / 1e6 + 0.001
                     self.clock = asyncio.get_running_loop().call_later(again, self._overdue)
                 case Do.TELL if self.channel is not None:
-                    self.channel.send({"is": "state", **self.engine.export_state()})
+                    self.channel.send({"is": "state", **self.engine.handover.export_state()})
                     fault_point("told state")
                 case Do.THAW:
                     self._thaw()
@@ -177,18 +177,18 @@
         log.warning("no other process has taken over: this one goes on")
         if self.clock is not None:
             self.clock.cancel()
-        self.engine.resume()
+        self.engine.handover.resume()
         self.moved(False)
         late, self.late = self.late, []
         for message in late:
             if message["is"] == "ended":
-                self.engine.predecessor_attempt_ended(
+                self.engine.handover.predecessor_attempt_ended(
                     message["id"], message["host"], read_attempt_result(message["how"])
                 )
             elif message["is"] == "told":
-                self.engine.retry_after_received(message["host"], message["wait"])
+                self.engine.attempts.retry_after_received(message["host"], message["wait"])
             elif message["is"] == "doubted":
-                self.engine.outcome_disputed(message["id"], message["host"], message["at"])
+                self.engine.attempts.outcome_disputed(message["id"], message["host"], message["at"])
         changes, self.changes = self.changes, {}
         for host, out, done in changes.values():
             self.change_here(host, out, done)
@@ -198,8 +198,8 @@
         if self.clock is not None:
             self.clock.cancel()
         assert self.channel is not None
-        self.engine.journal.close()
-        self.engine.is_handed_over = True
+        self.engine.context.journal.close()
+        self.engine.context.is_handed_over = True
         self.listener.close()
         fault_point("giving")
         self.channel.send({"is": "yours"}, [self.lock.file])
@@ -213,12 +213,12 @@
         if self.channel is None:
             return  # the other one was lost in this step
         if self.plain:
-            self.engine.delivery.close()  # the other one holds these calls for broken
+            self.engine.context.delivery.close()  # the other one holds these calls for broken
             self.late = [message for message in self.late if message["is"] in ("change", "file")]
         late, self.late = self.late, []
         for message in late:
             self.channel.send(message)
         channel = self.channel
         self.front.hand(lambda row, file: channel.send({"is": "client", **row}, [file]))
-        self.engine.delivery.close_all_idle_connections()
+        self.engine.context.delivery.close_all_idle_connections()
         fault_point("handed over")
--- a/loftrelay/upgrade/successor.py
+++ b/loftrelay/upgrade/successor.py
@@ -75,7 +75,7 @@
         for message, files in backlog:
             self._heard(message, files)
         if self.channel is None:
-            engine.predecessor_lost()
+            engine.handover.predecessor_lost()
 
     # The channel
 
@@ -103,13 +103,13 @@
         kind = message.get("is")
         try:
             if kind == "ended" and self.handed is not None:
-                self.engine.predecessor_attempt_ended(
+                self.engine.handover.predecessor_attempt_ended(
                     message["id"], message["host"], read_attempt_result(message["how"])
                 )
             elif kind == "told":
-                self.engine.retry_after_received(message["host"], int(message["wait"]))
+                self.engine.attempts.retry_after_received(message["host"], int(message["wait"]))
             elif kind == "doubted" and self.handed is not None:
-                self.engine.outcome_disputed(message["id"], message["host"], int(message["at"]))
+                self.engine.attempts.outcome_disputed(message["id"], message["host"], int(message["at"]))
             elif kind == "client" and files:
                 task = asyncio.get_running_loop().create_task(self._adopt(message, files.pop()))
                 self.tasks.add(task)
@@ -141,7 +141,7 @@
         steps = self.rules.lost()
         self._do(steps)
         if not steps and self.engine is not None:
-            self.engine.predecessor_lost()
+            self.engine.handover.predecessor_lost()
 
     # What the rules say
 
--- a/tests/delivery/test_waits_properties.py
+++ b/tests/delivery/test_waits_properties.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Coroutine
 from dataclasses import replace
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import pytest
 
@@ -76,7 +76,7 @@
 
     def report(self, message: str, notice: dict[str, Any]) -> None:
         self.told.append(message)
-        asyncio.get_running_loop().call_later(0.01, self.engine.final_status_reported, message)
+        asyncio.get_running_loop().call_later(0.01, self.engine.final_statuses.reported, message)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *given: None
@@ -99,13 +99,15 @@
             seed,
             self.journal.record_attempt,
             self.ended,
-            engine.outcome_disputed,
-            pulse=engine.stall_detector,
+            engine.attempts.outcome_disputed,
+            pulse=engine.context.stall_detector,
             told=self.told,
-            bound=engine.is_blocked if asks else lambda host: False,
+            bound=engine.attempts.is_blocked if asks else lambda host: False,
         )
         self.board = Still(engine)
-        engine.delivery, engine.discovery, engine.status_reporter = self.hosts, Still(engine), self.board  # type: ignore[assignment]
+        engine.context.delivery = self.hosts
+        engine.context.discovery = cast(Any, Still(engine))
+        engine.context.status_reporter = cast(Any, self.board)
         self.waits: dict[str, float] = {}
         self.early: list[str] = []
         self.held = 0
@@ -119,7 +121,7 @@
     def place(self, form: EndpointListKind, *names: str, state: EndpointState = EndpointState.ACTIVE) -> None:
         port = self.random.randrange(1, 1000)
         rows = [EndpointEntry(name, HOSTS[name][0], state, None, HOSTS[name][1], None) for name in names]
-        self.engine.endpoints_listed(
+        self.engine.endpoints.listed(
             EndpointListReceived(form, tuple(rows)), {name: (name, port) for name in names}
         )
 
@@ -128,12 +130,12 @@
         shared = HOSTS[host][1] == "plain"
         for name in [n for n in HOSTS if shared and HOSTS[n] == HOSTS[host]] or [host]:
             self.waits[name] = max(self.waits.get(name, 0.0), until)
-        self.engine.retry_after_received(host, wait)
+        self.engine.attempts.retry_after_received(host, wait)
 
     def ended(self, held: Message, host: str, ending: AttemptResult) -> None:
         self.held += ending.is_blocked
         before = held.attempts
-        self.engine.attempt_ended(held, host, ending)
+        self.engine.attempts.ended(held, host, ending)
         assert held.attempts == before - (ending.is_blocked or ending.is_stale)
 
     def first_byte(self, host: str, ids: list[str]) -> None:
@@ -183,9 +185,9 @@
         self.taken[name] = held
         if key is not None:
             self.keys.setdefault(key, []).append(name)
-        self.engine.submit(held, lambda status, again: None)
-        if draw.random() < 0.1 and self.engine.is_client_waiting(name):
-            self.engine.cancel(name)
+        self.engine.intake.submit(held, lambda status, again: None)
+        if draw.random() < 0.1 and self.engine.intake.is_client_waiting(name):
+            self.engine.intake.cancel(name)
 
 
 class Host:
--- a/tests/gossip/test_joining.py
+++ b/tests/gossip/test_joining.py
@@ -23,6 +23,11 @@
         self.disabled_hosts: set[str] = set()
         self.observers: list[Any] = []
         self.refusals = 2
+        self.context = self.endpoints = self
+
+    @property
+    def disabled(self) -> set[str]:
+        return self.disabled_hosts
 
     def change(self, host: str, out: bool) -> str | None:
         if self.refusals:
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -1,4 +1,4 @@
-"""For tests that run an engine's turns themselves."""
+"""For tests that run an engine's batches themselves."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 import pytest
 
-from loftrelay.relay import engine, stall_detector
+from loftrelay.relay import batch_loop, context, stall_detector
 
 
 @pytest.fixture(autouse=True)
 def no_faults(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No message takes a step that its life does not know."""
+    """No message makes a transition that the table does not have."""
 
-    def fault(self: engine.Engine, message: str, *steps: object) -> None:
-        raise AssertionError(f"{message}: {steps}")
+    def fault(message: str, *stages: object) -> None:
+        raise AssertionError(f"{message}: {stages}")
 
-    monkeypatch.setattr(engine.Engine, "_fault", fault)
+    monkeypatch.setattr(context, "_log_fault", fault)
 
 
 @pytest.fixture
 def no_stalls(monkeypatch: pytest.MonkeyPatch) -> None:
-    """That the loop does not run meanwhile is no sign that the process stood still."""
-    monkeypatch.setattr(engine, "STALL_THRESHOLD_S", math.inf)
+    """That the loop does not run meanwhile is no sign of a stall of the process."""
+    monkeypatch.setattr(batch_loop, "STALL_THRESHOLD_S", math.inf)
     monkeypatch.setattr(stall_detector, "STALL_THRESHOLD_S", math.inf)
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -57,7 +57,7 @@
         self.handed_in = 0
         self.withdrawn = 0
         self.statuses: Counter[int] = Counter()
-        self.now = engine.now
+        self.now = engine.context.loop.now
         self.use(engine)
 
     def use(self, engine: Engine) -> None:
@@ -67,9 +67,9 @@
             self.out += [(message, host) for message in messages]
 
         # Virtual time for the module: its pauses pass from turn to turn.
-        engine._clock = lambda: self.now  # type: ignore[method-assign]
-        engine.delivery.send_call = send  # type: ignore[method-assign]
-        engine.delivery.withdraw_unsent_calls = list  # type: ignore[method-assign]
+        engine.context.loop.clock = lambda: self.now  # type: ignore[method-assign]
+        engine.context.delivery.send_call = send  # type: ignore[method-assign]
+        engine.context.delivery.withdraw_unsent_calls = list  # type: ignore[method-assign]
 
     def step(self) -> None:
         engine, draw = self.engine, self.random
@@ -91,37 +91,39 @@
                     b"body",
                 )
                 self.handed_in += 1
-                engine.submit(held, lambda status, _: self.statuses.update([status]))
-                if draw.random() < 0.2 and engine.is_client_waiting(held.id):
-                    engine.cancel(held.id)
+                engine.intake.submit(held, lambda status, _: self.statuses.update([status]))
+                if draw.random() < 0.2 and engine.intake.is_client_waiting(held.id):
+                    engine.intake.cancel(held.id)
                     self.withdrawn += 1
             case 2 if self.out:
                 held, host = self.out.pop(draw.randrange(len(self.out)))
-                engine.attempt_ended(held, host, draw.choice(ENDINGS))
+                engine.attempts.ended(held, host, draw.choice(ENDINGS))
             case 3:
-                told = [m for m in list(engine.status_reporter.waiting) if draw.random() < 0.5]  # type: ignore[attr-defined]
+                told = [m for m in list(engine.context.status_reporter.waiting) if draw.random() < 0.5]  # type: ignore[attr-defined]
                 for message in told:
-                    del engine.status_reporter.waiting[message]  # type: ignore[attr-defined]
-                    engine.final_status_reported(message)
-        engine._turn()
+                    del engine.context.status_reporter.waiting[message]  # type: ignore[attr-defined]
+                    engine.final_statuses.reported(message)
+        engine.context.loop.run_due_batch()
 
     def check(self, before: int = 0) -> None:
         """`before`: taken by another process, and ended or handed over there."""
         shown = dict(line.split("=") for line in self.engine.metric_lines())
-        ended = sum(self.engine.metrics.final_statuses.values())
+        ended = sum(self.engine.context.metrics.final_statuses.values())
         outstanding = int(shown["app.outstanding"])
         assert self.handed_in - self.withdrawn == before + ended + outstanding
         declined = sum(
-            n for (_, end), n in self.engine.metrics.final_statuses.items() if end is FinalStatus.REJECTED
+            n
+            for (_, end), n in self.engine.context.metrics.final_statuses.items()
+            if end is FinalStatus.REJECTED
         )
         assert declined >= 0
-        assert outstanding == len(self.engine.journal.messages)
+        assert outstanding == len(self.engine.context.journal.messages)
 
 
 def close(engine: Engine) -> None:
-    engine.status_reporter.close()
-    engine.discovery.close()
-    engine.delivery.close()
+    engine.context.status_reporter.close()
+    engine.context.discovery.close()
+    engine.context.delivery.close()
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -133,7 +135,7 @@
             steps.step()
             steps.check()
         assert steps.statuses[202] > 20
-        assert sum(engine.metrics.final_statuses.values()) > 10
+        assert sum(engine.context.metrics.final_statuses.values()) > 10
         close(engine)
 
     asyncio.run(main())
@@ -158,29 +160,29 @@
         for _ in range(80):
             steps.step()
         steps.check()
-        first.pause(Away())  # type: ignore[arg-type]
-        state: dict[str, Any] = first.export_state()
+        first.handover.pause(Away())  # type: ignore[arg-type]
+        state: dict[str, Any] = first.handover.export_state()
         second_journal = Journal(tmp_path, 1_000_000, still=True)
         assert list(second_journal.messages) == list(journal.messages)
         handed = read_state(state, 2)
         journal.close()
         second_journal.take_ownership()
-        ended_before = sum(first.metrics.final_statuses.values())
+        ended_before = sum(first.context.metrics.final_statuses.values())
         second, _ = build(config(tmp_path), journal=second_journal, handed=handed)
-        assert set(second.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)) == {
+        assert set(second.context.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)) == {
             held.id for held, _ in steps.out
         }
         steps.use(second)
-        second._turn()
+        second.context.loop.run_due_batch()
         steps.check(ended_before)
         for _ in range(80):
             steps.step()
             steps.check(ended_before)
-        outstanding = len(second.journal.messages)
-        second.predecessor_lost()
-        second._turn()
-        assert not second.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)
-        assert len(second.journal.messages) <= outstanding
+        outstanding = len(second.context.journal.messages)
+        second.handover.predecessor_lost()
+        second.context.loop.run_due_batch()
+        assert not second.context.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)
+        assert len(second.context.journal.messages) <= outstanding
         steps.check(ended_before)
         close(first)
         close(second)
@@ -196,9 +198,11 @@
         steps = Steps(engine, 3)
         steps.number = 1
         now = wall_clock()
-        engine.submit(Message("m1", 0, "status", "acme", 1, None, now, now + 20_000_000), lambda s, _: None)
+        engine.intake.submit(
+            Message("m1", 0, "status", "acme", 1, None, now, now + 20_000_000), lambda s, _: None
+        )
         steps.handed_in = 1
-        engine._turn()
+        engine.context.loop.run_due_batch()
         assert len(steps.out) == 1
         heard: list[str] = []
 
@@ -212,18 +216,18 @@
             def retry_after_received(self, host: str, wait: int) -> None:
                 heard.append(host)
 
-        engine.pause(Away())
+        engine.handover.pause(Away())
         before = engine.metric_lines()
         held, host = steps.out.pop()
-        engine.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
-        engine._turn()
+        engine.attempts.ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
+        engine.context.loop.run_due_batch()
         assert heard == [held.id]
         assert engine.metric_lines() == before
-        engine.resume()
-        engine.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
-        engine._turn()
+        engine.handover.resume()
+        engine.attempts.ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
+        engine.context.loop.run_due_batch()
         steps.check()
-        assert held.id not in engine.journal.messages
+        assert held.id not in engine.context.journal.messages
         close(engine)
 
     asyncio.run(main())
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -15,8 +15,10 @@
 from loftrelay.decisions.actions import SendAttempt
 from loftrelay.decisions.events import AttemptEnded, AttemptStatus
 from loftrelay.decisions.simulator import read_settings
+from loftrelay.relay.attempts import GatedCall
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
+from loftrelay.relay.events import submission_of
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult, CallOptions, StoreDecision
 from loftrelay.server.http.server import Server
@@ -54,7 +56,7 @@
         assert await reader.read() == b""
         writer.close()
         await server.close()
-        engine.status_reporter.close()
+        engine.context.status_reporter.close()
 
     asyncio.run(main())
 
@@ -68,15 +70,15 @@
         now = wall_clock()
         for name in ("gone", "stays"):
             held = Message(name, 0, "status", "acme", 1, None, now, now + 9_000_000)
-            engine.submit(held, lambda status, _, name=name: answers.update({name: status}))  # type: ignore[misc]
-        engine.cancel("gone")
-        engine._turn()
+            engine.intake.submit(held, lambda status, _, name=name: answers.update({name: status}))  # type: ignore[misc]
+        engine.intake.cancel("gone")
+        engine.context.loop.run_due_batch()
         assert answers == {"stays": 202}
-        assert list(engine.journal.messages) == ["stays"]
-        assert engine.open_messages == 1
-        assert list(engine.message_states.attempts_in_flight()) == ["stays"]
-        engine.status_reporter.close()
-        engine.delivery.close()
+        assert list(engine.context.journal.messages) == ["stays"]
+        assert engine.intake.open_messages == 1
+        assert list(engine.context.message_states.attempts_in_flight()) == ["stays"]
+        engine.context.status_reporter.close()
+        engine.context.delivery.close()
 
     asyncio.run(main())
 
@@ -88,18 +90,18 @@
         engine = make_engine(tmp_path)
         now = wall_clock()
         held = Message("m", 0, "order", "acme", 1, "k", now, now + 9_000_000)
-        engine.submit(held, lambda status, _: None)
-        engine._turn()
-        engine.attempt_ended(held, "h", AttemptResult(AttemptStatus.REJECTED))
-        engine._turn()
-        assert engine.open_messages == 1  # its end is not decided
-        engine.outcome_disputed("m", "h", now)
-        engine.outcome_disputed("unknown", "h", now)
-        engine._turn()
-        assert engine.open_messages == 0
-        assert engine.journal.messages["m"].first_attempt_at == now
-        engine.status_reporter.close()
-        engine.delivery.close()
+        engine.intake.submit(held, lambda status, _: None)
+        engine.context.loop.run_due_batch()
+        engine.attempts.ended(held, "h", AttemptResult(AttemptStatus.REJECTED))
+        engine.context.loop.run_due_batch()
+        assert engine.intake.open_messages == 1  # its end is not decided
+        engine.attempts.outcome_disputed("m", "h", now)
+        engine.attempts.outcome_disputed("unknown", "h", now)
+        engine.context.loop.run_due_batch()
+        assert engine.intake.open_messages == 0
+        assert engine.context.journal.messages["m"].first_attempt_at == now
+        engine.context.status_reporter.close()
+        engine.context.delivery.close()
 
     asyncio.run(main())
 
@@ -109,24 +111,24 @@
 
     async def main() -> None:
         engine = make_engine(tmp_path)
-        engine.discovery.watch = lambda: None  # type: ignore[method-assign]
-        while engine.turn_due:
+        engine.context.discovery.watch = lambda: None  # type: ignore[method-assign]
+        while engine.context.loop.is_batch_due:
             await asyncio.sleep(0)
-        if engine.timer is not None:
-            engine.timer.cancel()
-        engine.stall_detector.woke = asyncio.get_running_loop().time()
+        if engine.context.loop.timer is not None:
+            engine.context.loop.timer.cancel()
+        engine.context.stall_detector.woke = asyncio.get_running_loop().time()
         statuses: list[int] = []
         now = wall_clock()
         held = Message("m", 0, "status", "acme", 1, None, now, now + 9_000_000)
-        engine.submit(held, lambda status, _: statuses.append(status))
+        engine.intake.submit(held, lambda status, _: statuses.append(status))
         assert statuses == [503]
         async with asyncio.timeout(60):
-            while engine.is_lagging:
+            while engine.context.loop.is_lagging:
                 await asyncio.sleep(0)
-        engine.submit(held, lambda status, _: statuses.append(status))
-        assert "m" in engine.journal.messages
-        engine.status_reporter.close()
-        engine.delivery.close()
+        engine.intake.submit(held, lambda status, _: statuses.append(status))
+        assert "m" in engine.context.journal.messages
+        engine.context.status_reporter.close()
+        engine.context.delivery.close()
 
     asyncio.run(main())
 
@@ -141,22 +143,22 @@
     async def main() -> None:
         engine = make_engine(tmp_path)
         given: list[CallOptions] = []
-        engine.delivery.send_call = lambda host, messages, terms: given.append(terms)  # type: ignore[method-assign]
+        engine.context.delivery.send_call = lambda host, messages, terms: given.append(terms)  # type: ignore[method-assign]
         now = wall_clock()
         lives = {"short": 2_000_000, "long": 9_000_000} if batch else {"short": 2_000_000}
         for name, remaining in lives.items():
             held = Message(name, 0, "order", "acme", 1, None, now, now + remaining)
-            engine.journal.admit(held)
-            engine.message_states.enqueue(name)
-            engine.scheduler.state.now = engine._clock()
-            lifecycle.admit(engine.scheduler.state, engine._submission(held))
+            engine.context.journal.admit(held)
+            engine.context.message_states.enqueue(name)
+            engine.context.scheduler.state.now = engine.context.loop.clock()
+            lifecycle.admit(engine.context.scheduler.state, submission_of(held))
         sends = [SendAttempt(name, "h", remaining, None) for name, remaining in lives.items()]
-        engine._call("h", sends, batch)
+        engine.attempts.begin("h", sends, is_batch=batch)
         gone = (wall_clock() - now) / 1e6
         assert len(given) == 1
         assert 1.98 - gone <= given[0].timeout <= 1.98
-        engine.status_reporter.close()
-        engine.delivery.close()
+        engine.context.status_reporter.close()
+        engine.context.delivery.close()
 
     asyncio.run(main())
 
@@ -168,34 +170,38 @@
 
     async def main() -> None:
         engine = make_engine(tmp_path)
-        engine.scheduler.state.settings = replace(engine.scheduler.state.settings, awaits_final_status=True)
-        engine.delivery.send_call = lambda host, messages, terms: None  # type: ignore[method-assign]
+        engine.context.scheduler.state.settings = replace(
+            engine.context.scheduler.state.settings, awaits_final_status=True
+        )
+        engine.context.delivery.send_call = lambda host, messages, terms: None  # type: ignore[method-assign]
         now = wall_clock()
         for name in ("m", "next"):
             held = Message(
                 name, 0, "order", "acme", 1, "k", now, now + (400_000 if name == "m" else 9_000_000)
             )
-            engine.journal.admit(held)
-            engine.message_states.enqueue(name)
-            engine._post(engine._submission(held))
+            engine.context.journal.admit(held)
+            engine.context.message_states.enqueue(name)
+            engine.context.post(submission_of(held))
         while (
-            engine.scheduler.state.messages.get("m") is None
-            or engine.scheduler.state.messages["m"].call is None
+            engine.context.scheduler.state.messages.get("m") is None
+            or engine.context.scheduler.state.messages["m"].call is None
         ):
             await asyncio.sleep(0.001)
         if late:
-            while engine._clock() < engine.scheduler.state.messages["m"].deadline:
+            while engine.context.loop.clock() < engine.context.scheduler.state.messages["m"].deadline:
                 time.sleep(0.01)  # the loop does not run
-        engine.attempt_ended(
-            engine.journal.messages["m"], "h", AttemptResult(AttemptStatus.OK, is_final=True)
+        engine.attempts.ended(
+            engine.context.journal.messages["m"], "h", AttemptResult(AttemptStatus.OK, is_final=True)
         )
-        while "m" in engine.scheduler.state.messages:
+        while "m" in engine.context.scheduler.state.messages:
             await asyncio.sleep(0.001)
-        assert ("m" in engine.journal.messages) == late == bool(engine.status_reporter.pending)
-        assert (engine.scheduler.state.messages["next"].attempts > 0) != late
-        engine.status_reporter.close()
-        engine.discovery.close()
-        engine.delivery.close()
+        assert (
+            ("m" in engine.context.journal.messages) == late == bool(engine.context.status_reporter.pending)
+        )
+        assert (engine.context.scheduler.state.messages["next"].attempts > 0) != late
+        engine.context.status_reporter.close()
+        engine.context.discovery.close()
+        engine.context.delivery.close()
 
     asyncio.run(main())
 
@@ -218,26 +224,27 @@
     async def main() -> None:
         engine = make_engine(tmp_path)
         sent: list[str] = []
-        engine.delivery.send_call = lambda host, messages, terms: sent.append(host)  # type: ignore[method-assign]
+        engine.context.delivery.send_call = lambda host, messages, terms: sent.append(host)  # type: ignore[method-assign]
         now = wall_clock()
         held = Message("m", 0, "order", "acme", 1, "k", now, now + 9_000_000)
-        engine.submit(held, lambda status, _: None)
-        engine._turn()
-        held = engine.journal.messages["m"]
+        engine.intake.submit(held, lambda status, _: None)
+        engine.context.loop.run_due_batch()
+        held = engine.context.journal.messages["m"]
         assert sent == ["h"]
         assert held.attempts == 1
         sent.clear()
-        engine.attempt_gates = [Told()]
+        engine.context.attempt_gates = [Told()]
         began = asyncio.get_running_loop().time() - late
         if told:
-            engine._unsettle(1)
-        engine._asked(0, "h", [held], CallOptions(3.0, False, True, None), began, committed)
+            engine.context.note_change(1)
+        call = GatedCall("h", [held], CallOptions(3.0, False, True, None))
+        engine.attempts._gate_answered(0, call, began, committed)
         assert sent == (["h"] if goes else [])
         assert held.attempts == (1 if goes else 0)
-        postponed = [event for event in engine.events if isinstance(event, AttemptEnded)]
+        postponed = [event for event in engine.context.loop.events if isinstance(event, AttemptEnded)]
         assert [event.postponed_for > 0 for event in postponed] == ([] if goes else [True])
-        engine.status_reporter.close()
-        engine.delivery.close()
+        engine.context.status_reporter.close()
+        engine.context.delivery.close()
 
     asyncio.run(main())
 
@@ -280,13 +287,13 @@
         clock = [loop.time() + 100]
         loop.time = lambda: clock[0]  # type: ignore[method-assign]
         engine = make_engine(tmp_path)
-        engine._turn()
+        engine.context.loop.run_due_batch()
         answers: list[str] = []
 
         async def hand_in(name: str) -> None:
             now = wall_clock()
             held = Message(name, 0, "status", "acme", 1, None, now, now + 9_000_000)
-            engine.submit(held, lambda status, _: answers.append(name))
+            engine.intake.submit(held, lambda status, _: answers.append(name))
 
         clock[0] -= 60  # before the turn that was last
         await hand_in("behind")
@@ -299,7 +306,7 @@
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert answers == ["behind", "stepped"]
-        engine.status_reporter.close()
-        engine.delivery.close()
+        engine.context.status_reporter.close()
+        engine.context.delivery.close()
 
     asyncio.run(main())
--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -38,8 +38,8 @@
 
 
 def listed(engine: Engine, form: EndpointListKind, *entries: EndpointEntry) -> None:
-    engine.endpoints_listed(EndpointListReceived(form, entries), {e.endpoint: AT for e in entries})
-    engine._turn()
+    engine.endpoints.listed(EndpointListReceived(form, entries), {e.endpoint: AT for e in entries})
+    engine.context.loop.run_due_batch()
 
 
 CHANGES = [entry("h5", 5, EndpointState.DRAINING), entry("h6", 6, EndpointState.REMOVED), entry("new", 7)]
@@ -52,11 +52,11 @@
         for size in (FEW, MANY):
             engine, journal = build(config(tmp_path / str(size)))
             listed(engine, EndpointListKind.FULL, *(entry(f"h{i}", i) for i in range(size)))
-            assert len(engine.endpoint_entries) == size
-            brain = engine.scheduler
-            engine.endpoint_entries, engine.batch_sizes = (
-                Walked(engine.endpoint_entries),
-                Walked(engine.batch_sizes),
+            assert len(engine.endpoints.entries) == size
+            brain = engine.context.scheduler
+            engine.endpoints.entries, engine.endpoints.batch_sizes = (
+                Walked(engine.endpoints.entries),
+                Walked(engine.endpoints.batch_sizes),
             )
             brain.state.endpoints, brain.state.destinations = (
                 Walked(brain.state.endpoints),
@@ -64,8 +64,8 @@
             )
             costs.append(steps(partial(listed, engine, EndpointListKind.DELTA, change)))
             for of in (
-                engine.endpoint_entries,
-                engine.batch_sizes,
+                engine.endpoints.entries,
+                engine.endpoints.batch_sizes,
                 brain.state.endpoints,
                 brain.state.destinations,
             ):
@@ -101,11 +101,11 @@
                 *(entry(f"a{i}", i, EndpointState.REMOVED) for i in range(100)),
             )
             assert more() == [101, 100, 101, 100]
-            engine.scheduler.handle_batch(
-                engine.scheduler.state.now + 1, [DestinationsReleased(tuple(range(100)))]
+            engine.context.scheduler.handle_batch(
+                engine.context.scheduler.state.now + 1, [DestinationsReleased(tuple(range(100)))]
             )
             for i in range(100):
-                engine.delivery.remove_host(f"b{i}")
+                engine.context.delivery.remove_host(f"b{i}")
             assert more() == [0, 0, 1, 1]
         finally:
             gc.enable()
@@ -144,16 +144,16 @@
         try:
             entries = read_rows(json.loads(told))
             listing = EndpointListReceived(EndpointListKind.DELTA, tuple(e for e, _ in entries))
-            engine.endpoints_listed(listing, {e.endpoint: address for e, address in entries})
+            engine.endpoints.listed(listing, {e.endpoint: address for e, address in entries})
             del entries, listing
-            engine.events.clear()
-            engine.posted.clear()
+            engine.context.loop.events.clear()
+            engine.context.loop.posted_at.clear()
             gc.collect()
             held = tracemalloc.get_traced_memory()[0] / size
         finally:
             tracemalloc.stop()
         print(f"{held:.0f} bytes for each")
-        assert len(engine.endpoint_entries) == size + 1
+        assert len(engine.endpoints.entries) == size + 1
         assert 600 < held < 1_400
         close(engine)
         journal.close()
--- a/tests/relay/test_last_phase.py
+++ b/tests/relay/test_shutdown_schedule.py
@@ -10,7 +10,7 @@
 import pytest
 
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass
-from loftrelay.relay.shutdown_schedule import last_phase
+from loftrelay.relay.shutdown_schedule import shutdown_schedule
 from tests.standins.platform import HANG, SETTINGS, World, deliver, message, read_message, run
 
 ABOUT = MessageClass("x", DeliverySemantics.IDEMPOTENT, None, None, None, 1_000_000, 1.0, 0.5, False)
@@ -30,10 +30,10 @@
 )
 def test_each_step_comes_before_sigkill(deadlines: list[float | None], grace: float) -> None:
     classes = [replace(ABOUT, deadline=None if d is None else int(d * 1e6)) for d in deadlines]
-    phase = last_phase(classes)
-    assert 0 <= phase.begin < phase.take < phase.answer < phase.end < grace
-    assert phase.end > grace - 0.15
-    assert phase.take > grace - 0.3
+    schedule = shutdown_schedule(classes)
+    assert 0 <= schedule.last_call < schedule.last_admission < schedule.last_answer < schedule.exit < grace
+    assert schedule.exit > grace - 0.15
+    assert schedule.last_admission > grace - 0.3
 
 
 def test_a_relay_of_short_deadlines_has_ended_before_it_is_killed(tmp_path: Path) -> None:
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -99,27 +99,27 @@
         Limits(),
         1,
         journal.record_attempt,
-        engine.attempt_ended,
-        engine.outcome_disputed,
-        engine.metrics.count_forwarded,
-        engine.stall_detector,
-        engine.retry_after_received,
-        engine.is_blocked,
+        engine.attempts.ended,
+        engine.attempts.outcome_disputed,
+        engine.context.metrics.count_forwarded,
+        engine.context.stall_detector,
+        engine.attempts.retry_after_received,
+        engine.attempts.is_blocked,
     )
-    notices = FinalStatusReporter(NOWHERE, engine.final_status_reported)
+    notices = FinalStatusReporter(NOWHERE, engine.final_statuses.reported)
     if handed is None:
-        engine.connect(hosts, slices, notices, {}, slices=slices)
+        engine.connect(hosts, slices, notices, {}, subscription=slices)
     else:
         engine.take_over(hosts, slices, notices, handed, slices)
     return engine, slices
 
 
 def close(engine: Engine) -> None:
-    if engine.timer is not None:
-        engine.timer.cancel()
-    engine.status_reporter.close()
-    engine.delivery.close()
-    engine.journal.close()
+    if engine.context.loop.timer is not None:
+        engine.context.loop.timer.cancel()
+    engine.context.status_reporter.close()
+    engine.context.delivery.close()
+    engine.context.journal.close()
 
 
 def play(scenario: Callable[[], Awaitable[None]]) -> None:
@@ -137,7 +137,7 @@
         assert held.id not in answers  # exactly one
         answers[held.id] = status, again
 
-    engine.submit(held, answer)
+    engine.intake.submit(held, answer)
 
 
 def listing(*hosts: str, destination: int = 1) -> tuple[EndpointListReceived, dict[str, Address]]:
@@ -146,7 +146,7 @@
 
 
 def hold(engine: Engine, destination: int = 1) -> None:
-    engine.endpoints_listed(*listing(f"h{destination}", destination=destination))
+    engine.endpoints.listed(*listing(f"h{destination}", destination=destination))
     engine.destination_resolved(destination, ResolutionStatus.RESOLVED)
 
 
@@ -158,23 +158,23 @@
             submit(engine, answers, message(name))
         submit(engine, answers, message("z", destination=2))
         assert slices.wanted == [1, 2]
-        assert not engine.journal.messages
+        assert not engine.context.journal.messages
         assert answers == {}
-        assert engine.open_messages == 4
-        assert engine.is_client_waiting("b")
-        engine.cancel("b")
-        assert engine.open_messages == 3
-        assert not engine.is_client_waiting("b")
+        assert engine.intake.open_messages == 4
+        assert engine.intake.is_client_waiting("b")
+        engine.intake.cancel("b")
+        assert engine.intake.open_messages == 3
+        assert not engine.intake.is_client_waiting("b")
         hold(engine)
         submit(engine, answers, message("d"))
-        assert list(engine.journal.messages) == ["a", "c", "d"]
+        assert list(engine.context.journal.messages) == ["a", "c", "d"]
         assert slices.used == [1]
-        assert [h.sequence for h in engine.journal.messages.values()] == sorted(
-            h.sequence for h in engine.journal.messages.values()
+        assert [h.sequence for h in engine.context.journal.messages.values()] == sorted(
+            h.sequence for h in engine.context.journal.messages.values()
         )
-        engine._turn()
+        engine.context.loop.run_due_batch()
         assert answers == dict.fromkeys(("a", "c", "d"), (202, 0))
-        assert [m.name for m in engine.scheduler.state.ordering_keys["k"].pending] == ["a", "c", "d"]
+        assert [m.name for m in engine.context.scheduler.state.ordering_keys["k"].pending] == ["a", "c", "d"]
         assert slices.wanted == [1, 2]
         close(engine)
 
@@ -192,10 +192,10 @@
         submit(engine, answers, message("b", of="status"))
         engine.destination_resolved(1, state)
         assert answers == {"a": (503, 1000), "b": (503, 1000)}
-        assert not engine.journal.messages
-        assert engine.open_messages == 0
-        assert not engine.is_client_waiting("a")
-        assert engine.known_answer("a") is None  # its id is free again
+        assert not engine.context.journal.messages
+        assert engine.intake.open_messages == 0
+        assert not engine.intake.is_client_waiting("a")
+        assert engine.intake.known_answer("a") is None  # its id is free again
         submit(engine, answers, message("c"))
         assert slices.wanted == [1, 1]
         engine.destination_resolved(1, state)
@@ -214,7 +214,7 @@
             submit(engine, answers, message(name))
         assert answers == {"d": (503, 1000)}
         hold(engine)
-        assert list(engine.journal.messages) == ["a", "b", "c"]
+        assert list(engine.context.journal.messages) == ["a", "b", "c"]
         submit(engine, answers, message("e", destination=2))
         assert answers["e"] == (503, 1000)
         assert slices.wanted == [1]
@@ -233,7 +233,7 @@
         while loop.time() < until:
             await asyncio.sleep(0.01)
         hold(engine)
-        (event,) = [e for e in engine.events if isinstance(e, MessageSubmitted)]
+        (event,) = [e for e in engine.context.loop.events if isinstance(e, MessageSubmitted)]
         assert event.time_remaining <= 4_800_000
         close(engine)
 
@@ -253,16 +253,16 @@
         submit(engine, answers, message("a"))
         submit(engine, answers, message("b", destination=2))
         if how == "hold":
-            engine.stop_admitting()
+            engine.intake.stop()
         else:
-            engine.pause(Nobody())
+            engine.handover.pause(Nobody())
         assert answers == {"a": (503, 1000), "b": (503, 1000)}
-        assert engine.open_messages == 0
+        assert engine.intake.open_messages == 0
         submit(engine, answers, message("c"))
         assert answers["c"] == (503, 1000)
         assert slices.wanted == [1, 2]
         hold(engine)  # the answer that was under way
-        assert not engine.journal.messages
+        assert not engine.context.journal.messages
         assert engine.release_destinations([1, 2]) == []
         close(engine)
 
@@ -274,15 +274,15 @@
         engine, _ = make(tmp_path)
         answers: Answers = {}
         submit(engine, answers, message("a"))
-        while engine.turn_due:
+        while engine.context.loop.is_batch_due:
             await asyncio.sleep(0)
-        engine.endpoints_listed(*listing("h1"))
-        engine._turn()
-        engine.stall_detector.woke = asyncio.get_running_loop().time()  # it stood still
+        engine.endpoints.listed(*listing("h1"))
+        engine.context.loop.run_due_batch()
+        engine.context.stall_detector.woke = asyncio.get_running_loop().time()  # it stood still
         engine.destination_resolved(1, ResolutionStatus.RESOLVED)
         assert answers == {"a": (503, 1000)}
-        assert engine.turn_due
-        assert not engine.journal.messages
+        assert engine.context.loop.is_batch_due
+        assert not engine.context.journal.messages
         close(engine)
 
     play(scenario)
@@ -298,37 +298,37 @@
         answers: Answers = {}
         for name, destination in (("a", 1), ("b", 2), ("c", 1), ("told", 1)):
             submit(engine, answers, message(name, destination, "status"))
-        engine._turn()
-        assert isinstance(engine.journal, Journal)
-        engine.journal.record_attempt(engine.journal.messages["a"], "h1")
-        engine.journal.record_final_status("told", {"status": "deferred"})
+        engine.context.loop.run_due_batch()
+        assert isinstance(engine.context.journal, Journal)
+        engine.context.journal.record_attempt(engine.context.journal.messages["a"], "h1")
+        engine.context.journal.record_final_status("told", {"status": "deferred"})
         close(engine)
 
         engine, slices = make(tmp_path)
         assert slices.wanted == [1, 2]
-        assert engine.recovering == {1, 2}
-        engine._turn()
-        assert not engine.scheduler.state.messages
+        assert engine.recovery.unresolved == {1, 2}
+        engine.context.loop.run_due_batch()
+        assert not engine.context.scheduler.state.messages
         assert engine.release_destinations([1, 2]) == []
-        engine.final_status_reported("told")  # heard before the module knows of it
+        engine.final_statuses.reported("told")  # heard before the module knows of it
         engine.destination_resolved(2, ResolutionStatus.UNAVAILABLE)
         assert slices.wanted == [1, 2, 2]  # tried on
         hold(engine, 1)
-        engine._turn()
-        assert not engine.scheduler.state.messages
+        engine.context.loop.run_due_batch()
+        assert not engine.context.scheduler.state.messages
         hold(engine, 2)
-        engine._turn()
-        assert list(engine.scheduler.state.messages) == ["a", "b", "c"]
-        assert not engine.scheduler.state.unreported
-        ran_on = engine.scheduler.state.messages["a"].first_attempt_endpoint
+        engine.context.loop.run_due_batch()
+        assert list(engine.context.scheduler.state.messages) == ["a", "b", "c"]
+        assert not engine.context.scheduler.state.unreported
+        ran_on = engine.context.scheduler.state.messages["a"].first_attempt_endpoint
         assert ran_on is not None
         assert ran_on.name == "h1"
         close(engine)
 
         engine, slices = make(tmp_path)
-        engine.replay_recovered()  # no registry answers for too long
-        engine._turn()
-        assert sorted(engine.scheduler.state.messages) == ["a", "b", "c"]
+        engine.recovery.replay()  # no registry answers for too long
+        engine.context.loop.run_due_batch()
+        assert sorted(engine.context.scheduler.state.messages) == ["a", "b", "c"]
         engine.destination_resolved(1, ResolutionStatus.UNAVAILABLE)
         assert slices.wanted == [1, 2]  # not tried on by the engine
         close(engine)
@@ -342,27 +342,27 @@
         answers: Answers = {}
         for destination in (1, 2, 3, 4, 5):
             hold(engine, destination)
-        engine.endpoints_listed(*listing("h1b"))
+        engine.endpoints.listed(*listing("h1b"))
         submit(engine, answers, message("in-line", 2))
-        engine._turn()
+        engine.context.loop.run_due_batch()
         submit(engine, answers, message("unheard", 3))  # the module has not heard of it
         submit(engine, answers, message("parked", 6))
         submit(engine, answers, message("ended", 4, "status"))
-        engine._turn()
+        engine.context.loop.run_due_batch()
         submit(engine, answers, message("late", 5))
-        engine.journal.record_final_status("ended", {"status": "deferred"})  # untold as yet
+        engine.context.journal.record_final_status("ended", {"status": "deferred"})  # untold as yet
         assert engine.release_destinations([1, 2, 3, 4, 5, 6, 7]) == [1, 7]
-        assert 1 not in engine.destinations
-        assert set(engine.endpoint_entries) == {"h2", "h3", "h4", "h5"}
-        assert set(engine.batch_sizes) == set(engine.endpoint_entries)
-        assert engine.events[-1] == DestinationsReleased((1, 7))
-        engine._turn()
-        assert "h1" not in engine.scheduler.state.endpoints
-        assert "h2" in engine.scheduler.state.endpoints
+        assert 1 not in engine.endpoints.destinations
+        assert set(engine.endpoints.entries) == {"h2", "h3", "h4", "h5"}
+        assert set(engine.endpoints.batch_sizes) == set(engine.endpoints.entries)
+        assert engine.context.loop.events[-1] == DestinationsReleased((1, 7))
+        engine.context.loop.run_due_batch()
+        assert "h1" not in engine.context.scheduler.state.endpoints
+        assert "h2" in engine.context.scheduler.state.endpoints
         submit(engine, answers, message("again", 1))
-        assert "again" in engine.pending_submissions
+        assert "again" in engine.intake.pending
         hold(engine, 1)
-        engine._turn()
+        engine.context.loop.run_due_batch()
         assert answers["again"] == (202, 0)
         close(engine)
 
@@ -377,10 +377,10 @@
         engine, _ = make(tmp_path)
         hold(engine, 1)
         hold(engine, 2)
-        engine._turn()
+        engine.context.loop.run_due_batch()
         if not sliced:
-            engine.subscription = None
-        told = json.loads(json.dumps(engine.export_state()))
+            engine.context.subscription = None
+        told = json.loads(json.dumps(engine.handover.export_state()))
         assert told["revision"] == (None if sliced else 7)
         close(engine)
         handed = handover.read_state(told, 1)
@@ -400,8 +400,8 @@
         answers: Answers = {}
         submit(engine, answers, message("a"))
         assert answers == {"a": (503, 1000)}
-        assert engine.subscription is None
-        assert not len(engine.pending_submissions)
+        assert engine.context.subscription is None
+        assert not len(engine.intake.pending)
         close(engine)
 
     play(scenario)
--- a/tests/server/http/test_endings.py
+++ b/tests/server/http/test_endings.py
@@ -50,11 +50,11 @@
 
         async with asyncio.timeout(HANG):
             await scenario(server, come)
-        assert not engine.journal.messages
+        assert not engine.context.journal.messages
         await server.close()
-        engine.status_reporter.close()
-        engine.discovery.close()
-        engine.delivery.close()
+        engine.context.status_reporter.close()
+        engine.context.discovery.close()
+        engine.context.delivery.close()
 
     asyncio.run(main())
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -33,6 +33,8 @@
     "store/state_machine.py",
     "relay/pending_submissions.py",
     "relay/ports.py",
+    "relay/statuses.py",
+    "relay/events.py",
     "relay/stall_detector.py",
     "relay/message.py",
     "relay/message_state.py",
--- a/tests/upgrade/test_successor.py
+++ b/tests/upgrade/test_successor.py
@@ -72,6 +72,6 @@
         os.close(files[0])
         assert server.sweeping is not None
         server.sweeping.cancel()
-        engine.status_reporter.close()
+        engine.context.status_reporter.close()
 
     asyncio.run(main())
