--- a/loftrelay/journal/__init__.py
+++ b/loftrelay/journal/__init__.py
@@ -1,1 +1,1 @@
-"""What outlasts the process: every message that is held, and what has happened to it."""
+"""Durable state of a relay: every message that is not completed, and what has happened to it."""
--- /dev/null
+++ b/loftrelay/journal/records.py
@@ -0,0 +1,279 @@
+"""Journal records: their types, the names under which they are stored, and their encoding.
+
+An encoded record is a header (length and CRC-32 of the payload, 4 bytes each, big-endian) and a payload: one
+line of JSON and, for an admitted message, its body. Performs no input or output.
+"""
+
+from __future__ import annotations
+
+import json
+import struct
+import zlib
+from collections.abc import Callable, Iterator
+from dataclasses import MISSING, dataclass, fields
+from operator import attrgetter
+from typing import Any, ClassVar
+
+from loftrelay.decisions.events import AttemptStatus
+from loftrelay.relay.message import CompletedMessage, Message
+
+HEADER = struct.Struct(">II")  # bytes of the payload, CRC-32 of the payload
+
+# Field of a message -> its name in a stored record. A field that has its default is left out there.
+MESSAGE_FIELD_NAMES = {
+    "id": "id",
+    "sequence": "number",
+    "class_name": "class_name",
+    "tenant": "tenant",
+    "destination": "destination",
+    "ordering_key": "key",
+    "admitted_at": "taken_at",
+    "deadline": "deadline",
+    "attempts": "attempts",
+    "attempt_started_at": "tried_at",
+    "attempt_host": "tried_on",
+    "first_attempt_at": "ran_at",
+    "first_attempt_host": "ran_on",
+    "final_status": "notice",
+    "packed_terms": "terms",
+    "idempotency_key": "idempotency_key",
+}
+_FIELDS_BY_STORED_NAME = {stored: name for name, stored in MESSAGE_FIELD_NAMES.items()}
+_STORED_FIELDS = tuple(
+    (field.name, MESSAGE_FIELD_NAMES[field.name], field.default)
+    for field in fields(Message)
+    if field.name != "body"
+)
+_field_values = attrgetter(*(field.name for field in fields(Message)))
+
+_encode_json = json.JSONEncoder(separators=(",", ":")).encode
+
+
+@dataclass(slots=True)
+class MessageAdmitted:
+    """A message as a whole: on its admission, and again when the segment that holds it is dropped."""
+
+    KIND: ClassVar = "take"
+    message: Message
+
+    @classmethod
+    def copy_of(cls, message: Message) -> MessageAdmitted:
+        """A record that later changes of the message do not reach."""
+        copy = Message(*_field_values(message))
+        if copy.packed_terms is not None:
+            copy.packed_terms = tuple(copy.packed_terms)
+        return cls(copy)
+
+    @property
+    def message_id(self) -> str:
+        """Id of the message."""
+        return self.message.id
+
+    def to_stored(self) -> dict[str, Any]:
+        """The kind and the fields of the record, under their stored names."""
+        message = self.message
+        stored: dict[str, Any] = {"t": self.KIND}
+        for name, stored_name, default in _STORED_FIELDS:
+            value = getattr(message, name)
+            if default is MISSING or value != default:
+                stored[stored_name] = value
+        return stored
+
+    @classmethod
+    def from_stored(cls, stored: dict[str, Any], body: bytes) -> MessageAdmitted:
+        """Reads the record from its stored fields and the body of the message."""
+        message = Message(
+            **{_FIELDS_BY_STORED_NAME[name]: value for name, value in stored.items()}, body=body
+        )
+        if message.packed_terms is not None:
+            message.packed_terms = tuple(message.packed_terms)
+        return cls(message)
+
+
+@dataclass(slots=True)
+class AttemptStarted:
+    """An attempt is about to start; written before its first byte is sent."""
+
+    KIND: ClassVar = "try"
+    message_id: str
+    attempts: int  # made so far, this one included
+    started_at: int  # wall-clock microseconds
+    host: str
+
+    def to_stored(self) -> dict[str, Any]:
+        """The kind and the fields of the record, under their stored names."""
+        return {
+            "t": self.KIND,
+            "id": self.message_id,
+            "n": self.attempts,
+            "at": self.started_at,
+            "on": self.host,
+        }
+
+    @classmethod
+    def from_stored(cls, stored: dict[str, Any], _: bytes) -> AttemptStarted:
+        """Reads the record from its stored fields."""
+        return cls(stored["id"], stored["n"], stored["at"], stored["on"])
+
+
+@dataclass(slots=True)
+class AttemptEnded:
+    """An attempt ended otherwise than by a delivery."""
+
+    KIND: ClassVar = "out"
+    message_id: str
+    attempts: int  # made so far
+    ended_at: int  # wall-clock microseconds
+    status: AttemptStatus
+
+    def to_stored(self) -> dict[str, Any]:
+        """The kind and the fields of the record, under their stored names."""
+        return {
+            "t": self.KIND,
+            "id": self.message_id,
+            "n": self.attempts,
+            "at": self.ended_at,
+            "is": self.status.value,
+        }
+
+    @classmethod
+    def from_stored(cls, stored: dict[str, Any], _: bytes) -> AttemptEnded:
+        """Reads the record from its stored fields."""
+        return cls(stored["id"], stored["n"], stored["at"], AttemptStatus(stored["is"]))
+
+
+@dataclass(slots=True)
+class OutcomeDisputed:
+    """The message may have run, though the recorded outcome of its attempt had ruled that out."""
+
+    KIND: ClassVar = "doubt"
+    message_id: str
+    started_at: int  # of the attempt; wall-clock microseconds
+    host: str
+
+    def to_stored(self) -> dict[str, Any]:
+        """The kind and the fields of the record, under their stored names."""
+        return {"t": self.KIND, "id": self.message_id, "at": self.started_at, "on": self.host}
+
+    @classmethod
+    def from_stored(cls, stored: dict[str, Any], _: bytes) -> OutcomeDisputed:
+        """Reads the record from its stored fields."""
+        return cls(stored["id"], stored["at"], stored["on"])
+
+
+@dataclass(slots=True)
+class FinalStatusDecided:
+    """The final status is decided; the message is completed once the platform has received it."""
+
+    KIND: ClassVar = "end"
+    message_id: str
+    final_status: dict[str, Any]  # as it is reported
+
+    def to_stored(self) -> dict[str, Any]:
+        """The kind and the fields of the record, under their stored names."""
+        return {"t": self.KIND, "id": self.message_id, "notice": self.final_status}
+
+    @classmethod
+    def from_stored(cls, stored: dict[str, Any], _: bytes) -> FinalStatusDecided:
+        """Reads the record from its stored fields."""
+        return cls(stored["id"], stored["notice"])
+
+
+@dataclass(slots=True)
+class MessageCompleted:
+    """Nothing more is owed for the message. `answer`: what its id is answered until that expires, if any."""
+
+    KIND: ClassVar = "over"
+    message_id: str
+    answer: CompletedMessage | None
+
+    def to_stored(self) -> dict[str, Any]:
+        """The kind and the fields of the record, under their stored names."""
+        if self.answer is None:
+            return {"t": self.KIND, "id": self.message_id}
+        return {
+            "t": self.KIND,
+            "id": self.message_id,
+            "as": self.answer.status,
+            "until": self.answer.expires_at,
+        }
+
+    @classmethod
+    def from_stored(cls, stored: dict[str, Any], _: bytes) -> MessageCompleted:
+        """Reads the record from its stored fields."""
+        answer = CompletedMessage(stored["as"], stored["until"]) if "until" in stored else None
+        return cls(stored["id"], answer)
+
+
+@dataclass(slots=True)
+class CompletionCopied:
+    """The answer for a completed message, written again when the segment that holds it is dropped."""
+
+    KIND: ClassVar = "was"
+    message_id: str
+    answer: CompletedMessage
+
+    def to_stored(self) -> dict[str, Any]:
+        """The kind and the fields of the record, under their stored names."""
+        return {
+            "t": self.KIND,
+            "id": self.message_id,
+            "as": self.answer.status,
+            "until": self.answer.expires_at,
+        }
+
+    @classmethod
+    def from_stored(cls, stored: dict[str, Any], _: bytes) -> CompletionCopied:
+        """Reads the record from its stored fields."""
+        return cls(stored["id"], CompletedMessage(stored["as"], stored["until"]))
+
+
+Record = (
+    MessageAdmitted
+    | AttemptStarted
+    | AttemptEnded
+    | OutcomeDisputed
+    | FinalStatusDecided
+    | MessageCompleted
+    | CompletionCopied
+)
+
+_DECODERS: dict[str, Callable[[dict[str, Any], bytes], Record]] = {
+    MessageAdmitted.KIND: MessageAdmitted.from_stored,
+    AttemptStarted.KIND: AttemptStarted.from_stored,
+    AttemptEnded.KIND: AttemptEnded.from_stored,
+    OutcomeDisputed.KIND: OutcomeDisputed.from_stored,
+    FinalStatusDecided.KIND: FinalStatusDecided.from_stored,
+    MessageCompleted.KIND: MessageCompleted.from_stored,
+    CompletionCopied.KIND: CompletionCopied.from_stored,
+}
+
+
+def encode_record(record: Record) -> bytes:
+    """The record with its header, as it is appended to a segment."""
+    body = record.message.body if isinstance(record, MessageAdmitted) else b""
+    payload = _encode_json(record.to_stored()).encode() + b"\n" + body
+    return HEADER.pack(len(payload), zlib.crc32(payload)) + payload
+
+
+def decode_records(data: bytes) -> Iterator[tuple[Record | None, int]]:
+    """Reads whole records up to the first that is torn or damaged.
+
+    Args:
+        data: A part of a segment that begins with a record.
+
+    Yields:
+        Each record, None for one of an unknown kind, and the offset in `data` at which it ends.
+    """
+    offset = 0
+    while offset + HEADER.size <= len(data):
+        length, checksum = HEADER.unpack_from(data, offset)
+        offset += HEADER.size
+        payload = data[offset : offset + length]
+        if len(payload) < length or zlib.crc32(payload) != checksum:
+            return
+        offset += length
+        line, _, body = payload.partition(b"\n")
+        stored = json.loads(line)
+        decode = _DECODERS.get(stored.pop("t"))
+        yield (decode(stored, body) if decode is not None else None), offset
--- a/loftrelay/upgrade/successor.py
+++ b/loftrelay/upgrade/successor.py
@@ -177,7 +177,7 @@
     def _read_ahead(self) -> Journal | None:
         """None where its owner has dropped a segment just then: it is read whole once all stand still."""
         try:
-            return Journal(self.folder, self.disk_bytes, still=True)
+            return Journal(self.folder, self.disk_bytes, is_read_only=True)
         except FileNotFoundError:
             return None
 
@@ -185,7 +185,7 @@
         if self.journal is not None:
             self.journal.catch_up()
         else:
-            self.journal = Journal(self.folder, self.disk_bytes, still=True)
+            self.journal = Journal(self.folder, self.disk_bytes, is_read_only=True)
         try:
             self.handed = read_state(self.told, self.seed)
         except HandoverError as error:
--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: what is written is read again, whatever is cut off, and the budget is never passed."""
+"""The journal: records are recovered, torn ones are cut off, and the disk budget is never exceeded."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.journal import journal as module
+from loftrelay.journal.compaction import MIN_SLICE_BYTES, SLICE_BYTES_PER_WRITTEN_BYTE
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import Message
@@ -28,12 +28,16 @@
     return sum(-(-f.stat().st_size // 512) * 512 for f in folder.iterdir())
 
 
+def sizes(journal: Journal) -> dict[int, int]:
+    return {number: segment.size for number, segment in journal.files.segments.items()}
+
+
 def reopened(journal: Journal, disk: int = MB) -> Journal:
     journal.close()
     return Journal(journal.folder, disk)
 
 
-def test_each_step_is_read_again(tmp_path: Path) -> None:
+def test_every_kind_of_record_is_recovered(tmp_path: Path) -> None:
     journal = Journal(tmp_path, MB)
     for name in ("taken", "tried", "doubtful", "refused", "ended", "over"):
         journal.admit(held(name, key="k"))
@@ -56,7 +60,7 @@
     assert journal.messages["later"].sequence == 7  # after a restart, too, behind those taken before
 
 
-def test_a_tail_torn_at_any_byte_is_cut(tmp_path: Path) -> None:
+def test_a_record_torn_at_any_byte_is_cut_off(tmp_path: Path) -> None:
     """A process can end in the middle of a write; what was whole before must not be lost with it."""
     journal = Journal(tmp_path / "a", MB)
     journal.admit(held("first", 30))
@@ -78,11 +82,8 @@
     assert list(Journal(tmp_path / "b", MB).messages) == ["first"]
 
 
-def test_a_segment_goes_in_slices_beside_what_is_written(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Harm: one record's writing copied a whole segment, and the loop stood still for it. A kill in the midst
-    of a segment loses nothing."""
+def test_a_segment_is_compacted_in_slices(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Writing one record copies a bounded slice, not a segment. A kill within a segment loses nothing."""
     disk, written, plain = 16 * MB, [0], os.write
 
     def write(file: int, data: bytes) -> int:
@@ -93,8 +94,8 @@
     journal = Journal(tmp_path, disk)
     for i in range(2000):
         journal.admit(held(f"stays{i}", 2000))
-    most, passing, first = 0, 0, min(journal.segments)
-    while min(journal.segments) < first + 12:
+    most, passing, first = 0, 0, min(journal.files.segments)
+    while min(journal.files.segments) < first + 12:
         written.clear()
         journal.admit(held(f"goes{passing}", 2000))
         most = max(most, sum(written))
@@ -102,15 +103,15 @@
         journal.complete(f"goes{passing}")
         most = max(most, sum(written))
         passing += 1
-    assert most < module.SLICE + module.SLICE_RATIO * 3000
+    assert most < MIN_SLICE_BYTES + SLICE_BYTES_PER_WRITTEN_BYTE * 3000
     assert used(tmp_path) <= disk
-    told = journal.told_in[min(journal.segments)]
+    told = journal.index.open.by_segment[min(journal.files.segments)]
     assert 0 < len(told) < 2000
     assert set(reopened(journal, disk).messages) == {f"stays{i}" for i in range(2000)}
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_budget_holds_and_nothing_held_is_lost(tmp_path: Path, seed: int) -> None:
+def test_the_budget_is_kept_and_no_message_is_lost(tmp_path: Path, seed: int) -> None:
     """Segments come and go, with restarts between; the copies that dropping one makes count as well."""
     draw = random.Random(seed)
     journal = Journal(tmp_path, MB)
@@ -141,10 +142,12 @@
     assert most <= MB
     journal = reopened(journal)
     assert {name: h.body for name, h in journal.messages.items()} == expected
-    assert journal.live == sum(size for _, size in journal.homes.values())
+    assert journal.index.live_bytes == sum(at.size for at in journal.index.open.locations.values())
 
 
-def test_a_disk_that_takes_nothing_more(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_disk_rejects_messages_and_keeps_the_rest_in_memory(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The disk may fill from outside: new messages are refused, the rest goes on from memory."""
     journal = Journal(tmp_path, MB)
     journal.admit(held("m"))
@@ -165,7 +168,7 @@
     assert list(reopened(journal).messages) == ["m", "o"]
 
 
-def test_a_doubt_outlasts_the_process(tmp_path: Path) -> None:
+def test_a_disputed_outcome_is_recovered(tmp_path: Path) -> None:
     """Forgotten, an unsafe message would go again after the restart."""
     journal = Journal(tmp_path, MB)
     journal.admit(held("m"))
@@ -184,7 +187,7 @@
     return Message(name, 0, "order", "acme", 1, None, 1, wall_clock() + lives, b"x")
 
 
-def test_an_unsafe_message_that_is_over_is_remembered_until_its_time_is_up(tmp_path: Path) -> None:
+def test_a_completed_message_is_answered_until_its_deadline(tmp_path: Path) -> None:
     journal = Journal(tmp_path, MB)
     for name, lives in (("long", 60 * MB), ("short", 1), ("free", 60 * MB)):
         journal.admit(order(name, lives))
@@ -195,16 +198,16 @@
         assert not each.messages
     again = reopened(reopened(journal))
     assert again.completed("long") is not None
-    assert len(again.past) == 1
-    assert again.live == sum(past.size for past in again.past.values())
+    assert len(again.index.completed.entries) == 1
+    assert again.index.live_bytes == sum(e.location.size for e in again.index.completed.entries.values())
 
 
-def test_what_is_remembered_outlasts_its_segment_and_keeps_to_the_budget(tmp_path: Path) -> None:
+def test_answers_outlive_their_segment_within_the_budget(tmp_path: Path) -> None:
     """Segments are dropped all the time: an id that went with its segment would run a second time."""
     journal = Journal(tmp_path, 200_000)
     journal.admit(order("first"))
     journal.complete("first", 500)
-    begun = min(journal.segments)
+    begun = min(journal.files.segments)
     taken = refused = 0
     for i in range(3000):
         try:
@@ -215,28 +218,27 @@
         taken += 1
         journal.complete(f"m{i}", 200)
         assert used(tmp_path) <= 200_000
-    assert min(journal.segments) > begun
+    assert min(journal.files.segments) > begun
     assert refused > 0 < taken
     last = reopened(journal, 200_000)
     was = last.completed("first")
     assert was is not None
     assert was.status == 500
-    assert sum(last.completed(f"m{i}") is not None for i in range(3000)) == len(journal.past) - 1
+    assert (
+        sum(last.completed(f"m{i}") is not None for i in range(3000))
+        == len(journal.index.completed.entries) - 1
+    )
 
 
-def test_an_id_whose_time_is_up_while_its_segment_is_dropped(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Trouble: a relay that was killed did not start again, and one that ran closed a client's connection
-    with no answer: the id was still listed under a segment that had gone."""
+def test_an_answer_that_expires_while_its_segment_is_dropped(tmp_path: Path) -> None:
+    """It must not stay listed under a segment that is gone: nothing could be looked up there."""
     clock = {"now": 1_000_000, "step": 0}
 
     def tick() -> int:
         clock["now"] += clock["step"]
         return clock["now"]
 
-    monkeypatch.setattr(module, "wall_clock", tick)
-    journal = Journal(tmp_path, 1_000_000)
+    journal = Journal(tmp_path, 1_000_000, clock=tick)
     for i in range(200):
         held = Message(f"m{i}", 0, "order", "acme", 1, None, clock["now"], 1_000_050 + i)
         journal.admit(held)
@@ -244,19 +246,20 @@
     journal.close()
     clock["step"] = 1  # each look at the clock finds another id out of its time
     for _ in range(3):
-        journal = Journal(tmp_path, 1_000_000)
+        journal = Journal(tmp_path, 1_000_000, clock=tick)
         journal.admit(Message("new", 0, "order", "acme", 1, None, clock["now"], clock["now"] + 9))
         journal.complete("new")
         journal.close()
-    assert set(journal.past) <= {name for names in journal.past_homes.values() for name in names}
+    completed = journal.index.completed
+    assert set(completed.entries) <= {name for names in completed.by_segment.values() for name in names}
     clock["now"] = 2_000_000
     assert journal.completed("m199") is None
-    assert not journal.past
-    assert journal.live == 0
+    assert not completed.entries
+    assert journal.index.live_bytes == 0
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_read_while_its_owner_writes_it_is_what_a_start_would_read(tmp_path: Path, seed: int) -> None:
+def test_catching_up_reads_what_a_new_reader_would(tmp_path: Path, seed: int) -> None:
     """Also where whole segments were dropped in between."""
     chance = random.Random(seed)
     owner = Journal(tmp_path, 60_000)
@@ -274,19 +277,20 @@
                 owner.complete(message, 200 if chance.random() < 0.3 else 0)
 
     go_on(chance.randrange(80))
-    reader = Journal(tmp_path, 60_000, still=True)
-    before = set(reader.segments)
+    reader = Journal(tmp_path, 60_000, is_read_only=True)
+    before = set(reader.files.segments)
     go_on(chance.choice([0, 1, 40, 400]))
     reader.catch_up()
-    fresh = Journal(tmp_path, 60_000, still=True)
+    fresh = Journal(tmp_path, 60_000, is_read_only=True)
     assert list(reader.messages) == list(fresh.messages)
     assert set(reader.messages) == set(owner.messages)
-    assert set(reader.past) == set(owner.past) == set(fresh.past)
-    assert {n: s.size for n, s in reader.segments.items()} == {n: s.size for n, s in owner.segments.items()}
-    assert reader.bytes == owner.bytes
-    assert reader.live == fresh.live
-    assert before - set(reader.segments) or len(owner.segments) >= len(before)
+    assert set(reader.index.completed.entries) == set(owner.index.completed.entries)
+    assert set(reader.index.completed.entries) == set(fresh.index.completed.entries)
+    assert sizes(reader) == sizes(owner)
+    assert reader.files.record_bytes == owner.files.record_bytes
+    assert reader.index.live_bytes == fresh.index.live_bytes
+    assert before - set(reader.files.segments) or len(owner.files.segments) >= len(before)
     owner.close()
     reader.take_ownership()
-    assert max(reader.segments) == max(owner.segments) + 1
+    assert max(reader.files.segments) == max(owner.files.segments) + 1
     reader.close()
--- a/tests/program/test_recovered.py
+++ b/tests/program/test_recovered.py
@@ -174,7 +174,7 @@
             journal.complete(held.id, 200)
         journal.close()
         full = tmp_path / "state" / "other"
-        full.write_bytes(b"\0" * (w.limits["disk_mb"] * 1_000_000 - journal.size()))
+        full.write_bytes(b"\0" * (w.limits["disk_mb"] * 1_000_000 - journal.disk_usage()))
         host = await w.host(deliver)
         began = time.monotonic()
         await w.start()
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -158,7 +158,7 @@
         steps.check()
         first.pause(Away())  # type: ignore[arg-type]
         state: dict[str, Any] = first.export_state()
-        second_journal = Journal(tmp_path, 1_000_000, still=True)
+        second_journal = Journal(tmp_path, 1_000_000, is_read_only=True)
         assert list(second_journal.messages) == list(journal.messages)
         handed = read_state(state, 2)
         journal.close()
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -29,6 +29,8 @@
 }  # besides themselves; `service` assembles all of them
 PURE = {
     "delivery/connection_pool.py",
+    "journal/records.py",
+    "journal/index.py",
     "store/state_machine.py",
     "relay/pending_submissions.py",
     "relay/ports.py",
--- a/tests/upgrade/test_successor.py
+++ b/tests/upgrade/test_successor.py
@@ -11,6 +11,7 @@
 import pytest
 
 from loftrelay.journal.journal import Journal
+from loftrelay.journal.segments import SegmentFiles
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import Message
 from loftrelay.server.http.server import Given, Kind, Server
@@ -29,11 +30,12 @@
         for n in range(5):
             owner.admit(Message(f"m{n}", 0, "status", "acme", 1, None, now, now + 9_000_000, b"body"))
         taker = HandoverReceiver(tmp_path, 1_000_000, 1)
-        there = Journal._paths
-        monkeypatch.setattr(Journal, "_paths", lambda self: [tmp_path / "0000000000.log", *there(self)])
+        on_disk = SegmentFiles.paths_on_disk
+        dropped = {0: tmp_path / "0000000000.log"}
+        monkeypatch.setattr(SegmentFiles, "paths_on_disk", lambda self: {**dropped, **on_disk(self)})
         taker.journal = taker._read_ahead()
         assert taker.journal is None
-        monkeypatch.setattr(Journal, "_paths", there)  # all stand still by now
+        monkeypatch.setattr(SegmentFiles, "paths_on_disk", on_disk)  # all stand still by now
         taker._load()
         assert taker.journal is not None
         assert list(taker.journal.messages) == list(owner.messages)
