--- a/loftrelay/journal/compaction.py
+++ b/loftrelay/journal/compaction.py
@@ -32,7 +32,7 @@
         self._index = index
         self._write = write
 
-    def make_room(self, written_bytes: int) -> None:
+    def reclaim_space(self, written_bytes: int) -> None:
         """Drops what the use of the budget demands, after so many bytes were written."""
         used, budget = self._files.disk_usage(), self._files.disk_bytes
         if used > int(budget * AT_ONCE_ABOVE_FRACTION):
@@ -66,18 +66,18 @@
         """Writes the live entries of a segment again. Returns False when the limit was reached first."""
         messages = self._index.open.by_segment.get(number, {})
         while messages:  # each write moves its entry to the current segment
-            if self._is_reached(limit):
+            if self._exceeds(limit):
                 return False
             message = self._index.open.messages[next(iter(messages))]
             self._write(MessageAdmitted.copy_of(message))
         self._index.completed.remove_expired()
         completed = self._index.completed.by_segment.get(number, set())
         while completed:
-            if self._is_reached(limit):
+            if self._exceeds(limit):
                 return False
             message_id = next(iter(completed))
             self._write(CompletionCopied(message_id, self._index.completed.entries[message_id].answer))
         return True
 
-    def _is_reached(self, limit: int | None) -> bool:
+    def _exceeds(self, limit: int | None) -> bool:
         return limit is not None and self._files.record_bytes >= limit
--- a/loftrelay/journal/journal.py
+++ b/loftrelay/journal/journal.py
@@ -106,7 +106,7 @@
             raise JournalFullError
         before = self.files.record_bytes
         self._write(MessageAdmitted.copy_of(held))
-        self._compactor.make_room(self.files.record_bytes - before)
+        self._compactor.reclaim_space(self.files.record_bytes - before)
 
     def record_attempt(self, held: Message, host: str) -> None:
         """Stores that an attempt starts; to be called before its first byte is sent.
@@ -168,4 +168,4 @@
         except JournalFullError:
             log.warning("journal is full: a record of kind %r is not stored", record.KIND)
             self.index.apply(record, self.files.current_number, 0)
-        self._compactor.make_room(self.files.record_bytes - before)
+        self._compactor.reclaim_space(self.files.record_bytes - before)
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -22,8 +22,8 @@
 from loftrelay.state.hosts_out import HostsOut
 from loftrelay.state.last_config import LastFile
 from loftrelay.upgrade.lock import Lock
-from loftrelay.upgrade.predecessor import HandoverSender
-from loftrelay.upgrade.successor import HandoverReceiver
+from loftrelay.upgrade.receiver import HandoverReceiver
+from loftrelay.upgrade.sender import HandoverSender, ServiceCallbacks
 
 if TYPE_CHECKING:
     from loftrelay.discovery.settings import SubscriptionSettings
@@ -67,7 +67,7 @@
 
     def terminate(self) -> None:
         if self.giver is not None:
-            self.giver.told_to_stop()
+            self.giver.request_stop()
         else:
             self.ending.set()
 
@@ -75,8 +75,8 @@
         engine = self.relay.engine
         if engine is None or engine.outcome_forwarder is not None:
             self.to_read = True  # once it serves, or serves again
-            if self.giver is not None and not self.giver.owns:
-                self.giver.have_file_read()
+            if self.giver is not None and not self.giver.is_owner:
+                self.giver.configuration_replaced()
             return
         try:
             change = reload(os.environ, self.told)
@@ -102,7 +102,7 @@
         taker: HandoverReceiver | None = None
         lock: Lock | None
         if config.accept is None:
-            if (lock := Lock.take(config.state)) is None:
+            if (lock := Lock.acquire(config.state)) is None:
                 raise OSError(f"another process of this relay holds {config.state}")
             journal = Journal(config.state, config.disk_bytes)
         else:
@@ -122,7 +122,7 @@
                 recorder = self.recorder = await open_record(config, self.record, journal)
             except StoreError as error:
                 raise OSError(str(error)) from error
-        handed = taker.handed if taker is not None else None
+        handed = taker.received_state if taker is not None else None
         engine, journal = build(config, self.connections, journal, recorder, handed, self.subscription)
         self.relay.engine = engine
         self.last.save(self.told)
@@ -140,10 +140,7 @@
                     lock,
                     engine,
                     server,
-                    self._moved,
-                    self.relay.change,
-                    self._stop,
-                    self._take_back,
+                    ServiceCallbacks(self._moved, self.relay.change, self._stop, self._take_back),
                 )
         joining = await self._join(engine) if self.fleet is not None else None
         log.info("%s listens on %s:%d", config.name, *address)
@@ -166,7 +163,7 @@
         else:
             assert self.giver is not None
             end = began + last_phase(engine.settings.classes.values()).end
-            while engine.delivery.is_busy or self.giver.unfinished:
+            while engine.delivery.is_busy or self.giver.has_unfinished_work:
                 if asyncio.get_running_loop().time() >= end:
                     break
                 await asyncio.sleep(LOOK)
@@ -257,7 +254,7 @@
         return door
 
     async def _unless_stopped(self, taker: HandoverReceiver) -> Journal:
-        own = asyncio.ensure_future(taker.own())
+        own = asyncio.ensure_future(taker.acquire())
         stopped = asyncio.ensure_future(self.ending.wait())
         await asyncio.wait((own, stopped), return_when=asyncio.FIRST_COMPLETED)
         stopped.cancel()
--- a/loftrelay/upgrade/lock.py
+++ b/loftrelay/upgrade/lock.py
@@ -1,4 +1,4 @@
-"""The lock of the state folder: who holds it owns what lies there. It goes with its last holder."""
+"""The lock of the state folder. Its holder owns the state; the system releases it with the last holder."""
 
 from __future__ import annotations
 
@@ -6,30 +6,43 @@
 import os
 from pathlib import Path
 
-NAME = "owner.lock"
+FILE_NAME = "owner.lock"
 
 
 class Lock:
-    def __init__(self, file: int) -> None:
-        self.file = file
+    """A lock that this process holds (flock(2)).
+
+    It belongs to the open file: a descriptor that is passed to another process passes the lock on.
+    """
+
+    def __init__(self, descriptor: int) -> None:
+        """Args: `descriptor` of the locked file; it belongs to this object from now on."""
+        self.descriptor = descriptor
 
     @classmethod
-    def take(cls, folder: Path) -> Lock | None:
-        """None while another process holds it. Raises OSError where the folder can't be used."""
+    def acquire(cls, folder: Path) -> Lock | None:
+        """Takes the lock of a state folder, which is made if it is not there.
+
+        Returns:
+            None while another process holds it.
+
+        Raises:
+            OSError: The folder can't be used.
+        """
         folder.mkdir(parents=True, exist_ok=True)
-        file = os.open(folder / NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        descriptor = os.open(folder / FILE_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            os.close(file)
+            os.close(descriptor)
             return None
         except BaseException:
-            os.close(file)
+            os.close(descriptor)
             raise
-        return cls(file)
+        return cls(descriptor)
 
     def release(self) -> None:
-        """Closes this process's hold. One that was handed over stays with who has it now."""
-        if self.file >= 0:
-            os.close(self.file)
-            self.file = -1
+        """Closes this process's descriptor. A lock that was passed on stays with the process that has it."""
+        if self.descriptor >= 0:
+            os.close(self.descriptor)
+            self.descriptor = -1
--- a/loftrelay/upgrade/state_machine.py
+++ b/loftrelay/upgrade/state_machine.py
@@ -1,142 +1,244 @@
-"""Who owns the messages, step by step, on both sides of a handover. It does no input or output.
+"""Who owns the state in each step of a handover, on both sides. Performs no input or output.
 
 The owner is the process that holds the lock of the state folder; it alone writes the journal, calls hosts,
-takes messages on and tells of ends. The predecessor first stands still (FROZEN): it still owns all, and
-decides nothing. The successor reads what lies there and says so; only then, in one step, does the predecessor
-let go (GIVEN). Whoever is lost before that step leaves the predecessor as it was.
+admits messages and reports final statuses. A handover has these steps:
+
+    successor                           predecessor
+    connects, requests the handover  -> pauses: it still owns all, and decides nothing
+    reads state and journal          <- exports its state
+    reports that it has loaded them  -> releases the lock and the journal, in one step
+    owns all, and continues          <- transfers clients, and outcomes of attempts in flight
+
+A process that is lost before the release leaves the predecessor as it was. Events that a table below does not
+name for a state change nothing. Times are microseconds on any one clock.
 """
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
-LONGEST_STILL = 1_500_000  # microseconds for which the predecessor stands still: clients wait for 400 ms
-RETRY = 50_000  # microseconds until a successor tries again
+MAX_PAUSE_US = 1_500_000  # clients wait 400 ms for an answer; a longer pause would only reject more of them
+RETRY_DELAY_US = 50_000  # between the attempts of a successor to get the lock or to reach a predecessor
 
 
-class Stage(Enum):
-    SERVING = auto()
-    FROZEN = auto()
-    GIVEN = auto()
-
+class PredecessorState(Enum):
+    """Where the serving process stands. Those named STOPPING were also requested to stop."""
 
-class Do(Enum):
-    """What the process that serves is to do."""
-
-    REFUSE = auto()  # tell who asks that it can't have it
-    FREEZE = auto()
-    TELL = auto()  # the state
-    THAW = auto()  # serve again, as if nothing had been asked
-    GIVE = auto()  # let go of the lock and the journal, in one step
-    HAND_OVER = auto()  # clients, and outcomes of what is still out
-    STOP = auto()  # an orderly end of a process that owns all
-    END = auto()  # once nothing of its own is out any more
-    TAKE_BACK = auto()  # start anew from the journal, in this process
+    SERVING = auto()
+    STOPPING = auto()  # as the owner of all
+    PAUSED = auto()
+    PAUSED_STOPPING = auto()
+    HANDED_OVER = auto()
+    HANDED_OVER_STOPPING = auto()
+
+
+class PredecessorEvent(Enum):
+    """What the serving process learns."""
+
+    REQUESTED = auto()  # another process wants to take over
+    LOADED = auto()  # it has read state and journal
+    TIMED_OUT = auto()  # it did not do so in time
+    CHANNEL_LOST = auto()
+    STOP_REQUESTED = auto()
+
+
+class PredecessorAction(Enum):
+    """What the serving process has to do."""
+
+    REFUSE = auto()
+    PAUSE = auto()
+    EXPORT_STATE = auto()
+    RESUME = auto()  # serve on as if no handover had been requested
+    RELEASE = auto()  # the lock and the journal, in one step
+    TRANSFER = auto()  # clients, and outcomes of attempts in flight
+    STOP = auto()  # in order, as the owner of all
+    EXIT = auto()  # once no attempt of its own is in flight
+    TAKE_BACK = auto()  # start again from the journal, in this process
+
+
+_PREDECESSOR_TRANSITIONS: dict[
+    PredecessorEvent, dict[PredecessorState, tuple[PredecessorState, tuple[PredecessorAction, ...]]]
+] = {
+    PredecessorEvent.REQUESTED: {
+        PredecessorState.SERVING: (
+            PredecessorState.PAUSED,
+            (PredecessorAction.PAUSE, PredecessorAction.EXPORT_STATE),
+        ),
+        **{
+            state: (state, (PredecessorAction.REFUSE,))
+            for state in PredecessorState
+            if state is not PredecessorState.SERVING
+        },
+    },
+    PredecessorEvent.LOADED: {
+        PredecessorState.PAUSED: (
+            PredecessorState.HANDED_OVER,
+            (PredecessorAction.RELEASE, PredecessorAction.TRANSFER),
+        ),
+        PredecessorState.PAUSED_STOPPING: (
+            PredecessorState.HANDED_OVER_STOPPING,
+            (PredecessorAction.RELEASE, PredecessorAction.TRANSFER, PredecessorAction.EXIT),
+        ),
+    },
+    PredecessorEvent.TIMED_OUT: {
+        PredecessorState.PAUSED: (PredecessorState.SERVING, (PredecessorAction.RESUME,)),
+        PredecessorState.PAUSED_STOPPING: (
+            PredecessorState.STOPPING,
+            (PredecessorAction.RESUME, PredecessorAction.STOP),
+        ),
+    },
+    PredecessorEvent.CHANNEL_LOST: {
+        PredecessorState.PAUSED: (PredecessorState.SERVING, (PredecessorAction.RESUME,)),
+        PredecessorState.PAUSED_STOPPING: (
+            PredecessorState.STOPPING,
+            (PredecessorAction.RESUME, PredecessorAction.STOP),
+        ),
+        PredecessorState.HANDED_OVER: (PredecessorState.HANDED_OVER, (PredecessorAction.TAKE_BACK,)),
+    },
+    PredecessorEvent.STOP_REQUESTED: {
+        PredecessorState.SERVING: (PredecessorState.STOPPING, (PredecessorAction.STOP,)),
+        PredecessorState.PAUSED: (PredecessorState.PAUSED_STOPPING, ()),
+        PredecessorState.HANDED_OVER: (PredecessorState.HANDED_OVER_STOPPING, (PredecessorAction.EXIT,)),
+    },
+}
 
 
 class Predecessor:
-    """The process that serves. Times are microseconds on any one clock."""
+    """The side of the serving process."""
 
     def __init__(self) -> None:
-        self.stage = Stage.SERVING
-        self.stopping = False
-        self.due = 0  # FROZEN: until when
+        self.state = PredecessorState.SERVING
+        self._pause_ends_at = 0
+
+    @property
+    def is_owner(self) -> bool:
+        """Whether this process still owns the state."""
+        return self.state not in (PredecessorState.HANDED_OVER, PredecessorState.HANDED_OVER_STOPPING)
 
-    def asked(self, now: int) -> list[Do]:
+    @property
+    def is_serving(self) -> bool:
+        """Whether a request for a handover is accepted."""
+        return self.state is PredecessorState.SERVING
+
+    def on_request(self, now: int) -> tuple[PredecessorAction, ...]:
         """Another process wants to take over."""
-        if self.stopping or self.stage is not Stage.SERVING:
-            return [Do.REFUSE]
-        self.stage, self.due = Stage.FROZEN, now + LONGEST_STILL
-        return [Do.FREEZE, Do.TELL]
-
-    def loaded(self, now: int) -> list[Do]:
-        """It has read all, and can go on."""
-        if self.stage is not Stage.FROZEN or now >= self.due:
-            return self.overdue(now)
-        self.stage = Stage.GIVEN
-        return [Do.GIVE, Do.HAND_OVER, *([Do.END] if self.stopping else [])]
-
-    def overdue(self, now: int) -> list[Do]:
-        if self.stage is Stage.FROZEN and now >= self.due:
-            return self._back()
-        return []
-
-    def lost(self) -> list[Do]:
+        if self.is_serving:
+            self._pause_ends_at = now + MAX_PAUSE_US
+        return self._apply(PredecessorEvent.REQUESTED)
+
+    def on_loaded(self, now: int) -> tuple[PredecessorAction, ...]:
+        """The successor has read state and journal. Too late a report counts as none."""
+        return self._apply(
+            PredecessorEvent.TIMED_OUT if now >= self._pause_ends_at else PredecessorEvent.LOADED
+        )
+
+    def on_timer(self, now: int) -> tuple[PredecessorAction, ...]:
+        """The longest pause may be over."""
+        return self._apply(PredecessorEvent.TIMED_OUT) if now >= self._pause_ends_at else ()
+
+    def on_channel_lost(self) -> tuple[PredecessorAction, ...]:
         """The channel to the successor has ended."""
-        if self.stage is Stage.FROZEN:
-            return self._back()
-        if self.stage is Stage.GIVEN and not self.stopping:
-            return [Do.TAKE_BACK]
-        return []
-
-    def stop(self) -> list[Do]:
-        """It is told to end."""
-        if self.stopping:
-            return []
-        self.stopping = True
-        if self.stage is Stage.SERVING:
-            return [Do.STOP]
-        return [Do.END] if self.stage is Stage.GIVEN else []
-
-    def _back(self) -> list[Do]:
-        self.stage = Stage.SERVING
-        return [Do.THAW, *([Do.STOP] if self.stopping else [])]
-
-
-class Step(Enum):
+        return self._apply(PredecessorEvent.CHANNEL_LOST)
+
+    def on_stop_requested(self) -> tuple[PredecessorAction, ...]:
+        """The process is to end."""
+        return self._apply(PredecessorEvent.STOP_REQUESTED)
+
+    def _apply(self, event: PredecessorEvent) -> tuple[PredecessorAction, ...]:
+        self.state, actions = _PREDECESSOR_TRANSITIONS[event].get(self.state, (self.state, ()))
+        return actions
+
+
+class SuccessorState(Enum):
     """Where a process stands that wants to serve."""
 
-    TRYING = auto()  # for the lock, or for a predecessor that answers
-    ASKED = auto()
+    TRYING = auto()  # to get the lock, or to reach a predecessor
+    REQUESTED = auto()
     LOADED = auto()
     OWNER = auto()
 
 
-class Next(Enum):
-    """What it is to do."""
+class SuccessorEvent(Enum):
+    """What a process learns that wants to serve."""
+
+    LOCK_ACQUIRED = auto()  # no other process owns the state
+    CONNECTED = auto()  # to a predecessor
+    UNREACHABLE = auto()  # neither of both
+    STATE_RECEIVED = auto()  # the predecessor has paused
+    OWNERSHIP_RECEIVED = auto()  # with the lock
+    CHANNEL_LOST = auto()  # or the predecessor refuses
+
+
+class SuccessorAction(Enum):
+    """What a process has to do that wants to serve."""
 
-    ASK = auto()
-    LOAD = auto()  # read the state and the journal, and write nothing
-    SAY_LOADED = auto()
-    FORGET = auto()  # all that was loaded: it is not its own
-    START = auto()  # from the journal alone: nobody else owns it
-    GO_ON = auto()  # with what was handed over
+    REQUEST = auto()
+    LOAD = auto()  # state and journal; nothing is written
+    REPORT_LOADED = auto()
+    DISCARD = auto()  # all that was loaded: another process goes on owning it
+    START = auto()  # from the journal alone
+    CONTINUE = auto()  # with what was handed over
     RETRY = auto()
 
 
+_SUCCESSOR_TRANSITIONS: dict[
+    SuccessorEvent, dict[SuccessorState, tuple[SuccessorState, tuple[SuccessorAction, ...]]]
+] = {
+    SuccessorEvent.LOCK_ACQUIRED: {
+        SuccessorState.TRYING: (SuccessorState.OWNER, (SuccessorAction.START,)),
+    },
+    SuccessorEvent.CONNECTED: {
+        SuccessorState.TRYING: (SuccessorState.REQUESTED, (SuccessorAction.REQUEST,)),
+    },
+    SuccessorEvent.UNREACHABLE: {
+        SuccessorState.TRYING: (SuccessorState.TRYING, (SuccessorAction.RETRY,)),
+    },
+    SuccessorEvent.STATE_RECEIVED: {
+        SuccessorState.REQUESTED: (
+            SuccessorState.LOADED,
+            (SuccessorAction.LOAD, SuccessorAction.REPORT_LOADED),
+        ),
+    },
+    SuccessorEvent.OWNERSHIP_RECEIVED: {
+        SuccessorState.LOADED: (SuccessorState.OWNER, (SuccessorAction.CONTINUE,)),
+    },
+    SuccessorEvent.CHANNEL_LOST: {  # for an owner, attempts that are still in flight there count as broken
+        SuccessorState.TRYING: (SuccessorState.TRYING, (SuccessorAction.RETRY,)),
+        SuccessorState.REQUESTED: (SuccessorState.TRYING, (SuccessorAction.RETRY,)),
+        SuccessorState.LOADED: (SuccessorState.TRYING, (SuccessorAction.DISCARD, SuccessorAction.RETRY)),
+    },
+}
+
+
 class Successor:
+    """The side of the process that is to serve."""
+
     def __init__(self) -> None:
-        self.step = Step.TRYING
-
-    def try_again(self, locked: bool, connected: bool) -> list[Next]:
-        """Whether the lock was free and is its own now, and whether a predecessor can be reached."""
-        if self.step is not Step.TRYING:
-            return []
-        if locked:
-            self.step = Step.OWNER
-            return [Next.START]
-        if connected:
-            self.step = Step.ASKED
-            return [Next.ASK]
-        return [Next.RETRY]
-
-    def told(self) -> list[Next]:
-        """The predecessor stands still and tells its state."""
-        if self.step is not Step.ASKED:
-            return []
-        self.step = Step.LOADED
-        return [Next.LOAD, Next.SAY_LOADED]
-
-    def given(self) -> list[Next]:
-        """The lock has come with the predecessor's word."""
-        if self.step is not Step.LOADED:
-            return []
-        self.step = Step.OWNER
-        return [Next.GO_ON]
-
-    def lost(self) -> list[Next]:
+        self.state = SuccessorState.TRYING
+
+    @property
+    def is_owner(self) -> bool:
+        """Whether this process owns the state."""
+        return self.state is SuccessorState.OWNER
+
+    def on_try(self, is_locked: bool, is_connected: bool) -> tuple[SuccessorAction, ...]:
+        """Whether the lock was free and is held now, and whether a predecessor was reached."""
+        if is_locked:
+            return self._apply(SuccessorEvent.LOCK_ACQUIRED)
+        return self._apply(SuccessorEvent.CONNECTED if is_connected else SuccessorEvent.UNREACHABLE)
+
+    def on_state_received(self) -> tuple[SuccessorAction, ...]:
+        """The predecessor has paused and exported its state."""
+        return self._apply(SuccessorEvent.STATE_RECEIVED)
+
+    def on_ownership_received(self) -> tuple[SuccessorAction, ...]:
+        """The predecessor has released the lock to this process."""
+        return self._apply(SuccessorEvent.OWNERSHIP_RECEIVED)
+
+    def on_channel_lost(self) -> tuple[SuccessorAction, ...]:
         """The channel has ended, or the predecessor refuses."""
-        if self.step is Step.OWNER:
-            return []  # what was still out there is lost with it, and counts as broken
-        loaded, self.step = self.step is Step.LOADED, Step.TRYING
-        return [*([Next.FORGET] if loaded else []), Next.RETRY]
+        return self._apply(SuccessorEvent.CHANNEL_LOST)
+
+    def _apply(self, event: SuccessorEvent) -> tuple[SuccessorAction, ...]:
+        self.state, actions = _SUCCESSOR_TRANSITIONS[event].get(self.state, (self.state, ()))
+        return actions
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -41,6 +41,7 @@
     "relay/message_terms.py",
     "relay/handover.py",
     "upgrade/state_machine.py",
+    "upgrade/messages.py",
     "metrics/registry.py",
     "server/admin/protocol.py",
     "config/validation.py",
--- a/tests/upgrade/test_channel.py
+++ b/tests/upgrade/test_channel.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from loftrelay.upgrade.channel import HEAD, MOST_FILES, Channel, Listener, reach
+from loftrelay.upgrade.channel import HEADER, MAX_DESCRIPTORS, Channel, Listener, connect
 from loftrelay.upgrade.lock import Lock
 from tests.standins.platform import HANG
 
@@ -81,10 +81,10 @@
         count = 600
         for n in range(count):
             left.channel.send({"n": n}, [write] if n < 200 else [])
-        assert left.channel.unsent
+        assert left.channel.has_unsent
         await right.until(lambda: len(right.heard) == count)
         assert [message["n"] for message, _ in right.heard] == list(range(count))
-        assert not left.channel.unsent
+        assert not left.channel.has_unsent
         for _, files in right.heard:
             for file in files:
                 os.close(file)
@@ -97,12 +97,12 @@
 @pytest.mark.parametrize(
     "data",
     [
-        HEAD.pack(4, 0) + b"null",
-        HEAD.pack(2, 0) + b"[]",
-        HEAD.pack(3, 0) + b"{]}",
-        HEAD.pack(2, 1) + b"{}",  # its descriptor did not come
-        HEAD.pack(1 << 31, 0),
-        HEAD.pack(2, MOST_FILES + 1) + b"{}",
+        HEADER.pack(4, 0) + b"null",
+        HEADER.pack(2, 0) + b"[]",
+        HEADER.pack(3, 0) + b"{]}",
+        HEADER.pack(2, 1) + b"{}",  # its descriptor did not come
+        HEADER.pack(1 << 31, 0),
+        HEADER.pack(2, MAX_DESCRIPTORS + 1) + b"{}",
         b"GET / HTTP/1.1\r\n\r\n",
     ],
 )
@@ -113,7 +113,7 @@
         other.sendall(data)
         await end.until(lambda: end.losses == 1)
         assert end.heard == []
-        assert end.channel.closed
+        assert end.channel.is_closed
         end.channel.send({"n": 1})  # nothing is left of it
         other.close()
         await asyncio.sleep(0)
@@ -126,7 +126,7 @@
     async def main() -> None:
         sock, other = socket.socketpair()
         end = End(sock)
-        other.sendall(HEAD.pack(100, 0) + b"{")
+        other.sendall(HEADER.pack(100, 0) + b"{")
         other.close()
         await end.until(lambda: end.losses == 1)
         assert end.heard == []
@@ -138,13 +138,13 @@
     async def main() -> None:
         deep = tmp_path / ("d" * 100) / ("e" * 100)  # longer than the name of a socket may be
         deep.mkdir(parents=True)
-        assert reach(deep) is None
+        assert connect(deep) is None
         came: list[socket.socket] = []
         first = Listener(deep, came.append)
         first.close()
-        assert reach(deep) is None  # the name is there, and nobody listens
+        assert connect(deep) is None  # the name is there, and nobody listens
         second = Listener(deep, came.append)
-        asked = reach(deep)
+        asked = connect(deep)
         assert asked is not None
         while not came:
             await asyncio.sleep(0)
@@ -158,7 +158,7 @@
 def test_the_lock_has_one_holder_and_goes_with_a_killed_one(tmp_path: Path) -> None:
     code = (
         "import sys; from pathlib import Path; from loftrelay.upgrade.lock import Lock\n"
-        "held = Lock.take(Path(sys.argv[1])); print(held is not None, flush=True); sys.stdin.read()"
+        "held = Lock.acquire(Path(sys.argv[1])); print(held is not None, flush=True); sys.stdin.read()"
     )
     other = subprocess.Popen(
         [sys.executable, "-c", code, str(tmp_path / "new")],
@@ -168,25 +168,25 @@
     )
     assert other.stdout is not None
     assert other.stdout.readline() == "True\n"
-    assert Lock.take(tmp_path / "new") is None
+    assert Lock.acquire(tmp_path / "new") is None
     other.kill()
     other.communicate()
-    lock = Lock.take(tmp_path / "new")
+    lock = Lock.acquire(tmp_path / "new")
     assert lock is not None
     lock.release()
 
 
 def test_the_lock_stays_held_on_its_way(tmp_path: Path) -> None:
     async def scenario(left: End, right: End) -> None:
-        lock = Lock.take(tmp_path)
+        lock = Lock.acquire(tmp_path)
         assert lock is not None
-        left.channel.send({"is": "yours"}, [lock.file])
+        left.channel.send({"is": "yours"}, [lock.descriptor])
         lock.release()
-        assert Lock.take(tmp_path) is None
+        assert Lock.acquire(tmp_path) is None
         await right.until(lambda: bool(right.heard))
-        assert Lock.take(tmp_path) is None
+        assert Lock.acquire(tmp_path) is None
         os.close(right.heard[0][1][0])
-        again = Lock.take(tmp_path)
+        again = Lock.acquire(tmp_path)
         assert again is not None
         again.release()
 
--- /dev/null
+++ b/tests/upgrade/test_messages.py
@@ -0,0 +1,88 @@
+"""Messages of a handover keep the form that the program of commit 32c0038 gives them on the channel."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from loftrelay.decisions.events import AttemptStatus
+from loftrelay.relay.handover import HandoverError
+from loftrelay.relay.ports import AttemptResult
+from loftrelay.upgrade.messages import (
+    WIRE_KINDS,
+    AttemptOutcome,
+    ConfigurationReplaced,
+    HandoverMessage,
+    HandoverRefused,
+    HandoverRequested,
+    OutcomeDisputed,
+    OverrideAnswered,
+    OverrideRequested,
+    OwnershipReleased,
+    RetryAfterReceived,
+    StateExported,
+    StateLoaded,
+    read_message,
+    write_message,
+)
+
+FIXTURES = Path(__file__).parents[1] / "fixtures" / "state_32c0038"
+FORWARDED = (FIXTURES / "channel_messages.jsonl").read_text().splitlines()
+EXPECTED: list[HandoverMessage] = [
+    AttemptOutcome("m1", "h0", AttemptResult(AttemptStatus.REJECTED, retry_after=250_000)),
+    RetryAfterReceived("h0", 250_000),
+    OutcomeDisputed("m1", "h0", 1_790_000_000_000_000),
+    OverrideRequested(1, "h0", True),
+    OverrideRequested(2, "h0", False),
+    ConfigurationReplaced(),
+]
+
+
+def as_sent(message: HandoverMessage) -> str:
+    return json.dumps(write_message(message), separators=(",", ":"))
+
+
+@pytest.mark.parametrize(("line", "message"), list(zip(FORWARDED, EXPECTED, strict=True)))
+def test_a_forwarded_message_is_read_and_written_as_before(line: str, message: HandoverMessage) -> None:
+    assert read_message(json.loads(line)) == message
+    assert as_sent(message) == line
+
+
+def test_every_message_of_a_recorded_handover_is_read_and_written_as_before() -> None:
+    recorded = json.loads((FIXTURES / "handover.json").read_text())
+    messages = [read_message(wire) for wire in recorded]
+    assert isinstance(messages[0], StateExported)
+    assert OwnershipReleased() in messages
+    for wire, message in zip(recorded, messages, strict=True):
+        assert message is not None
+        assert as_sent(message) == json.dumps(wire, separators=(",", ":"))
+
+
+@pytest.mark.parametrize(
+    ("message", "sent"),
+    [
+        (HandoverRequested(7), '{"is":"ask","pid":7}'),
+        (HandoverRefused("x"), '{"is":"no","why":"x"}'),
+        (StateLoaded(True), '{"is":"loaded","plain":true}'),
+        (OverrideAnswered(3, None), '{"is":"changed","n":3,"why":null}'),
+        (OverrideAnswered(3, "x"), '{"is":"changed","n":3,"why":"x"}'),
+    ],
+)
+def test_the_other_messages(message: HandoverMessage, sent: str) -> None:
+    assert as_sent(message) == sent
+    assert read_message(json.loads(sent)) == message
+
+
+@pytest.mark.parametrize("wire", [{}, {"is": "later"}, {"is": 7}, {"is": []}])
+def test_an_unknown_kind_is_passed_over(wire: dict[str, Any]) -> None:
+    assert read_message(wire) is None
+
+
+@pytest.mark.parametrize("kind", ["ended", "told", "doubted", "change", "changed"])
+def test_a_missing_field_is_an_error(kind: str) -> None:
+    assert kind in WIRE_KINDS
+    with pytest.raises(HandoverError, match=kind):
+        read_message({"is": kind})
--- a/tests/upgrade/test_successor.py
+++ b/tests/upgrade/test_receiver.py
@@ -15,7 +15,7 @@
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import Message
 from loftrelay.server.http.server import Given, Kind, Server
-from loftrelay.upgrade.successor import HandoverReceiver
+from loftrelay.upgrade.receiver import HandoverReceiver
 from tests.relay.test_engine import make_engine
 
 
@@ -29,16 +29,16 @@
         now = wall_clock()
         for n in range(5):
             owner.admit(Message(f"m{n}", 0, "status", "acme", 1, None, now, now + 9_000_000, b"body"))
-        taker = HandoverReceiver(tmp_path, 1_000_000, 1)
+        receiver = HandoverReceiver(tmp_path, 1_000_000, 1)
         on_disk = SegmentFiles.paths_on_disk
         dropped = {0: tmp_path / "0000000000.log"}
         monkeypatch.setattr(SegmentFiles, "paths_on_disk", lambda self: {**dropped, **on_disk(self)})
-        taker.journal = taker._read_ahead()
-        assert taker.journal is None
+        receiver._journal = receiver._read_ahead()
+        assert receiver._journal is None
         monkeypatch.setattr(SegmentFiles, "paths_on_disk", on_disk)  # all stand still by now
-        taker._load()
-        assert taker.journal is not None
-        assert list(taker.journal.messages) == list(owner.messages)
+        receiver._load()
+        assert receiver._journal is not None
+        assert list(receiver._journal.messages) == list(owner.messages)
         owner.close()
 
     asyncio.run(main())
