--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -76,7 +76,7 @@
         if engine is None or engine.outcome_forwarder is not None:
             self.to_read = True  # once it serves, or serves again
             if self.giver is not None and not self.giver.is_owner:
-                self.giver.configuration_replaced()
+                self.giver.forwarder.configuration_replaced()
             return
         try:
             change = reload(os.environ, self.told)
@@ -281,7 +281,7 @@
     # What the handover asks
 
     def _moved(self, away: bool) -> None:
-        self.relay.elsewhere = self.giver if away else None
+        self.relay.elsewhere = self.giver.forwarder if away and self.giver is not None else None
         self.relay.serving = not away
         if not away and self.to_read:
             self.to_read = False
--- a/loftrelay/upgrade/sender.py
+++ b/loftrelay/upgrade/sender.py
@@ -6,26 +6,24 @@
 import logging
 import socket
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
 from typing import Any, Protocol
 
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.fault_points import fault_point
-from loftrelay.relay.ports import AttemptResult
 from loftrelay.upgrade.channel import Channel, Listener
+from loftrelay.upgrade.forwarder import Forwarder, OnAnswer
 from loftrelay.upgrade.lock import Lock
 from loftrelay.upgrade.messages import (
     AttemptOutcome,
     ClientTransferred,
-    ConfigurationReplaced,
     HandoverMessage,
     HandoverRefused,
     HandoverRequested,
     OutcomeDisputed,
     OverrideAnswered,
-    OverrideRequested,
     OwnershipReleased,
     RetryAfterReceived,
     StateExported,
@@ -39,8 +37,6 @@
 
 TIMER_SLACK_S = 0.001  # so that the timer does not fire before the pause is over
 
-OnAnswer = Callable[[str | None], None]  # called with the reason why an override failed, or None
-
 
 class Front(Protocol):
     """The clients' side, as a handover needs it."""
@@ -59,14 +55,14 @@
 class ServiceCallbacks:
     """What a handover asks of the service that runs it."""
 
-    on_moved: Callable[[bool], None]  # whether operators' overrides go through `HandoverSender.change`
+    on_moved: Callable[[bool], None]  # whether operators' overrides go through `HandoverSender.forwarder`
     apply_override: Callable[[str, bool, OnAnswer], None]  # a host, whether it is disabled
     stop: Callable[[bool], None]  # the process is to end, as the owner of all or not
     take_back: Callable[[], None]  # the process is to start again from the journal
 
 
 class HandoverSender:
-    """Answers a process that wants to take over. Forwards to it what becomes known afterwards."""
+    """Answers a process that wants to take over, and hands the state over to it."""
 
     def __init__(
         self, folder: Path, lock: Lock, engine: Engine, front: Front, callbacks: ServiceCallbacks
@@ -83,13 +79,11 @@
         Raises:
             OSError: The folder can't be used.
         """
+        self.forwarder = Forwarder()
         self._lock, self._engine, self._front, self._callbacks = lock, engine, front, callbacks
         self._state = Predecessor()
         self._channel: Channel | None = None
         self._is_journal_only = False  # the successor could not use the exported state
-        self._postponed: list[HandoverMessage] = []  # what became known during the pause
-        self._overrides: dict[int, tuple[OverrideRequested, OnAnswer]] = {}  # not answered yet, by number
-        self._last_override = 0
         self._paused_at = 0
         self._timer: asyncio.TimerHandle | None = None
         self._resuming: asyncio.Task[None] | None = None
@@ -113,7 +107,9 @@
     @property
     def has_unfinished_work(self) -> bool:
         """Whether a message of the handover is not sent yet, or an operator's override not answered."""
-        return self._channel is not None and (self._channel.has_unsent or bool(self._overrides))
+        if self._channel is None:
+            return False
+        return self._channel.has_unsent or self.forwarder.has_unanswered_overrides
 
     def request_stop(self) -> None:
         """The process is to end: at once, or after a handover that has begun."""
@@ -125,37 +121,6 @@
         if self._channel is not None:
             self._channel.close()
 
-    # What the engine and the admin endpoint report while this process decides nothing
-
-    def attempt_ended(self, message: str, host: str, ending: AttemptResult) -> None:
-        """Forwards the outcome of an attempt. Staleness and lateness concern this process alone."""
-        self._forward(AttemptOutcome(message, host, replace(ending, is_stale=False, is_late=False)))
-
-    def retry_after_received(self, host: str, wait: int) -> None:
-        """Forwards a host's Retry-After (microseconds)."""
-        self._forward(RetryAfterReceived(host, wait))
-
-    def outcome_disputed(self, message: str, host: str, ran_at: int) -> None:
-        """Forwards that a message may have run at `ran_at` (wall-clock microseconds)."""
-        self._forward(OutcomeDisputed(message, host, ran_at))
-
-    def change(self, host: str, out: bool, done: OnAnswer) -> None:
-        """Forwards an operator's override; `done` gets the successor's answer."""
-        self._last_override += 1
-        request = OverrideRequested(self._last_override, host, out)
-        self._overrides[request.number] = request, done
-        self._forward(request)
-
-    def configuration_replaced(self) -> None:
-        """Forwards that the platform's configuration is to be read again."""
-        self._forward(ConfigurationReplaced())
-
-    def _forward(self, message: HandoverMessage) -> None:
-        if self.is_owner or self._channel is None:
-            self._postponed.append(message)
-        else:
-            self._channel.send(write_message(message))
-
     # The channel
 
     def _on_connection(self, sock: socket.socket) -> None:
@@ -174,9 +139,8 @@
         elif isinstance(message, StateLoaded):
             self._is_journal_only = message.is_journal_only
             self._run(self._state.on_loaded(self._now()))
-        elif isinstance(message, OverrideAnswered) and message.number in self._overrides:
-            on_answer = self._overrides.pop(message.number)[1]
-            on_answer(message.error)
+        elif isinstance(message, OverrideAnswered):
+            self.forwarder.on_override_answered(message)
 
     def _on_request(self, channel: Channel) -> None:
         if self._state.is_serving:
@@ -191,6 +155,7 @@
     def _on_lost(self, channel: Channel) -> None:
         if channel is self._channel:
             self._channel = None
+            self.forwarder.disconnect()
             self._run(self._state.on_channel_lost())
 
     def _on_timer(self) -> None:
@@ -210,7 +175,7 @@
         self._paused_at = self._now()
         self._callbacks.on_moved(True)
         self._front.freeze()
-        self._engine.pause(self)
+        self._engine.pause(self.forwarder)
         fault_point("frozen")
         delay_s = MAX_PAUSE_US / 1e6 + TIMER_SLACK_S
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
@@ -225,11 +190,9 @@
         self._cancel_timer()
         self._engine.resume()
         self._callbacks.on_moved(False)
-        postponed, self._postponed = self._postponed, []
-        for message in postponed:
+        for message in self.forwarder.take_postponed():
             self._apply_here(message)
-        overrides, self._overrides = self._overrides, {}
-        for request, on_answer in overrides.values():
+        for request, on_answer in self.forwarder.take_overrides():
             self._callbacks.apply_override(request.host, request.is_disabled, on_answer)
         self._resuming = asyncio.get_running_loop().create_task(self._front.thaw())
 
@@ -249,6 +212,7 @@
         self._engine.is_handed_over = True
         self._listener.close()
         fault_point("giving")
+        self.forwarder.connect(self._channel)
         self._channel.send(write_message(OwnershipReleased()), [self._lock.descriptor])
         self._lock.release()
         fault_point("given")
@@ -261,14 +225,7 @@
             return  # lost during the release
         if self._is_journal_only:
             self._engine.delivery.close()  # the successor counts these calls as broken
-            self._postponed = [
-                message
-                for message in self._postponed
-                if isinstance(message, OverrideRequested | ConfigurationReplaced)
-            ]
-        postponed, self._postponed = self._postponed, []
-        for message in postponed:
-            channel.send(write_message(message))
+        self.forwarder.flush(self._is_journal_only)
         self._front.hand(
             lambda row, descriptor: channel.send(write_message(ClientTransferred(row)), [descriptor])
         )
