--- a/tests/gossip/test_joining.py
+++ b/tests/gossip/test_joining.py
@@ -50,9 +50,9 @@
         await joined.start(wait=False)
         call = Call("h", True, 7, "b")
         joined._heard(joined.calls.heard([call]))
-        assert not engine.disabled_hosts
+        assert not engine.endpoints.disabled
         async with asyncio.timeout(10):
-            while not engine.disabled_hosts:
+            while not engine.endpoints.disabled:
                 await asyncio.sleep(0.001)
         assert joined.calls.known == {"h": call}  # it is still the other relay's
         joined.close()
@@ -60,7 +60,7 @@
         engine.refusals = 0
         later = gossip_member.GossipMember(TOLD, "a", tmp_path, cast(Any, engine), engine.change)
         await later.start(wait=False)
-        assert engine.disabled_hosts == {"h"}
+        assert engine.endpoints.disabled == {"h"}
         assert later.calls.known == {"h": call}
         later.close()
         (tmp_path / gossip_member.NAME).write_text('[["h", true, -1, "b"]]')
