--- a/tests/gossip/test_calls.py
+++ b/tests/gossip/test_calls.py
@@ -168,3 +168,20 @@
     assert load_fleet(path, {"RELAY_FLEET_LISTEN": "[::1]:0"}).listen == ("::1", 0)
     with pytest.raises(SettingsError, match="RELAY_FLEET_LISTEN = 'x'"):
         load_fleet(path, {"RELAY_FLEET_LISTEN": "x"})
+
+
+GOLDEN = {
+    "ping": "4c520198a1660006a162c096a161a93132372e302e302e310701020091"
+    "96a162a33a3a31080304019194a168c305a161",
+    "ack": "4c520198a1660106a0c096a161a93132372e302e302e31070102009196a162a33a3a310803040190",
+    "ping request": "4c520198a1660206a096a162a33a3a310803040196a161a93132372e302e302e31070102009090",
+}
+
+
+def test_the_bytes_of_each_kind_of_datagram_are_as_recorded() -> None:
+    sender = Peer("a", ("127.0.0.1", 7), 1, 2)
+    suspected = Peer("b", ("::1", 8), 3, 4, State.SUSPECT)
+    calls = [Call("h", True, 5, "a")]
+    assert encode("f", Probe(6, "b", sender, (suspected,)), calls).hex() == GOLDEN["ping"]
+    assert encode("f", Answer(6, sender, (suspected,)), []).hex() == GOLDEN["ack"]
+    assert encode("f", ProbeFor(6, suspected, sender), []).hex() == GOLDEN["ping request"]
