--- a/benchmarks/fleet_peers.py
+++ b/benchmarks/fleet_peers.py
@@ -11,25 +11,33 @@
 import sys
 from typing import Any
 
-from loftrelay.gossip.operator_overrides import Calls
-from loftrelay.gossip.settings import FleetSettings
-from loftrelay.gossip.swim import Known, Membership, Peer, Timing
-from loftrelay.gossip.transport import Node
+from loftrelay.gossip.member_table import MemberEntry
+from loftrelay.gossip.messages import Peer
+from loftrelay.gossip.operator_overrides import Overrides
+from loftrelay.gossip.settings import GossipSettings
+from loftrelay.gossip.swim import Membership
+from loftrelay.gossip.swim_config import SwimConfig
+from loftrelay.gossip.transport import GossipTransport
 from loftrelay.simulation.links import MS, SECOND
 
-SETTINGS = FleetSettings("fleet", ("127.0.0.1", 0), None, (), Timing(200 * MS, SECOND))
+SETTINGS = GossipSettings("fleet", ("127.0.0.1", 0), None, (), SwimConfig(200 * MS, SECOND))
 Told = list[Any]
 
 
-async def opened(name: str) -> tuple[Node, Membership]:
-    node = Node(SETTINGS, name, Calls(name, 1), lambda _: None)
+async def opened(name: str) -> tuple[GossipTransport, Membership]:
+    node = GossipTransport(SETTINGS, name, Overrides(name, 1), lambda _: None)
     await node.open(1_000_000)
-    assert node.view is not None
-    return node, node.view
+    assert node.membership is not None
+    return node, node.membership
 
 
 def told(view: Membership) -> Told:
-    return [view.me.name, view.me.address[1], view.me.life, view.me.incarnation]
+    return [
+        view.local.peer.name,
+        view.local.peer.address[1],
+        view.local.peer.incarnation_id,
+        view.local.peer.incarnation,
+    ]
 
 
 def peer(told: Told) -> Peer:
@@ -39,8 +47,10 @@
 
 def acquaint(view: Membership, others: list[Peer]) -> None:
     """It knows these, and nothing is news to it."""
-    view.known = {other.name: Known(other, 0) for other in others if other.name != view.me.name}
-    view.news.clear()
+    view.table.entries = {
+        other.name: MemberEntry(other, 0) for other in others if other.name != view.local.peer.name
+    }
+    view.table.updates.clear()
 
 
 async def main(count: int) -> None:
@@ -48,7 +58,7 @@
     print(json.dumps([told(view) for _, view in made]), flush=True)
     loop = asyncio.get_running_loop()
     one = peer(json.loads(await loop.run_in_executor(None, sys.stdin.readline)))
-    everybody = [one, *(view.me for _, view in made)]
+    everybody = [one, *(view.local.peer for _, view in made)]
     for _, view in made:
         acquaint(view, everybody)
     await loop.run_in_executor(None, sys.stdin.read)
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -25,21 +25,22 @@
 
 from benchmarks.process import cpu_seconds, run
 from loftrelay.gossip.codec import encode
-from loftrelay.gossip.swim import Datagram, Timing
+from loftrelay.gossip.messages import Datagram
+from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
-from loftrelay.simulation.links import MS, SECOND, Fleet, Links
-from loftrelay.simulation.proxy import Faults, Proxy
+from loftrelay.simulation.links import MS, SECOND, LinkFaults, SimulatedFleet
+from loftrelay.simulation.proxy import FaultProxy, PathFaults
 from tests.standins.partner import Behaviour, Doing, Partner
 from tests.standins.platform import Peer, World, deliver, free_port
 from tests.standins.traffic import Account, Order, hand_in_all
 
 LARGE, SMALL = 200, 16
-TIMING = Timing(200 * MS, 1000 * MS)  # the defaults
+TIMING = SwimConfig(200 * MS, 1000 * MS)  # the defaults
 OLD = 30  # seconds after which all have told what was news when they started
 SETTLED = 10.0  # seconds of processes that know each other, for bytes and processor time
 
 
-class Weighed(Fleet):
+class Weighed(SimulatedFleet):
     """Counts the bytes that its datagrams would have."""
 
     weight = 0
@@ -53,20 +54,20 @@
 
 def model(count: int, loss: float, seconds: int) -> tuple[float, float]:
     """Seconds until all know all, and bytes that one sends a second once that is no news any more."""
-    fleet = Weighed(count, 1, TIMING, Links(loss=loss))
-    took = fleet.run_while(lambda: not fleet.agreed(), 60 * SECOND)
+    fleet = Weighed(count, 1, TIMING, LinkFaults(loss=loss))
+    took = fleet.run_while(lambda: not fleet.is_converged(), 60 * SECOND)
     if not seconds:
         return took / SECOND, 0.0
-    fleet.run(fleet.now + OLD * SECOND)
+    fleet.run(fleet.now_us + OLD * SECOND)
     fleet.weighs = True
-    fleet.run(fleet.now + seconds * SECOND)
+    fleet.run(fleet.now_us + seconds * SECOND)
     return took / SECOND, fleet.weight / count / seconds
 
 
 def wrongly_gone(hours: float) -> int:
-    fleet = Fleet(SMALL, 2, TIMING, Links(loss=0.1))
+    fleet = SimulatedFleet(SMALL, 2, TIMING, LinkFaults(loss=0.1))
     fleet.run(int(hours * 3600) * SECOND)
-    return fleet.false_gone()
+    return fleet.false_deaths()
 
 
 class Processes:
@@ -76,7 +77,7 @@
     def __init__(self, folder: Path, partner: Partner | None = None, told: str = "") -> None:
         self.folder, self.partner, self.told = folder, partner, told
         self.hosts: list[list[Peer]] = []
-        self.proxy = Proxy(seed=1)
+        self.proxy = FaultProxy(seed=1)
         self.worlds: list[World] = []
         self.seeds = ["127.0.0.1:9"]
 
@@ -127,7 +128,7 @@
 async def converge(folder: Path, partner: Partner, loss: float) -> tuple[Processes, float, float]:
     """A fleet of processes, seconds until all know all, and until a call at one door holds at all."""
     fleet = Processes(folder, partner)
-    fleet.proxy.all = Faults(loss=loss)
+    fleet.proxy.default_faults = PathFaults(loss=loss)
     for n in range(SMALL):
         await fleet.start(f"r{n}")
     took = await fleet.until("fleet_alive", SMALL - 1, fleet.worlds)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -32,8 +32,8 @@
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.discovery.settings import SubscriptionSettings, load_subscription
 from loftrelay.discovery.subscriber import Subscriber
-from loftrelay.gossip.swim import State
-from loftrelay.gossip.transport import Node
+from loftrelay.gossip.messages import State
+from loftrelay.gossip.transport import GossipTransport
 from loftrelay.net.address import Address
 from loftrelay.relay.ports import ResolutionStatus
 from tests.standins.platform import SETTINGS
@@ -64,7 +64,7 @@
         self.links = Links()
         self.name = f"hollow{number}"
         self.refused = 0
-        self.node: Node | None = None
+        self.node: GossipTransport | None = None
         self.alive = False
 
     def start(self, pace: float) -> None:
@@ -255,7 +255,7 @@
             "refused": sum(relay.refused for relay in relays),
             "held": sum(len(relay.held) for relay in relays if relay.alive),
             "lines": dict(self.lines.counts.most_common(12)),
-            "datagram_bytes": sum(node.counts["sent_bytes"] for node in self._nodes()),
+            "datagram_bytes": sum(node.counters["sent_bytes"] for node in self._nodes()),
         }
 
     async def join(self, numbers: list[int] | None) -> list[fleet_peers.Told]:
@@ -265,14 +265,14 @@
         """All who have joined know all of these, and nothing is news: what a fleet comes to."""
         others = [fleet_peers.peer(told) for told in members]
         for node in self._nodes():
-            assert node.view is not None
-            fleet_peers.acquaint(node.view, others)
+            assert node.membership is not None
+            fleet_peers.acquaint(node.membership, others)
 
     async def known(self) -> int:
         """How many others the one of them that knows the fewest holds to be alive."""
-        return min(sum(p.state is State.ALIVE for p in node.members) for node in self._nodes())
+        return min(sum(p.state is State.ALIVE for p in node.live_peers) for node in self._nodes())
 
-    def _nodes(self) -> list[Node]:
+    def _nodes(self) -> list[GossipTransport]:
         return [relay.node for relay in self.all.values() if relay.node is not None]
 
 
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -35,11 +35,13 @@
 from loftrelay.discovery.client import DiscoveryClient, read_list
 from loftrelay.discovery.http_client import Caller
 from loftrelay.gossip.codec import decode, encode
-from loftrelay.gossip.swim import Datagram, Membership, Peer, Probe, State, Timing
+from loftrelay.gossip.messages import Datagram, Peer, Ping, State
+from loftrelay.gossip.swim import Membership
+from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
 from loftrelay.relay.engine import Engine
 from loftrelay.service.assembly import build
-from loftrelay.simulation.links import MS, SECOND, Fleet, Node
+from loftrelay.simulation.links import MS, SECOND, SimulatedFleet, SimulatedRelay
 from tests.standins.platform import SETTINGS, World, deliver, free_port
 from tests.standins.platform import Peer as Host
 from tests.standins.traffic import Account, Client, Order
@@ -404,7 +406,7 @@
 LONGEST_NEWS = 120  # seconds of virtual time for a death or a start to be known
 
 
-class Weighed(Fleet):
+class Weighed(SimulatedFleet):
     """Counts what relays send and hear as bytes on the wire, and times what a relay does itself: membership
     and the coding of datagrams. It has no sockets, and the model's queue is in it."""
 
@@ -418,7 +420,7 @@
         self.received_by: Counter[str] = Counter()
         self.spent = 0.0
 
-    def _tick(self, name: str, node: Node, due: int) -> None:
+    def _tick(self, name: str, node: SimulatedRelay, due: int) -> None:
         began = time.thread_time()
         super()._tick(name, node, due)
         self.spent += time.thread_time() - began
@@ -426,7 +428,7 @@
     def _receive(self, address: Address, datagram: Datagram, source: Address) -> None:
         # A dead relay's address takes what comes, and nobody reads it.
         name = self.where[address]
-        if self.nodes[name].alive:
+        if self.relays[name].is_running:
             data = encode("fleet", datagram, [])
             self.received += len(data)
             self.received_by[name] += len(data)
@@ -443,33 +445,33 @@
         super()._send(name, source, address, datagram)
 
 
-def acquainted(count: int, timing: Timing, seed: int) -> Weighed:
+def acquainted(count: int, timing: SwimConfig, seed: int) -> Weighed:
     """All know all from the start, and nothing is news: what a fleet comes to when it has told everything."""
     fleet = Weighed(count, seed, timing)
     fleet.events.clear()
-    everybody = [node.view.me for node in fleet.nodes.values()]
-    for name, node in fleet.nodes.items():
-        fleet_peers.acquaint(node.view, everybody)
-        node.view.number = 0
-        node.ticks_at = -1
-        fleet._arm(name)
+    everybody = [node.membership.local.peer for node in fleet.relays.values()]
+    for name, node in fleet.relays.items():
+        fleet_peers.acquaint(node.membership, everybody)
+        node.membership.sequence_number = 0
+        node.next_tick_us = -1
+        fleet._schedule_tick(name)
     return fleet
 
 
-def known_by_all(fleet: Fleet, name: str, there: bool, stop: int) -> float:
+def known_by_all(fleet: SimulatedFleet, name: str, there: bool, stop: int) -> float:
     """Seconds of virtual time until each relay that is up holds this one to be there, in the life it has, or
     to be gone. NaN: not by then."""
-    life = fleet.nodes[name].view.me.life
+    life = fleet.relays[name].membership.local.peer.incarnation_id
 
     def told() -> bool:
-        for other, node in fleet.nodes.items():
-            if other == name or not node.alive:
+        for other, node in fleet.relays.items():
+            if other == name or not node.is_running:
                 continue
-            known = node.view.known.get(name)
-            gone = known is None or known.peer.state is State.GONE
+            known = node.membership.members.get(name)
+            gone = known is None or known.peer.state is State.DEAD
             if gone if there else not gone:
                 return False
-            if there and known is not None and known.peer.life != life:
+            if there and known is not None and known.peer.incarnation_id != life:
                 return False
         return True
 
@@ -484,14 +486,14 @@
     it starts again with nothing that it knew, under a new life. What all send beyond the steady state from
     then on, for 30 beats, is `restart_bytes`, for each relay: what it learns later itself is `newcomer`."""
     gc.disable()  # of millions of objects of thousands of relays: no relay of its own pays for that
-    timing = Timing(beat, 5 * beat)
+    timing = SwimConfig(beat, 5 * beat)
     fleet = acquainted(size, timing, seed)
     # Two rounds of probes, so that answers are on their way, then the watch.
-    fleet.run(fleet.now + 2 * beat)
+    fleet.run(fleet.now_us + 2 * beat)
     fleet.clear()
     span = max(SETTLED * beat, SETTLED_S * SECOND)
     began = time.process_time()
-    fleet.run(fleet.now + span)
+    fleet.run(fleet.now_us + span)
     whole = time.process_time() - began
     seconds = span / SECOND
     steady = fleet.sent / size / seconds
@@ -505,13 +507,13 @@
     name = f"r{size // 2}"
     fleet.kill(name)
     figures["death_s"] = known_by_all(fleet, name, False, LONGEST_NEWS)
-    fleet.run(fleet.now + 10 * beat)  # what was told of the death is told often enough
+    fleet.run(fleet.now_us + 10 * beat)  # what was told of the death is told often enough
     fleet.clear()
-    began_at = fleet.now
-    fleet.begin(name, fleet.nodes[name].address)
+    began_at = fleet.now_us
+    fleet.start(name, fleet.relays[name].address)
     figures["start_known_s"] = known_by_all(fleet, name, True, LONGEST_NEWS)
-    fleet.run(max(fleet.now, began_at + 30 * beat))
-    more = fleet.sent / size - steady * (fleet.now - began_at) / SECOND
+    fleet.run(max(fleet.now_us, began_at + 30 * beat))
+    more = fleet.sent / size - steady * (fleet.now_us - began_at) / SECOND
     figures["restart_bytes"] = more
     return figures
 
@@ -520,13 +522,13 @@
     """One starts anew where all know all: virtual time until it knows all, and what it sends and hears
     meanwhile."""
     gc.disable()
-    fleet = acquainted(size, Timing(beat, 5 * beat), seed)
+    fleet = acquainted(size, SwimConfig(beat, 5 * beat), seed)
     name = f"r{size // 2}"
-    fleet.run(fleet.now + 2 * beat)
-    fleet.begin(name, fleet.nodes[name].address)
+    fleet.run(fleet.now_us + 2 * beat)
+    fleet.start(name, fleet.relays[name].address)
     fleet.clear()
-    view = fleet.nodes[name].view
-    took = fleet.run_while(lambda: len(view.known) < size - 1, 600 * SECOND, 100 * MS) / SECOND
+    view = fleet.relays[name].membership
+    took = fleet.run_while(lambda: len(view.members) < size - 1, 600 * SECOND, 100 * MS) / SECOND
     return {
         "knows_all_s": took,
         "newcomer_sent": fleet.sent_by[name],
@@ -537,11 +539,11 @@
 def joining(size: int, beat: int, seed: int) -> Figures:
     """All start at once and know two seeds: virtual time until all know all, and what that costs a relay."""
     gc.disable()
-    fleet = Weighed(size, seed, Timing(beat, 5 * beat))
+    fleet = Weighed(size, seed, SwimConfig(beat, 5 * beat))
 
     def apart() -> bool:
-        short = any(len(node.view.known) < size - 1 for node in fleet.nodes.values())
-        return short or not fleet.agreed()
+        short = any(len(node.membership.members) < size - 1 for node in fleet.relays.values())
+        return short or not fleet.is_converged()
 
     took = fleet.run_while(apart, 600 * SECOND, 250 * MS)
     return {
@@ -570,12 +572,12 @@
         fleet_peers.acquaint(view, [fleet_peers.peer(other) for other in others])
         process.stdin.write(json.dumps(fleet_peers.told(view)).encode() + b"\n")
         await asyncio.sleep(1.0)
-        sent, heard = node.counts["sent"], node.counts["received"]
+        sent, heard = node.counters["sent"], node.counters["received"]
         began, cpu = time.monotonic(), time.process_time()
         await asyncio.sleep(seconds)
         took, spent = time.monotonic() - began, time.process_time() - cpu
-        sent, heard = node.counts["sent"] - sent, node.counts["received"] - heard
-        if len(view.alive()) != size - 1:
+        sent, heard = node.counters["sent"] - sent, node.counters["received"] - heard
+        if len(view.live_peers()) != size - 1:
             raise RuntimeError("one is held to be gone")
     finally:
         node.close()
@@ -601,18 +603,18 @@
         for number in range(size)
     ]
     datagrams = [
-        encode("fleet", Probe(1, "", peers[first], tuple(peers[first : first + 20])), [])
+        encode("fleet", Ping(1, "", peers[first], tuple(peers[first : first + 20])), [])
         for first in range(0, size, 20)
     ]
     before = uss()
     made = []
     for number in range(views):
-        view = Membership(f"me{number}", NOBODY, 1, 1, [], Timing(200 * MS, SECOND), number)
+        view = Membership(f"me{number}", NOBODY, 1, 1, [], SwimConfig(200 * MS, SECOND), number)
         for data in datagrams:
             view.handle(SECOND, decode(data)[1], NOBODY)
         made.append(view)
     grown = uss() - before
-    if any(len(view.known) != size for view in made):
+    if any(len(view.members) != size for view in made):
         raise RuntimeError("not all are known")
     return {"view_bytes": grown / views}
 
--- a/loftrelay/__main__.py
+++ b/loftrelay/__main__.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:  # what an operator's file asks for is loaded with it: a start should cost little
     from loftrelay.discovery.settings import SubscriptionSettings
-    from loftrelay.gossip.settings import FleetSettings
+    from loftrelay.gossip.settings import GossipSettings
     from loftrelay.store.settings import RecordSettings
 
 log = logging.getLogger("loftrelay")
@@ -49,7 +49,7 @@
     config: Config,
     connections: Limits,
     record: RecordSettings | None,
-    fleet: FleetSettings | None,
+    fleet: GossipSettings | None,
     subscription: SubscriptionSettings | None,
 ) -> None:
     service = Service(config, connections, record, fleet, subscription)
@@ -137,9 +137,9 @@
 
             record = load_record(asked.record)
         if asked.fleet:
-            from loftrelay.gossip.settings import load_fleet
+            from loftrelay.gossip.settings import load_gossip_settings
 
-            fleet = load_fleet(asked.fleet, os.environ)
+            fleet = load_gossip_settings(asked.fleet, os.environ)
         if asked.subscription:
             from loftrelay.discovery.settings import load_subscription
 
--- a/loftrelay/gossip/__init__.py
+++ b/loftrelay/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""What relays of one fleet know of each other. What decides does no input or output."""
+"""Cluster membership and operator overrides, exchanged between the relays of one fleet by gossip over UDP."""
--- a/loftrelay/gossip/broadcast_queue.py
+++ b/loftrelay/gossip/broadcast_queue.py
@@ -1,42 +1,71 @@
-"""What to tell next: each new piece a number of times that grows with the logarithm of the fleet, the one
-told least first, and a few others by chance, so that what was lost on the way is made good.
+"""Queue of updates that are disseminated by piggybacking on other datagrams.
 
-It does no input or output. Who joins late hears of all by chance, or at once where `again` is called.
+Each update is sent RETRANSMIT_MULT * log2(n) times by each relay, the least transmitted first (SWIM,
+section 4.1). No input or output.
 """
 
 from __future__ import annotations
 
 import math
-import random
-from collections.abc import Iterable
+from collections.abc import Mapping
+from typing import Generic, TypeVar
 
-RETELL = 3  # times log2 of the fleet that one piece of news is told by each relay
+RETRANSMIT_MULT = 3
 
+Payload = TypeVar("Payload")
 
-class Spread:
-    def __init__(self, seed: int) -> None:
-        self.random = random.Random(seed)
-        self.told: dict[str, int] = {}  # of what is news: the times that it was told
 
-    def put(self, key: str) -> None:
-        """It is news from now on."""
-        self.told[key] = 0
+def retransmit_limit(cluster_size: int) -> int:
+    """Number of times that one relay transmits an update in a cluster of that many other relays."""
+    return RETRANSMIT_MULT * math.ceil(math.log2(cluster_size + 2))
 
-    def forget(self, key: str) -> None:
-        self.told.pop(key, None)
 
-    def again(self, keys: Iterable[str]) -> None:
-        """Somebody came who may know nothing."""
-        for key in keys:
-            self.told.setdefault(key, 0)
+class BroadcastQueue(Generic[Payload]):
+    """Pending updates by key; a later update of a key replaces the earlier one."""
+
+    def __init__(self) -> None:
+        self._payloads: dict[str, Payload] = {}
+        self._transmissions: dict[str, int] = {}
+
+    @property
+    def keys(self) -> set[str]:
+        """Keys with a pending update."""
+        return set(self._payloads)
+
+    def add(self, key: str, payload: Payload) -> None:
+        """Queues an update, to be transmitted the whole number of times from now on."""
+        self._payloads[key] = payload
+        self._transmissions[key] = 0
+
+    def add_missing(self, payloads: Mapping[str, Payload]) -> None:
+        """Queues those that aren't pending."""
+        for key, payload in payloads.items():
+            if key not in self._payloads:
+                self.add(key, payload)
+
+    def remove(self, key: str) -> None:
+        """Drops the pending update of a key, if there is one."""
+        self._payloads.pop(key, None)
+        self._transmissions.pop(key, None)
+
+    def clear(self) -> None:
+        """Drops all pending updates."""
+        self._payloads.clear()
+        self._transmissions.clear()
+
+    def next_batch(self, limit: int, cluster_size: int, first: str | None = None) -> dict[str, Payload]:
+        """Selects updates for one datagram and counts the transmission.
 
-    def pick(self, fleet: int, news: int, spare: int, known: Iterable[str]) -> list[str]:
-        """What goes with one datagram: up to `news` pieces of news, and up to `spare` others of `known`."""
-        most = RETELL * math.ceil(math.log2(fleet + 2))
-        keys = sorted(self.told, key=lambda key: self.told[key])[:news]
+        Args:
+            limit: Maximum number of updates.
+            cluster_size: Number of other relays.
+            first: Key whose update precedes all others, whatever its count.
+        """
+        keys = sorted(self._payloads, key=lambda key: (key != first, self._transmissions[key]))[:limit]
+        batch = {key: self._payloads[key] for key in keys}
+        max_transmissions = retransmit_limit(cluster_size)
         for key in keys:
-            self.told[key] += 1
-            if self.told[key] >= most:
-                del self.told[key]
-        others = [key for key in known if key not in keys]
-        return keys + self.random.sample(others, min(len(others), spare))
+            self._transmissions[key] += 1
+            if self._transmissions[key] >= max_transmissions:
+                self.remove(key)
+        return batch
--- a/loftrelay/gossip/codec.py
+++ b/loftrelay/gossip/codec.py
@@ -1,125 +1,167 @@
-"""Datagrams of the fleet as bytes: two letters, a version, and MessagePack in the order of the rows below.
+"""Encoding of gossip datagrams: two magic bytes, a version byte, and a MessagePack array.
 
-A later program may add fields at the end of any row: they are skipped. What it can't say so it says under
-another version, which is refused here.
+The arrays carry no names: the order of the fields of the row classes below is the wire format. A later
+program may append fields to any row, which are skipped here; any other change needs another version.
 """
 
 from __future__ import annotations
 
-from typing import Annotated
+from collections.abc import Iterable
+from typing import Annotated, TypeVar
 
 import msgspec
 
-from loftrelay.gossip.operator_overrides import MOST_STAMP, Call
-from loftrelay.gossip.swim import Answer, Datagram, Peer, Probe, ProbeFor, State
+from loftrelay.gossip.messages import Ack, Datagram, Peer, Ping, PingRequest, State
+from loftrelay.gossip.operator_overrides import MAX_STAMP_MS, OperatorOverride
 
-MAGIC, VERSION = b"LR", 1
-MOST_BYTES = 1_200
-LONGEST = 200  # characters of a name
+MAGIC = b"LR"
+VERSION = 1
+HEADER = MAGIC + bytes((VERSION,))
+MAX_DATAGRAM_BYTES = 1_200  # below the path MTU, also with tunnels
+MAX_NAME_CHARS = 200
+LIST_LENGTH_BYTES = 4  # a list that isn't empty may need two bytes more for its length; there are two lists
+DATAGRAM_KINDS: dict[type[Datagram], int] = {Ping: 0, Ack: 1, PingRequest: 2}
 
-Name = Annotated[str, msgspec.Meta(max_length=LONGEST)]
+Name = Annotated[str, msgspec.Meta(max_length=MAX_NAME_CHARS)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
+Row = TypeVar("Row", bound=msgspec.Struct)
 
 
-class WireError(ValueError):
-    """It is no datagram of a fleet."""
+class DatagramError(ValueError):
+    """The bytes are no gossip datagram, or a datagram can't be encoded."""
 
 
-class VersionError(WireError):
-    """It may be one, of another version."""
+class DatagramVersionError(DatagramError):
+    """The datagram has a version that this program doesn't read.
+
+    Attributes:
+        version: That version.
+    """
+
+    def __init__(self, version: int) -> None:
+        super().__init__(f"datagram version {version} is not supported")
+        self.version = version
 
 
 class PeerRow(msgspec.Struct, array_like=True):
+    """Wire form of Peer."""
+
     name: Name
     host: Name
     port: Annotated[int, msgspec.Meta(ge=1, le=65535)]
-    life: Number
+    incarnation_id: Number
     incarnation: Number
     state: Annotated[int, msgspec.Meta(ge=0, le=2)]
 
-    def peer(self) -> Peer:
-        return Peer(self.name, (self.host, self.port), self.life, self.incarnation, State(self.state))
+    @classmethod
+    def from_peer(cls, peer: Peer) -> PeerRow:
+        """Wire form of a peer."""
+        return cls(peer.name, *peer.address, peer.incarnation_id, peer.incarnation, int(peer.state))
 
+    def to_peer(self) -> Peer:
+        """The peer that this row describes."""
+        address = (self.host, self.port)
+        return Peer(self.name, address, self.incarnation_id, self.incarnation, State(self.state))
+
+
+class OverrideRow(msgspec.Struct, array_like=True):
+    """Wire form of OperatorOverride."""
 
-class CallRow(msgspec.Struct, array_like=True):
     host: Name
-    out: bool
-    stamp: Annotated[int, msgspec.Meta(ge=0, le=MOST_STAMP)]
+    is_disabled: bool
+    stamp: Annotated[int, msgspec.Meta(ge=0, le=MAX_STAMP_MS)]
     origin: Name
 
+    @classmethod
+    def from_override(cls, override: OperatorOverride) -> OverrideRow:
+        """Wire form of an override."""
+        return cls(override.host, override.is_disabled, override.stamp, override.origin)
+
+    def to_override(self) -> OperatorOverride:
+        """The override that this row describes."""
+        return OperatorOverride(self.host, self.is_disabled, self.stamp, self.origin)
+
+
+class DatagramRow(msgspec.Struct, array_like=True):
+    """Wire form of a datagram of any kind."""
 
-class Frame(msgspec.Struct, array_like=True):
     fleet: Name
-    kind: Annotated[int, msgspec.Meta(ge=0, le=2)]  # probe, answer, probe for
-    number: Number
-    name: Name  # of whom a probe asks
-    target: PeerRow | None
+    kind: Annotated[int, msgspec.Meta(ge=0, le=2)]  # see DATAGRAM_KINDS
+    sequence_number: Number
+    target_name: Name  # of a Ping
+    target: PeerRow | None  # of a PingRequest
     sender: PeerRow
-    news: Annotated[list[PeerRow], msgspec.Meta(max_length=64)]
-    calls: Annotated[list[CallRow], msgspec.Meta(max_length=64)] = []
+    updates: Annotated[list[PeerRow], msgspec.Meta(max_length=64)]
+    overrides: Annotated[list[OverrideRow], msgspec.Meta(max_length=64)] = []
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Frame)
-
+_decoder = msgspec.msgpack.Decoder(DatagramRow)
 
-def _row(peer: Peer) -> PeerRow:
-    return PeerRow(peer.name, *peer.address, peer.life, peer.incarnation, int(peer.state))
 
+def encode(fleet: str, datagram: Datagram, overrides: list[OperatorOverride]) -> bytes:
+    """Encodes a datagram of at most MAX_DATAGRAM_BYTES.
 
-def encode(fleet: str, datagram: Datagram, calls: list[Call]) -> bytes:
-    """Operators' calls go before news of members, and what does not fit is left out: it travels again.
+    Overrides precede updates about members. Those that don't fit are left out; they are sent again later.
 
-    Raises WireError where not even the rest fits.
+    Raises:
+        DatagramError: The names in it don't fit even without updates and overrides.
     """
-    kind, name, target = 1, "", None
-    match datagram:
-        case Probe():
-            kind, name = 0, datagram.name
-        case ProbeFor():
-            kind, target = 2, _row(datagram.target)
-        case Answer():
-            pass
-    frame = Frame(fleet, kind, datagram.number, name, target, _row(datagram.sender), [])
-    # Two bytes more for the length of each list that is no longer empty.
-    room = MOST_BYTES - len(MAGIC) - 1 - len(_encoder.encode(frame)) - 4
-    if room < 0:
-        raise WireError("the names in it are too long")
-    for call in calls:
-        if len(call.host) > LONGEST:
-            continue  # with it, others would refuse the whole datagram
-        row = CallRow(call.host, call.out, call.stamp, call.origin)
-        room -= len(_encoder.encode(row))
-        if room < 0:
-            break
-        frame.calls = [*frame.calls, row]
-    for peer in datagram.news:
-        told = _row(peer)
-        room -= len(_encoder.encode(told))
-        if room < 0:
-            break
-        frame.news.append(told)
-    return MAGIC + bytes((VERSION,)) + _encoder.encode(frame)
-
-
-def decode(data: bytes) -> tuple[str, Datagram, list[Call]]:
-    """The fleet that it is meant for, what it says, and operators' calls. Raises WireError, VersionError."""
-    if len(data) > MOST_BYTES or data[:2] != MAGIC or len(data) < 4:
-        raise WireError("it is no datagram of a fleet")
+    row = DatagramRow(
+        fleet,
+        DATAGRAM_KINDS[type(datagram)],
+        datagram.sequence_number,
+        datagram.target_name if isinstance(datagram, Ping) else "",
+        PeerRow.from_peer(datagram.target) if isinstance(datagram, PingRequest) else None,
+        PeerRow.from_peer(datagram.sender),
+        [],
+    )
+    space = MAX_DATAGRAM_BYTES - len(HEADER) - len(_encoder.encode(row)) - LIST_LENGTH_BYTES
+    if space < 0:
+        raise DatagramError("the names in the datagram are too long")
+    # Recipients would refuse the whole datagram for one name that is too long.
+    valid = (override for override in overrides if len(override.host) <= MAX_NAME_CHARS)
+    row.overrides, space = _fitting_rows(map(OverrideRow.from_override, valid), space)
+    row.updates, _ = _fitting_rows(map(PeerRow.from_peer, datagram.updates), space)
+    return HEADER + _encoder.encode(row)
+
+
+def decode(data: bytes) -> tuple[str, Datagram, list[OperatorOverride]]:
+    """Decodes a datagram into the fleet that it is for, its content, and operators' overrides.
+
+    Raises:
+        DatagramVersionError: It has another version.
+        DatagramError: It is no gossip datagram.
+    """
+    if len(data) > MAX_DATAGRAM_BYTES or data[:2] != MAGIC or len(data) < 4:
+        raise DatagramError("not a gossip datagram")
     if data[2] != VERSION:
-        raise VersionError(f"it is of version {data[2]}")
+        raise DatagramVersionError(data[2])
     try:
-        frame = _decoder.decode(data[3:])
+        row = _decoder.decode(data[3:])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise WireError(str(error)) from error
-    sender, news = frame.sender.peer(), tuple(row.peer() for row in frame.news)
-    datagram: Datagram
-    if frame.kind == 0:
-        datagram = Probe(frame.number, frame.name, sender, news)
-    elif frame.kind == 1:
-        datagram = Answer(frame.number, sender, news)
-    elif frame.target is not None:
-        datagram = ProbeFor(frame.number, frame.target.peer(), sender, news)
-    else:
-        raise WireError("it asks for a probe of nobody")
-    return frame.fleet, datagram, [Call(row.host, row.out, row.stamp, row.origin) for row in frame.calls]
+        raise DatagramError(str(error)) from error
+    return row.fleet, _datagram(row), [override.to_override() for override in row.overrides]
+
+
+def _datagram(row: DatagramRow) -> Datagram:
+    sender = row.sender.to_peer()
+    updates = tuple(update.to_peer() for update in row.updates)
+    if row.kind == DATAGRAM_KINDS[Ping]:
+        return Ping(row.sequence_number, row.target_name, sender, updates)
+    if row.kind == DATAGRAM_KINDS[Ack]:
+        return Ack(row.sequence_number, sender, updates)
+    if row.target is None:
+        raise DatagramError("ping request without a target")
+    return PingRequest(row.sequence_number, row.target.to_peer(), sender, updates)
+
+
+def _fitting_rows(rows: Iterable[Row], space_bytes: int) -> tuple[list[Row], int]:
+    """The first rows that fit, and the space after them; it is negative if a row was left out."""
+    fitting = []
+    for row in rows:
+        space_bytes -= len(_encoder.encode(row))
+        if space_bytes < 0:
+            break
+        fitting.append(row)
+    return fitting, space_bytes
--- /dev/null
+++ b/loftrelay/gossip/member_table.py
@@ -0,0 +1,207 @@
+"""Table of the other members and their states. No input or output.
+
+A member's state follows from updates by TRANSITIONS, and from time: a suspicion that isn't refuted ends in
+DEAD, and a dead member is removed later.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable
+from dataclasses import dataclass, replace
+from enum import Enum, auto
+
+from loftrelay.gossip.actions import StateChanged
+from loftrelay.gossip.broadcast_queue import BroadcastQueue
+from loftrelay.gossip.lifeguard import MAX_CONFIRMATIONS, LocalHealth, suspicion_timeout
+from loftrelay.gossip.messages import Peer, State
+from loftrelay.gossip.swim_config import SwimConfig
+from loftrelay.net.address import Address
+
+MAX_UPDATES_PER_DATAGRAM = 20  # that many fit into a datagram
+MAX_RANDOM_UPDATES = 4  # of these, known states that fill up a datagram with few pending updates
+DEAD_RETENTION_INTERVALS = 64  # probe intervals after which a dead member is removed
+
+
+class Prior(Enum):
+    """What the table holds of a member when an update arrives."""
+
+    UNKNOWN = auto()
+    OLDER = auto()  # an older incarnation
+    NEWER = auto()  # a newer incarnation
+    ALIVE = auto()  # the same incarnation, in this state
+    SUSPECT = auto()
+    DEAD = auto()
+
+
+class Transition(Enum):
+    """Effect of an update on a member's entry."""
+
+    IGNORE = auto()
+    SET_STATE = auto()
+    START_SUSPICION = auto()
+    CONFIRM_SUSPICION = auto()
+
+
+# (what is held, state in the update) -> effect; all other pairs are ignored.
+TRANSITIONS = {
+    (Prior.UNKNOWN, State.ALIVE): Transition.SET_STATE,
+    (Prior.UNKNOWN, State.SUSPECT): Transition.START_SUSPICION,
+    (Prior.OLDER, State.ALIVE): Transition.SET_STATE,
+    (Prior.OLDER, State.SUSPECT): Transition.START_SUSPICION,
+    (Prior.OLDER, State.DEAD): Transition.SET_STATE,
+    (Prior.ALIVE, State.SUSPECT): Transition.START_SUSPICION,
+    (Prior.ALIVE, State.DEAD): Transition.SET_STATE,
+    (Prior.SUSPECT, State.SUSPECT): Transition.CONFIRM_SUSPICION,
+    (Prior.SUSPECT, State.DEAD): Transition.SET_STATE,
+}
+
+
+@dataclass(slots=True)
+class MemberEntry:
+    """State of one member. Times in microseconds.
+
+    Attributes:
+        peer: The update that holds.
+        state_since_us: When that update was applied.
+        accusers: Names of those that suspect the member.
+        suspicion_ends_us: When a suspected member is declared dead.
+    """
+
+    peer: Peer
+    state_since_us: int
+    accusers: frozenset[str] = frozenset()
+    suspicion_ends_us: int = 0
+
+
+class MemberTable:
+    """Entries of the other members, and the updates about them that are to be disseminated."""
+
+    def __init__(self, config: SwimConfig, health: LocalHealth) -> None:
+        self.entries: dict[str, MemberEntry] = {}
+        self.updates: BroadcastQueue[Peer] = BroadcastQueue()
+        self._config = config
+        self._health = health
+        self._unhealthy_names: dict[str, None] = {}  # suspect and dead, so that a tick doesn't walk them all
+
+    def live_peers(self) -> list[Peer]:
+        """Members that aren't declared dead."""
+        return [entry.peer for entry in self.entries.values() if entry.peer.state is not State.DEAD]
+
+    def live_names(self) -> list[str]:
+        """Names of the members that aren't declared dead."""
+        return [name for name, entry in self.entries.items() if entry.peer.state is not State.DEAD]
+
+    def suspects(self) -> list[MemberEntry]:
+        """Entries of suspected members."""
+        return [entry for entry in self._unhealthy() if entry.peer.state is State.SUSPECT]
+
+    def dead_addresses(self) -> list[Address]:
+        """Addresses of members that are declared dead and not yet removed."""
+        return [entry.peer.address for entry in self._unhealthy() if entry.peer.state is State.DEAD]
+
+    def name_at(self, address: Address) -> str:
+        """Name of the member at an address; empty if there is none."""
+        return next((name for name, entry in self.entries.items() if entry.peer.address == address), "")
+
+    def apply(self, update: Peer, reporter: str, now_us: int) -> Iterable[StateChanged]:
+        """Applies an update that `reporter` sent.
+
+        Returns:
+            The change of state, if there is one.
+        """
+        match TRANSITIONS.get((self._prior(update), update.state), Transition.IGNORE):
+            case Transition.SET_STATE:
+                return self._set(update, now_us)
+            case Transition.START_SUSPICION:
+                return self._start_suspicion(update, reporter, now_us)
+            case Transition.CONFIRM_SUSPICION:
+                self._confirm_suspicion(self.entries[update.name], reporter, now_us)
+        return ()
+
+    def expire(self, now_us: int, is_isolated: bool) -> list[StateChanged]:
+        """Declares members dead whose suspicion has timed out, and removes members that are dead for long.
+
+        Args:
+            now_us: Present time.
+            is_isolated: Nobody is declared dead; suspicions that are due last longer.
+        """
+        changes: list[StateChanged] = []
+        for name in list(self._unhealthy_names):
+            entry = self.entries[name]
+            if entry.peer.state is State.SUSPECT and now_us >= entry.suspicion_ends_us:
+                if is_isolated:
+                    entry.suspicion_ends_us = now_us + self._config.suspicion_timeout_us
+                else:
+                    changes += self._set(replace(entry.peer, state=State.DEAD), now_us)
+            elif entry.peer.state is State.DEAD and now_us - entry.state_since_us > self._dead_retention_us:
+                del self.entries[name], self._unhealthy_names[name]
+        return changes
+
+    def extend_suspicions(self, end_us: int) -> None:
+        """Lets no suspicion time out before `end_us`."""
+        for entry in self.suspects():
+            entry.suspicion_ends_us = max(entry.suspicion_ends_us, end_us)
+
+    def select_updates(self, generator: random.Random, recipient: str) -> tuple[Peer, ...]:
+        """Updates to piggyback: pending ones, those about the recipient first, then random known states.
+
+        The random ones make up for updates that were lost with their datagrams.
+        """
+        pending = self.updates.next_batch(MAX_UPDATES_PER_DATAGRAM, len(self.entries), first=recipient)
+        updates = list(pending.values())
+        free_slots = min(MAX_RANDOM_UPDATES, MAX_UPDATES_PER_DATAGRAM - len(updates))
+        if free_slots > 0:
+            names = list(self.entries)
+            chosen = generator.sample(names, min(len(names), free_slots + len(pending)))
+            updates += [self.entries[name].peer for name in chosen if name not in pending][:free_slots]
+        return tuple(updates)
+
+    @property
+    def _dead_retention_us(self) -> int:
+        return DEAD_RETENTION_INTERVALS * self._config.probe_interval_us
+
+    def _unhealthy(self) -> list[MemberEntry]:
+        return [self.entries[name] for name in self._unhealthy_names]
+
+    def _prior(self, update: Peer) -> Prior:
+        entry = self.entries.get(update.name)
+        if entry is None:
+            return Prior.UNKNOWN
+        if entry.peer.has_same_incarnation(update):
+            return Prior[entry.peer.state.name]
+        return Prior.OLDER if entry.peer.precedence < update.precedence else Prior.NEWER
+
+    def _start_suspicion(self, update: Peer, reporter: str, now_us: int) -> Iterable[StateChanged]:
+        changes = self._set(update, now_us)
+        entry = self.entries[update.name]
+        entry.accusers = frozenset({reporter})
+        entry.suspicion_ends_us = now_us + self._suspicion_timeout_us(1)
+        return changes
+
+    def _confirm_suspicion(self, entry: MemberEntry, reporter: str, now_us: int) -> None:
+        """Shortens the timeout, and disseminates the suspicion again."""
+        if reporter in entry.accusers or len(entry.accusers) > MAX_CONFIRMATIONS:
+            return
+        entry.accusers |= {reporter}
+        ends_us = max(now_us, entry.state_since_us + self._suspicion_timeout_us(len(entry.accusers)))
+        entry.suspicion_ends_us = min(entry.suspicion_ends_us, ends_us)
+        self.updates.add(entry.peer.name, entry.peer)
+
+    def _suspicion_timeout_us(self, accusers: int) -> int:
+        return suspicion_timeout(self._config.suspicion_timeout_us, accusers, self._health.score)
+
+    def _set(self, peer: Peer, now_us: int) -> Iterable[StateChanged]:
+        before = self.entries.get(peer.name)
+        self.entries[peer.name] = MemberEntry(peer, now_us)
+        if peer.state is State.ALIVE:
+            self._unhealthy_names.pop(peer.name, None)
+        else:
+            self._unhealthy_names[peer.name] = None
+        self.updates.add(peer.name, peer)
+        if before is None or (before.peer.state, before.peer.incarnation_id) != (
+            peer.state,
+            peer.incarnation_id,
+        ):
+            return (StateChanged(peer),)
+        return ()
--- /dev/null
+++ b/loftrelay/gossip/messages.py
@@ -0,0 +1,76 @@
+"""Datagrams of the membership protocol, by the names of the SWIM paper, without their encoding."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import IntEnum
+
+from loftrelay.net.address import Address
+
+
+class State(IntEnum):
+    """State of a member. At the same incarnation the higher value overrides the lower."""
+
+    ALIVE = 0
+    SUSPECT = 1
+    DEAD = 2
+
+
+@dataclass(frozen=True, slots=True)
+class Peer:
+    """One update about a member.
+
+    Attributes:
+        name: Unique name of the relay within its fleet.
+        address: Where its datagrams are sent.
+        incarnation_id: Random number of this run of the process.
+        incarnation: SWIM's incarnation number. It grows over all runs, and only the member itself raises it.
+        state: Reported state.
+    """
+
+    name: str
+    address: Address
+    incarnation_id: int
+    incarnation: int
+    state: State = State.ALIVE
+
+    @property
+    def precedence(self) -> tuple[int, int, int]:
+        """Of two updates about one member, the one with the higher precedence holds."""
+        return self.incarnation, self.incarnation_id, self.state
+
+    def has_same_incarnation(self, other: Peer) -> bool:
+        """Whether both updates are about the same incarnation of the same run."""
+        return (self.incarnation, self.incarnation_id) == (other.incarnation, other.incarnation_id)
+
+
+@dataclass(frozen=True, slots=True)
+class Ping:
+    """Requests an Ack with the same sequence number from `target_name`, or from anybody if that is empty."""
+
+    sequence_number: int
+    target_name: str
+    sender: Peer
+    updates: tuple[Peer, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class Ack:
+    """Response to a Ping, or to a PingRequest on behalf of its target."""
+
+    sequence_number: int
+    sender: Peer
+    updates: tuple[Peer, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class PingRequest:
+    """SWIM's ping-req: asks the recipient to ping `target` and to forward its Ack."""
+
+    sequence_number: int
+    target: Peer
+    sender: Peer
+    updates: tuple[Peer, ...] = ()
+
+
+Datagram = Ping | Ack | PingRequest
--- a/loftrelay/gossip/operator_overrides.py
+++ b/loftrelay/gossip/operator_overrides.py
@@ -1,90 +1,121 @@
-"""What operators have said of hosts at any relay's door, and which of two calls holds. No input or output.
+"""Operators' overrides of hosts: which host is disabled, replicated to all relays. No input or output.
 
-Each call bears a stamp: Unix time in milliseconds, or one more than the highest that its relay has heard for
-that host, whichever is later. So a call always goes before those that its operator could see, whatever the
-clock of its relay; of two that did not know of each other, on the two sides of a split, the later by the
-clock holds, and at the same stamp the one of the relay whose name sorts last. All relays that have heard the
-same calls hold the same.
+A last-writer-wins register per host. The stamp of an override is Unix time in milliseconds, or one more than
+the stamp of the override that it replaces, whichever is higher: an override always replaces those that its
+operator could see, whatever the clock of the relay. Of two concurrent overrides the one with the higher stamp
+wins, at equal stamps the one from the relay whose name sorts last. Relays that have received the same
+overrides hold the same ones.
 """
 
 from __future__ import annotations
 
+import random
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from loftrelay.gossip.broadcast_queue import Spread
+from loftrelay.gossip.broadcast_queue import BroadcastQueue
 
-MOST = 2_048  # hosts of which something is known
-MOST_STAMP = 1 << 53  # a later one is no time
-NEWS, SPARE = 5, 2  # that go with one datagram
+MAX_HOSTS = 2_048
+MAX_STAMP_MS = 1 << 53  # a later one is no valid time
+MAX_UPDATES_PER_DATAGRAM = 5
+MAX_RANDOM_UPDATES = 2  # known overrides added to each datagram, in case an earlier one was lost
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """An operator's word: `host` takes no calls, or takes them again."""
+class OperatorOverride:
+    """An operator's command for one host.
+
+    Attributes:
+        host: Id of the host.
+        is_disabled: Whether the host is disabled; otherwise an earlier override is lifted.
+        stamp: Milliseconds of Unix time, see the module.
+        origin: Name of the relay that received the command.
+    """
 
     host: str
-    out: bool
+    is_disabled: bool
     stamp: int
-    origin: str  # the relay at whose door it was said
+    origin: str
 
     @property
-    def rank(self) -> tuple[int, str, bool]:
-        """The higher one holds."""
-        return self.stamp, self.origin, self.out
+    def precedence(self) -> tuple[int, str, bool]:
+        """Of two overrides of one host, the one with the higher precedence holds."""
+        return self.stamp, self.origin, self.is_disabled
+
 
+class Overrides:
+    """The overrides that hold, by host, and those that are to be disseminated.
 
-class Calls:
-    """All calls that hold, as far as this relay has heard."""
+    Args:
+        name: Name of this relay.
+        random_seed: Of the pseudo-random generator.
+    """
 
-    def __init__(self, name: str, seed: int) -> None:
+    def __init__(self, name: str, random_seed: int) -> None:
         self.name = name
-        self.known: dict[str, Call] = {}
-        self.spread = Spread(seed)
+        self.by_host: dict[str, OperatorOverride] = {}
+        self.broadcasts: BroadcastQueue[OperatorOverride] = BroadcastQueue()
+        self._random = random.Random(random_seed)
+
+    def restore(self, overrides: Iterable[OperatorOverride], disabled_hosts: Iterable[str]) -> None:
+        """Restores stored state.
 
-    def load(self, calls: Iterable[Call], out: Iterable[str]) -> None:
-        """What stood on disk. `out`: the hosts that are out; one of which no call is known was taken out
-        before there was a fleet, or its call was not written: any call goes before it.
+        Args:
+            overrides: Stored overrides.
+            disabled_hosts: Hosts that are disabled on this relay. One without a stored override gets stamp 0,
+                so that any other override replaces it.
         """
-        for call in calls:
-            self._hold(call)
-        for host in out:
-            if host not in self.known:
-                self._hold(Call(host, True, 0, self.name))
-
-    def called(self, host: str, out: bool, wall_ms: int) -> Call | None:
-        """An operator says so here. None: that holds already."""
-        before = self.known.get(host)
-        if before is not None and before.out == out:
+        for override in overrides:
+            self._set(override)
+        for host in disabled_hosts:
+            if host not in self.by_host:
+                self._set(OperatorOverride(host, True, 0, self.name))
+
+    def set_local(self, host: str, is_disabled: bool, wall_clock_ms: int) -> OperatorOverride | None:
+        """Records a command given at this relay; returns None if it changes nothing."""
+        before = self.by_host.get(host)
+        if before is not None and before.is_disabled == is_disabled:
             return None
-        call = Call(host, out, max(wall_ms, before.stamp + 1 if before is not None else 0), self.name)
-        self._hold(call)
-        return call
-
-    def heard(self, calls: Iterable[Call]) -> list[Call]:
-        """What others tell: the calls of it that are new, and hold from now on."""
-        new = []
-        for call in calls:
-            before = self.known.get(call.host)
-            if not 0 <= call.stamp <= MOST_STAMP or (before is not None and before.rank >= call.rank):
+        min_stamp = 0 if before is None else before.stamp + 1
+        override = OperatorOverride(host, is_disabled, max(wall_clock_ms, min_stamp), self.name)
+        self._set(override)
+        return override
+
+    def merge(self, overrides: Iterable[OperatorOverride]) -> list[OperatorOverride]:
+        """Merges overrides from another relay; returns those that hold from now on."""
+        applied = []
+        for override in overrides:
+            before = self.by_host.get(override.host)
+            is_superseded = before is not None and before.precedence >= override.precedence
+            if is_superseded or not 0 <= override.stamp <= MAX_STAMP_MS:
                 continue
-            self._hold(call)
-            new.append(call)
-        return new
-
-    def pick(self, fleet: int) -> list[Call]:
-        """What goes with the next datagram in a fleet of so many others."""
-        keys = self.spread.pick(fleet, NEWS, SPARE, self.known)
-        return [self.known[key] for key in keys]
-
-    def newcomer(self) -> None:
-        self.spread.again(self.known)
-
-    def _hold(self, call: Call) -> None:
-        self.known[call.host] = call
-        self.spread.put(call.host)
-        if len(self.known) > MOST:
-            # What takes calls again is what everybody holds who knows nothing.
-            least = min(self.known.values(), key=lambda call: (call.out, call.stamp))
-            del self.known[least.host]
-            self.spread.forget(least.host)
+            self._set(override)
+            applied.append(override)
+        return applied
+
+    def next_broadcasts(self, cluster_size: int) -> list[OperatorOverride]:
+        """Overrides for the next datagram: pending ones, then some others at random.
+
+        Args:
+            cluster_size: Number of other relays.
+        """
+        pending = self.broadcasts.next_batch(MAX_UPDATES_PER_DATAGRAM, cluster_size)
+        others = [host for host in self.by_host if host not in pending]
+        chosen = self._random.sample(others, min(len(others), MAX_RANDOM_UPDATES))
+        return [*pending.values(), *(self.by_host[host] for host in chosen)]
+
+    def rebroadcast_all(self) -> None:
+        """Queues all overrides, for a relay that has joined and may know none."""
+        self.broadcasts.add_missing(self.by_host)
+
+    def _set(self, override: OperatorOverride) -> None:
+        self.by_host[override.host] = override
+        self.broadcasts.add(override.host, override)
+        if len(self.by_host) > MAX_HOSTS:
+            self._evict()
+
+    def _evict(self) -> None:
+        """Drops the oldest override, an enabled host first: enabled is the state without an override."""
+        oldest = min(self.by_host.values(), key=lambda override: (override.is_disabled, override.stamp))
+        del self.by_host[oldest.host]
+        self.broadcasts.remove(oldest.host)
--- a/loftrelay/gossip/settings.py
+++ b/loftrelay/gossip/settings.py
@@ -1,4 +1,4 @@
-"""The operator's file on the fleet (deploy/fleet.toml): its keys, checked."""
+"""The operator's settings of the fleet (deploy/fleet.toml), checked and mapped to this package's terms."""
 
 from __future__ import annotations
 
@@ -9,57 +9,79 @@
 from pathlib import Path
 
 from loftrelay.config.toml_file import Key, SettingsError, read_toml
-from loftrelay.gossip.swim import Timing
+from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address, parse_address
 
-TABLE, VARIABLE = "fleet", "RELAY_FLEET_LISTEN"
+TABLE = "fleet"
+LISTEN_VARIABLE = "RELAY_FLEET_LISTEN"
 KEYS = (
-    Key("name", "fleet", "", "of the fleet: relays of another one are not heard"),
+    Key("name", "fleet", "", "name of the fleet: datagrams of other fleets are ignored"),
     Key("listen", "", "", "address and port for the other relays' datagrams; port 0: a free one"),
     Key("advertise", "", "", "where the others send them, if that is not `listen`"),
     Key("seeds", (), "", "addresses and ports of some relays of the fleet"),
-    Key("beat_ms", 200, "ms", "between two probes", least=20, most=60_000),
-    Key("suspect_ms", 1000, "ms", "before a suspicion that several share counts", least=40, most=600_000),
+    Key("beat_ms", 200, "ms", "probe interval", least=20, most=60_000),
+    Key("suspect_ms", 1000, "ms", "suspicion timeout if several relays suspect", least=40, most=600_000),
 )
-MOST_NAME = 64
+MAX_NAME_BYTES = 64
+MIN_PROBES_PER_SUSPICION = 2
 
 
 @dataclass(frozen=True, slots=True)
-class FleetSettings:
+class GossipSettings:
+    """Settings of one relay's membership in its fleet.
+
+    Attributes:
+        name: Name of the fleet.
+        listen: Local address for datagrams; port 0 stands for a free one.
+        advertise: Address that others send to; None: the local one.
+        seeds: Addresses of some relays of the fleet.
+        swim: Intervals.
+    """
+
     name: str
     listen: Address
-    advertise: Address | None  # None: the address in use
+    advertise: Address | None
     seeds: tuple[Address, ...]
-    timing: Timing
+    swim: SwimConfig
+
 
+def load_gossip_settings(path: Path, environ: Mapping[str, str]) -> GossipSettings:
+    """Reads the file; the variable RELAY_FLEET_LISTEN overrides `listen`.
 
-def load_fleet(path: Path, environ: Mapping[str, str]) -> FleetSettings:
-    """RELAY_FLEET_LISTEN goes before `listen`. Raises SettingsError, which names the file, key and value."""
-    told = read_toml(path, KEYS, TABLE)
+    Raises:
+        SettingsError: It names the file, the key and the value.
+    """
+    table = read_toml(path, KEYS, TABLE)
     if find_spec("msgspec") is None:
         raise SettingsError(f"{path}: needs the extra `fleet`: pip install 'loftrelay[fleet]'")
-    listen, where = (
-        (environ[VARIABLE], VARIABLE) if environ.get(VARIABLE) else (told["listen"], f"{path}: listen")
-    )
-    if not 1 <= len(told["name"]) <= MOST_NAME:
-        raise SettingsError(f"{path}: name = {told['name']!r}: is not a text of 1 to {MOST_NAME} characters")
-    if told["suspect_ms"] < 2 * told["beat_ms"]:
+    name, probe_interval_ms, suspicion_timeout_ms = table["name"], table["beat_ms"], table["suspect_ms"]
+    if not 1 <= len(name) <= MAX_NAME_BYTES:
+        raise SettingsError(f"{path}: name = {name!r}: is not a text of 1 to {MAX_NAME_BYTES} characters")
+    if suspicion_timeout_ms < MIN_PROBES_PER_SUSPICION * probe_interval_ms:
         raise SettingsError(
-            f"{path}: suspect_ms = {told['suspect_ms']}: is less than two beats (beat_ms = {told['beat_ms']})"
+            f"{path}: suspect_ms = {suspicion_timeout_ms}: is less than two beats"
+            f" (beat_ms = {probe_interval_ms})"
         )
-    seeds = tuple(_place(seed, f"{path}: seeds", 1) for seed in told["seeds"])
-    timing = Timing(told["beat_ms"] * 1000, told["suspect_ms"] * 1000)
-    advertise = _place(told["advertise"], f"{path}: advertise", 1) if told["advertise"] else None
-    return FleetSettings(told["name"], _place(listen, where, 0), advertise, seeds, timing)
+    seeds = tuple(_parse_setting(seed, f"{path}: seeds", 1) for seed in table["seeds"])
+    advertise = _parse_setting(table["advertise"], f"{path}: advertise", 1) if table["advertise"] else None
+    listen, source = table["listen"], f"{path}: listen"
+    if environ.get(LISTEN_VARIABLE):
+        listen, source = environ[LISTEN_VARIABLE], LISTEN_VARIABLE
+    swim = SwimConfig(probe_interval_ms * 1000, suspicion_timeout_ms * 1000)
+    return GossipSettings(name, _parse_setting(listen, source, 0), advertise, seeds, swim)
 
 
-def _place(text: str, where: str, least: int) -> Address:
-    """No name is looked up: a datagram goes to a number."""
+def _parse_setting(text: str, source: str, min_port: int) -> Address:
     try:
-        host, port = parse_address(text)
-        ip_address(host)
-        if port < least:
-            raise ValueError("port 0 is nobody's")
+        return _parse_ip_address(text, min_port)
     except ValueError as error:
-        raise SettingsError(f"{where} = {text!r}: is no IP address with a port: {error}") from error
+        raise SettingsError(f"{source} = {text!r}: is no IP address with a port: {error}") from error
+
+
+def _parse_ip_address(text: str, min_port: int) -> Address:
+    """An IP address with a port; host names aren't resolved."""
+    host, port = parse_address(text)
+    ip_address(host)
+    if port < min_port:
+        raise ValueError("port 0 is nobody's")
     return host, port
--- a/loftrelay/gossip/transport.py
+++ b/loftrelay/gossip/transport.py
@@ -1,4 +1,4 @@
-"""One relay's socket to the others: carries what membership and calls decide. The thin part."""
+"""The UDP socket of one relay: executes the actions of its membership and carries operators' overrides."""
 
 from __future__ import annotations
 
@@ -9,141 +9,184 @@
 from collections.abc import Callable, Iterable
 from typing import Any, cast
 
-from loftrelay.gossip.codec import VersionError, WireError, decode, encode
-from loftrelay.gossip.operator_overrides import Call, Calls
-from loftrelay.gossip.settings import MOST_NAME, FleetSettings
-from loftrelay.gossip.swim import Action, Changed, Contested, Membership, Peer, State, Tell
+from loftrelay.gossip.actions import Action, NameConflict, Send, StateChanged
+from loftrelay.gossip.codec import DatagramError, DatagramVersionError, decode, encode
+from loftrelay.gossip.messages import Datagram, Peer, State
+from loftrelay.gossip.operator_overrides import OperatorOverride, Overrides
+from loftrelay.gossip.settings import MAX_NAME_BYTES, GossipSettings
+from loftrelay.gossip.swim import Membership
 from loftrelay.net.address import Address
 
 log = logging.getLogger(__name__)
 
-AT_ONCE = 4  # others that hear of a call before its turn comes
+IMMEDIATE_RECIPIENTS = 4  # members that receive an override before the next probe
 
 
-class Node(asyncio.DatagramProtocol):
-    """`heard`: what is done with operators' calls from elsewhere that hold from now on."""
+class GossipTransport(asyncio.DatagramProtocol):
+    """Socket, timer and counters of one relay's membership.
+
+    Args:
+        settings: Of the fleet.
+        name: Of this relay, at most MAX_NAME_BYTES bytes of UTF-8.
+        overrides: This relay's; those of other relays are merged into it.
+        on_overrides: Called with overrides of other relays that hold from now on.
+
+    Attributes:
+        membership: None until the socket is open.
+        counters: Datagrams by outcome, by the names that the metrics use.
+    """
 
     def __init__(
-        self, told: FleetSettings, name: str, calls: Calls, heard: Callable[[list[Call]], None]
+        self,
+        settings: GossipSettings,
+        name: str,
+        overrides: Overrides,
+        on_overrides: Callable[[list[OperatorOverride]], None],
     ) -> None:
-        self.told, self.name, self.calls, self.heard = told, name, calls, heard
-        self.counts: Counter[str] = Counter()
-        self.view: Membership | None = None  # none before the socket is open
-        self.transport: asyncio.DatagramTransport | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.due = 0  # that timer, microseconds of the loop's clock
-        self.handling = False
+        self.settings = settings
+        self.name = name
+        self.overrides = overrides
+        self.on_overrides = on_overrides
+        self.counters: Counter[str] = Counter()
+        self.membership: Membership | None = None
+        self._transport: asyncio.DatagramTransport | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_due_us = 0  # 0: a pause has been noticed, or no timer was set
 
     async def open(self, start_ms: int) -> Address:
-        """`start_ms`: Unix time. Gives the address in use. Raises OSError."""
-        if len(self.name.encode()) > MOST_NAME:
-            raise OSError(f"in a fleet a relay's name has {MOST_NAME} bytes at most: {self.name!r}")
+        """Opens the socket and announces this relay to the seeds.
+
+        Args:
+            start_ms: Present Unix time in milliseconds.
+
+        Returns:
+            The local address.
+
+        Raises:
+            OSError: The socket can't be opened, or the relay's name is too long.
+        """
+        if len(self.name.encode()) > MAX_NAME_BYTES:
+            raise OSError(f"in a fleet a relay's name has {MAX_NAME_BYTES} bytes at most: {self.name!r}")
         loop = asyncio.get_running_loop()
-        transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.told.listen)
-        self.transport = transport
+        transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.settings.listen)
+        self._transport = transport
         host, port = transport.get_extra_info("sockname")[:2]
-        seed = secrets.randbits(63)
-        place = self.told.advertise or (host, port)
-        self.view = Membership(
-            self.name, place, secrets.randbits(63), start_ms, self.told.seeds, self.told.timing, seed
+        random_seed = secrets.randbits(63)
+        self.membership = Membership(
+            self.name,
+            self.settings.advertise or (host, port),
+            secrets.randbits(63),
+            start_ms,
+            self.settings.seeds,
+            self.settings.swim,
+            random_seed,
         )
-        # Relays that start together do not probe together.
-        self.view.due = self._now() + secrets.randbelow(self.told.timing.beat)
-        self._do(self.view.tell_all(self.view.seeds))
+        # Relays that start at the same time don't probe at the same time.
+        first_probe_us = secrets.randbelow(self.settings.swim.probe_interval_us)
+        self.membership.next_probe_us = self._now_us() + first_probe_us
+        self._execute(self.membership.announce_to(self.membership.seeds))
         return host, port
 
     def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.transport is not None:
-            self.transport.abort()
+        """Closes the socket; other relays will declare this one dead."""
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._transport is not None:
+            self._transport.abort()
 
     @property
-    def members(self) -> list[Peer]:
-        """Others that are not held to be gone."""
-        return [] if self.view is None else self.view.alive()
+    def live_peers(self) -> list[Peer]:
+        """Other members that aren't declared dead."""
+        return [] if self.membership is None else self.membership.live_peers()
 
-    def tell_now(self) -> None:
-        """There is news that should not wait for the next beat."""
-        if self.view is not None and not self.view.contested:
-            others = self.view.alive()
-            chosen = self.view.random.sample(others, min(AT_ONCE, len(others)))
-            self._do(self.view.tell_all(peer.address for peer in chosen))
+    def broadcast_now(self) -> None:
+        """Sends new overrides to some members at once, ahead of the next probe."""
+        if self.membership is not None and not self.membership.local.has_name_conflict:
+            peers = self.membership.live_peers()
+            chosen = self.membership.random.sample(peers, min(IMMEDIATE_RECIPIENTS, len(peers)))
+            self._execute(self.membership.announce_to(peer.address for peer in chosen))
 
-    # The socket
+    # Socket
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.counts["received"] += 1
+        """Handles a datagram; one that can't be used is counted and dropped."""
+        self.counters["received"] += 1
         try:
-            fleet, datagram, calls = decode(data)
-        except VersionError:
-            self.counts["of_another_version"] += 1
+            fleet, datagram, overrides = decode(data)
+        except DatagramVersionError:
+            self.counters["of_another_version"] += 1
             return
-        except WireError:
-            self.counts["unreadable"] += 1
+        except DatagramError:
+            self.counters["unreadable"] += 1
             return
-        if fleet != self.told.name or self.view is None:
-            self.counts["of_another_fleet"] += 1
+        if fleet != self.settings.name or self.membership is None:
+            self.counters["of_another_fleet"] += 1
             return
-        self._look()
-        # Calls first: an answer to this datagram tells on what it brought.
-        new = self.calls.heard(calls)
-        self._do(self.view.handle(self._now(), datagram, (addr[0], addr[1])))
-        if new:
-            self.heard(new)
-
-    def error_received(self, exc: Exception) -> None:
-        self.counts["errors"] += 1  # nobody listens there, as loopback tells
+        self._check_for_pause()
+        # Overrides first, so that the response to this datagram already carries them.
+        applied = self.overrides.merge(overrides)
+        self._execute(self.membership.handle(self._now_us(), datagram, (addr[0], addr[1])))
+        if applied:
+            self.on_overrides(applied)
+
+    def error_received(self, exc: Exception) -> None:  # noqa: ARG002 - declared by DatagramProtocol
+        """Counts an error of the socket, such as a closed port on loopback."""
+        self.counters["errors"] += 1
+
+    def _send(self, address: Address, datagram: Datagram) -> None:
+        assert self.membership is not None
+        overrides = self.overrides.next_broadcasts(len(self.membership.members))
+        data = encode(self.settings.name, datagram, overrides)
+        transport = cast(Any, self._transport)  # DatagramTransport declares no get_write_buffer_size
+        if transport.is_closing():
+            return
+        if transport.get_write_buffer_size():
+            self.counters["not_sent"] += 1  # it would be outdated when the socket's buffer has room
+            return
+        self.counters["sent"] += 1
+        self.counters["sent_bytes"] += len(data)
+        transport.sendto(data, address)
 
     # Time
 
-    def _now(self) -> int:
+    def _now_us(self) -> int:
         return int(asyncio.get_running_loop().time() * 1e6)
 
-    def _look(self) -> None:
-        """Before anything is made of a datagram: where the timer is long overdue, this process stood still,
-        and what others did not answer meanwhile says nothing of them.
-        """
-        now = self._now()
-        if self.view is not None and self.due and now - self.due >= self.told.timing.suspect // 2:
-            self.counts["stalls"] += 1
-            self.due = 0
-            self._do(self.view.woke(now))
-
     def _tick(self) -> None:
-        assert self.view is not None
-        self._look()
-        self._do(self.view.tick(self._now()))
+        assert self.membership is not None
+        self._check_for_pause()
+        self._execute(self.membership.tick(self._now_us()))
+
+    def _check_for_pause(self) -> None:
+        """Notices by an overdue timer that this process was paused, before a datagram is handled."""
+        if self.membership is None or not self._timer_due_us:
+            return
+        now_us = self._now_us()
+        if now_us - self._timer_due_us >= self.settings.swim.suspicion_timeout_us // 2:
+            self.counters["stalls"] += 1
+            self._timer_due_us = 0
+            self._execute(self.membership.resume(now_us))
 
-    def _do(self, actions: Iterable[Action]) -> None:
-        assert self.view is not None
+    def _execute(self, actions: Iterable[Action]) -> None:
         for action in list(actions):
             match action:
-                case Tell(address, datagram):
-                    self._send(
-                        address, encode(self.told.name, datagram, self.calls.pick(len(self.view.known)))
-                    )
-                case Changed(peer):
-                    log.info("relay %s at %s:%d is %s", peer.name, *peer.address, peer.state.name.lower())
+                case Send(address, datagram):
+                    self._send(address, datagram)
+                case StateChanged(peer):
+                    log.info("Relay %s at %s:%d is %s", peer.name, *peer.address, peer.state.name.lower())
                     if peer.state is State.ALIVE:
-                        self.calls.newcomer()
-                case Contested(by):
+                        self.overrides.rebroadcast_all()
+                case NameConflict(address):
                     log.error(
-                        "the relay at %s:%d goes by the name %s, too: this one stays out", *by, self.name
+                        "Relay at %s:%d goes by the name %s, too: this relay leaves the fleet",
+                        *address,
+                        self.name,
                     )
-        loop = asyncio.get_running_loop()
-        if self.timer is not None:
-            self.timer.cancel()
-        self.due = max(self.view.next, self._now())
-        self.timer = loop.call_at(self.due / 1e6, self._tick)
-
-    def _send(self, address: Address, data: bytes) -> None:
-        transport = cast(Any, self.transport)  # its buffer's size is in no declared interface
-        if transport.is_closing():
-            return
-        if transport.get_write_buffer_size():
-            self.counts["not_sent"] += 1  # the socket's buffer is full: such news would be old
-            return
-        self.counts["sent"] += 1
-        self.counts["sent_bytes"] += len(data)
-        transport.sendto(data, address)
+        self._set_timer()
+
+    def _set_timer(self) -> None:
+        assert self.membership is not None
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_due_us = max(self.membership.next_tick_us, self._now_us())
+        self._timer = asyncio.get_running_loop().call_at(self._timer_due_us / 1e6, self._tick)
--- a/loftrelay/service/gossip_member.py
+++ b/loftrelay/service/gossip_member.py
@@ -1,30 +1,28 @@
-"""Makes one relay a member of its fleet: what operators say at its door goes to all, and back."""
+"""Makes one relay a member of its fleet: operators' overrides of its hosts are replicated to all relays."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
 import secrets
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from pathlib import Path
 
-from loftrelay.gossip.operator_overrides import MOST_STAMP, Call, Calls
-from loftrelay.gossip.settings import FleetSettings
-from loftrelay.gossip.swim import State
-from loftrelay.gossip.transport import Node
+from loftrelay.gossip.messages import State
+from loftrelay.gossip.operator_overrides import OperatorOverride, Overrides
+from loftrelay.gossip.settings import GossipSettings
+from loftrelay.gossip.transport import GossipTransport
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult
-from loftrelay.state.atomic_file import write_whole
+from loftrelay.service.override_file import OverrideFile
 
 log = logging.getLogger(__name__)
 
-NAME, MOST = "fleet-calls.json", 128_000  # bytes: of 1,024 hosts with ids and names of 40 characters
-HOLD_AGAIN = 1.0  # seconds between tries to make a call from elsewhere hold here
-AGAIN = 0.1  # seconds between tries for a socket that the process before still has
-COUNTS = (
+APPLY_RETRY_S = 1.0  # between attempts to apply an override of another relay
+OPEN_RETRY_S = 0.1  # between attempts to open a socket that the previous process still uses
+TRANSPORT_COUNTERS = (
     "sent",
     "sent_bytes",
     "received",
@@ -35,112 +33,121 @@
     "stalls",
 )
 
-Change = Callable[[str, bool], str | None]  # a host, and whether it is out; gives the reason why not
+# Applies an override: the host, and whether it is disabled. Returns why it can't be applied now, or None.
+ApplyOverride = Callable[[str, bool], str | None]
 
 
 class GossipMember:
-    """The engine's watcher. `change`: makes a call from elsewhere hold here."""
-
-    def __init__(self, told: FleetSettings, name: str, folder: Path, engine: Engine, change: Change) -> None:
-        self.engine, self.change = engine, change
-        self.path = folder / NAME
-        self.calls = Calls(name, secrets.randbits(32))
-        self.node = Node(told, name, self.calls, self._heard)
-        self.retry: asyncio.TimerHandle | None = None
+    """Membership of one relay, which observes the engine for local overrides.
+
+    Args:
+        settings: Of the fleet.
+        name: Of this relay.
+        directory: For the stored overrides.
+        engine: Whose hosts the overrides are about.
+        apply_override: Applies an override of another relay to this one.
+    """
+
+    def __init__(
+        self,
+        settings: GossipSettings,
+        name: str,
+        directory: Path,
+        engine: Engine,
+        apply_override: ApplyOverride,
+    ) -> None:
+        self.engine = engine
+        self.apply_override = apply_override
+        self.file = OverrideFile(directory)
+        self.overrides = Overrides(name, secrets.randbits(32))
+        self.transport = GossipTransport(settings, name, self.overrides, self._on_remote_overrides)
+        self._retry_timer: asyncio.TimerHandle | None = None
 
     async def start(self, wait: bool) -> None:
-        """`wait`: for the process before this one to give its socket up. Raises OSError."""
-        self.calls.load(self._load(), self.engine.disabled_hosts)
-        self._settle(list(self.calls.known.values()))
+        """Restores the stored overrides and joins the fleet.
+
+        Args:
+            wait: Retry while the previous process of this relay still uses the address.
+
+        Raises:
+            OSError: The socket can't be opened, and `wait` is false.
+        """
+        self.overrides.restore(self.file.load(), self.engine.disabled_hosts)
+        self._apply_all()
         self.engine.observers.append(self)
         while True:
             try:
-                host, port = await self.node.open(wall_clock() // 1000)
+                host, port = await self.transport.open(wall_clock() // 1000)
             except OSError:
                 if not wait:
                     raise
-                await asyncio.sleep(AGAIN)
+                await asyncio.sleep(OPEN_RETRY_S)
             else:
-                log.info("the fleet %s hears this relay on %s:%d", self.node.told.name, host, port)
+                log.info("Fleet %s: gossip listens on %s:%d", self.transport.settings.name, host, port)
                 return
 
     def close(self) -> None:
+        """Leaves the fleet without notice."""
         if self in self.engine.observers:
             self.engine.observers.remove(self)
-        if self.retry is not None:
-            self.retry.cancel()
-        self.node.close()
-
-    def figure_lines(self) -> list[str]:
-        """For the door, in the form of the others."""
-        states = [peer.state for peer in self.node.members]
-        told = {
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+        self.transport.close()
+
+    def metric_lines(self) -> list[str]:
+        """Lines for the admin endpoint's statistics."""
+        states = [peer.state for peer in self.transport.live_peers]
+        metrics = {
             "fleet_alive": states.count(State.ALIVE),
             "fleet_suspected": states.count(State.SUSPECT),
-            "fleet_calls": len(self.calls.known),
-            **{f"fleet_{name}": self.node.counts[name] for name in COUNTS},
+            "fleet_calls": len(self.overrides.by_host),
+            **{f"fleet_{name}": self.transport.counters[name] for name in TRANSPORT_COUNTERS},
         }
-        return [f"app.{name}={value}" for name, value in told.items()]
+        return [f"app.{name}={value}" for name, value in metrics.items()]
 
-    # What this relay sees for itself
+    # Local overrides, observed on the engine
 
-    def attempt_ended(self, held: Message, host: str, ending: AttemptResult) -> None: ...
+    def attempt_ended(self, held: Message, host: str, ending: AttemptResult) -> None:
+        """Not replicated."""
 
     def endpoint_disabled(self, host: str) -> None:
-        self._called(host, True)
+        """An operator has disabled the host at this relay, or an override of another relay was applied."""
+        self._set_local(host, is_disabled=True)
 
     def endpoint_enabled(self, host: str) -> None:
-        self._called(host, False)
+        """An operator has enabled the host at this relay, or an override of another relay was applied."""
+        self._set_local(host, is_disabled=False)
 
-    def _called(self, host: str, out: bool) -> None:
-        if self.calls.called(host, out, wall_clock() // 1000) is not None:
+    def _set_local(self, host: str, is_disabled: bool) -> None:
+        if self.overrides.set_local(host, is_disabled, wall_clock() // 1000) is not None:
             self._save()
-            self.node.tell_now()
+            self.transport.broadcast_now()
 
-    # What others say
+    def _save(self) -> None:
+        self.file.save(self.overrides.by_host.values())
 
-    def _heard(self, calls: list[Call]) -> None:
-        for call in calls:
-            log.info(
-                "host %s is %s by hand at relay %s", call.host, "out" if call.out else "back", call.origin
-            )
+    # Overrides of other relays
+
+    def _on_remote_overrides(self, overrides: list[OperatorOverride]) -> None:
+        for override in overrides:
+            verb = "disabled" if override.is_disabled else "enabled"
+            log.info("Host %s is %s by an operator at relay %s", override.host, verb, override.origin)
         self._save()
-        self._settle(calls)
-        self.node.tell_now()
+        self._apply(overrides)
+        self.transport.broadcast_now()
 
-    def _settle(self, calls: list[Call]) -> None:
-        """Makes them hold; one that can't yet (a handover, a folder that takes nothing) is tried anew."""
-        for call in calls:
-            if (call.host in self.engine.disabled_hosts) == call.out:
+    def _apply(self, overrides: Iterable[OperatorOverride]) -> None:
+        """Applies overrides; one that can't be applied, as during a handover, is retried."""
+        for override in overrides:
+            if (override.host in self.engine.disabled_hosts) == override.is_disabled:
+                continue
+            reason = self.apply_override(override.host, override.is_disabled)
+            if reason is None:
                 continue
-            if (why := self.change(call.host, call.out)) is not None:
-                log.error("a call of %s for host %s does not hold yet: %s", call.origin, call.host, why)
-                if self.retry is None:
-                    self.retry = asyncio.get_running_loop().call_later(HOLD_AGAIN, self._settle_all)
-
-    def _settle_all(self) -> None:
-        self.retry = None
-        self._settle(list(self.calls.known.values()))
-
-    # Over restarts
-
-    def _load(self) -> list[Call]:
-        try:
-            rows = json.loads(self.path.read_bytes())
-            calls = [Call(str(host), bool(out), int(at), str(by)) for host, out, at, by in rows]
-            if not all(0 <= call.stamp <= MOST_STAMP for call in calls):
-                raise ValueError("a stamp in it is no time")
-        except FileNotFoundError:
-            return []
-        except (OSError, ValueError, TypeError, RecursionError) as error:
-            log.error("%s can't be read, the other relays are asked: %s", self.path, error)
-            return []
-        return calls
+            log.error("Host %s: override of %s not applied: %s", override.host, override.origin, reason)
+            if self._retry_timer is None:
+                self._retry_timer = asyncio.get_running_loop().call_later(APPLY_RETRY_S, self._apply_all)
 
-    def _save(self) -> None:
-        """Best effort: without it, this relay goes by what the others tell."""
-        rows = [[call.host, call.out, call.stamp, call.origin] for call in self.calls.known.values()]
-        try:
-            write_whole(self.path, json.dumps(rows, separators=(",", ":")).encode(), MOST)
-        except OSError as error:
-            log.error("what operators said at other relays can't be written: %s", error)
+    def _apply_all(self) -> None:
+        self._retry_timer = None
+        self._apply(list(self.overrides.by_host.values()))
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -27,7 +27,7 @@
 
 if TYPE_CHECKING:
     from loftrelay.discovery.settings import SubscriptionSettings
-    from loftrelay.gossip.settings import FleetSettings
+    from loftrelay.gossip.settings import GossipSettings
     from loftrelay.service.gossip_member import GossipMember
     from loftrelay.store.settings import RecordSettings
 
@@ -49,7 +49,7 @@
         config: Config,
         connections: Limits,
         record: RecordSettings | None = None,
-        fleet: FleetSettings | None = None,
+        fleet: GossipSettings | None = None,
         subscription: SubscriptionSettings | None = None,
     ) -> None:
         self.config, self.connections, self.record, self.fleet = config, connections, record, fleet
@@ -242,7 +242,7 @@
         assert self.fleet is not None
         config, beside = self.config, self.config.accept is not None
         self.joined = GossipMember(self.fleet, config.name, config.state, engine, self.relay.change_for_fleet)
-        self.relay.more.append(self.joined.figure_lines)
+        self.relay.more.append(self.joined.metric_lines)
         starting = asyncio.create_task(self.joined.start(wait=beside))
         if not beside:
             await starting
--- a/loftrelay/simulation/proxy.py
+++ b/loftrelay/simulation/proxy.py
@@ -16,19 +16,19 @@
 
 
 @dataclass(slots=True)
-class Faults:
+class PathFaults:
     """Of one way of a link. Chances from 0 to 1; delays in seconds, drawn evenly, so that later datagrams may
     come first.
     """
 
-    cut: bool = False
+    is_cut: bool = False
     loss: float = 0.0
-    doubled: float = 0.0
-    delay: tuple[float, float] = (0.0, 0.0)
+    duplication: float = 0.0
+    delay_s: tuple[float, float] = (0.0, 0.0)
 
 
 class _End(asyncio.DatagramProtocol):
-    def __init__(self, proxy: Proxy, to: str) -> None:
+    def __init__(self, proxy: FaultProxy, to: str) -> None:
         self.proxy, self.to = proxy, to
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -37,13 +37,13 @@
 
 
 @dataclass(slots=True)
-class Proxy:
+class FaultProxy:
     """`faults`: (from, to) -> what befalls datagrams; `all`: those of every other way."""
 
     seed: int
-    faults: dict[tuple[str, str], Faults] = field(default_factory=dict)
-    all: Faults = field(default_factory=Faults)
-    carried: Counter[tuple[str, str]] = field(default_factory=Counter)
+    faults: dict[tuple[str, str], PathFaults] = field(default_factory=dict)
+    default_faults: PathFaults = field(default_factory=PathFaults)
+    forwarded: Counter[tuple[str, str]] = field(default_factory=Counter)
     dropped: Counter[tuple[str, str]] = field(default_factory=Counter)
     _random: random.Random = field(init=False)
     _ends: dict[str, _End] = field(default_factory=dict)
@@ -66,7 +66,7 @@
 
     def cut(self, here: str, there: str, both: bool = True) -> None:
         for way in [(here, there), (there, here)][: 2 if both else 1]:
-            self.faults[way] = Faults(cut=True)
+            self.faults[way] = PathFaults(is_cut=True)
 
     def heal(self) -> None:
         self.faults.clear()
@@ -80,16 +80,16 @@
         if (name := self._names.get(source)) is None:
             return  # no relay of these
         way = name, to
-        faults, draw = self.faults.get(way, self.all), self._random
-        if faults.cut or draw.random() < faults.loss:
+        faults, draw = self.faults.get(way, self.default_faults), self._random
+        if faults.is_cut or draw.random() < faults.loss:
             self.dropped[way] += 1
             return
-        for _ in range(1 + (draw.random() < faults.doubled)):
-            delay = draw.uniform(*faults.delay)
+        for _ in range(1 + (draw.random() < faults.duplication)):
+            delay = draw.uniform(*faults.delay_s)
             asyncio.get_running_loop().call_later(delay, self._carry, way, data)
 
     def _carry(self, way: tuple[str, str], data: bytes) -> None:
         transport = self._ends[way[0]].transport
         if transport is not None and not transport.is_closing():
-            self.carried[way] += 1
+            self.forwarded[way] += 1
             transport.sendto(data, self._places[way[1]])
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -12,7 +12,7 @@
 from benchmarks.process import ROOT
 from benchmarks.slopes import CASES, SLOPES, Case, Slope, judged, measure, run_once, table
 from benchmarks.watch_server import row
-from loftrelay.gossip.swim import Timing
+from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.simulation.links import MS, SECOND
 from tests.standins.platform import HANG
 
@@ -53,11 +53,11 @@
 
 def test_a_fleet_where_all_know_all_costs_what_one_that_has_found_itself_costs() -> None:
     """Trouble: a steady state that is laid down, and not come to, may be none."""
-    found = slope_cases.Weighed(12, 3, Timing(200 * MS, 1000 * MS))
-    found.run(found.now + 40 * SECOND)
-    assert found.agreed()
+    found = slope_cases.Weighed(12, 3, SwimConfig(200 * MS, 1000 * MS))
+    found.run(found.now_us + 40 * SECOND)
+    assert found.is_converged()
     found.clear()
-    found.run(found.now + 5 * SECOND)
+    found.run(found.now_us + 5 * SECOND)
     laid = slope_cases.membership(12, 200 * MS, 3)
     assert laid["sent_per_s"] == pytest.approx(found.sent / 12 / 5, rel=0.05)
     assert laid["datagrams_per_s"] == pytest.approx(found.datagrams / 12 / 5, rel=0.05)
--- a/tests/gossip/test_replay.py
+++ b/tests/gossip/test_replay.py
@@ -7,9 +7,10 @@
 
 import pytest
 
+from loftrelay.gossip.actions import NameConflict, Send, StateChanged
 from loftrelay.gossip.codec import encode
-from loftrelay.gossip.swim import Changed, Contested, Tell, Timing
-from loftrelay.simulation.links import MS, SECOND, Fleet, Links
+from loftrelay.gossip.swim_config import SwimConfig
+from loftrelay.simulation.links import MS, SECOND, LinkFaults, SimulatedFleet
 
 RECORDED = [
     "89cb66c159af7cf6",
@@ -23,56 +24,56 @@
 ]
 
 
-class RecordedFleet(Fleet):
+class RecordedFleet(SimulatedFleet):
     """Hashes what each relay's membership does, in order."""
 
-    def __init__(self, count: int, seed: int, links: Links) -> None:
+    def __init__(self, count: int, seed: int, links: LinkFaults) -> None:
         self.digest = hashlib.sha256()
-        super().__init__(count, seed, Timing(200 * MS, 1000 * MS), links)
+        super().__init__(count, seed, SwimConfig(200 * MS, 1000 * MS), links)
 
-    def _carry_out(self, name: str, actions: list[object] | list[Tell | Changed | Contested]) -> None:
+    def _execute(self, name: str, actions: list[object] | list[Send | StateChanged | NameConflict]) -> None:
         for action in list(actions):
-            self.digest.update(f"{self.now} {name} ".encode())
+            self.digest.update(f"{self.now_us} {name} ".encode())
             match action:
-                case Tell(address, datagram):
+                case Send(address, datagram):
                     self.digest.update(repr(address).encode() + encode("f", datagram, []))
-                case Changed(peer):
-                    row = (peer.name, peer.address, peer.life, peer.incarnation, int(peer.state))
+                case StateChanged(peer):
+                    row = (peer.name, peer.address, peer.incarnation_id, peer.incarnation, int(peer.state))
                     self.digest.update(f"changed {row}".encode())
-                case Contested(by):
+                case NameConflict(by):
                     self.digest.update(f"contested {by}".encode())
-        super()._carry_out(name, actions)
+        super()._execute(name, actions)
 
 
 def play(seed: int) -> str:
     chance = random.Random(seed)
-    f = RecordedFleet(9, seed, Links(loss=0.05, doubled=0.05, delay=(200, 30 * MS)))
+    f = RecordedFleet(9, seed, LinkFaults(loss=0.05, duplication=0.05, delay_us=(200, 30 * MS)))
     f.run(5 * SECOND)
     for step in range(16):
-        name = chance.choice(list(f.nodes))
+        name = chance.choice(list(f.relays))
         match chance.randrange(6):
             case 0:
                 f.kill(name)
-                f.run(f.now + chance.randrange(30 * SECOND))
-                f.begin(name, f.nodes[name].address, start=1_000_000 if step % 2 else None)
+                f.run(f.now_us + chance.randrange(30 * SECOND))
+                f.start(name, f.relays[name].address, start=1_000_000 if step % 2 else None)
             case 1:
-                f.stop(name)
-                f.run(f.now + chance.randrange(8 * SECOND))
-                f.go_on(name)
+                f.pause(name)
+                f.run(f.now_us + chance.randrange(8 * SECOND))
+                f.resume(name)
             case 2:
-                side = {n for n in f.nodes if chance.random() < 0.5}
-                f.links.cut = lambda here, there, side=side: here in side and there not in side  # type: ignore[misc]
+                side = {n for n in f.relays if chance.random() < 0.5}
+                f.links.is_cut = lambda here, there, side=side: here in side and there not in side  # type: ignore[misc]
             case 3:
-                f.links.cut = lambda here, there: False
+                f.links.is_cut = lambda here, there: False
             case 4:
-                f.links.cut = lambda here, there, name=name: name in (here, there)  # type: ignore[misc]
+                f.links.is_cut = lambda here, there, name=name: name in (here, there)  # type: ignore[misc]
             case 5 if step < 8:
-                f.begin(name, ("127.0.0.1", 8000 + step), node=f"{name}-again-{step}")
+                f.start(name, ("127.0.0.1", 8000 + step), node=f"{name}-again-{step}")
             case _:
                 pass
-        f.run(f.now + chance.randrange(6 * SECOND))
-    f.links.cut, f.links.loss = lambda here, there: False, 0.0
-    f.run(f.now + 20 * SECOND)
+        f.run(f.now_us + chance.randrange(6 * SECOND))
+    f.links.is_cut, f.links.loss = lambda here, there: False, 0.0
+    f.run(f.now_us + 20 * SECOND)
     return f.digest.hexdigest()[:16]
 
 
--- a/tests/program/test_fleet.py
+++ b/tests/program/test_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 
 from benchmarks.links import Processes
-from loftrelay.simulation.proxy import Faults
+from loftrelay.simulation.proxy import PathFaults
 from tests.program.test_stalls import go_on, stop, stopped
 from tests.standins.platform import HANG
 
@@ -61,7 +61,7 @@
     """At a tenth of loss, with datagrams doubled and reordered. One relay's state is lost in between."""
 
     async def scenario(fleet: Fleet) -> None:
-        fleet.proxy.all = Faults(loss=0.1, doubled=0.3, delay=(0.0, 0.05))
+        fleet.proxy.default_faults = PathFaults(loss=0.1, duplication=0.3, delay_s=(0.0, 0.05))
         await fleet.say(3, "disable-server h0")
         await fleet.shows("ejected", 1, ALL)
         for n in ALL:
--- a/tests/program/test_size.py
+++ b/tests/program/test_size.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from loftrelay.gossip.operator_overrides import Call, Calls
-from loftrelay.gossip.settings import load_fleet
-from loftrelay.service.gossip_member import MOST
+from loftrelay.gossip.operator_overrides import OperatorOverride, Overrides
+from loftrelay.gossip.settings import load_gossip_settings
+from loftrelay.service.override_file import MAX_FILE_BYTES
 from tests.standins.platform import SETTINGS, World, deliver, run
 
 MANY = 1_024
@@ -43,12 +43,12 @@
     path = tmp_path / "fleet.toml"
     seeds = [f"127.0.{n // 250}.{n % 250 + 1}:7946" for n in range(MANY)]
     path.write_text(f'[fleet]\nname = "f"\nlisten = "127.0.0.1:0"\nseeds = {seeds}\n')
-    assert len(load_fleet(path, {}).seeds) == MANY
-    calls = Calls("relay-0", 1)
+    assert len(load_gossip_settings(path, {}).seeds) == MANY
+    calls = Overrides("relay-0", 1)
     for n in range(MANY):
-        calls.heard([Call(f"server-{n:033}", True, 1_800_000_000_000 + n, f"relay-{n:034}")])
-    assert len(calls.known) == MANY
-    assert MANY * len(f'["server-{1:033}",true,1800000000000,"relay-{1:034}"],') < MOST
+        calls.merge([OperatorOverride(f"server-{n:033}", True, 1_800_000_000_000 + n, f"relay-{n:034}")])
+    assert len(calls.by_host) == MANY
+    assert MANY * len(f'["server-{1:033}",true,1800000000000,"relay-{1:034}"],') < MAX_FILE_BYTES
 
 
 @pytest.mark.parametrize("name", ["classes", "tenants"])
