--- a/benchmarks/fleet_peers.py
+++ b/benchmarks/fleet_peers.py
@@ -18,7 +18,7 @@
 from loftrelay.gossip.swim import Membership
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.gossip.transport import GossipTransport
-from loftrelay.simulation.links import MS, SECOND
+from loftrelay.simulation.fleet import MS, SECOND
 
 SETTINGS = GossipSettings("fleet", ("127.0.0.1", 0), None, (), SwimConfig(200 * MS, SECOND))
 Told = list[Any]
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -28,7 +28,7 @@
 from loftrelay.gossip.messages import Datagram
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
-from loftrelay.simulation.links import MS, SECOND, LinkFaults, SimulatedFleet
+from loftrelay.simulation.fleet import MS, SECOND, LinkFaults, SimulatedFleet
 from loftrelay.simulation.proxy import FaultProxy, PathFaults
 from tests.standins.partner import Behaviour, Doing, Partner
 from tests.standins.platform import Peer, World, deliver, free_port
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -41,7 +41,7 @@
 from loftrelay.net.address import Address
 from loftrelay.relay.engine import Engine
 from loftrelay.service.assembly import build
-from loftrelay.simulation.links import MS, SECOND, SimulatedFleet, SimulatedRelay
+from loftrelay.simulation.fleet import MS, SECOND, SimulatedFleet, SimulatedRelay
 from tests.standins.platform import SETTINGS, World, deliver, free_port
 from tests.standins.platform import Peer as Host
 from tests.standins.traffic import Account, Client, Order
@@ -427,7 +427,7 @@
 
     def _receive(self, address: Address, datagram: Datagram, source: Address) -> None:
         # A dead relay's address takes what comes, and nobody reads it.
-        name = self.where[address]
+        name = self.key_by_address[address]
         if self.relays[name].is_running:
             data = encode("fleet", datagram, [])
             self.received += len(data)
--- a/loftrelay/service/gossip_member.py
+++ b/loftrelay/service/gossip_member.py
@@ -83,7 +83,7 @@
                     raise
                 await asyncio.sleep(OPEN_RETRY_S)
             else:
-                log.info("Fleet %s: gossip listens on %s:%d", self.transport.settings.name, host, port)
+                log.info("Fleet %s: gossip socket open on %s:%d", self.transport.settings.name, host, port)
                 return
 
     def close(self) -> None:
--- a/loftrelay/simulation/__init__.py
+++ b/loftrelay/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Relays among faults: a model in virtual time of what decides between them. It serves no relay that runs."""
+"""Fault injection between relays: a simulated fleet in virtual time, and a UDP proxy for real processes."""
--- a/loftrelay/simulation/fleet.py
+++ b/loftrelay/simulation/fleet.py
@@ -1,203 +1,270 @@
-"""Many relays' views of each other in virtual time, over links that lose, delay, double, reorder and cut.
+"""Simulated fleet: the membership of many relays in virtual time, over links with faults.
 
-It does no input or output. All chance comes from one seed, so that a schedule plays again as it was.
+Links lose, delay, duplicate, reorder and cut datagrams. No input or output. All random numbers come from one
+seed, so that a schedule can be replayed.
 """
 
 from __future__ import annotations
 
 import heapq
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from loftrelay.gossip.actions import NameConflict, Send, StateChanged
+from loftrelay.gossip.actions import Action, NameConflict, Send, StateChanged
 from loftrelay.gossip.messages import Datagram, State
 from loftrelay.gossip.swim import Membership
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
 
-MS = 1_000
+MS = 1_000  # microseconds
 SECOND = 1_000 * MS
+FIRST_PORT = 7000
+
+
+def _never_cut(_sender: str, _recipient: str) -> bool:
+    return False
 
 
 @dataclass(slots=True)
 class LinkFaults:
-    """Chances for each datagram; delays in microseconds. `cut`: from, to -> whether nothing passes now."""
+    """Faults of all links.
+
+    Attributes:
+        loss: Probability that a datagram is lost.
+        duplication: Probability that it arrives twice.
+        delay_us: Least and greatest delay, drawn evenly for each datagram, which reorders them.
+        is_cut: Whether nothing passes from a sender to a recipient now, by their keys in the fleet.
+    """
 
     loss: float = 0.0
     duplication: float = 0.0
     delay_us: tuple[int, int] = (200, 2 * MS)
-    is_cut: Callable[[str, str], bool] = lambda here, there: False
+    is_cut: Callable[[str, str], bool] = _never_cut
+
+
+@dataclass(frozen=True, slots=True)
+class Death:
+    """A relay has declared a member dead."""
+
+    at_us: int
+    name: str
+    incarnation_id: int
 
 
 @dataclass(slots=True)
 class SimulatedRelay:
+    """One run of a relay's process.
+
+    Attributes:
+        membership: Its view of the fleet.
+        address: Where it receives datagrams.
+        is_paused: The process is stopped; its socket still receives.
+        is_running: It was not killed.
+        receive_buffer: Datagrams received while paused, with their source.
+        next_tick_us: When its timer runs; -1 if none is set.
+        declared_dead: Members that it has declared dead, over all its runs.
+        has_name_conflict: It has left the fleet to another relay of its name.
+        datagrams_sent: Number of datagrams.
+    """
+
     membership: Membership
     address: Address
     is_paused: bool = False
     is_running: bool = True
     receive_buffer: list[tuple[Datagram, Address]] = field(default_factory=list)
     next_tick_us: int = -1
-    declared_dead: list[tuple[int, str, int]] = field(
-        default_factory=list
-    )  # when it held whose life to be gone
+    declared_dead: list[Death] = field(default_factory=list)
     has_name_conflict: bool = False
     datagrams_sent: int = 0
 
 
 class SimulatedFleet:
+    """Relays r0, r1, ... and the events between them, in virtual time.
+
+    Args:
+        count: Number of relays that start at time 0.
+        seed: Of the pseudo-random generator.
+        config: Intervals of the membership protocol.
+        links: Faults; none by default.
+        seeds: Number of the first addresses that serve as seeds.
+        start: Unix time at time 0, milliseconds.
+
+    Attributes:
+        now_us: Virtual time, microseconds.
+        relays: Latest run of each relay by its key, which is its name unless two relays share one.
+        key_by_address: Which relay receives what is sent to an address.
+    """
+
     def __init__(
         self,
         count: int,
         seed: int,
-        timing: SwimConfig,
+        config: SwimConfig,
         links: LinkFaults | None = None,
         seeds: int = 2,
         start: int = 1_000_000,
     ) -> None:
         self.random = random.Random(seed)
-        self.timing, self.links = timing, links or LinkFaults()
+        self.config = config
+        self.links = links or LinkFaults()
         self.now_us = 0
-        self.events: list[tuple[int, int, Callable[[], None]]] = []
-        self.count = 0
+        self.events: list[tuple[int, int, Callable[[], None]]] = []  # heap of time, order, event
         self.relays: dict[str, SimulatedRelay] = {}
-        self.where: dict[Address, str] = {}
-        self.first = [("127.0.0.1", 7000 + n) for n in range(seeds)]
-        self.start_at = start
-        for n in range(count):
-            self.start(f"r{n}", ("127.0.0.1", 7000 + n))
+        self._event_count = 0
+        self.key_by_address: dict[Address, str] = {}
+        self._seeds = [("127.0.0.1", FIRST_PORT + number) for number in range(seeds)]
+        self._start_ms = start
+        for number in range(count):
+            self.start(f"r{number}", ("127.0.0.1", FIRST_PORT + number))
 
-    # What happens
+    # Schedule
 
     def start(self, name: str, address: Address, start: int | None = None, node: str = "") -> None:
-        """A relay starts, or starts again with nothing that it knew. `node`: where two go by one name."""
-        life = self.random.getrandbits(63)
-        first = self.start_at + self.now_us // MS if start is None else start
-        view = Membership(name, address, life, first, self.first, self.timing, self.random.getrandbits(32))
-        old = self.relays.get(node or name)
-        self.relays[node or name] = SimulatedRelay(
-            view, address, declared_dead=old.declared_dead if old is not None else []
+        """Starts a relay, or restarts it without its state.
+
+        Args:
+            name: Its name in the fleet.
+            address: Where it receives datagrams.
+            start: Unix time in milliseconds; by default that of the virtual time.
+            node: Its key, if another relay has the same name.
+        """
+        key = node or name
+        incarnation_id = self.random.getrandbits(63)
+        start_ms = self._start_ms + self.now_us // MS if start is None else start
+        random_seed = self.random.getrandbits(32)
+        membership = Membership(
+            name, address, incarnation_id, start_ms, self._seeds, self.config, random_seed
         )
-        self.where[address] = node or name
-        view.next_probe_us = self.now_us + self.random.randrange(self.timing.probe_interval_us)
-        self._execute(node or name, view.announce_to(view.seeds))
-        self._schedule_tick(node or name)
+        previous = self.relays.get(key)
+        declared_dead = previous.declared_dead if previous is not None else []
+        self.relays[key] = SimulatedRelay(membership, address, declared_dead=declared_dead)
+        self.key_by_address[address] = key
+        membership.next_probe_us = self.now_us + self.random.randrange(self.config.probe_interval_us)
+        self._execute(key, membership.announce_to(membership.seeds))
+        self._schedule_tick(key)
 
     def kill(self, name: str) -> None:
+        """Ends a relay's process."""
         self.relays[name].is_running = False
         self.relays[name].receive_buffer.clear()
 
     def pause(self, name: str) -> None:
+        """Stops a relay's process; its socket still receives."""
         self.relays[name].is_paused = True
 
     def resume(self, name: str) -> None:
-        """What lies in its socket is read after it has noticed that it stood still."""
-        node = self.relays[name]
-        node.is_paused = False
-        self._execute(name, node.membership.resume(self.now_us))
-        for datagram, source in node.receive_buffer:
-            self._execute(name, node.membership.handle(self.now_us, datagram, source))
-        node.receive_buffer.clear()
+        """Continues a paused process, which reads its socket after it has noticed the pause."""
+        relay = self.relays[name]
+        relay.is_paused = False
+        self._execute(name, relay.membership.resume(self.now_us))
+        for datagram, source in relay.receive_buffer:
+            self._execute(name, relay.membership.handle(self.now_us, datagram, source))
+        relay.receive_buffer.clear()
         self._schedule_tick(name)
 
-    def schedule(self, when: int, do: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.events, (when, self.count, do))
+    def schedule(self, at_us: int, event: Callable[[], None]) -> None:
+        """Runs an event at a virtual time; events of one time run in the order of these calls."""
+        self._event_count += 1
+        heapq.heappush(self.events, (at_us, self._event_count, event))
+
+    def run(self, until_us: int) -> None:
+        """Runs all events up to a virtual time."""
+        while self.events and self.events[0][0] <= until_us:
+            self.now_us, _, event = heapq.heappop(self.events)
+            event()
+        self.now_us = until_us
 
-    def run(self, until: int) -> None:
-        while self.events and self.events[0][0] <= until:
-            self.now_us, _, do = heapq.heappop(self.events)
-            do()
-        self.now_us = until
+    def run_while(self, condition: Callable[[], bool], limit_us: int, step_us: int = 50 * MS) -> int:
+        """Runs until the condition, checked after each step, is false.
 
-    def run_while(self, condition: Callable[[], bool], most: int, step: int = 50 * MS) -> int:
-        """Until the condition holds no more; gives the time that it took, `most` where it still holds."""
-        began = self.now_us
-        while condition() and self.now_us - began < most:
-            self.run(self.now_us + step)
-        return self.now_us - began
+        Returns:
+            The time that it took; at least `limit_us` if the condition still holds.
+        """
+        began_us = self.now_us
+        while condition() and self.now_us - began_us < limit_us:
+            self.run(self.now_us + step_us)
+        return self.now_us - began_us
 
-    # What is seen
+    # Observation
 
     def running(self) -> list[str]:
+        """Keys of the relays that run, aren't paused and haven't left because of a name conflict."""
         return [
-            name
-            for name, node in self.relays.items()
-            if node.is_running and not node.is_paused and not node.has_name_conflict
+            key
+            for key, relay in self.relays.items()
+            if relay.is_running and not relay.is_paused and not relay.has_name_conflict
         ]
 
     def is_converged(self, names: list[str] | None = None) -> bool:
-        """Whether each of these holds just the others of them to be there, under the lives they have."""
-        there = set(names if names is not None else self.running())
-        lives = {name: self.relays[name].membership.local.peer.incarnation_id for name in there}
-        for name in there:
-            seen = {
-                p.name: p.incarnation_id
-                for p in self.relays[name].membership.live_peers()
-                if p.state is State.ALIVE
-            }
-            if seen != {other: life for other, life in lives.items() if other != name}:
+        """Whether each of these relays (default: all running) sees exactly the others of them as alive."""
+        keys = set(names if names is not None else self.running())
+        incarnation_ids = {key: self.relays[key].membership.local.peer.incarnation_id for key in keys}
+        for key in keys:
+            peers = self.relays[key].membership.live_peers()
+            seen = {peer.name: peer.incarnation_id for peer in peers if peer.state is State.ALIVE}
+            if seen != {other: value for other, value in incarnation_ids.items() if other != key}:
                 return False
         return True
 
     def false_deaths(self) -> int:
-        """Times that one was held to be gone under a life that is alive and does not stand still now."""
-        lives = {
-            node.membership.local.peer.incarnation_id
-            for name, node in self.relays.items()
-            if node.is_running and not node.is_paused
+        """Number of times that a relay was declared dead in a run that goes on and isn't paused now."""
+        running = {
+            relay.membership.local.peer.incarnation_id
+            for relay in self.relays.values()
+            if relay.is_running and not relay.is_paused
         }
-        return sum(life in lives for node in self.relays.values() for _, _, life in node.declared_dead)
-
-    # Within
-
-    def _schedule_tick(self, name: str) -> None:
-        node = self.relays[name]
-        due = max(self.now_us + 1, node.membership.next_tick_us)
-        if not node.next_tick_us > self.now_us or due < node.next_tick_us:
-            node.next_tick_us = due
-            self.schedule(due, lambda: self._tick(name, node, due))
-
-    def _tick(self, name: str, node: SimulatedRelay, due: int) -> None:
-        if (
-            self.relays.get(name) is not node
-            or node.next_tick_us != due
-            or not node.is_running
-            or node.is_paused
-        ):
+        deaths = [death for relay in self.relays.values() for death in relay.declared_dead]
+        return sum(death.incarnation_id in running for death in deaths)
+
+    # Events
+
+    def _schedule_tick(self, key: str) -> None:
+        relay = self.relays[key]
+        due_us = max(self.now_us + 1, relay.membership.next_tick_us)
+        if relay.next_tick_us <= self.now_us or due_us < relay.next_tick_us:
+            relay.next_tick_us = due_us
+            self.schedule(due_us, lambda: self._tick(key, relay, due_us))
+
+    def _tick(self, key: str, relay: SimulatedRelay, due_us: int) -> None:
+        if self.relays.get(key) is not relay or relay.next_tick_us != due_us:
+            return  # restarted or rescheduled since
+        if not relay.is_running or relay.is_paused:
             return
-        node.next_tick_us = -1
-        self._execute(name, node.membership.tick(self.now_us))
-        self._schedule_tick(name)
+        relay.next_tick_us = -1
+        self._execute(key, relay.membership.tick(self.now_us))
+        self._schedule_tick(key)
 
-    def _execute(self, name: str, actions: list[object] | list[Send | StateChanged | NameConflict]) -> None:
-        node = self.relays[name]
+    def _execute(self, key: str, actions: Iterable[Action]) -> None:
+        relay = self.relays[key]
         for action in list(actions):
             match action:
                 case Send(address, datagram):
-                    node.datagrams_sent += 1
-                    self._send(name, node.address, address, datagram)
+                    relay.datagrams_sent += 1
+                    self._send(key, relay.address, address, datagram)
                 case StateChanged(peer):
                     if peer.state is State.DEAD:
-                        node.declared_dead.append((self.now_us, peer.name, peer.incarnation_id))
+                        relay.declared_dead.append(Death(self.now_us, peer.name, peer.incarnation_id))
                 case NameConflict():
-                    node.has_name_conflict = True
+                    relay.has_name_conflict = True
 
-    def _send(self, name: str, source: Address, address: Address, datagram: Datagram) -> None:
-        there = self.where.get(address)
-        if there is None or self.links.is_cut(name, there) or self.random.random() < self.links.loss:
+    def _send(self, key: str, source: Address, address: Address, datagram: Datagram) -> None:
+        recipient = self.key_by_address.get(address)
+        if recipient is None or self.links.is_cut(key, recipient):
+            return
+        if self.random.random() < self.links.loss:
             return
         for _ in range(1 + (self.random.random() < self.links.duplication)):
-            when = self.now_us + self.random.randint(*self.links.delay_us)
-            self.schedule(when, lambda: self._receive(address, datagram, source))
+            arrival_us = self.now_us + self.random.randint(*self.links.delay_us)
+            self.schedule(arrival_us, lambda: self._receive(address, datagram, source))
 
     def _receive(self, address: Address, datagram: Datagram, source: Address) -> None:
-        name = self.where[address]
-        node = self.relays[name]
-        if not node.is_running:
+        key = self.key_by_address[address]
+        relay = self.relays[key]
+        if not relay.is_running:
             return
-        if node.is_paused:
-            node.receive_buffer.append((datagram, source))
+        if relay.is_paused:
+            relay.receive_buffer.append((datagram, source))
             return
-        self._execute(name, node.membership.handle(self.now_us, datagram, source))
-        self._schedule_tick(name)
+        self._execute(key, relay.membership.handle(self.now_us, datagram, source))
+        self._schedule_tick(key)
--- a/loftrelay/simulation/proxy.py
+++ b/loftrelay/simulation/proxy.py
@@ -1,8 +1,8 @@
-"""Links between real relays that lose, delay, double, reorder and cut datagrams, each way by itself.
+"""UDP proxy with faults between real relays: loss, delay, duplication, reordering and cuts, by direction.
 
-Each relay listens on a port of its own and is told to advertise one of the proxy's. Who sent what comes to
-that port is known by its source, and it goes on from the sender's advertised port, so that answers come back
-the same way.
+Each relay listens on an address of its own and advertises an address of the proxy. The sender of a datagram
+is known by its source address; the datagram leaves from the address that the sender advertises, so that
+responses return through the proxy.
 """
 
 from __future__ import annotations
@@ -14,11 +14,18 @@
 
 from loftrelay.net.address import Address
 
+Path = tuple[str, str]  # names of the sender and of the recipient
+
 
 @dataclass(slots=True)
 class PathFaults:
-    """Of one way of a link. Chances from 0 to 1; delays in seconds, drawn evenly, so that later datagrams may
-    come first.
+    """Faults of one direction between two relays.
+
+    Attributes:
+        is_cut: Nothing passes.
+        loss: Probability that a datagram is lost.
+        duplication: Probability that it arrives twice.
+        delay_s: Least and greatest delay, drawn evenly for each datagram, which reorders them.
     """
 
     is_cut: bool = False
@@ -27,69 +34,99 @@
     delay_s: tuple[float, float] = (0.0, 0.0)
 
 
-class _End(asyncio.DatagramProtocol):
-    def __init__(self, proxy: FaultProxy, to: str) -> None:
-        self.proxy, self.to = proxy, to
-        self.transport: asyncio.DatagramTransport | None = None
+class _AdvertisedSocket(asyncio.DatagramProtocol):
+    """Receives what is sent to one relay."""
+
+    def __init__(self, proxy: FaultProxy, recipient: str) -> None:
+        self.proxy = proxy
+        self.recipient = recipient
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.proxy.received(self.to, data, (addr[0], addr[1]))
+        self.proxy.forward(self.recipient, data, (addr[0], addr[1]))
+
+
+@dataclass(slots=True)
+class _ProxiedRelay:
+    """A relay's own address, and the socket of the address that it advertises."""
+
+    address: Address
+    transport: asyncio.DatagramTransport
 
 
 @dataclass(slots=True)
 class FaultProxy:
-    """`faults`: (from, to) -> what befalls datagrams; `all`: those of every other way."""
+    """The proxy of one fleet.
+
+    Attributes:
+        seed: Of the pseudo-random generator.
+        faults: By path.
+        default_faults: Of all other paths.
+        forwarded: Number of datagrams that were sent on, by path.
+        dropped: Number of datagrams that were lost or cut, by path.
+    """
 
     seed: int
-    faults: dict[tuple[str, str], PathFaults] = field(default_factory=dict)
+    faults: dict[Path, PathFaults] = field(default_factory=dict)
     default_faults: PathFaults = field(default_factory=PathFaults)
-    forwarded: Counter[tuple[str, str]] = field(default_factory=Counter)
-    dropped: Counter[tuple[str, str]] = field(default_factory=Counter)
+    forwarded: Counter[Path] = field(default_factory=Counter)
+    dropped: Counter[Path] = field(default_factory=Counter)
     _random: random.Random = field(init=False)
-    _ends: dict[str, _End] = field(default_factory=dict)
-    _places: dict[str, Address] = field(default_factory=dict)
-    _names: dict[Address, str] = field(default_factory=dict)
+    _relays: dict[str, _ProxiedRelay] = field(default_factory=dict)
+    _name_by_address: dict[Address, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self._random = random.Random(self.seed)
 
-    async def add(self, name: str, real: Address) -> Address:
-        """A relay that listens on `real`: what it is to advertise. Raises OSError."""
+    async def add(self, name: str, address: Address) -> Address:
+        """Adds a relay that listens on `address`.
+
+        Returns:
+            The address that it is to advertise.
+
+        Raises:
+            OSError: The proxy's socket can't be opened.
+        """
         loop = asyncio.get_running_loop()
-        transport, end = await loop.create_datagram_endpoint(
-            lambda: _End(self, name), local_addr=("127.0.0.1", 0)
+        transport, _ = await loop.create_datagram_endpoint(
+            lambda: _AdvertisedSocket(self, name), local_addr=("127.0.0.1", 0)
         )
-        end.transport = transport
-        self._ends[name], self._places[name], self._names[real] = end, real, name
+        self._relays[name] = _ProxiedRelay(address, transport)
+        self._name_by_address[address] = name
         host, port = transport.get_extra_info("sockname")[:2]
         return host, port
 
-    def cut(self, here: str, there: str, both: bool = True) -> None:
-        for way in [(here, there), (there, here)][: 2 if both else 1]:
-            self.faults[way] = PathFaults(is_cut=True)
+    def cut(self, sender: str, recipient: str, both: bool = True) -> None:
+        """Lets nothing pass from one relay to another, by default in both directions."""
+        self.faults[sender, recipient] = PathFaults(is_cut=True)
+        if both:
+            self.faults[recipient, sender] = PathFaults(is_cut=True)
 
     def heal(self) -> None:
+        """Removes the faults of single paths; `default_faults` stay."""
         self.faults.clear()
 
     def close(self) -> None:
-        for end in self._ends.values():
-            if end.transport is not None:
-                end.transport.abort()
-
-    def received(self, to: str, data: bytes, source: Address) -> None:
-        if (name := self._names.get(source)) is None:
-            return  # no relay of these
-        way = name, to
-        faults, draw = self.faults.get(way, self.default_faults), self._random
-        if faults.is_cut or draw.random() < faults.loss:
-            self.dropped[way] += 1
+        """Closes all sockets."""
+        for relay in self._relays.values():
+            relay.transport.abort()
+
+    def forward(self, recipient: str, data: bytes, source: Address) -> None:
+        """Forwards a datagram subject to the faults of its path; one from an unknown source is ignored."""
+        sender = self._name_by_address.get(source)
+        if sender is None:
+            return
+        path = sender, recipient
+        faults = self.faults.get(path, self.default_faults)
+        if faults.is_cut or self._random.random() < faults.loss:
+            self.dropped[path] += 1
             return
-        for _ in range(1 + (draw.random() < faults.duplication)):
-            delay = draw.uniform(*faults.delay_s)
-            asyncio.get_running_loop().call_later(delay, self._carry, way, data)
-
-    def _carry(self, way: tuple[str, str], data: bytes) -> None:
-        transport = self._ends[way[0]].transport
-        if transport is not None and not transport.is_closing():
-            self.forwarded[way] += 1
-            transport.sendto(data, self._places[way[1]])
+        for _ in range(1 + (self._random.random() < faults.duplication)):
+            delay_s = self._random.uniform(*faults.delay_s)
+            asyncio.get_running_loop().call_later(delay_s, self._deliver, path, data)
+
+    def _deliver(self, path: Path, data: bytes) -> None:
+        sender, recipient = path
+        transport = self._relays[sender].transport
+        if not transport.is_closing():
+            self.forwarded[path] += 1
+            transport.sendto(data, self._relays[recipient].address)
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -13,7 +13,7 @@
 from benchmarks.slopes import CASES, SLOPES, Case, Slope, judged, measure, run_once, table
 from benchmarks.watch_server import row
 from loftrelay.gossip.swim_config import SwimConfig
-from loftrelay.simulation.links import MS, SECOND
+from loftrelay.simulation.fleet import MS, SECOND
 from tests.standins.platform import HANG
 
 
--- a/tests/gossip/test_replay.py
+++ b/tests/gossip/test_replay.py
@@ -4,13 +4,14 @@
 
 import hashlib
 import random
+from collections.abc import Iterable
 
 import pytest
 
-from loftrelay.gossip.actions import NameConflict, Send, StateChanged
+from loftrelay.gossip.actions import Action, NameConflict, Send, StateChanged
 from loftrelay.gossip.codec import encode
 from loftrelay.gossip.swim_config import SwimConfig
-from loftrelay.simulation.links import MS, SECOND, LinkFaults, SimulatedFleet
+from loftrelay.simulation.fleet import MS, SECOND, LinkFaults, SimulatedFleet
 
 RECORDED = [
     "89cb66c159af7cf6",
@@ -31,7 +32,7 @@
         self.digest = hashlib.sha256()
         super().__init__(count, seed, SwimConfig(200 * MS, 1000 * MS), links)
 
-    def _execute(self, name: str, actions: list[object] | list[Send | StateChanged | NameConflict]) -> None:
+    def _execute(self, name: str, actions: Iterable[Action]) -> None:
         for action in list(actions):
             self.digest.update(f"{self.now_us} {name} ".encode())
             match action:
--- a/tests/gossip/test_swim.py
+++ b/tests/gossip/test_swim.py
@@ -9,7 +9,7 @@
 
 from loftrelay.gossip.messages import State
 from loftrelay.gossip.swim_config import SwimConfig
-from loftrelay.simulation.links import MS, SECOND, LinkFaults, SimulatedFleet
+from loftrelay.simulation.fleet import MS, SECOND, LinkFaults, SimulatedFleet
 
 PROBE_INTERVAL_US = 200 * MS
 CONFIG = SwimConfig(PROBE_INTERVAL_US, suspicion_timeout_us=1000 * MS)
@@ -103,7 +103,7 @@
     )
     assert f.relays["r1"].membership.is_isolated(f.now_us)
     for name in others:
-        gone = {peer for _, peer, _ in f.relays[name].declared_dead}
+        gone = {death.name for death in f.relays[name].declared_dead}
         assert gone <= {"r1"}
     f.links.is_cut = lambda here, there: False
     settle(f)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -53,7 +53,7 @@
     "gossip/broadcast_queue.py",
     "gossip/operator_overrides.py",
     "gossip/codec.py",
-    "simulation/links.py",
+    "simulation/fleet.py",
     "discovery/subscription.py",
     "registry/protocol.py",
     "registry/listing.py",
