--- a/loftrelay/gossip/settings.py
+++ b/loftrelay/gossip/settings.py
@@ -19,8 +19,8 @@
     Key("listen", "", "", "address and port for the other relays' datagrams; port 0: a free one"),
     Key("advertise", "", "", "where the others send them, if that is not `listen`"),
     Key("seeds", (), "", "addresses and ports of some relays of the fleet"),
-    Key("beat_ms", 200, "ms", "probe interval", least=20, most=60_000),
-    Key("suspect_ms", 1000, "ms", "suspicion timeout if several relays suspect", least=40, most=600_000),
+    Key("beat_ms", 200, "ms", "probe interval", minimum=20, maximum=60_000),
+    Key("suspect_ms", 1000, "ms", "suspicion timeout if several relays suspect", minimum=40, maximum=600_000),
 )
 MAX_NAME_BYTES = 64
 MIN_PROBES_PER_SUSPICION = 2
--- a/tests/store/test_settings.py
+++ b/tests/store/test_settings.py
@@ -30,7 +30,7 @@
     [
         ("", "file = '': one of file and dsn is to be set, and not both"),
         ('file = "r"\ndsn = "host=x"', "file = 'r': one of file and dsn is to be set, and not both"),
-        ("file = 3", "file = 3: is not a text"),
+        ("file = 3", "file = 3: is not a string"),
         ('file = "r"\nunsafe = "never"', "unsafe = 'never': is not one of required, follows"),
         ('file = "r"\nsynchronous = "OFF"', "synchronous = 'OFF': is not one of NORMAL, FULL, EXTRA"),
         ('file = "r"\nmost_queued = 0', "most_queued = 0: is not from 1 to 1e+06 changes"),
@@ -52,6 +52,6 @@
     assert list(lines) == [key.name for key in KEYS]
     for key in KEYS:
         if not isinstance(key.default, str):
-            assert f"{key.least:.9g} to {key.most:.9g}; default {key.default:g}: " in lines[key.name]
-        elif key.words:
+            assert f"{key.minimum:.9g} to {key.maximum:.9g}; default {key.default:g}: " in lines[key.name]
+        elif key.choices:
             assert f'default "{key.default}"' in lines[key.name]
