--- a/loftrelay/server/admin/__init__.py
+++ b/loftrelay/server/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The door for operators: one line to a connection, answered with YES, NO or the figures."""
+"""Admin endpoint for operators: one command per TCP connection, answered with YES, NO or statistics."""
--- a/loftrelay/server/admin/commands.py
+++ b/loftrelay/server/admin/commands.py
@@ -1,4 +1,4 @@
-"""What operators may ask, carried out on one relay's engine."""
+"""Carries out operators' commands on one relay."""
 
 from __future__ import annotations
 
@@ -8,76 +8,97 @@
 
 from loftrelay.metrics.counters import Gauges, Metrics
 from loftrelay.relay.engine import Engine
-from loftrelay.server.admin.server import Done
+from loftrelay.server.admin.server import OnDone
 
 log = logging.getLogger(__name__)
 
 
-class Store(Protocol):
-    """Keeps the hosts that are out over restarts. Raises OSError."""
+class DisabledHostStore(Protocol):
+    """Stores which hosts operators have disabled, so that it survives a restart."""
 
-    def load(self) -> set[str]: ...
-    def save(self, hosts: Iterable[str]) -> None: ...
+    def save(self, hosts: Iterable[str]) -> None:
+        """Replaces the stored hosts; raises OSError."""
 
 
-class Elsewhere(Protocol):
-    """Has a change made by the process that owns the relay now, or will in a moment."""
+class OwnerProcess(Protocol):
+    """Forwards commands to the process that owns the relay's state during a handover."""
 
-    def change(self, host: str, out: bool, done: Done) -> None: ...
+    def change(self, host: str, is_disabled: bool, done: OnDone, /) -> None:
+        """Disables or enables a host there, now or once the owner is known."""
 
 
-class Relay:
-    def __init__(self, store: Store) -> None:
+class RelayAdmin:
+    """Operators' commands for one relay; see AdminHandler.
+
+    Args:
+        store: Of the hosts that operators have disabled.
+
+    Attributes:
+        engine: None until it is loaded.
+        owner: Takes the commands instead, while another process owns the relay's state.
+        is_serving: Whether this process serves clients.
+        metric_sources: Further statistics, of parts that not every relay has.
+    """
+
+    def __init__(self, store: DisabledHostStore) -> None:
         self.store = store
-        self.engine: Engine | None = None  # none before it is loaded
-        self.elsewhere: Elsewhere | None = None
-        self.serving = False
-        self.more: list[Callable[[], list[str]]] = []  # figures of parts that not every relay has
+        self.engine: Engine | None = None
+        self.owner: OwnerProcess | None = None
+        self.is_serving = False
+        self.metric_sources: list[Callable[[], list[str]]] = []
 
     @property
-    def ready(self) -> bool:
-        return self.serving
+    def is_ready(self) -> bool:
+        """Whether the relay serves clients."""
+        return self.is_serving
 
-    def figures(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
+        """Statistics, one line each; all zero until the engine is loaded."""
         if self.engine is None:
             return Metrics().lines(Gauges(0, 0, 0))
-        return [*self.engine.metric_lines(), *(line for lines in self.more for line in lines())]
+        lines = self.engine.metric_lines()
+        return [*lines, *(line for source in self.metric_sources for line in source())]
 
-    def take_out(self, host: str, done: Done) -> None:
-        self.change(host, True, done)
+    def disable_host(self, host: str, done: OnDone) -> None:
+        """Sends no further messages to a host, until `enable_host`."""
+        self.set_disabled(host, True, done)
 
-    def bring_back(self, host: str, done: Done) -> None:
-        self.change(host, False, done)
+    def enable_host(self, host: str, done: OnDone) -> None:
+        """Lifts `disable_host`."""
+        self.set_disabled(host, False, done)
 
-    def change(self, host: str, out: bool, done: Done) -> None:
-        """Stands on disk before it is told, so that no restart lifts it."""
-        if self.elsewhere is not None:
-            self.elsewhere.change(host, out, done)
+    def set_disabled(self, host: str, is_disabled: bool, done: OnDone) -> None:
+        """Disables or enables a host; `done` is called once that is stored."""
+        if self.owner is not None:
+            self.owner.change(host, is_disabled, done)
             return
-        done(self._change(host, out))
+        done(self._set_disabled(host, is_disabled, must_exist=True))
+
+    def apply_fleet_override(self, host: str, is_disabled: bool) -> str | None:
+        """Applies an operator's command given at another relay, where the host may be listed earlier.
 
-    def change_for_fleet(self, host: str, out: bool) -> str | None:
-        """An operator said so at another relay. This one's list may not name the host, or not yet. Gives the
-        reason why it can't hold here.
+        Returns:
+            Why it can't be applied now, or None.
         """
-        if self.elsewhere is not None:
-            return "another process of this relay is about to decide"  # and hears of it for itself
-        return self._change(host, out, listed=False)
+        if self.owner is not None:
+            return "another process of this relay is about to decide"  # it receives the override itself
+        return self._set_disabled(host, is_disabled, must_exist=False)
 
-    def _change(self, host: str, out: bool, listed: bool = True) -> str | None:
+    def _set_disabled(self, host: str, is_disabled: bool, must_exist: bool) -> str | None:
+        """Stores the change before it is applied, so that no restart reverts a command that succeeded."""
         engine = self.engine
         if engine is None:
             return "not ready"
-        if listed and not engine.knows_host(host):
+        if must_exist and not engine.knows_host(host):
             return f"no host has the id {host}"
-        if (host in engine.disabled_hosts) == out:
+        if (host in engine.disabled_hosts) == is_disabled:
             return None
         try:
-            self.store.save(engine.disabled_hosts | {host} if out else engine.disabled_hosts - {host})
+            self.store.save(engine.disabled_hosts | {host} if is_disabled else engine.disabled_hosts - {host})
         except OSError as error:
-            log.error("which hosts are out can't be written: %s", error)
+            log.error("Disabled hosts can't be written: %s", error)
             return f"it can't be written down: {error}"
-        if out:
+        if is_disabled:
             engine.disable_host(host)
         else:
             engine.enable_host(host)
--- a/loftrelay/server/admin/protocol.py
+++ b/loftrelay/server/admin/protocol.py
@@ -1,91 +1,130 @@
-"""The line protocol of the operators' door. It does no input or output.
+"""Line protocol of the admin endpoint. No input or output.
 
-A caller writes one line and gets one answer: `YES`, or `NO` with a reason, and for `show-stat` the figures
-and a line `END`.
+A client sends one line and gets one reply: `YES`, `NO` with a reason, or for `show-stat` the statistics and a
+line `END`.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import Enum
 
-MOST_LINE = 512  # bytes of a call, its end of line not counted
-SHORTEST, LONGEST = 1, 128  # characters of a host's id
+MAX_LINE_BYTES = 512  # without the end of line
+MIN_HOST_ID_CHARS = 1
+MAX_HOST_ID_CHARS = 128
 
 
-class BadCall(Exception):
-    """The line is no call; its text says why."""
+class CommandName(Enum):
+    """Commands by their names on the wire."""
 
+    READY = "ready"
+    SHOW_STAT = "show-stat"
+    DISABLE_SERVER = "disable-server"
+    ENABLE_SERVER = "enable-server"
 
-@dataclass(frozen=True, slots=True)
-class Call:
-    name: str
-    host: str = ""
+
+COMMANDS_WITH_HOST = {CommandName.DISABLE_SERVER, CommandName.ENABLE_SERVER}
 
 
-TAKES_HOST = {"ready": False, "show-stat": False, "disable-server": True, "enable-server": True}
+class CommandError(Exception):
+    """The line is no valid command; the text says why and is sent as the reason."""
+
+
+@dataclass(frozen=True, slots=True)
+class Command:
+    """One command; `host` is the id of a host, empty for a command without an argument."""
+
+    name: CommandName
+    host: str = ""
 
 
 class LineReader:
-    """Gathers the one line of a connection, however it is cut."""
+    """Assembles the line of one connection from received pieces."""
 
     def __init__(self) -> None:
-        self.data = bytearray()
-        self.done = False
+        self.buffer = bytearray()
+        self.is_finished = False
+
+    def feed(self, data: bytes) -> Command | None:
+        """Adds received bytes; what follows the line is ignored.
 
-    def feed(self, data: bytes) -> Call | None:
-        """The call, once its line is whole; None before. What comes after the line is passed over.
-        Raises BadCall, once.
+        Returns:
+            The command, once its line is complete; None before and after that.
+
+        Raises:
+            CommandError: The line is too long or no command; raised once.
         """
-        if self.done:
+        if self.is_finished:
             return None
-        self.data += data[: MOST_LINE + 2 - len(self.data)]
-        line, ended, _ = self.data.partition(b"\n")
-        if not ended and len(line) <= MOST_LINE + 1:
+        # The two bytes more are the end of a line of the greatest length.
+        self.buffer += data[: MAX_LINE_BYTES + 2 - len(self.buffer)]
+        line, newline, _ = self.buffer.partition(b"\n")
+        if not newline and len(line) <= MAX_LINE_BYTES + 1:
             return None
-        self.done = True
-        if len(line.removesuffix(b"\r")) > MOST_LINE:
-            raise BadCall(f"a line holds at most {MOST_LINE} bytes")
-        return parse(bytes(line))
+        self.is_finished = True
+        if len(line.removesuffix(b"\r")) > MAX_LINE_BYTES:
+            raise CommandError(f"a line holds at most {MAX_LINE_BYTES} bytes")
+        return parse_command(bytes(line))
 
     def end(self) -> None:
-        """The caller ends its sending. Raises BadCall if its line is not whole."""
-        if not self.done:
-            self.done = True
-            raise BadCall("the line did not end")
+        """The client has sent its last byte.
+
+        Raises:
+            CommandError: The line is incomplete.
+        """
+        if not self.is_finished:
+            self.is_finished = True
+            raise CommandError("the line did not end")
 
 
-def parse(line: bytes) -> Call:
-    """One line without its end; a carriage return before that is no part of it. Raises BadCall."""
+def parse_command(line: bytes) -> Command:
+    """Parses a line without its newline; a carriage return at its end is ignored.
+
+    Raises:
+        CommandError: It is no command.
+    """
     try:
         words = line.removesuffix(b"\r").decode("utf-8").split(" ")
     except UnicodeDecodeError:
-        raise BadCall("the line is not UTF-8") from None
+        raise CommandError("the line is not UTF-8") from None
     words = [word for word in words if word]
     if not words:
-        raise BadCall("no call")
-    name, *arguments = words
-    if name not in TAKES_HOST:
-        raise BadCall(f"no such call; there are {', '.join(TAKES_HOST)}")
-    if not TAKES_HOST[name]:
+        raise CommandError("no call")
+    name = _parse_name(words[0])
+    arguments = words[1:]
+    if name not in COMMANDS_WITH_HOST:
         if arguments:
-            raise BadCall(f"{name} takes no argument")
-        return Call(name)
+            raise CommandError(f"{name.value} takes no argument")
+        return Command(name)
     if len(arguments) != 1:
-        raise BadCall(f"{name} takes the id of one host")
-    host = arguments[0]
-    if not SHORTEST <= len(host) <= LONGEST or not host.isprintable():
-        raise BadCall("that is no id of a host")
-    return Call(name, host)
+        raise CommandError(f"{name.value} takes the id of one host")
+    return Command(name, _parse_host_id(arguments[0]))
 
 
-def yes() -> bytes:
+def success_reply() -> bytes:
+    """Reply to a command that was carried out."""
     return b"YES\n"
 
 
-def no(reason: str) -> bytes:
-    """In one line, whatever the reason holds."""
+def error_reply(reason: str) -> bytes:
+    """Reply to a command that was not carried out; the reason is folded into one line."""
     return ("NO " + " ".join(reason.split()) + "\n").encode("utf-8", "replace")
 
 
-def stat(lines: list[str]) -> bytes:
+def statistics_reply(lines: list[str]) -> bytes:
+    """Reply to `show-stat`."""
     return "".join(f"{line}\n" for line in (*lines, "END")).encode()
+
+
+def _parse_name(word: str) -> CommandName:
+    try:
+        return CommandName(word)
+    except ValueError:
+        names = ", ".join(name.value for name in CommandName)
+        raise CommandError(f"no such call; there are {names}") from None
+
+
+def _parse_host_id(word: str) -> str:
+    if not MIN_HOST_ID_CHARS <= len(word) <= MAX_HOST_ID_CHARS or not word.isprintable():
+        raise CommandError("that is no id of a host")
+    return word
--- a/loftrelay/server/admin/server.py
+++ b/loftrelay/server/admin/server.py
@@ -1,4 +1,4 @@
-"""Listens to operators: bounded in callers, bytes and time, so that the door answers whoever holds it."""
+"""TCP server of the admin endpoint, bounded in connections, bytes and time so that it always answers."""
 
 from __future__ import annotations
 
@@ -8,119 +8,163 @@
 from typing import Protocol
 
 from loftrelay.net.address import Address
-from loftrelay.server.admin import protocol
+from loftrelay.server.admin.protocol import (
+    Command,
+    CommandError,
+    CommandName,
+    LineReader,
+    error_reply,
+    statistics_reply,
+    success_reply,
+)
 
-MOST_CALLERS = 24  # beyond it the one that has been silent longest goes
-LINE_TIME = 10.0  # seconds for a whole line
-QUEUED, AT_A_TIME = 128, 8  # connections waiting to be taken, and taken in one wake of the loop
+MAX_CONNECTIONS = 24
+TIMEOUT_S = 10.0  # from the connection to its line, and to the end of its reply
+LISTEN_BACKLOG = 128
+ACCEPTS_PER_PASS = 8  # connections accepted in one pass of the event loop
 
+# Called once, when a command is done; with the reason if it was not carried out.
+OnDone = Callable[[str | None], None]
 
-Done = Callable[[str | None], None]  # told once; a text is the reason why not
 
-
-class Operated(Protocol):
-    """What operators may ask of a relay."""
+class AdminHandler(Protocol):
+    """Carries out operators' commands."""
 
     @property
-    def ready(self) -> bool: ...
-    def figures(self) -> list[str]: ...
-    def take_out(self, host: str, done: Done) -> None: ...
-    def bring_back(self, host: str, done: Done) -> None: ...
+    def is_ready(self) -> bool:
+        """Whether the relay serves clients."""
+
+    def metric_lines(self) -> list[str]:
+        """Statistics, one line each."""
+
+    def disable_host(self, host: str, done: OnDone) -> None:
+        """Sends no further messages to a host."""
+
+    def enable_host(self, host: str, done: OnDone) -> None:
+        """Lifts `disable_host`."""
+
 
+class AdminConnection(asyncio.Protocol):
+    """One connection, for one command."""
 
-class Caller(asyncio.Protocol):
-    def __init__(self, door: Door) -> None:
-        self.door = door
-        self.reader = protocol.LineReader()
-        self.transport: asyncio.Transport | None = None
-        self.clock: asyncio.TimerHandle | None = None
+    def __init__(self, server: AdminServer) -> None:
+        self._server = server
+        self._reader = LineReader()
+        self._transport: asyncio.Transport | None = None
+        self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Starts the timeout."""
         assert isinstance(transport, asyncio.Transport)
-        self.transport = transport
-        self.clock = asyncio.get_running_loop().call_later(LINE_TIME, self._overdue)
-        self.door.arrived(self)
+        self._transport = transport
+        self._timer = asyncio.get_running_loop().call_later(TIMEOUT_S, self._on_timeout)
+        self._server.add(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self.clock is not None:
-            self.clock.cancel()
-        self.door.gone(self)
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Frees the connection's slot."""
+        if self._timer is not None:
+            self._timer.cancel()
+        self._server.remove(self)
 
     def data_received(self, data: bytes) -> None:
+        """Executes the command once its line is complete."""
         try:
-            call = self.reader.feed(data)
-        except protocol.BadCall as error:
-            self._answer(protocol.no(str(error)))
+            command = self._reader.feed(data)
+        except CommandError as error:
+            self._reply(error_reply(str(error)))
             return
-        if call is not None:
-            self.door.answer(call, self._answer)
+        if command is not None:
+            self._server.execute(command, self._reply)
 
     def eof_received(self) -> bool:
+        """Keeps the connection open for the reply."""
         try:
-            self.reader.end()
-        except protocol.BadCall as error:
-            self._answer(protocol.no(str(error)))
-        return True  # the answer may still be read
-
-    def _overdue(self) -> None:
-        if self.reader.done:
-            self.abort()  # it does not read its answer
+            self._reader.end()
+        except CommandError as error:
+            self._reply(error_reply(str(error)))
+        return True
+
+    def abort(self) -> None:
+        """Closes the connection at once."""
+        if self._transport is not None:
+            self._transport.abort()
+
+    def _on_timeout(self) -> None:
+        if self._reader.is_finished:
+            self.abort()  # the client doesn't read its reply
         else:
-            self.reader.done = True
-            self._answer(protocol.no("the line did not come in time"))
+            self._reader.is_finished = True
+            self._reply(error_reply("the line did not come in time"))
 
-    def _answer(self, answer: bytes) -> None:
-        if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(answer)
-            self.transport.close()
+    def _reply(self, reply: bytes) -> None:
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.write(reply)
+            self._transport.close()
 
-    def abort(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
 
+class AdminServer:
+    """The listener and its connections.
 
-class Door:
-    def __init__(self, operated: Operated) -> None:
-        self.operated = operated
-        self.callers: dict[Caller, None] = {}  # in the order of arrival
-        self.listener: asyncio.Server | None = None
+    Args:
+        handler: Carries out the commands.
+    """
+
+    def __init__(self, handler: AdminHandler) -> None:
+        self.handler = handler
+        self.connections: dict[AdminConnection, None] = {}  # in the order of arrival
+        self._listener: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
-        """Gives the address in use: port 0 stands for a free one. Raises OSError."""
+        """Listens on an address; port 0 stands for a free one.
+
+        Returns:
+            The address in use.
+
+        Raises:
+            OSError: The address can't be used.
+        """
         loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         listening = socket.create_server(address, family=family)
-        self.listener = await loop.create_server(lambda: Caller(self), sock=listening, backlog=AT_A_TIME)
-        listening.listen(QUEUED)
+        self._listener = await loop.create_server(
+            lambda: AdminConnection(self), sock=listening, backlog=ACCEPTS_PER_PASS
+        )
+        # asyncio's backlog is also the number of connections that it accepts in one pass.
+        listening.listen(LISTEN_BACKLOG)
         host, port = listening.getsockname()[:2]
         return host, port
 
-    def arrived(self, caller: Caller) -> None:
-        self.callers[caller] = None
-        if len(self.callers) > MOST_CALLERS:
-            oldest = next(iter(self.callers))
-            self.gone(oldest)
+    def close(self) -> None:
+        """Closes the listener and all connections."""
+        if self._listener is not None:
+            self._listener.close()
+        for connection in list(self.connections):
+            connection.abort()
+
+    def add(self, connection: AdminConnection) -> None:
+        """Adds a connection; beyond MAX_CONNECTIONS the oldest one is closed."""
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            oldest = next(iter(self.connections))
+            self.remove(oldest)
             oldest.abort()
 
-    def gone(self, caller: Caller) -> None:
-        self.callers.pop(caller, None)
-
-    def answer(self, call: protocol.Call, say: Callable[[bytes], None]) -> None:
-        def done(why: str | None) -> None:
-            say(protocol.yes() if why is None else protocol.no(why))
-
-        match call.name:
-            case "ready":
-                done(None if self.operated.ready else "not ready")
-            case "show-stat":
-                say(protocol.stat(self.operated.figures()))
-            case "disable-server":
-                self.operated.take_out(call.host, done)
-            case "enable-server":
-                self.operated.bring_back(call.host, done)
-
-    def close(self) -> None:
-        if self.listener is not None:
-            self.listener.close()
-        for caller in list(self.callers):
-            caller.abort()
+    def remove(self, connection: AdminConnection) -> None:
+        """Removes a connection that is closed."""
+        self.connections.pop(connection, None)
+
+    def execute(self, command: Command, reply: Callable[[bytes], None]) -> None:
+        """Executes a command and calls `reply` with the bytes to send, at once or later."""
+
+        def done(reason: str | None) -> None:
+            reply(success_reply() if reason is None else error_reply(reason))
+
+        match command.name:
+            case CommandName.READY:
+                done(None if self.handler.is_ready else "not ready")
+            case CommandName.SHOW_STAT:
+                reply(statistics_reply(self.handler.metric_lines()))
+            case CommandName.DISABLE_SERVER:
+                self.handler.disable_host(command.host, done)
+            case CommandName.ENABLE_SERVER:
+                self.handler.enable_host(command.host, done)
--- a/loftrelay/server/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -28,7 +28,7 @@
 
 log = logging.getLogger(__name__)
 
-MOST_BODY = 64 << 10
+MAX_BODY_BYTES = 64 << 10
 MOST_DRAINED = 1 << 20  # bytes that a client may still send once it is turned away
 LINGER = 0.5  # seconds for which it may, and for which a lingering close reads and throws away
 LINGERING = 8  # connections in their lingering close beyond all places: beyond, the oldest goes at once
@@ -57,57 +57,57 @@
 READY = "/health/ready"
 
 
-class BadRequest(Exception):
+class RequestError(Exception):
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
         self.status = status
 
 
-def check_head(request: h11.Request) -> None:
+def validate_head(request: h11.Request) -> None:
     """What a request's head alone shows to be wrong. Raises BadRequest."""
     names = [name for name, _ in request.headers if name in ONCE]
     if len(names) != len(set(names)):
-        raise BadRequest(400, "a header that may stand once is repeated")
+        raise RequestError(400, "a header that may stand once is repeated")
     lengths = [int(value) for name, value in request.headers if name == b"content-length"]
     if lengths and b"transfer-encoding" in names:
-        raise BadRequest(
+        raise RequestError(
             400, "Content-Length beside Transfer-Encoding"
         )  # one may hide a request from the other
-    if lengths and lengths[0] > MOST_BODY:
-        raise BadRequest(413, "a body holds at most 64 KiB")
+    if lengths and lengths[0] > MAX_BODY_BYTES:
+        raise RequestError(413, "a body holds at most 64 KiB")
 
 
-def read_message(accepted: AcceptedClasses, request: h11.Request, arrived: int, body: bytes) -> Message:
+def parse_message(accepted: AcceptedClasses, request: h11.Request, arrived: int, body: bytes) -> Message:
     """The message that a request hands in. Raises BadRequest."""
     headers = {name.decode(): value.decode("latin-1") for name, value in request.headers}
     path = [unquote(part) for part in request.target.decode("latin-1").partition("?")[0].split("/")[1:]]
     about = accepted.message_class(path[0], arrived)
     if about is None or len(path) > 2:
-        raise BadRequest(404, "no such path")
+        raise RequestError(404, "no such path")
     if request.method != b"POST":
-        raise BadRequest(405, "messages are handed in with POST")
+        raise RequestError(405, "messages are handed in with POST")
     if headers.get("request-class") != about.name:
-        raise BadRequest(400, "Request-Class does not name the class of the path")
+        raise RequestError(400, "Request-Class does not name the class of the path")
     identity, tenant = headers.get("request-id", ""), headers.get("tenant")
     if not IDENTIFIER.fullmatch(identity):
-        raise BadRequest(400, "Request-Id is missing or malformed")
+        raise RequestError(400, "Request-Id is missing or malformed")
     tenants = accepted.in_force.tenants
     if tenants and tenant not in tenants:
-        raise BadRequest(400, "Tenant is missing or unknown")
+        raise RequestError(400, "Tenant is missing or unknown")
     timeout = headers.get("request-timeout-ms", "")
     if not NUMBER.fullmatch(timeout):
-        raise BadRequest(400, "Request-Timeout-Ms is missing or malformed")
+        raise RequestError(400, "Request-Timeout-Ms is missing or malformed")
     if about.deadline is not None and int(timeout) * 1000 > 2 * about.deadline:
-        raise BadRequest(400, "Request-Timeout-Ms is longer than a message of this class can live")
+        raise RequestError(400, "Request-Timeout-Ms is longer than a message of this class can live")
     destination = DESTINATION.search(headers.get("x-consignee", ""))
     if destination is None:
-        raise BadRequest(400, "X-Consignee names no dest")
+        raise RequestError(400, "X-Consignee names no dest")
     if len(path) == 2 and len(path[1]) > MOST_KEY:
-        raise BadRequest(400, "the key is too long")
+        raise RequestError(400, "the key is too long")
     key = path[1] if about.is_ordered and len(path) == 2 and path[1] else None
     idempotency_key = headers.get("idempotency-key")
     if idempotency_key is not None and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
-        raise BadRequest(400, "Idempotency-Key is malformed")
+        raise RequestError(400, "Idempotency-Key is malformed")
     deadline = arrived + int(timeout) * 1000
     return Message(
         identity,
@@ -123,23 +123,23 @@
     )
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client connection. At every moment it has a time at which it ends if nothing happens: `due`."""
 
-    def __init__(self, server: Server, given: Given | None = None) -> None:
+    def __init__(self, server: HTTPServer, given: ConnectionState | None = None) -> None:
         self.server = server
         self.given = given  # it comes from another process, and was read so far
-        self.raw = bytearray()  # of the request that is not whole yet
+        self.partial_request = bytearray()  # of the request that is not whole yet
         self.wire = h11.Connection(h11.SERVER)
         self.transport: asyncio.Transport | None = None
         self.request: h11.Request | None = None
         self.body = bytearray()
         self.pending: str | None = None  # the message whose answer is due
-        self.reading = False  # a request has begun and is not whole
-        self.refused = False  # what still comes is thrown away
+        self.is_receiving = False  # a request has begun and is not whole
+        self.is_closing = False  # what still comes is thrown away
         self.spare = MOST_DRAINED
-        self.due = math.inf
-        self.since = 0.0  # when it came, or had its last answer
+        self.deadline = math.inf
+        self.idle_since = 0.0  # when it came, or had its last answer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -147,7 +147,7 @@
         self._wait(REQUEST_TIME)
         self.server.arrived(self)
         if self.given is not None:
-            if self.given.kind is not Kind.NEW:
+            if self.given.kind is not ClientKind.NEW:
                 self.server.place(self, self.given.kind)
                 self._wait(IDLE_TIME)
             if self.given.raw:
@@ -155,7 +155,7 @@
         if self.server.frozen:  # it was accepted, or came from elsewhere, just before all stood still
             transport.pause_reading()
             if self.server.giving is not None:
-                kind = self.given.kind if self.given is not None else Kind.NEW
+                kind = self.given.kind if self.given is not None else ClientKind.NEW
                 self.server.hand_one(self, kind, self.server.giving)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -167,7 +167,7 @@
         return False
 
     def data_received(self, data: bytes) -> None:
-        if self.refused:
+        if self.is_closing:
             self.spare -= len(data)
             if self.spare < 0:
                 self.abort()
@@ -175,9 +175,9 @@
         if self.pending is not None:
             self._refuse(400, "one request at a time")
             return
-        self.raw += data
-        if not self.reading:
-            self.reading = True
+        self.partial_request += data
+        if not self.is_receiving:
+            self.is_receiving = True
             if self not in self.server.newcomers:  # a newcomer's time runs from when it connected
                 self._wait(REQUEST_TIME)
         try:
@@ -185,37 +185,37 @@
             self._read()
         except h11.RemoteProtocolError as error:
             self._refuse(error.error_status_hint, str(error))
-        except BadRequest as error:
+        except RequestError as error:
             self._refuse(error.status, str(error))
 
     @property
-    def idle(self) -> bool:
-        return self.pending is None and not self.reading and not self.refused
+    def is_idle(self) -> bool:
+        return self.pending is None and not self.is_receiving and not self.is_closing
 
     @property
-    def may_go(self) -> bool:
+    def is_evictable(self) -> bool:
         """Idle, and no request has come that is not read yet: closing that unread would lose it."""
-        return self.idle and self.transport is not None and not unread(self.transport)
+        return self.is_idle and self.transport is not None and not unread(self.transport)
 
     @property
-    def may_be_given(self) -> bool:
+    def can_be_handed_over(self) -> bool:
         """Nothing of it is under way here, so that another process can go on with the connection."""
         transport = self.transport
         return (
-            not self.refused
+            not self.is_closing
             and self.pending is None
             and transport is not None
             and not transport.is_closing()
             and not transport.get_write_buffer_size()
         )
 
-    def overdue(self) -> None:
-        if self.refused:
+    def on_timeout(self) -> None:
+        if self.is_closing:
             self.drop()
-        elif self.idle and not self.may_go:
+        elif self.is_idle and not self.is_evictable:
             pass  # it is read next
-        elif self.idle and self not in self.server.newcomers:
-            if not self.server.stopping:
+        elif self.is_idle and self not in self.server.newcomers:
+            if not self.server.keeps_idle_connections:
                 self.close()
         else:
             self._refuse(408, "the request did not come in time")
@@ -225,7 +225,7 @@
         ended, too, or its time is up. A close over unread bytes would reset the connection, and what was
         answered might never be read; what is read from here on is not taken on.
         """
-        self.refused = True
+        self.is_closing = True
         self._wait(LINGER)
         self.server.lingers(self)
         transport = self.transport
@@ -243,9 +243,9 @@
         else:
             self.abort()
 
-    def turn_away(self, reason: str) -> None:
+    def reject(self, reason: str) -> None:
         """It is told to come again elsewhere, or later: nothing of it was taken on."""
-        if not self.refused:
+        if not self.is_closing:
             self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, reason)
 
     def abort(self) -> None:
@@ -253,7 +253,7 @@
             self.transport.abort()
 
     def _wait(self, seconds: float) -> None:
-        self.due = asyncio.get_running_loop().time() + seconds
+        self.deadline = asyncio.get_running_loop().time() + seconds
 
     def _withdraw(self) -> None:
         if self.pending is not None:
@@ -269,17 +269,17 @@
                 return
             if isinstance(event, h11.Request):
                 self.request, self.body = event, bytearray()
-                check_head(event)
+                validate_head(event)
             elif isinstance(event, h11.Data):
                 self.body += event.data
-                if len(self.body) > MOST_BODY:
-                    raise BadRequest(413, "a body holds at most 64 KiB")
+                if len(self.body) > MAX_BODY_BYTES:
+                    raise RequestError(413, "a body holds at most 64 KiB")
             elif isinstance(event, h11.EndOfMessage):
                 if self.wire.trailing_data[0]:
                     # Such a client counts wrongly or hides a request behind another: neither is taken on.
-                    raise BadRequest(400, "more than one request at a time")
-                self.reading = False
-                self.raw.clear()
+                    raise RequestError(400, "more than one request at a time")
+                self.is_receiving = False
+                self.partial_request.clear()
                 self._handle()
                 return
             else:
@@ -290,20 +290,20 @@
         assert self.request is not None
         if self.request.target == READY.encode():
             if self.request.method not in (b"GET", b"HEAD"):
-                raise BadRequest(405, "only GET and HEAD")
+                raise RequestError(405, "only GET and HEAD")
             self._answer(503 if self.server.engine.has_no_list else 200)
             return
         engine = self.server.engine
         # A message's time counts from when its client wrote it: on a loop that is late that was a while ago.
         age = engine.stall_detector.age(asyncio.get_running_loop().time())
         arrived = wall_clock() - int(age * 1e6)
-        held = read_message(engine.accepted_classes, self.request, arrived, bytes(self.body))
+        held = parse_message(engine.accepted_classes, self.request, arrived, bytes(self.body))
         if engine.is_client_waiting(held.id):
-            raise BadRequest(409, "a request with this id is open")
+            raise RequestError(409, "a request with this id is open")
         if (known := engine.known_answer(held.id)) is not None:
             self._answer(*known)
         else:
-            self.pending, self.due = held.id, math.inf
+            self.pending, self.deadline = held.id, math.inf
             engine.submit(held, self._answer)
 
     def _refuse(self, status: int, reason: str) -> None:
@@ -329,7 +329,7 @@
         headers = []
         if again_ms:
             headers.append(("Retry-After", f"{again_ms / 1000:g}"))
-        if self.server.closed:
+        if self.server.is_shutting_down:
             headers.append(("Connection", "close"))
         self._respond(status, headers, "")
         if self.wire.our_state is h11.DONE and self.wire.their_state is h11.DONE:
@@ -357,7 +357,7 @@
             self.transport.write(data)
 
 
-class Kind(Enum):
+class ClientKind(Enum):
     """What a client is known by."""
 
     NEW = auto()  # no whole request has come yet
@@ -366,10 +366,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class ConnectionState:
     """A client's connection that goes from one process to another."""
 
-    kind: Kind
+    kind: ClientKind
     raw: bytes  # of a request that is not whole
     file: int
 
@@ -378,32 +378,34 @@
         return {"kind": self.kind.name, "raw": base64.b64encode(self.raw).decode()}
 
     @classmethod
-    def read(cls, row: Mapping[str, Any], file: int) -> Given:
+    def read(cls, row: Mapping[str, Any], file: int) -> ConnectionState:
         """Raises KeyError or ValueError."""
-        return cls(Kind[row["kind"]], base64.b64decode(row["raw"]), file)
+        return cls(ClientKind[row["kind"]], base64.b64decode(row["raw"]), file)
 
 
-class Server:
+class HTTPServer:
     def __init__(self, engine: Engine, most_clients: int) -> None:
         self.engine = engine
-        self.most_clients = most_clients
-        self.newcomers: dict[Client, None] = {}  # no whole request has come yet; in the order of arrival
+        self.max_clients = most_clients
+        self.newcomers: dict[
+            ClientConnection, None
+        ] = {}  # no whole request has come yet; in the order of arrival
         self.once: dict[
-            Client, None
+            ClientConnection, None
         ] = {}  # those that have asked once, and more often; in the order of their
-        self.regulars: dict[Client, None] = {}  # last answers
-        self.lingering: dict[Client, None] = {}  # in their lingering close, the oldest first
-        self.stopping = False  # idle connections are kept: no new ones will come
-        self.closed = False
+        self.regulars: dict[ClientConnection, None] = {}  # last answers
+        self.lingering: dict[ClientConnection, None] = {}  # in their lingering close, the oldest first
+        self.keeps_idle_connections = False  # idle connections are kept: no new ones will come
+        self.is_shutting_down = False
         self.listening: socket.socket | None = None
         self.attaching: set[asyncio.Task[None]] = set()  # connections that were accepted just now
         self.accepting_again: asyncio.TimerHandle | None = None
         self.inherited: int | None = None
         self.frozen = False
         self.giving: Callable[[dict[str, Any], int], None] | None = None  # who comes late, goes there too
-        self.sweeping: asyncio.TimerHandle | None = None
+        self.sweep_timer: asyncio.TimerHandle | None = None
 
-    async def listen(self, address: Address, inherited: int | None = None) -> Address:
+    async def startup(self, address: Address, inherited: int | None = None) -> Address:
         """Gives the address in use: port 0 stands for a free one. `inherited`: the descriptor of a socket
         that listens already, and is shared with other processes. Raises OSError.
         """
@@ -450,7 +452,7 @@
 
     async def _attach(self, accepted: socket.socket) -> None:
         with contextlib.suppress(OSError):  # it went on the way
-            await asyncio.get_running_loop().connect_accepted_socket(lambda: Client(self), accepted)
+            await asyncio.get_running_loop().connect_accepted_socket(lambda: ClientConnection(self), accepted)
 
     def _stop_listening(self) -> None:
         if self.accepting_again is not None:
@@ -467,13 +469,13 @@
         self.frozen = True
         self._stop_listening()
         for client in self.clients():
-            if client.transport is not None and not client.refused:
+            if client.transport is not None and not client.is_closing:
                 client.transport.pause_reading()
 
     async def thaw(self) -> None:
         self.frozen = False
         for client in self.clients():
-            if client.transport is not None and not client.refused:
+            if client.transport is not None and not client.is_closing:
                 client.transport.resume_reading()
         if self.inherited is not None:
             self._listen(socket.socket(fileno=os.dup(self.inherited)))
@@ -483,63 +485,71 @@
         duplicated. The rest end here, once what was written to them is sent.
         """
         self.giving = give
-        kinds = ((Kind.NEW, self.newcomers), (Kind.ONCE, self.once), (Kind.REGULAR, self.regulars))
+        kinds = (
+            (ClientKind.NEW, self.newcomers),
+            (ClientKind.ONCE, self.once),
+            (ClientKind.REGULAR, self.regulars),
+        )
         for kind, clients in kinds:
             for client in list(clients):
                 self.hand_one(client, kind, give)
 
-    def hand_one(self, client: Client, kind: Kind, give: Callable[[dict[str, Any], int], None]) -> None:
+    def hand_one(
+        self, client: ClientConnection, kind: ClientKind, give: Callable[[dict[str, Any], int], None]
+    ) -> None:
         transport = client.transport
-        if transport is not None and client.may_be_given:
+        if transport is not None and client.can_be_handed_over:
             file = transport.get_extra_info("socket").fileno()
-            give(Given(kind, bytes(client.raw), file).row(), file)
+            give(ConnectionState(kind, bytes(client.partial_request), file).row(), file)
             self.gone(client)
-            client.refused = True  # here; the connection itself lives on
+            client.is_closing = True  # here; the connection itself lives on
             transport.abort()
-        elif not client.refused:
+        elif not client.is_closing:
             client.close()
 
     async def adopt(self, row: Mapping[str, Any], file: int) -> None:
         """Goes on with a client of another process; the descriptor is this one's own from now on. Raises
         KeyError or ValueError where the row can't be read: then it is not.
         """
-        given = Given.read(row, file)
+        given = ConnectionState.read(row, file)
         sock = socket.socket(fileno=given.file)
         try:
             sock.setblocking(False)
-            await asyncio.get_running_loop().connect_accepted_socket(lambda: Client(self, given), sock)
+            await asyncio.get_running_loop().connect_accepted_socket(
+                lambda: ClientConnection(self, given), sock
+            )
         except OSError:
             sock.close()  # it went on the way
 
-    def arrived(self, client: Client) -> None:
+    def arrived(self, client: ClientConnection) -> None:
         self.newcomers[client] = None
-        client.since = asyncio.get_running_loop().time()
-        if self.places_taken > self.most_clients:
+        client.idle_since = asyncio.get_running_loop().time()
+        if self.places_taken > self.max_clients:
             leaves = self._least_missed(client)
             if leaves is client:
-                leaves.turn_away("all places are taken")
+                leaves.reject("all places are taken")
             else:
                 leaves.close()
 
-    def lingers(self, client: Client) -> None:
+    def lingers(self, client: ClientConnection) -> None:
         self.gone(client)
         self.lingering[client] = None
-        if self.places_taken + len(self.lingering) > self.most_clients + LINGERING:
+        if self.places_taken + len(self.lingering) > self.max_clients + LINGERING:
             oldest = next(iter(self.lingering))
             del self.lingering[oldest]  # now: the loop tells of its end only in a later pass
             oldest.drop()
 
-    def _least_missed(self, client: Client) -> Client:
+    def _least_missed(self, client: ClientConnection) -> ClientConnection:
         """Who goes so that a new client may stay: one that has had time to speak and said nothing, then the
         longest idle, those that asked only once before the others. One that came just now may be about to
         ask, as the new one may.
         """
         now = asyncio.get_running_loop().time()
-        silent = next((c for c in self.newcomers if c.may_go and c is not client), None)
-        idle = next((c for c in (*self.once, *self.regulars) if c.may_go), None)
-        if silent is not None and (idle is None or now - silent.since > TIME_TO_SPEAK):
+        silent = next((c for c in self.newcomers if c.is_evictable and c is not client), None)
+        idle = next((c for c in (*self.once, *self.regulars) if c.is_evictable), None)
+        if silent is not None and (idle is None or now - silent.idle_since > TIME_TO_SPEAK):
             return silent
-        if idle is not None and (silent is None or now - idle.since > TIME_TO_SPEAK):
+        if idle is not None and (silent is None or now - idle.idle_since > TIME_TO_SPEAK):
             return idle
         return silent or idle or client
 
@@ -547,19 +557,19 @@
     def places_taken(self) -> int:
         return len(self.newcomers) + len(self.once) + len(self.regulars)
 
-    def clients(self) -> list[Client]:
+    def clients(self) -> list[ClientConnection]:
         """All that are not in their lingering close."""
         return [*self.newcomers, *self.once, *self.regulars]
 
-    def served(self, client: Client) -> None:
-        self.place(client, Kind.ONCE if client in self.newcomers else Kind.REGULAR)
+    def served(self, client: ClientConnection) -> None:
+        self.place(client, ClientKind.ONCE if client in self.newcomers else ClientKind.REGULAR)
 
-    def place(self, client: Client, kind: Kind) -> None:
+    def place(self, client: ClientConnection, kind: ClientKind) -> None:
         self.gone(client)
-        (self.once if kind is Kind.ONCE else self.regulars)[client] = None
-        client.since = asyncio.get_running_loop().time()
+        (self.once if kind is ClientKind.ONCE else self.regulars)[client] = None
+        client.idle_since = asyncio.get_running_loop().time()
 
-    def gone(self, client: Client) -> None:
+    def gone(self, client: ClientConnection) -> None:
         self.newcomers.pop(client, None)
         self.once.pop(client, None)
         self.regulars.pop(client, None)
@@ -567,33 +577,35 @@
 
     def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
-        self.sweeping = loop.call_later(SWEEP, self._sweep)
+        self.sweep_timer = loop.call_later(SWEEP, self._sweep)
         self.engine.stall_detector.look(loop.time())
-        self.engine.stall_detector.expect(self.sweeping.when())
+        self.engine.stall_detector.expect(self.sweep_timer.when())
         for client in (*self.clients(), *self.lingering):
-            if client.due <= loop.time() and (client.refused or not self.frozen):
-                client.overdue()
+            if client.deadline <= loop.time() and (client.is_closing or not self.frozen):
+                client.on_timeout()
 
     @property
-    def unfinished(self) -> bool:
+    def has_clients(self) -> bool:
         """Whether a client is still there, be it in its lingering close."""
         return bool(self.newcomers or self.once or self.regulars or self.lingering)
 
-    async def close(self) -> None:
+    async def shutdown(self) -> None:
         """No further connections but those that the system has taken already, and none kept on which no
         request is open.
         """
-        self.closed = True
+        self.is_shutting_down = True
         if self.listening is not None and self.inherited is None:
             self._accept(QUEUED)  # the system would reset those
         self._stop_listening()
         if self.attaching:
             await asyncio.wait(self.attaching)
         for client in self.clients():
-            if client.may_go and client not in self.newcomers:  # those may be about to ask, and get an answer
+            if (
+                client.is_evictable and client not in self.newcomers
+            ):  # those may be about to ask, and get an answer
                 client.close()
 
-    def end(self) -> None:
+    def reject_remaining(self) -> None:
         """The last thing before the process ends: whoever has no answer yet gets one."""
         for client in self.clients():
-            client.turn_away("the relay ends")
+            client.reject("the relay ends")
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -15,9 +15,9 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.fault_points import fault_point
 from loftrelay.relay.shutdown_schedule import last_phase
-from loftrelay.server.admin.commands import Relay
-from loftrelay.server.admin.server import Door
-from loftrelay.server.http.server import Server
+from loftrelay.server.admin.commands import RelayAdmin
+from loftrelay.server.admin.server import AdminServer
+from loftrelay.server.http.server import HTTPServer
 from loftrelay.service.assembly import build
 from loftrelay.state.hosts_out import HostsOut
 from loftrelay.state.last_config import LastFile
@@ -55,7 +55,7 @@
         self.config, self.connections, self.record, self.fleet = config, connections, record, fleet
         self.subscription = subscription
         self.joined: GossipMember | None = None
-        self.relay = Relay(HostsOut(config.state_dir))
+        self.relay = RelayAdmin(HostsOut(config.state_dir))
         self.last = LastFile(config.state_dir)
         self.told: Mapping[str, Any] = config.document  # the file in force
         self.ending = asyncio.Event()
@@ -130,10 +130,10 @@
             await self._subscribe(engine, handed is not None)
         if taker is None:
             await self._catch_up(engine)
-        server = Server(engine, config.max_client_connections)
-        address = await server.listen(config.listen, config.listen_fd)
+        server = HTTPServer(engine, config.max_client_connections)
+        address = await server.startup(config.listen, config.listen_fd)
         if taker is not None:
-            taker.attach(engine, server.adopt, self.relay.change, self.read_again)
+            taker.attach(engine, server.adopt, self.relay.set_disabled, self.read_again)
             if recorder is None:  # what the store has not said yet can't be handed over
                 self.giver = HandoverSender(
                     config.state_dir,
@@ -141,13 +141,13 @@
                     engine,
                     server,
                     self._moved,
-                    self.relay.change,
+                    self.relay.set_disabled,
                     self._stop,
                     self._take_back,
                 )
         joining = await self._join(engine) if self.fleet is not None else None
         log.info("%s listens on %s:%d", config.name, *address)
-        self.relay.serving = True
+        self.relay.is_serving = True
         fault_point("taken over")
         if self.to_read:
             self.to_read = False
@@ -156,7 +156,7 @@
             self._read_what_was_missed(engine)
         await self.ending.wait()
         began = asyncio.get_running_loop().time()
-        self.relay.serving = False
+        self.relay.is_serving = False
         if joining is not None:
             joining.cancel()
         if self.joined is not None:
@@ -210,8 +210,8 @@
 
         subscriber = engine.subscription
         assert isinstance(subscriber, Subscriber)
-        self.relay.more.append(subscriber.figure_lines)
-        self.relay.more.append(lambda: [f"app.slices_parked={len(engine.pending_submissions)}"])
+        self.relay.metric_sources.append(subscriber.figure_lines)
+        self.relay.metric_sources.append(lambda: [f"app.slices_parked={len(engine.pending_submissions)}"])
         if handed:
             return
         loop = asyncio.get_running_loop()
@@ -242,18 +242,18 @@
         assert self.fleet is not None
         config, beside = self.config, self.config.listen_fd is not None
         self.joined = GossipMember(
-            self.fleet, config.name, config.state_dir, engine, self.relay.change_for_fleet
+            self.fleet, config.name, config.state_dir, engine, self.relay.apply_fleet_override
         )
-        self.relay.more.append(self.joined.metric_lines)
+        self.relay.metric_sources.append(self.joined.metric_lines)
         starting = asyncio.create_task(self.joined.start(wait=beside))
         if not beside:
             await starting
         return starting
 
-    async def _open_door(self) -> Door | None:
+    async def _open_door(self) -> AdminServer | None:
         if self.config.admin_address is None:
             return None
-        door = Door(self.relay)
+        door = AdminServer(self.relay)
         address = await door.listen(self.config.admin_address)
         log.info("%s is open to operators on %s:%d", self.config.name, *address)
         return door
@@ -268,26 +268,26 @@
         own.cancel()
         raise Stopped
 
-    async def _end_in_order(self, server: Server, began: float) -> None:
+    async def _end_in_order(self, server: HTTPServer, began: float) -> None:
         loop, engine = asyncio.get_running_loop(), server.engine
         phase = last_phase(engine.settings.classes.values())
-        server.stopping = True
+        server.keeps_idle_connections = True
         await asyncio.sleep(began + phase.begin - loop.time())
         engine.stop_admitting()
         log.info("%s begins no more calls", self.config.name)
         await asyncio.sleep(began + phase.take - loop.time())
-        await server.close()
-        while loop.time() < began + phase.answer and (engine.has_unfinished_work or server.unfinished):
+        await server.shutdown()
+        while loop.time() < began + phase.answer and (engine.has_unfinished_work or server.has_clients):
             await asyncio.sleep(LOOK)
-        server.end()
-        while loop.time() < began + phase.end and (engine.has_unfinished_work or server.unfinished):
+        server.reject_remaining()
+        while loop.time() < began + phase.end and (engine.has_unfinished_work or server.has_clients):
             await asyncio.sleep(LOOK)
 
     # What the handover asks
 
     def _moved(self, away: bool) -> None:
-        self.relay.elsewhere = self.giver if away else None
-        self.relay.serving = not away
+        self.relay.owner = self.giver if away else None
+        self.relay.is_serving = not away
         if not away and self.to_read:
             self.to_read = False
             self.read_again()
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -19,7 +19,7 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult, CallOptions, StoreDecision
-from loftrelay.server.http.server import Server
+from loftrelay.server.http.server import HTTPServer
 from loftrelay.service.assembly import build
 from tests.standins.platform import SETTINGS
 
@@ -40,20 +40,20 @@
 
     async def main() -> None:
         engine = make_engine(tmp_path)
-        server = Server(engine, 10)
-        address = await server.listen(("127.0.0.1", 0))
+        server = HTTPServer(engine, 10)
+        address = await server.startup(("127.0.0.1", 0))
         reader, writer = await asyncio.open_connection(*address)
         ask = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         writer.write(ask)
         assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
         (client,) = server.clients()
         writer.write(ask)  # is written at once, and the loop has not run since
-        client.overdue()
+        client.on_timeout()
         assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
-        client.overdue()
+        client.on_timeout()
         assert await reader.read() == b""
         writer.close()
-        await server.close()
+        await server.shutdown()
         engine.status_reporter.close()
 
     asyncio.run(main())
--- a/tests/server/admin/test_protocol.py
+++ b/tests/server/admin/test_protocol.py
@@ -1,4 +1,4 @@
-"""The line protocol of the operators' door, without sockets."""
+"""The line protocol of the admin endpoint, without sockets."""
 
 from __future__ import annotations
 
@@ -6,28 +6,37 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from loftrelay.server.admin.protocol import MOST_LINE, BadCall, Call, LineReader, no, parse, stat
+from loftrelay.server.admin.protocol import (
+    MAX_LINE_BYTES,
+    Command,
+    CommandError,
+    CommandName,
+    LineReader,
+    error_reply,
+    parse_command,
+    statistics_reply,
+)
 
 CALLS = [
-    (b"ready\n", Call("ready")),
-    (b"show-stat\r\n", Call("show-stat")),
-    (b"disable-server s-01018ac7\n", Call("disable-server", "s-01018ac7")),
-    (b"  enable-server   s-01018ac7 \r\n", Call("enable-server", "s-01018ac7")),
+    (b"ready\n", Command(CommandName.READY)),
+    (b"show-stat\r\n", Command(CommandName.SHOW_STAT)),
+    (b"disable-server s-01018ac7\n", Command(CommandName.DISABLE_SERVER, "s-01018ac7")),
+    (b"  enable-server   s-01018ac7 \r\n", Command(CommandName.ENABLE_SERVER, "s-01018ac7")),
 ]
 
 
-@pytest.mark.parametrize(("line", "call"), CALLS)
-def test_every_split_of_every_call(line: bytes, call: Call) -> None:
+@pytest.mark.parametrize(("line", "command"), CALLS)
+def test_command_is_read_however_it_is_split(line: bytes, command: Command) -> None:
     for first in range(len(line) + 1):
         for second in range(first, len(line) + 1):
             reader = LineReader()
-            heard = [reader.feed(part) for part in (line[:first], line[first:second], line[second:])]
-            assert [told for told in heard if told is not None] == [call]
+            results = [reader.feed(part) for part in (line[:first], line[first:second], line[second:])]
+            assert [result for result in results if result is not None] == [command]
 
 
-def test_what_comes_after_the_line_is_passed_over() -> None:
+def test_bytes_after_the_line_are_ignored() -> None:
     reader = LineReader()
-    assert reader.feed(b"ready\nshow-stat\n") == Call("ready")
+    assert reader.feed(b"ready\nshow-stat\n") == Command(CommandName.READY)
     assert reader.feed(b"show-stat\n") is None
     reader.end()
 
@@ -47,45 +56,45 @@
         (b"ready\xff", "not UTF-8"),
     ],
 )
-def test_a_bad_call_is_told_why(line: bytes, why: str) -> None:
-    with pytest.raises(BadCall, match=why):
-        parse(line)
+def test_invalid_command_is_answered_with_the_reason(line: bytes, why: str) -> None:
+    with pytest.raises(CommandError, match=why):
+        parse_command(line)
 
 
-def test_a_line_too_long_is_turned_away_before_it_ends() -> None:
-    for size in (MOST_LINE, MOST_LINE + 1):
+def test_line_that_is_too_long_is_refused_before_its_end() -> None:
+    for size in (MAX_LINE_BYTES, MAX_LINE_BYTES + 1):
         reader = LineReader()
-        with pytest.raises(BadCall, match="no such call" if size == MOST_LINE else "at most"):
+        with pytest.raises(CommandError, match="no such call" if size == MAX_LINE_BYTES else "at most"):
             reader.feed(b"r" * size + b"\n")
     reader = LineReader()
-    assert reader.feed(b"r" * (MOST_LINE + 1)) is None  # the last byte may be a carriage return
-    with pytest.raises(BadCall, match="at most"):
+    assert reader.feed(b"r" * (MAX_LINE_BYTES + 1)) is None  # the last byte may be a carriage return
+    with pytest.raises(CommandError, match="at most"):
         reader.feed(b"r" * 10_000_000)
-    assert len(reader.data) <= MOST_LINE + 2
+    assert len(reader.buffer) <= MAX_LINE_BYTES + 2
 
 
-def test_a_line_cut_in_two_by_the_end() -> None:
+def test_end_of_input_within_the_line() -> None:
     reader = LineReader()
     assert reader.feed(b"rea") is None
-    with pytest.raises(BadCall, match="did not end"):
+    with pytest.raises(CommandError, match="did not end"):
         reader.end()
     assert reader.feed(b"dy\n") is None
 
 
 @given(st.lists(st.binary(max_size=40), max_size=30))
-def test_arbitrary_bytes_give_one_call_or_one_reason_at_most(parts: list[bytes]) -> None:
-    reader, told = LineReader(), 0
+def test_arbitrary_bytes_give_at_most_one_command_or_error(parts: list[bytes]) -> None:
+    reader, outcomes = LineReader(), 0
     for part in parts:
         try:
-            told += reader.feed(part) is not None
-        except BadCall as error:
-            told += 1
-            assert no(str(error)).startswith(b"NO ")
-            assert no(str(error)).count(b"\n") == 1
-    assert told == (b"\n" in b"".join(parts) or len(b"".join(parts)) > MOST_LINE + 1)
-    assert len(reader.data) <= MOST_LINE + 2
-
-
-def test_a_reason_stands_in_one_line() -> None:
-    assert no("a\nb \ud800") == b"NO a b ?\n"
-    assert stat(["app.x=1"]) == b"app.x=1\nEND\n"
+            outcomes += reader.feed(part) is not None
+        except CommandError as error:
+            outcomes += 1
+            assert error_reply(str(error)).startswith(b"NO ")
+            assert error_reply(str(error)).count(b"\n") == 1
+    assert outcomes == (b"\n" in b"".join(parts) or len(b"".join(parts)) > MAX_LINE_BYTES + 1)
+    assert len(reader.buffer) <= MAX_LINE_BYTES + 2
+
+
+def test_reason_is_folded_into_one_line() -> None:
+    assert error_reply("a\nb \ud800") == b"NO a b ?\n"
+    assert statistics_reply(["app.x=1"]) == b"app.x=1\nEND\n"
--- a/tests/server/admin/test_door.py
+++ b/tests/server/admin/test_server.py
@@ -1,4 +1,4 @@
-"""The operators' door over loopback sockets, in a relay that runs."""
+"""The admin endpoint over loopback sockets, by itself and in a relay that runs."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 import pytest
 
-from loftrelay.server.admin.server import MOST_CALLERS, Caller, Done, Door
+from loftrelay.server.admin.server import MAX_CONNECTIONS, AdminConnection, AdminServer, OnDone
 from tests.standins.platform import HANG, ROOT, World, deliver, free_port, reply, run
 
 
-class Asked:
-    """Says yes to all but one host, which nobody has."""
+class FakeHandler:
+    """Accepts every host but one."""
 
-    ready = False
+    is_ready = False
 
-    def figures(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         return ["app.forwards=3"]
 
-    def take_out(self, host: str, done: Done) -> None:
+    def disable_host(self, host: str, done: OnDone) -> None:
         done("no such host" if host == "nobody" else None)
 
-    bring_back = take_out
+    enable_host = disable_host
 
 
 async def call(address: tuple[str, int], line: bytes) -> bytes:
@@ -39,48 +39,48 @@
         writer.close()
 
 
-def test_each_call_has_its_answer_and_the_connection_ends() -> None:
+def test_each_command_is_answered_and_the_connection_closed() -> None:
     async def main() -> None:
-        asked = Asked()
-        door = Door(asked)
-        address = await door.listen(("127.0.0.1", 0))
+        handler = FakeHandler()
+        server = AdminServer(handler)
+        address = await server.listen(("127.0.0.1", 0))
         assert await call(address, b"ready\n") == b"NO not ready\n"
-        asked.ready = True
+        handler.is_ready = True
         assert await call(address, b"ready\r\n") == b"YES\n"
         assert await call(address, b"show-stat\n") == b"app.forwards=3\nEND\n"
         assert await call(address, b"disable-server s-1\n") == b"YES\n"
         assert await call(address, b"disable-server nobody\n") == b"NO no such host\n"
         assert (await call(address, b"restart\n")).startswith(b"NO no such call")
-        door.close()
+        server.close()
 
     asyncio.run(main())
 
 
-def test_sixty_four_silent_callers_keep_nobody_out() -> None:
-    """The one that has been silent longest goes, never the one that comes with a call."""
+def test_idle_connections_do_not_block_a_command() -> None:
+    """The oldest idle connection is closed, never the one that sends a command."""
 
     async def main() -> None:
-        door = Door(Asked())
-        address = await door.listen(("127.0.0.1", 0))
-        silent = [await asyncio.open_connection(*address) for _ in range(64)]
-        for _, writer in silent[::2]:
+        server = AdminServer(FakeHandler())
+        address = await server.listen(("127.0.0.1", 0))
+        idle = [await asyncio.open_connection(*address) for _ in range(64)]
+        for _, writer in idle[::2]:
             writer.write(b"rea")
         assert await call(address, b"show-stat\n") == b"app.forwards=3\nEND\n"
-        assert len(door.callers) <= MOST_CALLERS
-        assert await silent[0][0].read() == b""  # it had to go
-        silent[-1][1].write(b"show-stat\n")
-        assert await silent[-1][0].read() == b"app.forwards=3\nEND\n"
-        for _, writer in silent:
+        assert len(server.connections) <= MAX_CONNECTIONS
+        assert await idle[0][0].read() == b""  # closed to make room
+        idle[-1][1].write(b"show-stat\n")
+        assert await idle[-1][0].read() == b"app.forwards=3\nEND\n"
+        for _, writer in idle:
             writer.close()
-        door.close()
+        server.close()
 
     asyncio.run(main())
 
 
-def test_a_caller_that_ends_its_sending_still_hears() -> None:
+def test_half_closed_connection_gets_its_reply() -> None:
     async def main() -> None:
-        door = Door(Asked())
-        address = await door.listen(("127.0.0.1", 0))
+        server = AdminServer(FakeHandler())
+        address = await server.listen(("127.0.0.1", 0))
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"show-stat\n")
         writer.write_eof()
@@ -91,29 +91,29 @@
         writer.write_eof()
         assert await reader.read() == b"NO the line did not end\n"
         writer.close()
-        door.close()
+        server.close()
 
     asyncio.run(main())
 
 
-def test_a_line_that_does_not_come_in_time_is_told_so() -> None:
+def test_incomplete_line_is_answered_at_the_timeout() -> None:
     async def main() -> None:
-        door = Door(Asked())
-        address = await door.listen(("127.0.0.1", 0))
+        server = AdminServer(FakeHandler())
+        address = await server.listen(("127.0.0.1", 0))
         reader, writer = await asyncio.open_connection(*address)
-        while not door.callers:
+        while not server.connections:
             await asyncio.sleep(0)
-        (caller,) = door.callers
-        assert isinstance(caller, Caller)
-        caller._overdue()
+        (connection,) = server.connections
+        assert isinstance(connection, AdminConnection)
+        connection._on_timeout()
         assert await reader.read() == b"NO the line did not come in time\n"
         writer.close()
-        door.close()
+        server.close()
 
     asyncio.run(main())
 
 
-def test_a_relay_opens_its_door_where_it_is_told(tmp_path: Path) -> None:
+def test_relay_serves_statistics_on_the_configured_address(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
         port = free_port()
@@ -145,7 +145,7 @@
     run(scenario, tmp_path)
 
 
-def test_a_host_that_is_out_gets_nothing_until_it_is_back(tmp_path: Path) -> None:
+def test_disabled_host_gets_no_message_until_enabled(tmp_path: Path) -> None:
     """Neither a new list nor a restart of the relay lifts it."""
 
     async def scenario(w: World) -> None:
@@ -176,7 +176,7 @@
     run(scenario, tmp_path)
 
 
-def test_what_cannot_be_written_down_is_not_said_to_hold(tmp_path: Path) -> None:
+def test_change_that_cannot_be_stored_is_refused(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         await w.host(deliver)
         w.control = f"127.0.0.1:{free_port()}"
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize(("control", "status"), [("here", 2), ("127.0.0.1:99999", 2), ("192.0.2.1:7", 1)])
-def test_an_address_that_cannot_be_used_ends_with_one_line(tmp_path: Path, control: str, status: int) -> None:
+def test_unusable_address_ends_the_start_with_one_line(tmp_path: Path, control: str, status: int) -> None:
     world = World(tmp_path)
     path = world.configure("127.0.0.1:9")
     done = subprocess.run(
@@ -210,7 +210,7 @@
     assert done.stderr.startswith("loftrelay: ")
 
 
-def test_a_host_that_failed_is_shown_as_avoided(tmp_path: Path) -> None:
+def test_failed_host_is_counted_as_ejected(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         async def fail(_: object) -> bytes:
             return reply(500)
@@ -226,8 +226,8 @@
     run(scenario, tmp_path)
 
 
-def test_clients_that_use_up_all_descriptors_do_not_shut_the_door(tmp_path: Path) -> None:
-    """They get theirs, and the door has its own: each call is answered, however many connect."""
+def test_clients_that_use_up_descriptors_do_not_block_the_admin_endpoint(tmp_path: Path) -> None:
+    """Clients and operators have descriptors of their own: each command is answered."""
 
     async def scenario(w: World) -> None:
         await w.host(deliver)
--- a/tests/server/http/test_endings.py
+++ b/tests/server/http/test_endings.py
@@ -14,7 +14,7 @@
 
 from loftrelay.relay.engine import Engine
 from loftrelay.server.http import server as front
-from loftrelay.server.http.server import Client, Server
+from loftrelay.server.http.server import ClientConnection, HTTPServer
 from tests.relay.test_engine import make_engine
 from tests.standins.platform import (
     HANG,
@@ -31,7 +31,7 @@
 
 
 def serve(
-    scenario: Callable[[Server, Callable[[], Awaitable[Streams]]], Awaitable[None]],
+    scenario: Callable[[HTTPServer, Callable[[], Awaitable[Streams]]], Awaitable[None]],
     folder: Path,
     places: int = 10,
 ) -> None:
@@ -39,8 +39,8 @@
 
     async def main() -> None:
         engine: Engine = make_engine(folder)
-        server = Server(engine, places)
-        address = await server.listen(("127.0.0.1", 0))
+        server = HTTPServer(engine, places)
+        address = await server.startup(("127.0.0.1", 0))
 
         async def come() -> Streams:
             reader, writer = await asyncio.open_connection(*address)
@@ -51,7 +51,7 @@
         async with asyncio.timeout(HANG):
             await scenario(server, come)
         assert not engine.journal.messages
-        await server.close()
+        await server.shutdown()
         engine.status_reporter.close()
         engine.discovery.close()
         engine.delivery.close()
@@ -72,24 +72,24 @@
     """Written after the relay has looked, and before its close: nothing of it is taken on, and the client
     hears an end, not a reset."""
 
-    async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await come()
         (client,) = server.clients()
-        assert client.may_go  # the look
+        assert client.is_evictable  # the look
         if why == "eviction":
 
-            def look(newcomer: Client) -> Client:
+            def look(newcomer: ClientConnection) -> ClientConnection:
                 writer.write(written)
                 return client
 
             monkeypatch.setattr(server, "_least_missed", look)
-            server.most_clients = 1
+            server.max_clients = 1
             await come()
         else:
             writer.write(written)  # the loop does not run before the end
             client.close()
             if why == "last phase":
-                await server.close()
+                await server.shutdown()
         await ends_without_a_reset(reader)
         writer.close()
         while server.lingering:
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("raw", [b"no HTTP\r\n\r\n", message("m", Tenant="nobody"), ASK + ASK])
 def test_an_answer_is_read_though_bytes_are_unread_behind_it(tmp_path: Path, raw: bytes) -> None:
-    async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await come()
         writer.write(raw)
         writer.write(b"x" * (300 << 10))  # more than the relay reads at once, and more comes later
@@ -117,14 +117,14 @@
 def test_lingering_is_bounded_in_time_and_number(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients that rest until the relay ends them hold no place for longer."""
 
-    async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         streams = [await come() for _ in range(20)]
         assert server.places_taken == 4
         assert len(server.lingering) <= 3
         for client in server.clients():
             client.close()
         assert len(server.lingering) <= 4 + 3
-        while server.unfinished:
+        while server.has_clients:
             await asyncio.sleep(0.01)  # nobody ends but the relay
         for reader, writer in streams:
             await ends_without_a_reset(reader)
@@ -136,11 +136,11 @@
 
 
 def test_with_all_places_taken_a_new_client_is_told_so(tmp_path: Path) -> None:
-    async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
-        streams = [await come() for _ in range(server.most_clients)]
+    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
+        streams = [await come() for _ in range(server.max_clients)]
         for _, writer in streams:
             writer.write(b"POST /sta")
-        while not all(client.reading for client in server.clients()):
+        while not all(client.is_receiving for client in server.clients()):
             await asyncio.sleep(0)
         assert server.listening is not None
         reader, writer = await asyncio.open_connection(*server.listening.getsockname())
@@ -156,13 +156,13 @@
 def test_the_last_phase_takes_who_waits_to_be_accepted(tmp_path: Path) -> None:
     """What the system has taken already would be reset where it stops listening."""
 
-    async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         assert server.listening is not None
         queued = []
         for _ in range(20):  # the loop does not run meanwhile
             queued.append(socket.create_connection(server.listening.getsockname()))
             queued[-1].sendall(ASK)
-        await server.close()
+        await server.shutdown()
         for sock in queued:
             sock.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=sock)
--- a/tests/upgrade/test_successor.py
+++ b/tests/upgrade/test_successor.py
@@ -13,7 +13,7 @@
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import Message
-from loftrelay.server.http.server import Given, Kind, Server
+from loftrelay.server.http.server import ClientKind, ConnectionState, HTTPServer
 from loftrelay.upgrade.successor import HandoverReceiver
 from tests.relay.test_engine import make_engine
 
@@ -49,8 +49,8 @@
 
     async def main() -> None:
         engine = make_engine(tmp_path)
-        server = Server(engine, 10)
-        await server.listen(("127.0.0.1", 0))
+        server = HTTPServer(engine, 10)
+        await server.startup(("127.0.0.1", 0))
         server.freeze()
         rows: list[dict[str, Any]] = []
         files: list[int] = []
@@ -63,15 +63,15 @@
         assert rows == []
         here, there = socket.socketpair()
         half = b"POST /status HTTP/1.1\r\nHost: x\r\nRequest-Id: m\r\n"
-        await server.adopt(Given(Kind.ONCE, half, -1).row(), here.detach())
+        await server.adopt(ConnectionState(ClientKind.ONCE, half, -1).row(), here.detach())
         while not rows:
             await asyncio.sleep(0)
-        assert Given.read(rows[0], -1) == Given(Kind.ONCE, half, -1)
+        assert ConnectionState.read(rows[0], -1) == ConnectionState(ClientKind.ONCE, half, -1)
         assert server.clients() == []
         there.close()
         os.close(files[0])
-        assert server.sweeping is not None
-        server.sweeping.cancel()
+        assert server.sweep_timer is not None
+        server.sweep_timer.cancel()
         engine.status_reporter.close()
 
     asyncio.run(main())
