--- a/loftrelay/server/__init__.py
+++ b/loftrelay/server/__init__.py
@@ -1,1 +1,1 @@
-"""The ways in which messages are handed in, one package for each protocol."""
+"""Servers of a relay: `http` for clients, `admin` for operators."""
--- a/loftrelay/server/http/__init__.py
+++ b/loftrelay/server/http/__init__.py
@@ -1,1 +1,1 @@
-"""Clients over HTTP/1.1: reads their requests, answers them, and turns away what can't be read."""
+"""HTTP/1.1 server for clients: each request submits one message, or asks for the relay's readiness."""
--- /dev/null
+++ b/loftrelay/server/http/connection.py
@@ -0,0 +1,256 @@
+"""asyncio protocol of one client connection."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from http import HTTPStatus
+from typing import TYPE_CHECKING
+
+import h11
+
+from loftrelay.net.http import unread
+from loftrelay.relay.clock import wall_clock
+from loftrelay.relay.engine import REFUSED_HERE_MS
+from loftrelay.server.http.connection_state import ClientKind, ConnectionState
+from loftrelay.server.http.exchange import Exchange, ReadResult
+from loftrelay.server.http.lingering_close import LINGER_TIMEOUT_S, LingeringClose
+from loftrelay.server.http.request import RequestError, parse_message
+
+if TYPE_CHECKING:
+    from loftrelay.server.http.server import HTTPServer
+
+REQUEST_TIMEOUT_S = 2.0  # from a request's first byte to its last; of the first request, from the connection
+IDLE_TIMEOUT_S = 3.0  # between two requests
+
+
+class ClientConnection(asyncio.Protocol):
+    """One client connection, which serves one request at a time.
+
+    It is idle, receives a request, waits for the engine's answer, or is in its lingering close.
+
+    Args:
+        server: The server that it belongs to.
+        inherited: State from another process that has served the connection before.
+
+    Attributes:
+        transport: None until connected.
+        partial_request: Bytes received of an incomplete request.
+        is_receiving: A request has begun and is incomplete.
+        is_closing: In its lingering close, or handed over: what still arrives is discarded.
+        deadline: When `on_timeout` is to be called, by the loop's clock.
+        idle_since: When it was added or had its last response, by the loop's clock.
+    """
+
+    def __init__(self, server: HTTPServer, inherited: ConnectionState | None = None) -> None:
+        self.server = server
+        self.transport: asyncio.Transport | None = None
+        self.partial_request = bytearray()
+        self.is_receiving = False
+        self.is_closing = False
+        self.deadline = math.inf
+        self.idle_since = 0.0
+        self._inherited = inherited
+        self._exchange = Exchange()
+        self._pending_id: str | None = None  # the message whose answer the client waits for
+        self._lingering_close = LingeringClose()
+
+    # Events of the transport
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Starts serving, where another process has left off if it did."""
+        assert isinstance(transport, asyncio.Transport)
+        self.transport = transport
+        self._set_timeout(REQUEST_TIMEOUT_S)
+        self.server.on_connected(self)
+        kind = ClientKind.NEW
+        if self._inherited is not None:
+            kind = self._inherited.kind
+            self._resume(self._inherited)
+        if self.server.is_paused:
+            transport.pause_reading()
+            self.server.on_connected_while_paused(self, kind)
+
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Cancels the message whose answer the client waited for."""
+        self.server.connections.remove(self)
+        self._cancel_pending()
+
+    def eof_received(self) -> bool:
+        """Closes: a client that ends its sending gives up its request."""
+        return False
+
+    def data_received(self, data: bytes) -> None:
+        """Reads a request; submits it once it is complete, and responds if it can't be read."""
+        if self.is_closing:
+            if self._lingering_close.discard(data):
+                self.abort()
+            return
+        if self._pending_id is not None:
+            self._refuse(400, "one request at a time")
+            return
+        self.partial_request += data
+        if not self.is_receiving:
+            self.is_receiving = True
+            if not self.server.connections.is_new(self):  # a new client's timeout runs since it connected
+                self._set_timeout(REQUEST_TIMEOUT_S)
+        try:
+            self._read_request(data)
+        except h11.RemoteProtocolError as error:
+            self._refuse(error.error_status_hint, str(error))
+        except RequestError as error:
+            self._refuse(error.status, error.reason)
+
+    def on_timeout(self) -> None:
+        """Handles the deadline, depending on what the connection waits for."""
+        if self.is_closing:
+            self.end_lingering()
+        elif self.is_idle and not self.is_evictable:
+            pass  # a request has arrived and is read next
+        elif self.is_idle and not self.server.connections.is_new(self):
+            if not self.server.keeps_idle_connections:
+                self.close()
+        else:
+            self._refuse(HTTPStatus.REQUEST_TIMEOUT, "the request did not come in time")
+
+    # State
+
+    @property
+    def is_idle(self) -> bool:
+        """Between two requests."""
+        return self._pending_id is None and not self.is_receiving and not self.is_closing
+
+    @property
+    def is_evictable(self) -> bool:
+        """Idle, with no unread bytes: closing over a request that has arrived would lose it."""
+        return self.is_idle and self.transport is not None and not unread(self.transport)
+
+    @property
+    def can_be_handed_over(self) -> bool:
+        """Whether another process can continue it: no message is submitted and no response unsent."""
+        transport = self.transport
+        return (
+            not self.is_closing
+            and self._pending_id is None
+            and transport is not None
+            and not transport.is_closing()
+            and not transport.get_write_buffer_size()
+        )
+
+    # Closing
+
+    def close(self) -> None:
+        """Begins the lingering close; requests that still arrive are discarded."""
+        self.is_closing = True
+        self._set_timeout(LINGER_TIMEOUT_S)
+        self.server.on_lingering(self)
+        if self.transport is not None:
+            self._lingering_close.begin(self.transport)
+
+    def end_lingering(self) -> None:
+        """Ends the lingering close, whether the client has closed its side or not."""
+        if self.transport is not None:
+            self._lingering_close.end(self.transport)
+
+    def reject(self, reason: str) -> None:
+        """Responds that the client is to retry later or elsewhere: its request was not admitted."""
+        if not self.is_closing:
+            self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, reason)
+
+    def abort(self) -> None:
+        """Closes the connection at once."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    # Requests
+
+    def _resume(self, inherited: ConnectionState) -> None:
+        if inherited.kind is not ClientKind.NEW:
+            self.server.add(self, inherited.kind)
+            self._set_timeout(IDLE_TIMEOUT_S)
+        if inherited.partial_request:
+            self.data_received(inherited.partial_request)
+
+    def _read_request(self, data: bytes) -> None:
+        match self._exchange.receive(data):
+            case ReadResult.INCOMPLETE:
+                self._write(self._exchange.continue_response())
+            case ReadResult.REQUEST_COMPLETE:
+                self.is_receiving = False
+                self.partial_request.clear()
+                self._handle_request()
+            case ReadResult.CONNECTION_CLOSED:
+                self.close()
+
+    def _handle_request(self) -> None:
+        request = self._exchange.request
+        assert request is not None
+        if not self._exchange.is_readiness_check:
+            self._submit(request)
+            return
+        if request.method not in (b"GET", b"HEAD"):
+            raise RequestError(405, "only GET and HEAD")
+        self._answer(503 if self.server.engine.has_no_list else 200)
+
+    def _submit(self, request: h11.Request) -> None:
+        engine = self.server.engine
+        # The timeout counts from when the client sent the request, which was earlier if the loop is late.
+        age_s = engine.stall_detector.age(asyncio.get_running_loop().time())
+        received_at_us = wall_clock() - int(age_s * 1e6)
+        body = bytes(self._exchange.body)
+        message = parse_message(engine.accepted_classes, request, received_at_us, body)
+        if engine.is_client_waiting(message.id):
+            raise RequestError(409, "a request with this id is open")
+        if (known := engine.known_answer(message.id)) is not None:
+            self._answer(*known)
+        else:
+            self._pending_id = message.id
+            self.deadline = math.inf
+            engine.submit(message, self._answer)
+
+    def _cancel_pending(self) -> None:
+        if self._pending_id is not None:
+            self.server.engine.cancel(self._pending_id)
+            self._pending_id = None
+
+    # Responses
+
+    def _answer(self, status: int, retry_after_ms: int = 0) -> None:
+        """Responds to a complete request."""
+        if self._pending_id is None and self.transport is not None and self.transport.is_closing():
+            return  # the client disconnected before its final status was recorded
+        self._pending_id = None
+        headers = _retry_after(retry_after_ms) if retry_after_ms else []
+        if self.server.is_shutting_down:
+            headers.append(("Connection", "close"))
+        self._write(self._exchange.response(status, headers, ""))
+        if self._exchange.start_next():
+            self._set_timeout(IDLE_TIMEOUT_S)
+            self.server.on_response(self)
+        else:
+            self.close()
+
+    def _refuse(self, status: int, reason: str) -> None:
+        """Responds to a request that is not admitted, if that is still possible, and closes."""
+        self._cancel_pending()
+        if not self._exchange.can_respond:
+            self.abort()
+            return
+        headers = [("Connection", "close")]
+        if status == HTTPStatus.SERVICE_UNAVAILABLE:
+            headers += _retry_after(REFUSED_HERE_MS)
+        if status == HTTPStatus.METHOD_NOT_ALLOWED and self._exchange.request is not None:
+            headers.append(("Allow", self._exchange.allowed_methods))
+        self._write(self._exchange.response(status, headers, reason))
+        self.close()
+
+    def _write(self, data: bytes | None) -> None:
+        if data and self.transport is not None:
+            self.transport.write(data)
+
+    def _set_timeout(self, seconds: float) -> None:
+        self.deadline = asyncio.get_running_loop().time() + seconds
+
+
+def _retry_after(delay_ms: int) -> list[tuple[str, str]]:
+    return [("Retry-After", f"{delay_ms / 1000:g}")]
--- /dev/null
+++ b/loftrelay/server/http/request.py
@@ -0,0 +1,163 @@
+"""Validates requests and maps them to messages. No input or output.
+
+The reasons in errors are sent to the client.
+"""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Mapping
+from urllib.parse import unquote
+
+import h11
+
+from loftrelay.decisions.settings import MessageClass
+from loftrelay.relay.message import Message
+from loftrelay.relay.message_terms import AcceptedClasses
+
+MAX_BODY_BYTES = 64 << 10
+MAX_ORDERING_KEY_CHARS = 256
+READINESS_PATH = b"/health/ready"
+
+# Request header -> field of Message. The path is /CLASS or /CLASS/ORDERING-KEY.
+MESSAGE_HEADERS = {
+    "request-class": "class_name",
+    "request-id": "id",
+    "tenant": "tenant",
+    "request-timeout-ms": "deadline",
+    "x-consignee": "destination",
+    "idempotency-key": "idempotency_key",
+}
+FRAMING_HEADERS = ("host", "content-length", "transfer-encoding")
+SINGLE_HEADERS = {name.encode() for name in (*MESSAGE_HEADERS, *FRAMING_HEADERS)}
+
+MESSAGE_ID = re.compile(r"[!-~]{1,128}")
+TIMEOUT_MS = re.compile(r"[0-9]{1,9}")
+DESTINATION = re.compile(r"(?:^|[,;\s])dest=([0-9]{1,9})(?:$|[,;\s])")
+IDEMPOTENCY_KEY = re.compile(r"[ -~]{1,256}")
+
+Headers = Mapping[str, str]
+
+
+class RequestError(Exception):
+    """The request is refused.
+
+    Attributes:
+        status: HTTP status of the response.
+        reason: Its body.
+    """
+
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
+        self.status = status
+        self.reason = reason
+
+
+def validate_head(request: h11.Request) -> None:
+    """Checks what can be checked before the body arrives.
+
+    Raises:
+        RequestError: A header is repeated, the framing is ambiguous (RFC 9112, section 6.3), or the body is
+            too large.
+    """
+    names = [name for name, _ in request.headers if name in SINGLE_HEADERS]
+    if len(names) != len(set(names)):
+        raise RequestError(400, "a header that may stand once is repeated")
+    lengths = [int(value) for name, value in request.headers if name == b"content-length"]
+    if lengths and b"transfer-encoding" in names:
+        raise RequestError(400, "Content-Length beside Transfer-Encoding")
+    if lengths:
+        check_body_size(lengths[0])
+
+
+def check_body_size(size_bytes: int) -> None:
+    """Raises RequestError for a body over MAX_BODY_BYTES."""
+    if size_bytes > MAX_BODY_BYTES:
+        raise RequestError(413, "a body holds at most 64 KiB")
+
+
+def parse_message(
+    accepted: AcceptedClasses, request: h11.Request, received_at_us: int, body: bytes
+) -> Message:
+    """Maps a complete request to the message that it submits.
+
+    Args:
+        accepted: Message classes and tenants that are accepted now.
+        request: Its head.
+        received_at_us: When the client sent it, wall clock.
+        body: Its body.
+
+    Raises:
+        RequestError: The request is invalid.
+    """
+    headers = {name.decode(): value.decode("latin-1") for name, value in request.headers}
+    path = [unquote(part) for part in request.target.decode("latin-1").partition("?")[0].split("/")[1:]]
+    message_class = accepted.message_class(path[0], received_at_us)
+    if message_class is None or len(path) > 2:
+        raise RequestError(404, "no such path")
+    if request.method != b"POST":
+        raise RequestError(405, "messages are handed in with POST")
+    if headers.get("request-class") != message_class.name:
+        raise RequestError(400, "Request-Class does not name the class of the path")
+    message_id = _message_id(headers)
+    tenant = _tenant(headers, accepted)
+    timeout_us = _timeout_us(headers, message_class)
+    destination = _destination(headers)
+    ordering_key = _ordering_key(path, message_class)
+    return Message(
+        id=message_id,
+        sequence=0,
+        class_name=message_class.name,
+        tenant=tenant,
+        destination=destination,
+        ordering_key=ordering_key,
+        admitted_at=received_at_us,
+        deadline=received_at_us + timeout_us,
+        body=body,
+        idempotency_key=_idempotency_key(headers),
+    )
+
+
+def _message_id(headers: Headers) -> str:
+    message_id = headers.get("request-id", "")
+    if not MESSAGE_ID.fullmatch(message_id):
+        raise RequestError(400, "Request-Id is missing or malformed")
+    return message_id
+
+
+def _tenant(headers: Headers, accepted: AcceptedClasses) -> str | None:
+    tenant, tenants = headers.get("tenant"), accepted.in_force.tenants
+    if tenants and tenant not in tenants:
+        raise RequestError(400, "Tenant is missing or unknown")
+    return tenant
+
+
+def _timeout_us(headers: Headers, message_class: MessageClass) -> int:
+    timeout_ms = headers.get("request-timeout-ms", "")
+    if not TIMEOUT_MS.fullmatch(timeout_ms):
+        raise RequestError(400, "Request-Timeout-Ms is missing or malformed")
+    timeout_us = int(timeout_ms) * 1000
+    if message_class.deadline is not None and timeout_us > 2 * message_class.deadline:
+        raise RequestError(400, "Request-Timeout-Ms is longer than a message of this class can live")
+    return timeout_us
+
+
+def _destination(headers: Headers) -> int:
+    match = DESTINATION.search(headers.get("x-consignee", ""))
+    if match is None:
+        raise RequestError(400, "X-Consignee names no dest")
+    return int(match[1])
+
+
+def _ordering_key(path: list[str], message_class: MessageClass) -> str | None:
+    key = path[1] if len(path) == 2 else ""
+    if len(key) > MAX_ORDERING_KEY_CHARS:
+        raise RequestError(400, "the key is too long")
+    return key if message_class.is_ordered and key else None
+
+
+def _idempotency_key(headers: Headers) -> str | None:
+    key = headers.get("idempotency-key")
+    if key is not None and not IDEMPOTENCY_KEY.fullmatch(key):
+        raise RequestError(400, "Idempotency-Key is malformed")
+    return key
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -46,7 +46,7 @@
         ask = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         writer.write(ask)
         assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
-        (client,) = server.clients()
+        (client,) = server.connections.active()
         writer.write(ask)  # is written at once, and the loop has not run since
         client.on_timeout()
         assert b" 200 " in await reader.readuntil(b"\r\n\r\n")
--- a/tests/server/http/test_endings.py
+++ b/tests/server/http/test_endings.py
@@ -13,8 +13,9 @@
 import pytest
 
 from loftrelay.relay.engine import Engine
-from loftrelay.server.http import server as front
-from loftrelay.server.http.server import ClientConnection, HTTPServer
+from loftrelay.server.http import connection, connection_table
+from loftrelay.server.http.connection import ClientConnection
+from loftrelay.server.http.server import HTTPServer
 from tests.relay.test_engine import make_engine
 from tests.standins.platform import (
     HANG,
@@ -35,7 +36,7 @@
     folder: Path,
     places: int = 10,
 ) -> None:
-    """A front in this process: what crosses what is then up to the test. `come` connects and asks once."""
+    """Runs a server in this process. `come` connects and sends one request."""
 
     async def main() -> None:
         engine: Engine = make_engine(folder)
@@ -74,16 +75,16 @@
 
     async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await come()
-        (client,) = server.clients()
+        (client,) = server.connections.active()
         assert client.is_evictable  # the look
         if why == "eviction":
 
-            def look(newcomer: ClientConnection) -> ClientConnection:
+            def look(newcomer: ClientConnection, now_s: float) -> ClientConnection:
                 writer.write(written)
                 return client
 
-            monkeypatch.setattr(server, "_least_missed", look)
-            server.max_clients = 1
+            monkeypatch.setattr(server.connections, "choose_eviction", look)
+            server.connections.limit = 1
             await come()
         else:
             writer.write(written)  # the loop does not run before the end
@@ -92,7 +93,7 @@
                 await server.shutdown()
         await ends_without_a_reset(reader)
         writer.close()
-        while server.lingering:
+        while server.connections.lingering:
             await asyncio.sleep(0)
 
     serve(scenario, tmp_path)
@@ -119,31 +120,31 @@
 
     async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         streams = [await come() for _ in range(20)]
-        assert server.places_taken == 4
-        assert len(server.lingering) <= 3
-        for client in server.clients():
+        assert server.connections.active_count == 4
+        assert len(server.connections.lingering) <= 3
+        for client in server.connections.active():
             client.close()
-        assert len(server.lingering) <= 4 + 3
+        assert len(server.connections.lingering) <= 4 + 3
         while server.has_clients:
             await asyncio.sleep(0.01)  # nobody ends but the relay
         for reader, writer in streams:
             await ends_without_a_reset(reader)
             writer.close()
 
-    monkeypatch.setattr(front, "LINGER", 0.05)
-    monkeypatch.setattr(front, "LINGERING", 3)
+    monkeypatch.setattr(connection, "LINGER_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(connection_table, "MAX_LINGERING", 3)
     serve(scenario, tmp_path, places=4)
 
 
 def test_with_all_places_taken_a_new_client_is_told_so(tmp_path: Path) -> None:
     async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
-        streams = [await come() for _ in range(server.max_clients)]
+        streams = [await come() for _ in range(server.connections.limit)]
         for _, writer in streams:
             writer.write(b"POST /sta")
-        while not all(client.is_receiving for client in server.clients()):
+        while not all(client.is_receiving for client in server.connections.active()):
             await asyncio.sleep(0)
-        assert server.listening is not None
-        reader, writer = await asyncio.open_connection(*server.listening.getsockname())
+        assert server.listener.socket is not None
+        reader, writer = await asyncio.open_connection(*server.listener.socket.getsockname())
         answer = await reader.readuntil(b"\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 503 ")
         assert b"Retry-After: 1\r\n" in answer
@@ -157,10 +158,10 @@
     """What the system has taken already would be reset where it stops listening."""
 
     async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
-        assert server.listening is not None
+        assert server.listener.socket is not None
         queued = []
         for _ in range(20):  # the loop does not run meanwhile
-            queued.append(socket.create_connection(server.listening.getsockname()))
+            queued.append(socket.create_connection(server.listener.socket.getsockname()))
             queued[-1].sendall(ASK)
         await server.shutdown()
         for sock in queued:
--- a/tests/upgrade/test_successor.py
+++ b/tests/upgrade/test_successor.py
@@ -13,7 +13,8 @@
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import Message
-from loftrelay.server.http.server import ClientKind, ConnectionState, HTTPServer
+from loftrelay.server.http.connection_state import ClientKind, ConnectionState
+from loftrelay.server.http.server import HTTPServer
 from loftrelay.upgrade.successor import HandoverReceiver
 from tests.relay.test_engine import make_engine
 
@@ -67,7 +68,7 @@
         while not rows:
             await asyncio.sleep(0)
         assert ConnectionState.read(rows[0], -1) == ConnectionState(ClientKind.ONCE, half, -1)
-        assert server.clients() == []
+        assert server.connections.active() == []
         there.close()
         os.close(files[0])
         assert server.sweep_timer is not None
