--- a/tests/server/http/test_endings.py
+++ b/tests/server/http/test_connection_close.py
@@ -1,4 +1,4 @@
-"""Every way in which a client's connection ends, in the instant in which something is still owed on it."""
+"""Closing of client connections while a request or a response is in transit."""
 
 from __future__ import annotations
 
@@ -60,18 +60,18 @@
     asyncio.run(main())
 
 
-async def ends_without_a_reset(reader: asyncio.StreamReader) -> None:
-    """Raises ConnectionResetError where it does not."""
+async def expect_close_without_reset(reader: asyncio.StreamReader) -> None:
+    """Raises ConnectionResetError otherwise."""
     assert await reader.read() == b""
 
 
 @pytest.mark.parametrize("written", [message("m"), message("m")[:-3], b"P"], ids=["whole", "half", "a byte"])
 @pytest.mark.parametrize("why", ["idle", "eviction", "last phase"])
-def test_what_crosses_an_end(
+def test_request_that_crosses_the_close(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, written: bytes, why: str
 ) -> None:
-    """Written after the relay has looked, and before its close: nothing of it is taken on, and the client
-    hears an end, not a reset."""
+    """Sent after the relay has checked for unread bytes, before it closes: nothing of it is admitted, and the
+    client sees the end of the connection, not a reset."""
 
     async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await come()
@@ -91,7 +91,7 @@
             client.close()
             if why == "last phase":
                 await server.shutdown()
-        await ends_without_a_reset(reader)
+        await expect_close_without_reset(reader)
         writer.close()
         while server.connections.lingering:
             await asyncio.sleep(0)
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("raw", [b"no HTTP\r\n\r\n", message("m", Tenant="nobody"), ASK + ASK])
-def test_an_answer_is_read_though_bytes_are_unread_behind_it(tmp_path: Path, raw: bytes) -> None:
+def test_response_reaches_a_client_that_still_sends(tmp_path: Path, raw: bytes) -> None:
     async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await come()
         writer.write(raw)
@@ -115,8 +115,10 @@
     serve(scenario, tmp_path)
 
 
-def test_lingering_is_bounded_in_time_and_number(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients that rest until the relay ends them hold no place for longer."""
+def test_lingering_closes_are_bounded_in_time_and_number(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Clients that never close their side occupy no connection for longer."""
 
     async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         streams = [await come() for _ in range(20)]
@@ -128,7 +130,7 @@
         while server.has_clients:
             await asyncio.sleep(0.01)  # nobody ends but the relay
         for reader, writer in streams:
-            await ends_without_a_reset(reader)
+            await expect_close_without_reset(reader)
             writer.close()
 
     monkeypatch.setattr(connection, "LINGER_TIMEOUT_S", 0.05)
@@ -136,7 +138,7 @@
     serve(scenario, tmp_path, places=4)
 
 
-def test_with_all_places_taken_a_new_client_is_told_so(tmp_path: Path) -> None:
+def test_new_client_is_rejected_if_no_connection_can_be_evicted(tmp_path: Path) -> None:
     async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         streams = [await come() for _ in range(server.connections.limit)]
         for _, writer in streams:
@@ -154,8 +156,8 @@
     serve(scenario, tmp_path)
 
 
-def test_the_last_phase_takes_who_waits_to_be_accepted(tmp_path: Path) -> None:
-    """What the system has taken already would be reset where it stops listening."""
+def test_shutdown_accepts_queued_connections(tmp_path: Path) -> None:
+    """The system would reset them once the relay stops listening."""
 
     async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         assert server.listener.socket is not None
@@ -173,9 +175,9 @@
     serve(scenario, tmp_path, places=100)
 
 
-def test_the_end_of_the_process(tmp_path: Path) -> None:
-    """Who rests is told the end, who is in the midst of a request gets an answer; nobody sees a reset, and
-    what is written after the end was told is not taken on."""
+def test_shutdown_of_the_process(tmp_path: Path) -> None:
+    """Idle connections are closed, an incomplete request is answered, no connection is reset, and nothing
+    that is sent after the close is admitted."""
 
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
@@ -193,7 +195,7 @@
         half[1].write(message("half")[:-3])
         async with asyncio.timeout(HANG):
             for reader, writer in resting:
-                await ends_without_a_reset(reader)
+                await expect_close_without_reset(reader)
                 writer.write(message("late"))  # half-closed: it may still write
             answer = await half[0].read()
             assert answer.startswith(b"HTTP/1.1 503 ")
@@ -210,8 +212,8 @@
     run(scenario, tmp_path)
 
 
-def test_leavers_floods_and_the_slow_harm_nobody(tmp_path: Path) -> None:
-    """Bursts of clients that go at once, that send much and go, that write or read a byte now and then."""
+def test_disconnects_floods_and_slow_clients_harm_nobody(tmp_path: Path) -> None:
+    """Bursts of clients that disconnect at once, that send much, or that send a byte now and then."""
 
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
--- a/tests/server/http/test_clients.py
+++ b/tests/server/http/test_requests.py
@@ -1,4 +1,4 @@
-"""Clients: what can't be read is answered and harms nothing, what can is taken on once."""
+"""Requests of clients: invalid ones are refused without effect, valid ones are admitted once."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 
-def test_delivers_unchanged_on_a_kept_connection(tmp_path: Path) -> None:
+def test_message_is_delivered_unchanged_over_a_kept_connection(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
         await w.start()
@@ -92,8 +92,8 @@
 ]
 
 
-def test_bad_input_is_answered_and_harms_nothing(tmp_path: Path) -> None:
-    """What can't be read must be answered as such, not taken on, and must not stop the relay."""
+def test_invalid_request_is_refused_without_effect(tmp_path: Path) -> None:
+    """It gets its status, submits nothing, and the relay goes on serving."""
 
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
@@ -106,8 +106,8 @@
     run(scenario, tmp_path)
 
 
-def test_a_client_is_owed_an_answer_or_a_close(tmp_path: Path) -> None:
-    """Nothing said, half a request, a request too slow, one behind an answer: each has a clock."""
+def test_every_connection_is_answered_or_closed_in_time(tmp_path: Path) -> None:
+    """Without a request, with a part of one, with a slow one, or after a response: each has a timeout."""
 
     async def scenario(w: World) -> None:
         await w.host(deliver)
@@ -126,8 +126,8 @@
     run(scenario, tmp_path)
 
 
-def test_a_request_before_its_answer_takes_the_first_one_back(tmp_path: Path) -> None:
-    """Clients ask one thing at a time: one that does not is turned away, and nothing of it goes out."""
+def test_pipelined_request_cancels_the_pending_one(tmp_path: Path) -> None:
+    """Pipelining is refused, and no request of that connection is delivered."""
 
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
@@ -145,9 +145,9 @@
     run(scenario, tmp_path)
 
 
-def test_silent_newcomers_do_not_crowd_out_a_client(tmp_path: Path) -> None:
-    """Hundreds at once. On a busy machine it may look idle for long enough to leave in favour of who has just
-    come; then it is served on a new connection, as clients ask once more."""
+def test_silent_new_connections_do_not_evict_an_active_client(tmp_path: Path) -> None:
+    """Hundreds at once. On a busy machine the client may look idle for long enough to be evicted; then it is
+    served on a new connection, as clients retry."""
 
     async def scenario(w: World) -> None:
         w.limits["sockets"] = 100
@@ -178,9 +178,8 @@
     run(scenario, tmp_path)
 
 
-def test_more_clients_than_connections_are_served_in_turn(tmp_path: Path) -> None:
-    """They ask once and keep their connections: a new one takes the place of the longest idle, and none that
-    of a client which asks again and again."""
+def test_new_client_evicts_the_longest_idle_connection(tmp_path: Path) -> None:
+    """More clients than connections, each with one request: none evicts a regular client."""
 
     async def scenario(w: World) -> None:
         w.limits["sockets"] = 100
@@ -206,7 +205,7 @@
     run(scenario, tmp_path)
 
 
-def test_an_id_held_already_is_not_taken_twice(tmp_path: Path) -> None:
+def test_id_in_progress_is_not_admitted_twice(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         host = await w.host(never)
         await w.start()
@@ -218,9 +217,9 @@
 
 
 @pytest.mark.parametrize("of", ["order", "alarm"])
-def test_one_handed_in_again_after_its_delivery_runs_once(tmp_path: Path, of: str) -> None:
-    """Clients that got no answer in time do just that. Ten of ten ran twice when ended ids were forgotten. An
-    alarm may be repeated, but not for longer than its window of 1 s: it is known, too."""
+def test_repeated_request_after_delivery_is_not_delivered_again(tmp_path: Path, of: str) -> None:
+    """Clients without a response in time retry. An alarm may be repeated, but only within the deduplication
+    window of its destination (1 s), so its id is stored, too."""
 
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
@@ -243,8 +242,8 @@
     run(scenario, tmp_path, classes=CLASSES)
 
 
-def test_an_order_that_failed_is_answered_so_again_and_one_deferred_is_taken(tmp_path: Path) -> None:
-    """A refusal has promised that coming again does no harm; a failure has not."""
+def test_repeated_order_gets_its_failure_again_but_is_admitted_if_deferred(tmp_path: Path) -> None:
+    """A rejected order has certainly not run; a failed one may have."""
 
     async def scenario(w: World) -> None:
         async def fail(request: Request) -> bytes | None:
@@ -271,8 +270,8 @@
     run(scenario, tmp_path, policy_limits={**SETTINGS["policy_limits"], "most_tries": 1})
 
 
-def test_a_status_update_handed_in_again_is_taken_again(tmp_path: Path) -> None:
-    """It may run twice, and nothing of it is remembered."""
+def test_repeated_idempotent_message_is_admitted_again(tmp_path: Path) -> None:
+    """It may run twice, so its id is not stored."""
 
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
@@ -288,7 +287,7 @@
     run(scenario, tmp_path)
 
 
-def test_the_relay_refuses_beyond_what_it_may_hold(tmp_path: Path) -> None:
+def test_relay_rejects_messages_over_its_limit(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         await w.host(never)
         await w.start()
@@ -301,8 +300,8 @@
     run(scenario, tmp_path, policy_limits={**SETTINGS["policy_limits"], "most_held": 2})
 
 
-def test_a_full_disk_refuses_new_messages_and_nothing_else(tmp_path: Path) -> None:
-    """Over its budget the relay would be ended from outside; so it turns messages away before that."""
+def test_relay_over_its_disk_limit_rejects_only_new_messages(tmp_path: Path) -> None:
+    """It rejects messages before it exceeds the limit."""
 
     async def scenario(w: World) -> None:
         w.limits["disk_mb"] = 1
