--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one relay together: the only place that knows them all."""
+"""Assembles the parts of one relay: the only place that knows them all."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from loftrelay.discovery.client import DiscoveryClient
 from loftrelay.discovery.status_reporter import FinalStatusReporter
 from loftrelay.journal.journal import Journal
+from loftrelay.net.address import Address
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.handover import HandoverState
 from loftrelay.relay.ports import EndpointDirectory, MessageStore, SubscribedDirectory
@@ -17,6 +18,7 @@
 
 if TYPE_CHECKING:
     from loftrelay.discovery.settings import SubscriptionSettings
+    from loftrelay.discovery.subscriber import Subscriber
 
 DEFAULT_LIMITS = Limits()
 
@@ -25,20 +27,48 @@
     config: Config,
     connections: Limits = DEFAULT_LIMITS,
     journal: Journal | None = None,
-    record: MessageStore | None = None,
-    handed: HandoverState | None = None,
+    store: MessageStore | None = None,
+    received: HandoverState | None = None,
     subscription: SubscriptionSettings | None = None,
 ) -> tuple[Engine, Journal]:
-    """`connections`: what the operator's file on connections sets. `handed`: what another process told that
-    has handed the journal over. `subscription`: the registries, where the list is a slice.
+    """Builds one relay and starts its engine, within a running event loop.
 
-    Returns the engine with all its parts, running, and its journal. To be called within a running loop.
+    Args:
+        config: of the platform.
+        connections: limits of connections to hosts.
+        journal: the journal that a predecessor has handed over; None: the one in the state folder.
+        store: the store of record, where the operator has set one.
+        received: the state of the predecessor; None: recover from the journal alone.
+        subscription: the registries, where destinations are subscribed to.
 
-    Raises OSError where the folder of the journal can't be used.
+    Returns:
+        The engine with all its parts, running, and its journal.
+
+    Raises:
+        OSError: the state folder can't be used.
     """
     journal = journal or Journal(config.state_dir, config.journal_bytes)
-    engine = Engine(config.seed, config.settings, journal, record)
-    delivery = HostClient(
+    engine = Engine(config.seed, config.settings, journal, store)
+    delivery = _host_client(config, connections, journal, engine)
+    address = config.discovery if received is None else received.discovery
+    discovery: EndpointDirectory
+    subscribed: SubscribedDirectory | None = None
+    if subscription is None:
+        discovery = _discovery_client(config, address, engine)
+    else:
+        discovery = subscribed = _subscriber(config, subscription, address, engine)
+    status_reporter = FinalStatusReporter(address, engine.final_statuses.reported)
+    if received is not None:
+        engine.take_over(delivery, discovery, status_reporter, received, subscribed)
+    else:
+        disabled_hosts = HostsOut(config.state_dir).load()
+        cached_list = config.cached_endpoint_list
+        engine.connect(delivery, discovery, status_reporter, cached_list, disabled_hosts, subscribed)
+    return engine, journal
+
+
+def _host_client(config: Config, connections: Limits, journal: Journal, engine: Engine) -> HostClient:
+    return HostClient(
         config.settings.connect_timeout,
         config.settings.connection_idle_timeout,
         config.max_host_connections,
@@ -52,38 +82,28 @@
         engine.attempts.retry_after_received,
         engine.attempts.is_blocked,
     )
-    where = config.discovery if handed is None else handed.discovery
-    discovery: EndpointDirectory
-    slices: SubscribedDirectory | None = None
-    if subscription is None:
-        discovery = DiscoveryClient(
-            where,
-            config.settings.poll_interval,
-            engine.endpoints.listed,
-            lambda: engine.endpoints.entries,
-            engine.endpoints.list_rejected,
-        )
-    else:
-        from loftrelay.discovery.subscriber import Subscriber  # only where it is used
-
-        discovery = slices = Subscriber(
-            subscription,
-            config.name,
-            where,
-            engine.endpoints.listed,
-            engine.destination_resolved,
-            engine.release_destinations,
-        )
-    notices = FinalStatusReporter(where, engine.final_statuses.reported)
-    if handed is not None:
-        engine.take_over(delivery, discovery, notices, handed, slices)
-    else:
-        engine.connect(
-            delivery,
-            discovery,
-            notices,
-            config.cached_endpoint_list,
-            HostsOut(config.state_dir).load(),
-            slices,
-        )
-    return engine, journal
+
+
+def _discovery_client(config: Config, address: Address, engine: Engine) -> DiscoveryClient:
+    return DiscoveryClient(
+        address,
+        config.settings.poll_interval,
+        engine.endpoints.listed,
+        lambda: engine.endpoints.entries,
+        engine.endpoints.list_rejected,
+    )
+
+
+def _subscriber(
+    config: Config, subscription: SubscriptionSettings, address: Address, engine: Engine
+) -> Subscriber:
+    from loftrelay.discovery.subscriber import Subscriber  # loaded only where it is used
+
+    return Subscriber(
+        subscription,
+        config.name,
+        address,
+        engine.endpoints.listed,
+        engine.destination_resolved,
+        engine.release_destinations,
+    )
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -1,4 +1,4 @@
-"""One relay from its start to its end: takes the state over, serves, and hands it on or keeps it."""
+"""One relay as a process: startup, serving until it is told to stop, and graceful shutdown or handover."""
 
 from __future__ import annotations
 
@@ -6,296 +6,348 @@
 import logging
 import os
 import sys
-from collections.abc import Mapping
-from typing import TYPE_CHECKING, Any
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from loftrelay.config.platform import Config, ConfigError, reload_config
+from loftrelay.config.platform import Config
 from loftrelay.delivery.connection_pool import Limits
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.fault_points import fault_point
 from loftrelay.relay.shutdown_schedule import shutdown_schedule
-from loftrelay.server.admin.commands import Relay
-from loftrelay.server.admin.server import Door
-from loftrelay.server.http.server import Server
+from loftrelay.server.admin.commands import RelayAdmin
+from loftrelay.server.admin.server import AdminServer
+from loftrelay.server.http.server import HTTPServer
 from loftrelay.service.assembly import build
+from loftrelay.service.configuration import ConfigurationReloader
 from loftrelay.state.hosts_out import HostsOut
-from loftrelay.state.last_config import LastFile
 from loftrelay.upgrade.lock import Lock
 from loftrelay.upgrade.receiver import HandoverReceiver
 from loftrelay.upgrade.sender import HandoverSender, ServiceCallbacks
 
-if TYPE_CHECKING:
+if TYPE_CHECKING:  # each is loaded only where the operator asks for it, which keeps other starts quick
+    from loftrelay.decisions.settings import RelaySettings
     from loftrelay.discovery.settings import SubscriptionSettings
-    from loftrelay.gossip.settings import FleetSettings
+    from loftrelay.gossip.settings import GossipSettings
     from loftrelay.service.gossip_member import GossipMember
+    from loftrelay.store.recorder import Recorder
     from loftrelay.store.settings import RecordSettings
 
 log = logging.getLogger("loftrelay")
 
-LOOK = 0.02  # seconds between looks at what is still out
-# Seconds for which a start waits at the most for what it held to have its destinations, and for a registry.
-RECOVER, REGISTRY = 1.0, 2.0
-CATCH_UP = 1.0  # seconds at the most for which a start tells what ran out of time, before it is ready
+POLL_INTERVAL_S = 0.02  # between checks of what is still in flight
+MAX_RESOLUTION_WAIT_S = 1.0  # of a start, for the destinations of recovered messages
+MAX_REGISTRY_WAIT_S = 2.0  # of a start, for an answer of a registry
+MAX_CATCH_UP_S = 1.0  # of a start, for reports of messages whose time is over
 
 
-class Stopped(Exception):
-    """It was told to end before it served."""
+class StoppedBeforeServingError(Exception):
+    """The process was told to stop while it still waited to own the state."""
 
 
-class Service:
+@dataclass(frozen=True, slots=True)
+class OwnedState:
+    """The state folder of a relay, owned by this process."""
+
+    lock: Lock
+    journal: Journal
+    receiver: HandoverReceiver | None  # None: there was no predecessor to take over from
+
+
+class RelayProcess:
+    """One relay.
+
+    Args:
+        config: of the platform.
+        connections: limits of connections to hosts.
+        record: the store of record, where the operator has set one.
+        fleet: the gossip group, where the operator has set one.
+        subscription: the registries, where the operator has set some.
+    """
+
     def __init__(
         self,
         config: Config,
         connections: Limits,
         record: RecordSettings | None = None,
-        fleet: FleetSettings | None = None,
+        fleet: GossipSettings | None = None,
         subscription: SubscriptionSettings | None = None,
     ) -> None:
-        self.config, self.connections, self.record, self.fleet = config, connections, record, fleet
+        self.config = config
+        self.connections = connections
+        self.record = record
+        self.fleet = fleet
         self.subscription = subscription
-        self.joined: GossipMember | None = None
-        self.relay = Relay(HostsOut(config.state_dir))
-        self.last = LastFile(config.state_dir)
-        self.told: Mapping[str, Any] = config.document  # the file in force
-        self.ending = asyncio.Event()
-        self.owns = True  # of what it ends with
-        self.to_read = False  # SIGHUP came before anything could be read again
-        self.giver: HandoverSender | None = None
+        self.admin = RelayAdmin(HostsOut(config.state_dir))
+        self.configuration = ConfigurationReloader(config, self._apply_to_store)
+        self.should_exit = asyncio.Event()
+        self.owns_state = True  # at its end
+        self.is_reload_pending = False  # SIGHUP came while nothing could be reloaded
+        self.admin_server: AdminServer | None = None
+        self.recorder: Recorder | None = None
+        self.sender: HandoverSender | None = None
+        self.gossip: GossipMember | None = None
+        self.gossip_start: asyncio.Task[None] | None = None
 
     # Signals
 
     def terminate(self) -> None:
-        if self.giver is not None:
-            self.giver.request_stop()
+        """Handles SIGTERM and SIGINT."""
+        if self.sender is not None:
+            self.sender.request_stop()
         else:
-            self.ending.set()
-
-    def read_again(self) -> None:
-        engine = self.relay.engine
-        if engine is None or engine.context.outcome_forwarder is not None:
-            self.to_read = True  # once it serves, or serves again
-            if self.giver is not None and not self.giver.is_owner:
-                self.giver.forwarder.configuration_replaced()
+            self.should_exit.set()
+
+    def reload(self) -> None:
+        """Handles SIGHUP: reads the configuration again, now or once this process decides."""
+        engine = self.admin.engine
+        if engine is not None and not engine.context.is_paused:
+            self.configuration.reload(engine)
             return
-        try:
-            change = reload_config(os.environ, self.told)
-        except ConfigError as error:
-            engine.context.metrics.sighup_rejected += 1
-            log.error("the configuration stays as it was: %s", error)
+        self.is_reload_pending = True
+        if self.sender is not None and not self.sender.is_owner:
+            self.sender.forwarder.configuration_replaced()
+
+    def _apply_to_store(self, settings: RelaySettings) -> None:
+        if self.record is None or self.recorder is None:
             return
-        self.told = change.document
-        self.last.save(change.document)
-        if self.record is not None:
-            from loftrelay.service.store_setup import modes
+        from loftrelay.service.store_setup import modes
 
-            self.recorder.modes = {**self.recorder.modes, **modes(change.settings, self.record)}
-        engine.apply_settings(change.settings, change.discovery)
-        engine.context.metrics.sighup_applied += 1
+        self.recorder.modes = {**self.recorder.modes, **modes(settings, self.record)}
 
-    # From start to end
+    # Startup, serving, shutdown
 
     async def run(self) -> None:
-        """Raises OSError where it can't serve."""
-        config = self.config
-        door = await self._open_door()
-        taker: HandoverReceiver | None = None
-        lock: Lock | None
-        if config.listen_fd is None:
-            if (lock := Lock.acquire(config.state_dir)) is None:
-                raise OSError(f"another process of this relay holds {config.state_dir}")
-            journal = Journal(config.state_dir, config.journal_bytes)
-        else:
-            taker = HandoverReceiver(config.state_dir, config.journal_bytes, config.seed)
-            try:
-                journal = await self._unless_stopped(taker)
-            except Stopped:
-                return
-            lock = taker.lock
-        assert lock is not None
-        recorder = None
-        if self.record is not None:
-            from loftrelay.service.store_setup import open_record
-            from loftrelay.store.backend import StoreError  # with its database, only where it is used
-
-            try:
-                recorder = self.recorder = await open_record(config, self.record, journal)
-            except StoreError as error:
-                raise OSError(str(error)) from error
-        handed = taker.received_state if taker is not None else None
-        engine, journal = build(config, self.connections, journal, recorder, handed, self.subscription)
-        self.relay.engine = engine
-        self.last.save(self.told)
-        if self.subscription is not None:
-            await self._subscribe(engine, handed is not None)
-        if taker is None:
-            await self._catch_up(engine)
-        server = Server(engine, config.max_client_connections)
-        address = await server.listen(config.listen, config.listen_fd)
-        if taker is not None:
-            taker.attach(engine, server.adopt, self.relay.change, self.read_again)
-            if recorder is None:  # what the store has not said yet can't be handed over
-                self.giver = HandoverSender(
-                    config.state_dir,
-                    lock,
-                    engine,
-                    server,
-                    ServiceCallbacks(self._moved, self.relay.change, self._stop, self._take_back),
-                )
-        joining = await self._join(engine) if self.fleet is not None else None
-        log.info("%s listens on %s:%d", config.name, *address)
-        self.relay.serving = True
+        """Runs until the process is told to stop.
+
+        Raises:
+            OSError: it can't serve.
+        """
+        await self._open_admin_server()
+        try:
+            state = await self._acquire_state()
+        except StoppedBeforeServingError:
+            return
+        engine, server = await self.startup(state)
+        await self.should_exit.wait()
+        await self.shutdown(engine, server)
+        await self._close(engine, state)
+
+    async def startup(self, state: OwnedState) -> tuple[Engine, HTTPServer]:
+        """Starts the engine, catches up, and then listens to clients."""
+        engine = await self._start_engine(state)
+        server = HTTPServer(engine, self.config.max_client_connections)
+        address = await server.startup(self.config.listen, self.config.listen_fd)
+        if state.receiver is not None:
+            self._join_handover(state, engine, server)
+        await self._join_gossip(engine)
+        log.info("%s listens on %s:%d", self.config.name, *address)
+        self.admin.is_serving = True
         fault_point("taken over")
-        if self.to_read:
-            self.to_read = False
-            self.read_again()
-        elif handed is not None:
-            self._read_what_was_missed(engine)
-        await self.ending.wait()
+        self._reload_if_pending(engine, state)
+        return engine, server
+
+    async def shutdown(self, engine: Engine, server: HTTPServer) -> None:
+        """Ends serving, within the time before SIGKILL."""
         began = asyncio.get_running_loop().time()
-        self.relay.serving = False
-        if joining is not None:
-            joining.cancel()
-        if self.joined is not None:
-            self.joined.close()
-        if self.owns:
-            await self._end_in_order(server, began)
+        self.admin.is_serving = False
+        if self.gossip_start is not None:
+            self.gossip_start.cancel()
+        if self.gossip is not None:
+            self.gossip.close()
+        if self.owns_state:
+            await self._shut_down_gracefully(server, began)
         else:
-            assert self.giver is not None
-            end = began + shutdown_schedule(engine.context.settings.classes.values()).exit
-            while engine.context.delivery.is_busy or self.giver.has_unfinished_work:
-                if asyncio.get_running_loop().time() >= end:
-                    break
-                await asyncio.sleep(LOOK)
-        held = f"{len(journal.messages)} messages in its journal" if self.owns else "nothing of its own"
-        log.info("%s ends with %s", config.name, held)
+            await self._finish_handover(engine, began)
+
+    async def _close(self, engine: Engine, state: OwnedState) -> None:
+        kept = f"{len(state.journal.messages)} messages in its journal" if self.owns_state else "no messages"
+        log.info("%s exits, keeping %s", self.config.name, kept)
         engine.context.status_reporter.close()
         engine.context.discovery.close()
         engine.context.delivery.close()
-        if self.giver is not None:
-            self.giver.close()
-        if door is not None:
-            door.close()
-        if recorder is not None:
-            await recorder.close()
-        journal.close()
-        lock.release()
+        if self.sender is not None:
+            self.sender.close()
+        if self.admin_server is not None:
+            self.admin_server.close()
+        if self.recorder is not None:
+            await self.recorder.close()
+        state.journal.close()
+        state.lock.release()
 
-    async def _catch_up(self, engine: Engine) -> None:
-        """What ran out of time while the relay was away is told before any client comes.
+    # Steps of the startup
 
-        Trouble: on a starved machine relays listened and then did not run for up to 2.2 s. Clients waited in
-        vain for an answer, where a refused connection would have told them at once; and ends of recovered
-        messages were overdue though the relay counted as ready.
-        """
-        end = asyncio.get_running_loop().time() + CATCH_UP
-        await asyncio.sleep(
-            engine.context.loop.interval
-        )  # the first turn: a wait, so that it runs when the process does
-        while (
-            engine.context.status_reporter.pending
-            and asyncio.get_running_loop().time() < end
-            and not self.ending.is_set()
-        ):
-            await asyncio.sleep(engine.context.loop.interval)
+    async def _open_admin_server(self) -> None:
+        if self.config.admin_address is None:
+            return
+        self.admin_server = AdminServer(self.admin)
+        address = await self.admin_server.listen(self.config.admin_address)
+        log.info("%s accepts admin calls on %s:%d", self.config.name, *address)
+
+    async def _acquire_state(self) -> OwnedState:
+        """Owns the state folder: alone, or after the process that serves with the same socket."""
+        config = self.config
+        if config.listen_fd is None:
+            lock = Lock.acquire(config.state_dir)
+            if lock is None:
+                raise OSError(f"another process of this relay holds {config.state_dir}")
+            return OwnedState(lock, Journal(config.state_dir, config.journal_bytes), None)
+        receiver = HandoverReceiver(config.state_dir, config.journal_bytes, config.seed)
+        journal = await self._acquire_unless_stopped(receiver)
+        assert receiver.lock is not None
+        return OwnedState(receiver.lock, journal, receiver)
+
+    async def _acquire_unless_stopped(self, receiver: HandoverReceiver) -> Journal:
+        acquired = asyncio.ensure_future(receiver.acquire())
+        stopped = asyncio.ensure_future(self.should_exit.wait())
+        await asyncio.wait((acquired, stopped), return_when=asyncio.FIRST_COMPLETED)
+        stopped.cancel()
+        if acquired.done():
+            return acquired.result()
+        acquired.cancel()
+        raise StoppedBeforeServingError
+
+    async def _start_engine(self, state: OwnedState) -> Engine:
+        received = state.receiver.received_state if state.receiver is not None else None
+        await self._open_store(state.journal)
+        engine, _ = build(
+            self.config, self.connections, state.journal, self.recorder, received, self.subscription
+        )
+        self.admin.engine = engine
+        self.configuration.save()
+        if self.subscription is not None:
+            await self._subscribe(engine, has_predecessor=received is not None)
+        if state.receiver is None:
+            await self._catch_up(engine)
+        return engine
+
+    async def _open_store(self, journal: Journal) -> None:
+        if self.record is None:
+            return
+        from loftrelay.service.store_setup import open_record
+        from loftrelay.store.backend import StoreError
 
-    async def _subscribe(self, engine: Engine, handed: bool) -> None:
-        """It serves once a registry has answered. With none that does it serves all the same after a while:
-        what it holds it goes on with, and first messages are refused with when to come back.
+        try:
+            self.recorder = await open_record(self.config, self.record, journal)
+        except StoreError as error:
+            raise OSError(str(error)) from error
+
+    async def _subscribe(self, engine: Engine, *, has_predecessor: bool) -> None:
+        """Waits for a registry, and for the destinations of recovered messages, both for a limited time.
+
+        Without an answer it serves all the same: the first messages of unknown destinations are rejected.
         """
         from loftrelay.discovery.subscriber import Subscriber
 
         subscriber = engine.context.subscription
         assert isinstance(subscriber, Subscriber)
-        self.relay.more.append(subscriber.figure_lines)
-        self.relay.more.append(lambda: [f"app.slices_parked={len(engine.intake.pending)}"])
-        if handed:
+        self.admin.metric_sources.append(subscriber.figure_lines)
+        self.admin.metric_sources.append(lambda: [f"app.slices_parked={len(engine.intake.pending)}"])
+        if has_predecessor:
             return
         loop = asyncio.get_running_loop()
         began = loop.time()
-        while not self.ending.is_set() and loop.time() < began + REGISTRY:
-            if engine.recovery.unresolved and loop.time() >= began + RECOVER:
+        while not self.should_exit.is_set() and loop.time() < began + MAX_REGISTRY_WAIT_S:
+            if engine.recovery.unresolved and loop.time() >= began + MAX_RESOLUTION_WAIT_S:
                 engine.recovery.replay()
             if subscriber.answered.is_set() and not engine.recovery.unresolved:
                 break
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL_S)
         engine.recovery.replay()
 
-    def _read_what_was_missed(self, engine: Engine) -> None:
-        """The file may have been replaced, and SIGHUP sent to the process before, since this one read it."""
-        try:
-            change = reload_config(os.environ, self.told)
-        except ConfigError:
-            return  # what is in force stays
-        if change.document != self.told:
-            self.told = change.document
-            self.last.save(change.document)
-            engine.apply_settings(change.settings, change.discovery)
-
-    async def _join(self, engine: Engine) -> asyncio.Task[None]:
-        """Takes part in the fleet; beside a process that ends, once that has given its socket up."""
-        from loftrelay.service.gossip_member import GossipMember  # with its encoding, only where it is used
-
-        assert self.fleet is not None
-        config, beside = self.config, self.config.listen_fd is not None
-        self.joined = GossipMember(
-            self.fleet, config.name, config.state_dir, engine, self.relay.change_for_fleet
-        )
-        self.relay.more.append(self.joined.figure_lines)
-        starting = asyncio.create_task(self.joined.start(wait=beside))
-        if not beside:
-            await starting
-        return starting
+    async def _catch_up(self, engine: Engine) -> None:
+        """Reports messages whose time ran out while the relay was down, before any client connects.
 
-    async def _open_door(self) -> Door | None:
-        if self.config.admin_address is None:
-            return None
-        door = Door(self.relay)
-        address = await door.listen(self.config.admin_address)
-        log.info("%s is open to operators on %s:%d", self.config.name, *address)
-        return door
-
-    async def _unless_stopped(self, taker: HandoverReceiver) -> Journal:
-        own = asyncio.ensure_future(taker.acquire())
-        stopped = asyncio.ensure_future(self.ending.wait())
-        await asyncio.wait((own, stopped), return_when=asyncio.FIRST_COMPLETED)
-        stopped.cancel()
-        if own.done():
-            return own.result()
-        own.cancel()
-        raise Stopped
+        A relay that listens before its event loop runs freely leaves clients without an answer, where a
+        refused connection would have told them at once.
+        """
+        loop, interval = asyncio.get_running_loop(), engine.context.loop.interval
+        deadline = loop.time() + MAX_CATCH_UP_S
+        await asyncio.sleep(interval)  # for the first batch
+        while (
+            engine.context.status_reporter.pending
+            and loop.time() < deadline
+            and not self.should_exit.is_set()
+        ):
+            await asyncio.sleep(interval)
+
+    def _join_handover(self, state: OwnedState, engine: Engine, server: HTTPServer) -> None:
+        """Takes what the predecessor still sends, and is ready to be a predecessor itself."""
+        assert state.receiver is not None
+        state.receiver.attach(engine, server.adopt, self.admin.set_disabled, self.reload)
+        if self.recorder is not None:
+            return  # what the store has not confirmed yet can't be handed over
+        callbacks = ServiceCallbacks(self._on_moved, self.admin.set_disabled, self._on_stop, _restart)
+        self.sender = HandoverSender(self.config.state_dir, state.lock, engine, server, callbacks)
 
-    async def _end_in_order(self, server: Server, began: float) -> None:
+    async def _join_gossip(self, engine: Engine) -> None:
+        """Joins the gossip group; beside a predecessor, once that has closed its socket."""
+        if self.fleet is None:
+            return
+        from loftrelay.service.gossip_member import GossipMember
+
+        config, has_predecessor = self.config, self.config.listen_fd is not None
+        override = self.admin.apply_fleet_override
+        self.gossip = GossipMember(self.fleet, config.name, config.state_dir, engine, override)
+        self.admin.metric_sources.append(self.gossip.metric_lines)
+        self.gossip_start = asyncio.create_task(self.gossip.start(wait=has_predecessor))
+        if not has_predecessor:
+            await self.gossip_start
+
+    def _reload_if_pending(self, engine: Engine, state: OwnedState) -> None:
+        if self.is_reload_pending:
+            self.is_reload_pending = False
+            self.reload()
+        elif state.receiver is not None and state.receiver.received_state is not None:
+            self.configuration.reload_if_replaced(engine)
+
+    # Steps of the shutdown
+
+    async def _shut_down_gracefully(self, server: HTTPServer, began: float) -> None:
         loop, engine = asyncio.get_running_loop(), server.engine
         schedule = shutdown_schedule(engine.context.settings.classes.values())
-        server.stopping = True
+        server.keeps_idle_connections = True
         await asyncio.sleep(began + schedule.last_call - loop.time())
         engine.intake.stop()
-        log.info("%s begins no more calls", self.config.name)
+        log.info("%s: graceful shutdown, no new attempts", self.config.name)
         await asyncio.sleep(began + schedule.last_admission - loop.time())
-        await server.close()
-        while loop.time() < began + schedule.last_answer and (
-            engine.has_unfinished_work or server.unfinished
-        ):
-            await asyncio.sleep(LOOK)
-        server.end()
-        while loop.time() < began + schedule.exit and (engine.has_unfinished_work or server.unfinished):
-            await asyncio.sleep(LOOK)
-
-    # What the handover asks
-
-    def _moved(self, away: bool) -> None:
-        self.relay.elsewhere = self.giver.forwarder if away and self.giver is not None else None
-        self.relay.serving = not away
-        if not away and self.to_read:
-            self.to_read = False
-            self.read_again()
-
-    def _stop(self, owns: bool) -> None:
-        self.owns = owns
-        self.ending.set()
-
-    def _take_back(self) -> None:
-        """A new start in the same process: the platform goes on knowing it by its id."""
-        sys.stderr.flush()
-        os.execv(sys.executable, sys.orig_argv)
+        await server.shutdown()
+        await self._wait_for_work(engine, server, began + schedule.last_answer)
+        server.reject_remaining()
+        await self._wait_for_work(engine, server, began + schedule.exit)
+
+    async def _wait_for_work(self, engine: Engine, server: HTTPServer, deadline: float) -> None:
+        loop = asyncio.get_running_loop()
+        while loop.time() < deadline and (engine.has_unfinished_work or server.has_clients):
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def _finish_handover(self, engine: Engine, began: float) -> None:
+        """Waits for calls in flight, whose outcomes go to the successor."""
+        assert self.sender is not None
+        schedule = shutdown_schedule(engine.context.settings.classes.values())
+        loop = asyncio.get_running_loop()
+        while engine.context.delivery.is_busy or self.sender.has_unfinished_work:
+            if loop.time() >= began + schedule.exit:
+                break
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    # Callbacks of a handover
+
+    def _on_moved(self, is_elsewhere: bool) -> None:
+        """Another process decides now, or this one does again."""
+        assert self.sender is not None
+        self.admin.owner = self.sender.forwarder if is_elsewhere else None
+        self.admin.is_serving = not is_elsewhere
+        if not is_elsewhere and self.is_reload_pending:
+            self.is_reload_pending = False
+            self.reload()
+
+    def _on_stop(self, owns_state: bool) -> None:
+        self.owns_state = owns_state
+        self.should_exit.set()
+
+
+def _restart() -> None:
+    """Starts this program anew in the same process: the platform goes on knowing it by its id."""
+    sys.stderr.flush()
+    os.execv(sys.executable, sys.orig_argv)
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -76,7 +76,7 @@
         await w.start()
         (tmp_path / "config.json").write_text(text)
         w.reload()
-        await w.until(lambda: any("stays as it was" in line for line in w.log))
+        await w.until(lambda: any("configuration unchanged" in line for line in w.log))
         host = await w.host(deliver)
         await w.hand_in_once_listed("m", 1)
         await w.until(lambda: host.ids == ["m"])
--- a/tests/program/test_restarts.py
+++ b/tests/program/test_restarts.py
@@ -135,7 +135,7 @@
             start, headers, _ = await read_message(reader)
             assert start.startswith("HTTP/1.1 202")
             assert "connection" not in headers
-            await w.until(lambda: other.ids == ["new"] and any("no more calls" in line for line in w.log))
+            await w.until(lambda: other.ids == ["new"] and any("no new attempts" in line for line in w.log))
         released.set()
         async with asyncio.timeout(HANG):
             assert await reader.read() == b""
--- a/tests/program/test_settings_in_service.py
+++ b/tests/program/test_settings_in_service.py
@@ -140,7 +140,7 @@
             pass
         assert "app.sighup_applied=0" in text
         assert "other" not in text
-        assert any("the configuration stays as it was" in line and "config.json" in line for line in w.log)
+        assert any("configuration unchanged" in line and "config.json" in line for line in w.log)
         assert await w.hand_in("no", "other") == 404
         await w.hand_in_once_listed("m", 1)
         await w.until(lambda: host.ids == ["m"])
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -462,7 +462,7 @@
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 503")
             assert await w.process.wait() == 0
         writer.close()
-        assert any("ends with 0 messages" in line for line in w.log)
+        assert any("exits, keeping 0 messages" in line for line in w.log)
 
     play(scenario, tmp_path)
 
