--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -32,8 +32,9 @@
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.simulator import read_settings
-from loftrelay.discovery.client import DiscoveryClient, read_list
-from loftrelay.discovery.http_client import Caller
+from loftrelay.discovery.client import DiscoveryClient
+from loftrelay.discovery.endpoint_list import decode_list
+from loftrelay.discovery.http_client import DiscoveryHttpClient
 from loftrelay.gossip.codec import decode, encode
 from loftrelay.gossip.swim import Datagram, Membership, Peer, Probe, State, Timing
 from loftrelay.net.address import Address
@@ -132,10 +133,10 @@
             engine = made(Path(folder))
 
             def take(told: bytes) -> None:
-                _, complete, entries = read_list(json.loads(told))
-                form = EndpointListKind.FULL if complete else EndpointListKind.DELTA
-                listing = EndpointListReceived(form, tuple(entry for entry, _ in entries))
-                engine.endpoints_listed(listing, {entry.endpoint: address for entry, address in entries})
+                received = decode_list(json.loads(told))
+                form = EndpointListKind.FULL if received.is_complete else EndpointListKind.DELTA
+                listing = EndpointListReceived(form, tuple(entry for entry, _ in received.rows))
+                engine.endpoints_listed(listing, {entry.endpoint: place for entry, place in received.rows})
 
             async def taken(told: bytes, count: int) -> float:
                 began = time.process_time()
@@ -357,10 +358,10 @@
             if seen >= wanted:
                 enough.set()
 
-        counter = Caller(address)
+        counter = DiscoveryHttpClient(address)
 
         async def counts() -> dict[str, float]:
-            told: dict[str, float] = json.loads((await counter.ask("GET", "/counts", 10)).body)
+            told: dict[str, float] = json.loads((await counter.request("GET", "/counts", 10)).body)
             return told
 
         discovery = DiscoveryClient(address, None, tell)
--- a/loftrelay/discovery/change_batch.py
+++ b/loftrelay/discovery/change_batch.py
@@ -91,10 +91,10 @@
 
     def next_change(self, fleet: str, subscriber: str, revision: int) -> Change:
         """Takes the next change out of the batch; the set counts as changed from then on."""
-        room = self.max_destinations
-        added, room = _take(self.to_resolve, room)
-        confirmed, room = _take(self.to_confirm, room)
-        dropped, room = _take(self.to_drop, room)
+        limit = self.max_destinations
+        added, limit = _pop_first(self.to_resolve, limit)
+        confirmed, limit = _pop_first(self.to_confirm, limit)
+        dropped, limit = _pop_first(self.to_drop, limit)
         self.sequence += 1
         change = Change(
             fleet, subscriber, self.sequence, revision, added, confirmed, dropped, reset=self.is_reset_due
@@ -132,9 +132,9 @@
             self.max_destinations = min(MOST_CELLS, 2 * self.max_destinations)
 
 
-def _take(numbers: dict[int, None], room: int) -> tuple[tuple[int, ...], int]:
-    """Removes and returns the first numbers, `room` at the most, and the room left."""
-    taken = tuple(number for number, _ in zip(numbers, range(room), strict=False))
-    for number in taken:
+def _pop_first(numbers: dict[int, None], limit: int) -> tuple[tuple[int, ...], int]:
+    """Removes and returns the first numbers, `limit` at the most, and the remaining limit."""
+    popped = tuple(number for number, _ in zip(numbers, range(limit), strict=False))
+    for number in popped:
         del numbers[number]
-    return taken, room - len(taken)
+    return popped, limit - len(popped)
--- a/loftrelay/discovery/client.py
+++ b/loftrelay/discovery/client.py
@@ -1,4 +1,4 @@
-"""The list of hosts, and the watch on it."""
+"""Long poll of discovery's endpoint list."""
 
 from __future__ import annotations
 
@@ -6,271 +6,230 @@
 import gc
 import json
 import logging
-import sys
-from collections.abc import Callable, Iterable, Mapping, Sequence
-from dataclasses import dataclass, replace
+from collections.abc import Callable, Mapping
+from dataclasses import replace
 from typing import Any
 
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
-
-try:
-    import msgspec
-except ImportError:  # the extra `lists`
-    msgspec = None  # type: ignore[assignment]
-
-from loftrelay.discovery.http_client import Caller
-from loftrelay.net.address import Address, parse_address
+from loftrelay.discovery.endpoint_list import (
+    MAX_LIST_BYTES,
+    MAX_SPLIT_BYTES,
+    SEGMENT_ROWS,
+    SegmentedList,
+    decode_list,
+    split_list,
+)
+from loftrelay.discovery.http_client import DiscoveryHttpClient
+from loftrelay.discovery.subscription_actions import Row
+from loftrelay.net.address import Address
 from loftrelay.net.http import AnswerTooLong, ConnectionBroken
 
 log = logging.getLogger(__name__)
 
-NO_ASK_EVERY = 10_000_000
-# A change counts as told 6 s after discovery had it and could be reached, whatever became of calls to it. So
-# a watch that falls silent as it is opened, with the change right after, is given up after MOST_WAIT +
-# PATIENCE, and the module asks anew within 2 s (brain.py, MOST_ASK_WAIT).
-MOST_WAIT = 2.0  # seconds for which discovery may hold a watch; less where the settings ask for more
-PATIENCE = 2.2  # seconds for an answer beyond that wait: discovery turns away what waited for 2 s
-CONNECT = 1.0  # seconds for a connection to come up
-LEAST_GAP = 0.05  # between calls: a watch that answers at once must not become a busy loop
-# Trouble: a list of 50,000 hosts that was taken at one go held the loop up for 5 s. Up to AT_ONCE bytes, some
-# 400 hosts, it is taken so; a longer one in pieces of so many hosts, with a pause after each that has news.
-AT_ONCE, PIECE, PAUSE = 64 << 10, 200, 0.005
-# Trouble: collections of garbage that looked at all hosts took up to 230 ms. Every so many pieces what
-# is there is taken out of their sight; it goes when it is forgotten, as no cycles lead there.
-FREEZE_EVERY = 5
-# Bytes of a list that can be opened without holding the loop up for 50 ms: all of it is parsed at one go, or
-# with msgspec only cut into rows.
-MOST_PARSED, MOST_CUT = 2 << 20, 16 << 20
-MOST_LIST = MOST_PARSED if msgspec is None else MOST_CUT
-STATES = {"Ready": EndpointState.ACTIVE, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
-
-
-def read_list(told: Any) -> tuple[int, bool, list[tuple[EndpointEntry, Address]]]:
-    """Revision, whether the list is whole, and its entries. Raises ValueError when it can't be read."""
-    if not isinstance(told, Mapping) or not isinstance(told.get("members"), list):
-        raise ValueError("the list has no members")
-    if not isinstance(told.get("revision"), int) or not isinstance(told.get("complete"), bool):
-        raise ValueError("the list has no revision, or does not say whether it is complete")
-    return told["revision"], told["complete"], read_rows(told["members"])
-
-
-def _word(value: Any) -> Any:
-    """Few differ: all rows share one object."""
-    return sys.intern(value) if isinstance(value, str) else value
-
-
-def read_rows(
-    rows: Iterable[Any], decode: Callable[[Any], Any] | None = None
-) -> list[tuple[EndpointEntry, Address]]:
-    """One that can't be read is passed over. `decode`: parses it first."""
-    entries = []
-    for row in rows:
-        try:
-            row = decode(row) if decode is not None else row
-            size, identity, cell = row.get("size"), row["id"], row["cell"]
-            if not isinstance(identity, str) or not isinstance(cell, int):
-                raise ValueError(f"id = {identity!r}, cell = {cell!r}: one is of the wrong type")
-            entry = EndpointEntry(
-                identity,
-                cell,
-                STATES[row["phase"]],
-                _word(row.get("locality")),
-                _word(row.get("flavor")),
-                float(size) if isinstance(size, int | float) else None,
-            )
-            entries.append((entry, parse_address(row["host_port"])))
-        except (AttributeError, KeyError, TypeError, ValueError) as error:
-            log.warning("an entry of the list is passed over: %r in %.300r", error, row)
-    return entries
-
-
-if msgspec is not None:
-
-    class Cut(msgspec.Struct):
-        """A list whose rows are not parsed yet."""
-
-        revision: int
-        complete: bool
-        members: list[msgspec.Raw]
-
-    CUT = msgspec.json.Decoder(Cut)
-
-    def _parse(row: Any) -> Any:
-        """Raises ValueError."""
-        try:
-            return msgspec.json.decode(row)
-        except (ValueError, RecursionError) as error:
-            raise ValueError(f"{error} in {bytes(row)[:300]!r}") from None
-
-
-@dataclass(frozen=True, slots=True)
-class Long:
-    """A list that is taken in pieces."""
+LIST_PATH = "/registry/instances"
+DEFAULT_POLL_INTERVAL_US = 10_000_000
+# A change counts as received 6 s after discovery had it (PROTOCOL). A watch that falls silent is given up
+# after MAX_WATCH_WAIT_S + RESPONSE_TIMEOUT_S, and the decisions ask for the next within 2 s.
+MAX_WATCH_WAIT_S = 2.0  # for which discovery may hold a watch
+RESPONSE_TIMEOUT_S = 2.2  # beyond that wait; discovery rejects what has waited for 2 s
+CONNECT_TIMEOUT_S = 1.0
+MIN_CALL_INTERVAL_S = 0.05  # watches that are answered at once must not become a busy loop
+MAX_SINGLE_PASS_BYTES = 64 << 10  # about 400 endpoints; a longer list is applied in segments
+SEGMENT_PAUSE_S = 0.005  # after each segment with changes, for the event loop's other work
+# Applied rows are moved out of the garbage collector's sight, as no cycles lead there: a collection that
+# looks at all of them blocks the event loop.
+SEGMENTS_PER_FREEZE = 5
 
-    revision: int
-    complete: bool
-    rows: Sequence[Any]
+CurrentEntries = Callable[[], Mapping[str, Row]]
 
-    def piece(self, first: int) -> list[tuple[EndpointEntry, Address]]:
-        return read_rows(self.rows[first : first + PIECE], _parse if msgspec is not None else None)
 
+class UnexpectedStatusError(ValueError):
+    """Discovery answered with another status than 200."""
 
-def open_long(body: bytes) -> Long:
-    """Raises ValueError when it can't be read."""
-    if msgspec is not None:
-        cut = CUT.decode(body)
-        return Long(cut.revision, cut.complete, cut.members)
-    told = json.loads(body)
-    read_list({**told, "members": []} if isinstance(told, Mapping) else told)
-    return Long(told["revision"], told["complete"], told["members"])
+    def __init__(self, status: int) -> None:
+        super().__init__(f"discovery answers {status}")
+        self.status = status
 
 
 class DiscoveryClient:
+    """Requests the endpoint list and publishes it as it changes."""
+
     def __init__(
         self,
         address: Address,
-        ask_every: int | None,
-        tell: Callable[[EndpointListReceived, Mapping[str, Address]], None],
-        in_force: Callable[[], Mapping[str, tuple[EndpointEntry, Address]]] | None = None,
-        refused: Callable[[], None] = lambda: None,
-        most_list: int = MOST_LIST,
+        poll_interval_us: int | None,
+        on_update: Callable[[EndpointListReceived, Mapping[str, Address]], None],
+        current_entries: CurrentEntries | None = None,
+        on_oversize: Callable[[], None] = lambda: None,
+        max_list_bytes: int = MAX_LIST_BYTES,
     ) -> None:
-        """`in_force`: all entries that were told and are not gone; without it every list is taken at one go.
-        `refused`: told of each list that is longer than `most_list`, in bytes: a failed call.
+        """Initializes a client that does nothing until `watch`.
+
+        Args:
+            address: Where discovery listens.
+            poll_interval_us: The platform's interval between calls; a watch is held for half of it.
+            on_update: Receives each change of the list, with the addresses of its endpoints.
+            current_entries: Returns all endpoints published and not removed since; without it every list is
+                applied in a single pass.
+            on_oversize: Called for each list over `max_list_bytes`, which counts as a failed call.
+            max_list_bytes: Largest list that is read.
         """
-        self.in_force, self.refused, self.most_list = in_force, refused, most_list
-        self.said: tuple[int | None, int] | None = None  # the last of these that the log tells of
-        self.wait = min(MOST_WAIT, (ask_every or NO_ASK_EVERY) / 2e6)
         self.address = address
-        self.caller = Caller(address, most_list)
-        self.tell = tell
+        self.on_update = on_update
+        self.current_entries = current_entries
+        self.on_oversize = on_oversize
+        self.max_list_bytes = max_list_bytes
+        self.watch_wait = min(MAX_WATCH_WAIT_S, (poll_interval_us or DEFAULT_POLL_INTERVAL_US) / 2e6)
+        self.client = DiscoveryHttpClient(address, max_list_bytes)
         self.revision: int | None = None
-        self.asked = False  # the last call was answered: the next may be held until there is something new
+        self.can_long_poll = False  # the last call succeeded: the next may be held until a change
+        self.logged_oversize: tuple[int | None, int] | None = None  # size and limit last logged
         self.task: asyncio.Task[None] | None = None
-        self.pieces = 0  # of the list that is being taken
+        self.segments = 0  # published of the list that is being applied
 
     def load_cached(self, known: Mapping[str, Any]) -> None:
-        """The list as this relay last had it."""
+        """Publishes the list as this relay last had it."""
         try:
-            revision, _, entries = read_list(known)
+            cached = decode_list(known)
         except ValueError as error:
             if known:
-                log.warning("the known list is passed over: %s", error)
-            self.tell(EndpointListReceived(EndpointListKind.CACHED, ()), {})
+                log.warning("known list ignored: %s", error)
+            self.on_update(EndpointListReceived(EndpointListKind.CACHED, ()), {})
             return
-        self.revision = revision
-        self._tell(EndpointListKind.CACHED, entries)
+        self.revision = cached.revision
+        self._publish(EndpointListKind.CACHED, cached.rows)
 
     def watch(self) -> None:
+        """Starts the long poll, unless it runs."""
         if self.task is None or self.task.done():
             self.task = asyncio.create_task(self._watch())
 
     def move_to(self, address: Address) -> None:
-        """The whole list comes anew: the other address may count its revisions in its own way."""
+        """Continues at another address with the whole list: its revisions may be numbered differently."""
         self.close()
-        self.address, self.caller = address, Caller(address, self.most_list)
-        self.revision, self.task, self.asked = None, None, False
+        self.address, self.client = address, DiscoveryHttpClient(address, self.max_list_bytes)
+        self.revision, self.task, self.can_long_poll = None, None, False
         self.watch()
 
     def pause(self) -> None:
-        """Until the next `watch`, which goes on from the same revision; in the midst of a long list, anew."""
+        """Stops until the next `watch`, which continues from the same revision.
+
+        In the middle of a segmented list it continues with the whole list.
+        """
         self.close()
-        self.task, self.caller, self.asked = None, Caller(self.address, self.most_list), False
+        self.client = DiscoveryHttpClient(self.address, self.max_list_bytes)
+        self.task, self.can_long_poll = None, False
 
     def resume(self, revision: int | None) -> None:
-        """Goes on where another process stopped."""
+        """Continues where another process stopped."""
         self.revision = revision
         self.watch()
 
     def close(self) -> None:
+        """Stops the long poll and closes the connection."""
         if self.task is not None:
             self.task.cancel()
-        self.caller.close()
+        self.client.close()
 
-    def _tell(self, form: EndpointListKind, entries: list[tuple[EndpointEntry, Address]]) -> None:
-        self.tell(
-            EndpointListReceived(form, tuple(e for e, _ in entries)), {e.endpoint: a for e, a in entries}
-        )
+    def _publish(self, kind: EndpointListKind, rows: list[Row]) -> None:
+        addresses = {entry.endpoint: address for entry, address in rows}
+        self.on_update(EndpointListReceived(kind, tuple(entry for entry, _ in rows)), addresses)
 
     async def _watch(self) -> None:
-        """Goes on until a call fails; then the module says when to ask again. The first call after a failure
-        is not held: what was missed is answered at once.
+        """Polls until a call fails; the decisions then say when to call again.
+
+        The first call after a failure is not held, so that missed changes are received at once.
         """
-        loop = asyncio.get_running_loop()
         try:
             while True:
-                asked = loop.time()
-                target, wait = "/registry/instances", 0.0
-                if self.revision is not None:
-                    wait = self.wait if self.asked else 0.0
-                    target += f"?index={self.revision}&wait={int(wait * 1000)}"
-                answer = await self.caller.ask("GET", target, wait + PATIENCE, connect=CONNECT)
-                if answer.status != 200:
-                    raise ValueError(f"discovery answers {answer.status}")
-                if len(answer.body) > AT_ONCE and self.in_force is not None:
-                    await self._take(open_long(answer.body), self.in_force)
-                else:
-                    self.revision, complete, entries = read_list(json.loads(answer.body))
-                    self._tell(EndpointListKind.FULL if complete else EndpointListKind.DELTA, entries)
-                self.asked, self.said = True, None
-                await asyncio.sleep(max(0.0, asked + LEAST_GAP - loop.time()))
+                await self._poll()
         except AnswerTooLong as error:
-            self._refuse(error.size, error.limit)
+            self._reject_oversize(error.size, error.limit)
         except (OSError, ConnectionBroken, ValueError, RecursionError) as error:
-            log.warning("the watch failed: %r", error)
+            log.warning("discovery: the watch failed: %r", error)
         except Exception:
-            # A fault of the program: without a further call the relay would never hear of a drain again.
-            log.exception("the watch failed")
-        self.asked = False
-        self.tell(EndpointListReceived(EndpointListKind.FAILED, ()), {})
+            # A fault of the program; without a further call the relay would never learn of a drain again.
+            log.exception("discovery: the watch failed")
+        self.can_long_poll = False
+        self.on_update(EndpointListReceived(EndpointListKind.FAILED, ()), {})
 
-    async def _take(
-        self, told: Long, in_force: Callable[[], Mapping[str, tuple[EndpointEntry, Address]]]
-    ) -> None:
-        """Only what differs from the list in force is told: hosts that serve or drain as they come, those
-        that are gone last. The loop is free in between.
+    async def _poll(self) -> None:
+        loop = asyncio.get_running_loop()
+        started = loop.time()
+        target, wait = LIST_PATH, 0.0
+        if self.revision is not None:
+            wait = self.watch_wait if self.can_long_poll else 0.0
+            target += f"?index={self.revision}&wait={int(wait * 1000)}"
+        response = await self.client.request(
+            "GET", target, wait + RESPONSE_TIMEOUT_S, connect_timeout=CONNECT_TIMEOUT_S
+        )
+        if response.status != 200:
+            raise UnexpectedStatusError(response.status)
+        await self._apply(response.body)
+        self.can_long_poll, self.logged_oversize = True, None
+        await asyncio.sleep(max(0.0, started + MIN_CALL_INTERVAL_S - loop.time()))
+
+    async def _apply(self, body: bytes) -> None:
+        if len(body) > MAX_SINGLE_PASS_BYTES and self.current_entries is not None:
+            await self._apply_segments(split_list(body), self.current_entries)
+            return
+        received = decode_list(json.loads(body))
+        self.revision = received.revision
+        kind = EndpointListKind.FULL if received.is_complete else EndpointListKind.DELTA
+        self._publish(kind, received.rows)
+
+    async def _apply_segments(self, received: SegmentedList, current_entries: CurrentEntries) -> None:
+        """Publishes only what differs from the current entries, removals last.
+
+        The event loop is free between segments.
         """
-        self.revision = None  # if this is cut off, the list is a mixture: the whole one is to be asked for
-        self.pieces = 0
-        listed: set[str] = set()
-        for first in range(0, len(told.rows), PIECE):
-            entries = {entry.endpoint: (entry, address) for entry, address in told.piece(first)}
-            listed.update(entries)
-            known = in_force()
-            await self._tell_piece([new for host, new in entries.items() if known.get(host) != new])
-        if told.complete:
-            hosts = list(in_force())
-            for first in range(0, len(hosts), PIECE):
-                known = in_force()
-                missing = [host for host in hosts[first : first + PIECE] if host not in listed]
-                gone = [known[host] for host in missing if host in known]
-                await self._tell_piece(
-                    [(replace(entry, state=EndpointState.REMOVED), at) for entry, at in gone]
-                )
-        self.revision = told.revision
-        if not self.pieces:
-            self._tell(EndpointListKind.DELTA, [])  # the module hears that the call went well
-
-    async def _tell_piece(self, entries: list[tuple[EndpointEntry, Address]]) -> None:
-        if entries:
-            if self.pieces % FREEZE_EVERY == 0:
+        self.revision = None  # if this is interrupted, the entries are a mixture: the whole list is needed
+        self.segments = 0
+        received_names: set[str] = set()
+        for first in range(0, len(received.raw_rows), SEGMENT_ROWS):
+            rows = {row[0].endpoint: row for row in received.segment(first)}
+            received_names.update(rows)
+            current = current_entries()
+            await self._publish_segment([row for name, row in rows.items() if current.get(name) != row])
+        if received.is_complete:
+            await self._remove_unlisted(received_names, current_entries)
+        self.revision = received.revision
+        if not self.segments:
+            self._publish(EndpointListKind.DELTA, [])  # reports that the call succeeded
+
+    async def _remove_unlisted(self, received_names: set[str], current_entries: CurrentEntries) -> None:
+        endpoints = list(current_entries())
+        for first in range(0, len(endpoints), SEGMENT_ROWS):
+            current = current_entries()
+            unlisted = [
+                name for name in endpoints[first : first + SEGMENT_ROWS] if name not in received_names
+            ]
+            rows = [current[name] for name in unlisted if name in current]
+            await self._publish_segment([(_removed(entry), address) for entry, address in rows])
+
+    async def _publish_segment(self, rows: list[Row]) -> None:
+        if rows:
+            if self.segments % SEGMENTS_PER_FREEZE == 0:
                 gc.collect(1)  # else what is garbage now would stay
                 gc.freeze()
-            self.pieces += 1
-            self._tell(EndpointListKind.DELTA, entries)
-        await asyncio.sleep(PAUSE if entries else 0)
-
-    def _refuse(self, size: int | None, limit: int) -> None:
-        """Said anew only when it has changed: it is asked for again and again."""
-        self.refused()
-        if self.said != (size, limit):
-            self.said = size, limit
-            told = f"{size}" if size is not None else f"more than {limit}"
-            hint = "" if msgspec is not None else "; the extra `lists` lifts the limit"
-            log.error(
-                "the list of %s bytes is over the limit of %d bytes (the list in force stays, of %d hosts%s)",
-                told,
-                limit,
-                len(self.in_force()) if self.in_force is not None else 0,
-                hint,
-            )
+            self.segments += 1
+            self._publish(EndpointListKind.DELTA, rows)
+        await asyncio.sleep(SEGMENT_PAUSE_S if rows else 0)
+
+    def _reject_oversize(self, size: int | None, limit: int) -> None:
+        """Logs a list that is too long, once for each size: it is requested again and again."""
+        self.on_oversize()
+        if self.logged_oversize == (size, limit):
+            return
+        self.logged_oversize = size, limit
+        log.error(
+            "the list of %s bytes is over the limit of %d bytes (the current list of %d hosts stays%s)",
+            f"{size}" if size is not None else f"more than {limit}",
+            limit,
+            len(self.current_entries()) if self.current_entries is not None else 0,
+            "" if MAX_LIST_BYTES == MAX_SPLIT_BYTES else "; the extra `lists` raises the limit",
+        )
+
+
+def _removed(entry: EndpointEntry) -> EndpointEntry:
+    return replace(entry, state=EndpointState.REMOVED)
--- a/loftrelay/discovery/destination_table.py
+++ b/loftrelay/discovery/destination_table.py
@@ -112,7 +112,7 @@
         self.last_used[number] = now
         self.last_used.move_to_end(number)
 
-    def mark_used_if_held(self, now: float, number: int) -> None:
+    def touch(self, now: float, number: int) -> None:
         """Records a message for a destination that is held; does nothing for another."""
         if number in self.last_used:
             self.mark_used(now, number)
@@ -205,8 +205,8 @@
         self.counts["cells"] += 1
         if destination.rows is None:
             destination.rows = {}
-        listed = {row[0].endpoint for row in received}
-        for endpoint in [endpoint for endpoint in destination.rows if endpoint not in listed]:
+        present = {row[0].endpoint for row in received}
+        for endpoint in [endpoint for endpoint in destination.rows if endpoint not in present]:
             self._remove(number, destination.rows, endpoint, update)
         for row in received:
             self._apply_row(number, destination.rows, row, update)
--- a/loftrelay/discovery/http_client.py
+++ b/loftrelay/discovery/http_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform, over one kept connection."""
+"""HTTP calls to the platform's discovery or a registry, over one persistent connection."""
 
 from __future__ import annotations
 
@@ -8,37 +8,53 @@
 from loftrelay.net.http import MOST_BODY, Answer, Connection
 
 
-class Caller:
-    """Keeps one connection to discovery, and opens another when it is gone."""
+class DiscoveryHttpClient:
+    """Keeps one connection, and opens another when that one is no longer usable."""
 
-    def __init__(self, address: Address, most_body: int = MOST_BODY) -> None:
-        """`most_body`: bytes of an answer, at the most."""
+    def __init__(self, address: Address, max_body_bytes: int = MOST_BODY) -> None:
         self.address = address
-        self.most_body = most_body
+        self.max_body_bytes = max_body_bytes
         self.connection: Connection | None = None
 
     def close(self) -> None:
+        """Closes the connection while no request is out."""
         if self.connection is not None:
             self.connection.close()
 
-    async def ask(
-        self, method: str, target: str, timeout: float, body: bytes = b"", connect: float | None = None
+    async def request(
+        self,
+        method: str,
+        target: str,
+        timeout: float,
+        body: bytes = b"",
+        connect_timeout: float | None = None,
     ) -> Answer:
-        """Within `timeout` seconds, of which a new connection may take `connect`; an answer that is longer
-        than MOST_BODY has more (net/http.py, SLOWEST). Raises OSError (TimeoutError among them) or
-        ConnectionBroken (AnswerTooLong among them).
+        """Sends one request and returns its response.
+
+        Args:
+            method: HTTP method.
+            target: Target of the request.
+            timeout: Seconds for all of it. A response over `MOST_BODY` has more time (net/http.py).
+            body: Body of the request.
+            connect_timeout: Seconds out of `timeout` for a new connection.
+
+        Raises:
+            OSError: The connection failed, or the time is up (TimeoutError).
+            ConnectionBroken: No whole response came.
+            AnswerTooLong: The response exceeds `max_body_bytes`.
         """
-        kept, self.connection = self.connection, None
-        until = asyncio.get_running_loop().time() + timeout
+        connection, self.connection = self.connection, None
+        deadline = asyncio.get_running_loop().time() + timeout
         headers = {"Host": "discovery", "Content-Length": str(len(body))}
         try:
-            if kept is None or not kept.usable():
-                if kept is not None:
-                    kept.close()
-                kept = await Connection.open(self.address, min(timeout, connect or timeout), self.most_body)
-            answer = await kept.request(method, target, headers, body, until=until)
-            self.connection = kept
-            return answer
+            if connection is None or not connection.usable():
+                if connection is not None:
+                    connection.close()
+                connect_timeout = min(timeout, connect_timeout or timeout)
+                connection = await Connection.open(self.address, connect_timeout, self.max_body_bytes)
+            response = await connection.request(method, target, headers, body, until=deadline)
+            self.connection = connection
+            return response
         finally:
-            if kept is not None and self.connection is None:
-                kept.close()
+            if connection is not None and self.connection is None:
+                connection.close()
--- a/loftrelay/discovery/settings.py
+++ b/loftrelay/discovery/settings.py
@@ -1,4 +1,4 @@
-"""The operator's file on the registries (deploy/subscription.toml): its keys, checked."""
+"""The operator's settings of the subscription (deploy/subscription.toml)."""
 
 from __future__ import annotations
 
@@ -12,41 +12,58 @@
 
 TABLE = "subscription"
 KEYS = (
-    Key("fleet", "fleet", "", "of the registries: those of another one are not believed"),
-    Key("registries", (), "", "their addresses and ports"),
+    Key("fleet", "fleet", "", "that the registries must serve"),
+    Key("registries", (), "", "addresses and ports of the registries"),
     Key("wait_ms", 200, "ms", "for which a first message waits for its destination", least=1, most=10_000),
-    Key("idle_s", 300, "s", "without a message after which a destination is let go", least=1, most=86_400),
-    Key("most", 16_384, "destinations", "that are held, while those in use allow it", least=1_024),
-    Key("stale_ms", 6_000, "ms", "age of a registry's news from which on another is tried", least=100),
+    Key("idle_s", 300, "s", "without a message after which a destination is released", least=1, most=86_400),
+    Key("most", 16_384, "destinations", "held before idle ones are released early", least=1_024),
+    Key("stale_ms", 6_000, "ms", "age of a registry's data from which on others are checked", least=100),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriptionSettings:
+    """Settings of the subscription.
+
+    Attributes:
+        fleet: Name of the fleet that the registries must serve.
+        registries: Their addresses.
+        timing: Limits of the subscription.
+    """
+
     fleet: str
     registries: tuple[Address, ...]
     timing: Timing
 
 
 def load_subscription(path: Path) -> SubscriptionSettings:
-    """Raises SettingsError, which names the file, key and value."""
-    told = read_toml(path, KEYS, TABLE)
-    if not 1 <= len(told["fleet"]) <= MOST_NAME:
+    """Reads the settings from a file.
+
+    Raises:
+        SettingsError: A value is invalid; the text names the file, the key and the value.
+    """
+    values = read_toml(path, KEYS, TABLE)
+    if not 1 <= len(values["fleet"]) <= MOST_NAME:
         raise SettingsError(
-            f"{path}: fleet = {told['fleet']!r}: is not a text of 1 to {MOST_NAME} characters"
+            f"{path}: fleet = {values['fleet']!r}: is not a text of 1 to {MOST_NAME} characters"
         )
-    if not told["registries"]:
+    if not values["registries"]:
         raise SettingsError(f"{path}: registries = []: names none")
-    registries = dict.fromkeys(_place(text, path) for text in told["registries"])
-    timing = Timing(told["wait_ms"] / 1000, float(told["idle_s"]), told["most"], told["stale_ms"] / 1000)
-    return SubscriptionSettings(told["fleet"], tuple(registries), timing)
+    registries = dict.fromkeys(_parse_registry(text, path) for text in values["registries"])
+    timing = Timing(
+        lookup_timeout=values["wait_ms"] / 1000,
+        idle_after=float(values["idle_s"]),
+        capacity=values["most"],
+        stale_after=values["stale_ms"] / 1000,
+    )
+    return SubscriptionSettings(values["fleet"], tuple(registries), timing)
 
 
-def _place(text: str, path: Path) -> Address:
+def _parse_registry(text: str, path: Path) -> Address:
     try:
         host, port = parse_address(text)
-        if port < 1:
-            raise ValueError("port 0 is nobody's")
     except ValueError as error:
         raise SettingsError(f"{path}: registries = {text!r}: is no address with a port: {error}") from error
+    if port < 1:
+        raise SettingsError(f"{path}: registries = {text!r}: is no address with a port: port 0 is nobody's")
     return host, port
--- a/loftrelay/discovery/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -1,4 +1,7 @@
-"""The list of a relay that holds the destinations it serves alone: carries out what subscription.py says."""
+"""Endpoint directory of a relay that subscribes to the destinations it serves, at the registries.
+
+It carries out the actions of `SubscriptionState` and reports the outcomes of its calls.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,9 @@
 from typing import Any
 
 from loftrelay.decisions.events import EndpointListKind, EndpointListReceived
-from loftrelay.discovery.client import CONNECT, MOST_PARSED, PATIENCE, read_list
-from loftrelay.discovery.http_client import Caller
+from loftrelay.discovery.client import CONNECT_TIMEOUT_S, RESPONSE_TIMEOUT_S
+from loftrelay.discovery.endpoint_list import MAX_PARSED_BYTES, decode_rows
+from loftrelay.discovery.http_client import DiscoveryHttpClient
 from loftrelay.discovery.settings import SubscriptionSettings
 from loftrelay.discovery.subscription import SubscriptionState
 from loftrelay.discovery.subscription_actions import (
@@ -33,10 +37,10 @@
 
 log = logging.getLogger(__name__)
 
-MOST_ERROR = 200  # bytes of a registry's line that go into the log
-HEAD = len("GET  HTTP/1.1\r\nHost: discovery\r\nContent-Length: 0\r\n\r\n")
-STATUS_LINE = len("HTTP/1.1 200 OK\r\n\r\n")
-COUNTS = (
+MAX_LOGGED_ERROR_BYTES = 200
+REQUEST_HEAD_BYTES = len("GET  HTTP/1.1\r\nHost: discovery\r\nContent-Length: 0\r\n\r\n")
+STATUS_LINE_BYTES = len("HTTP/1.1 200 OK\r\n\r\n")
+COUNTER_NAMES = (
     "changes",
     "watches",
     "failures",
@@ -51,182 +55,221 @@
 
 
 class Subscriber:
-    """A Directory and a Slices. `address` is the platform's discovery: notices go there, and no list is asked
-    of it. The watch goes on by itself, with waits of its own: the module is never told that it failed.
+    """An EndpointDirectory and a SubscribedDirectory (relay/ports.py).
+
+    The watch continues by itself, with waits of its own: the decisions are never told that it failed.
     """
 
     def __init__(
         self,
-        told: SubscriptionSettings,
+        settings: SubscriptionSettings,
         name: str,
-        notices: Address,
-        tell: Callable[[EndpointListReceived, Mapping[str, Address]], None],
-        sliced: Callable[[int, ResolutionStatus], None],
-        let_go: Callable[[Sequence[int]], list[int]],
+        reports_address: Address,
+        on_update: Callable[[EndpointListReceived, Mapping[str, Address]], None],
+        on_resolved: Callable[[int, ResolutionStatus], None],
+        release_destinations: Callable[[Sequence[int]], list[int]],
     ) -> None:
-        self.address = notices
+        """Initializes a subscriber that does nothing until `watch`.
+
+        Args:
+            settings: The operator's settings.
+            name: Name of the relay.
+            reports_address: The platform's discovery, which is sent final statuses and asked for no list.
+            on_update: Receives each change of the list, with the addresses of its endpoints.
+            on_resolved: Receives the end of each lookup.
+            release_destinations: Offered idle destinations, returns those that the relay released.
+        """
+        self.address = reports_address
         self.revision: int | None = None
-        self.tell, self.sliced, self.let_go = tell, sliced, let_go
+        self.on_update = on_update
+        self.on_resolved = on_resolved
+        self.release_destinations = release_destinations
         self.subscription = SubscriptionState(
-            told.registries, told.fleet, name, secrets.token_hex(8), told.timing, secrets.randbits(64)
+            settings.registries,
+            settings.fleet,
+            name,
+            secrets.token_hex(8),
+            settings.timing,
+            secrets.randbits(64),
         )
         self.counts: Counter[str] = self.subscription.counts
-        self.answered = asyncio.Event()  # by a registry, since the start
-        self.callers: dict[Channel, Caller] = {}
+        self.first_answer = asyncio.Event()  # set once a registry has answered
+        self.clients: dict[Channel, DiscoveryHttpClient] = {}
         self.tasks: dict[Channel, asyncio.Task[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.timer_at = math.inf
-        self.doing = False
+        self.timer_due_at = math.inf
+        self.is_processing = False
+
+    # EndpointDirectory
 
     def load_cached(self, known: Mapping[str, Any]) -> None:
+        """Publishes an empty list: the registries name what this relay serves."""
         if known:
-            log.info("the known list is passed over: the registries tell what this relay serves")
-        self.tell(EndpointListReceived(EndpointListKind.CACHED, ()), {})
+            log.info("known list ignored: the registries name the destinations of this relay")
+        self.on_update(EndpointListReceived(EndpointListKind.CACHED, ()), {})
 
     def watch(self) -> None:
+        """Starts the subscription, unless it runs."""
         self.subscription.start(self._now())
-        self._do()
+        self._process_actions()
 
     def pause(self) -> None:
+        """Stops all calls until `watch`."""
         self.subscription.pause()
-        self._do()
+        self._process_actions()
 
-    def resume(self, revision: int | None) -> None:
-        """What was held then has been given to `adopt`."""
+    def resume(self, revision: int | None) -> None:  # noqa: ARG002 - given to `adopt` before
+        """Continues where another process stopped."""
         self.watch()
 
-    def adopt(self, revision: int | None, destinations: Iterable[int], rows: Iterable[Row]) -> None:
-        self.subscription.adopt(self._now(), revision, destinations, rows)
-        self.revision = revision
-
     def move_to(self, address: Address) -> None:
-        """Of notices alone."""
+        """Sends final statuses to another address."""
         self.address = address
 
     def close(self) -> None:
+        """Stops all calls and timers."""
         self.pause()
         if self.timer is not None:
             self.timer.cancel()
 
+    # SubscribedDirectory
+
     def resolve(self, destination: int) -> None:
+        """Looks up a destination; `on_resolved` is called in time, whatever comes of it."""
         self.subscription.resolve(self._now(), destination)
-        self._do()
+        self._process_actions()
 
     def mark_used(self, destination: int) -> None:
+        """Records a message for a destination that is held."""
         self.subscription.mark_used(self._now(), destination)
 
+    def adopt(self, revision: int | None, destinations: Iterable[int], rows: Iterable[Row]) -> None:
+        """Takes over the destinations of a predecessor, before `resume`."""
+        self.subscription.adopt(self._now(), revision, destinations, rows)
+        self.revision = revision
+
     def figure_lines(self) -> list[str]:
-        """For the door, in the form of the others."""
+        """Returns the subscription's metrics as lines of the admin endpoint."""
         subscription = self.subscription
-        told = {
-            "held": sum(cell.is_resolved for cell in subscription.table.destinations.values()),
+        values = {
+            "held": sum(entry.is_resolved for entry in subscription.table.destinations.values()),
             "wanted": len(subscription.lookups.deadlines),
             "hosts": len(subscription.table.destination_of),
             "registry": subscription.session.selection.position,
-            **{name: self.counts[name] for name in COUNTS},
+            **{name: self.counts[name] for name in COUNTER_NAMES},
         }
-        return [f"app.slices_{name}={value}" for name, value in told.items()]
+        return [f"app.slices_{name}={value}" for name, value in values.items()]
 
-    # What subscription.py says
+    # Actions of the subscription
 
     @staticmethod
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
-    def _do(self) -> None:
-        if self.doing:
-            return  # the engine asks while it is told: that comes next
-        self.doing = True
+    def _process_actions(self) -> None:
+        if self.is_processing:
+            return  # called back by an action: the loop below goes on with what that added
+        self.is_processing = True
         try:
-            while actions := self.subscription.take_actions():
+            while actions := self.subscription.drain_actions():
                 for action in actions:
                     try:
-                        self._do_one(action)
+                        self._process_action(action)
                     except Exception:
-                        # A fault of the program. Who waits for the rest has to hear it all the same.
-                        log.exception("a registry's news was not taken")
+                        # A fault of the program; pending lookups still have to end.
+                        log.exception("subscription: an action failed")
                         self.subscription.processing_failed(self._now())
         finally:
-            self.doing = False
+            self.is_processing = False
             self._set_timer()
         self.revision = self.subscription.revision or None
         if self.subscription.has_answered:
-            self.answered.set()
+            self.first_answer.set()
 
-    def _do_one(self, action: Action) -> None:
+    def _process_action(self, action: Action) -> None:
         match action:
             case StartCall():
-                self.tasks[action.channel] = asyncio.create_task(self._ask(action))
+                self.tasks[action.channel] = asyncio.create_task(self._call_registry(action))
             case CancelCalls():
-                self._hang_up()
+                self._cancel_calls()
             case EntriesChanged(rows):
                 entries = tuple(entry for entry, _ in rows)
-                self.tell(
-                    EndpointListReceived(EndpointListKind.DELTA, entries), {e.endpoint: at for e, at in rows}
-                )
+                addresses = {entry.endpoint: address for entry, address in rows}
+                self.on_update(EndpointListReceived(EndpointListKind.DELTA, entries), addresses)
             case DestinationResolved(destination, state):
-                self.sliced(destination, state)
+                self.on_resolved(destination, state)
             case ReleaseDestinations(destinations):
-                self.subscription.release(self._now(), destinations, self.let_go(destinations))
+                released = self.release_destinations(destinations)
+                self.subscription.release(self._now(), destinations, released)
             case LogLine(text):
                 log.info("%s", text)
 
     def _set_timer(self) -> None:
-        due = self.subscription.due_at
-        if due != self.timer_at:
+        due_at = self.subscription.due_at
+        if due_at != self.timer_due_at:
             if self.timer is not None:
                 self.timer.cancel()
-            self.timer, self.timer_at = None, due
-            if due < math.inf:
-                self.timer = asyncio.get_running_loop().call_at(due, self._tick, due)
+            self.timer, self.timer_due_at = None, due_at
+            if due_at < math.inf:
+                self.timer = asyncio.get_running_loop().call_at(due_at, self._tick, due_at)
 
-    def _tick(self, due: float) -> None:
-        self.timer, self.timer_at = None, math.inf
-        self.subscription.tick(max(due, self._now()))
-        self._do()
+    def _tick(self, due_at: float) -> None:
+        self.timer, self.timer_due_at = None, math.inf
+        self.subscription.tick(max(due_at, self._now()))
+        self._process_actions()
 
-    def _hang_up(self) -> None:
+    # Calls
+
+    def _cancel_calls(self) -> None:
         for task in self.tasks.values():
             task.cancel()
         self.tasks.clear()
-        for caller in self.callers.values():
-            caller.close()
-        self.callers.clear()
-
-    async def _ask(self, call: StartCall) -> None:
-        caller = self.callers.get(call.channel)
-        if caller is None or caller.address != call.registry:
-            if caller is not None:
-                caller.close()
-            caller = self.callers[call.channel] = Caller(call.registry, MOST_PARSED)
-        self.counts["bytes_out"] += len(call.target) + HEAD
+        for client in self.clients.values():
+            client.close()
+        self.clients.clear()
+
+    async def _call_registry(self, call: StartCall) -> None:
+        client = self._client_for(call)
+        self.counts["bytes_out"] += len(call.target) + REQUEST_HEAD_BYTES
         try:
-            answer = await caller.ask("GET", call.target, call.wait + PATIENCE, connect=CONNECT)
-            self.counts["bytes_in"] += _size(answer)
-            if answer.status != 200:
-                text = answer.body[:MOST_ERROR].decode(errors="replace").strip()
-                self.subscription.call_rejected(self._now(), call.number, answer.status, text)
-            else:
-                told = read_answer(answer.body)
-                row = {"revision": told.revision, "complete": False, "members": told.members}
-                rows = read_list(row)[2]
-                self.subscription.call_answered(self._now(), call.number, told, rows)
-            self._do()
+            response = await client.request(
+                "GET", call.target, call.wait + RESPONSE_TIMEOUT_S, connect_timeout=CONNECT_TIMEOUT_S
+            )
+            self._call_answered(call, response)
         except AnswerTooLong as error:
-            why = f"answers over {error.limit} bytes, which are not taken"
-            self.subscription.call_failed(self._now(), call.number, why, is_too_long=True)
+            reason = f"response exceeds {error.limit} bytes"
+            self.subscription.call_failed(self._now(), call.number, reason, is_too_long=True)
         except (OSError, ConnectionBroken) as error:
             self.subscription.call_failed(self._now(), call.number, f"does not answer: {error!r}")
         except (ValueError, RecursionError) as error:
-            self.subscription.call_failed(self._now(), call.number, f"answers what can't be read: {error}")
+            self.subscription.call_failed(self._now(), call.number, f"sent a malformed response: {error}")
         except Exception:
-            # A fault of the program: without a further call the relay would never hear of a drain again.
-            log.exception("a call to a registry failed")
+            # A fault of the program; without a further call the relay would never learn of a drain again.
+            log.exception("subscription: a call to a registry failed")
             self.subscription.processing_failed(self._now())
-        self._do()
+        self._process_actions()
+
+    def _client_for(self, call: StartCall) -> DiscoveryHttpClient:
+        client = self.clients.get(call.channel)
+        if client is None or client.address != call.registry:
+            if client is not None:
+                client.close()
+            client = self.clients[call.channel] = DiscoveryHttpClient(call.registry, MAX_PARSED_BYTES)
+        return client
+
+    def _call_answered(self, call: StartCall, response: Answer) -> None:
+        self.counts["bytes_in"] += _response_bytes(response)
+        if response.status != 200:
+            text = response.body[:MAX_LOGGED_ERROR_BYTES].decode(errors="replace").strip()
+            self.subscription.call_rejected(self._now(), call.number, response.status, text)
+        else:
+            answer = read_answer(response.body)
+            rows = decode_rows(answer.members)
+            self.subscription.call_answered(self._now(), call.number, answer, rows)
+        self._process_actions()
 
 
-def _size(answer: Answer) -> int:
-    """Bytes of an answer, near enough."""
-    headers = sum(len(name) + len(value) + 4 for name, value in answer.headers.items())
-    return STATUS_LINE + headers + len(answer.body)
+def _response_bytes(response: Answer) -> int:
+    """Approximate size of a response on the wire."""
+    headers = sum(len(name) + len(value) + 4 for name, value in response.headers.items())
+    return STATUS_LINE_BYTES + headers + len(response.body)
--- a/loftrelay/discovery/subscription.py
+++ b/loftrelay/discovery/subscription.py
@@ -108,7 +108,7 @@
         """Revision up to which all destinations are known."""
         return self.session.revision
 
-    def take_actions(self) -> list[Action]:
+    def drain_actions(self) -> list[Action]:
         """Returns the actions to carry out, in order, each once."""
         actions = list(self.actions)
         self.actions.clear()
@@ -135,7 +135,7 @@
         """Looks up a destination that the relay does not hold, for a first message."""
         destination = self.table.get(number)
         if destination is not None and destination.is_known_empty:
-            self.table.mark_used_if_held(now, number)
+            self.table.touch(now, number)
             self._end_lookup(number, ResolutionStatus.NOT_FOUND)
             return
         if self.lookups.is_oversize(now, number):
@@ -152,7 +152,7 @@
 
     def mark_used(self, now: float, number: int) -> None:
         """Records a message for a destination."""
-        self.table.mark_used_if_held(now, number)
+        self.table.touch(now, number)
 
     def release(self, now: float, candidates: Iterable[int], released: Iterable[int]) -> None:
         """Forgets the released ones of the candidates; the others count as in use."""
@@ -162,7 +162,7 @@
                 self.session.batch.remove(now, number)
                 self.counts["let_go"] += 1
         for number in candidates:
-            self.table.mark_used_if_held(now, number)
+            self.table.touch(now, number)
 
     # Time
 
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -219,7 +219,7 @@
         while not self.ending.is_set() and loop.time() < began + REGISTRY:
             if engine.recovering and loop.time() >= began + RECOVER:
                 engine.replay_recovered()
-            if subscriber.answered.is_set() and not engine.recovering:
+            if subscriber.first_answer.is_set() and not engine.recovering:
                 break
             await asyncio.sleep(LOOK)
         engine.replay_recovered()
--- a/tests/discovery/registries.py
+++ b/tests/discovery/registries.py
@@ -1,5 +1,5 @@
-"""A world of registries in virtual time, by the rules of docs/slices.md and with none of the program's own
-code but the calls: for tests of what a relay believes."""
+"""Simulated registries in virtual time, by the rules of docs/slices.md; they share only the wire codec with
+the program."""
 
 from __future__ import annotations
 
@@ -206,7 +206,7 @@
         self.now = end
 
     def do(self) -> None:
-        while actions := self.subscription.take_actions():
+        while actions := self.subscription.drain_actions():
             for action in actions:
                 self._do(action)
 
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_client.py
@@ -1,4 +1,4 @@
-"""The list of hosts, a reload that moves discovery, and a configuration that can't be used."""
+"""The endpoint list, a reload that moves discovery, and invalid configurations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.standins.platform import HANG, ROOT, SETTINGS, Request, World, deliver, failed, never, reply, run
 
 
-def test_bad_lists_are_survived(tmp_path: Path) -> None:
+def test_malformed_lists_do_not_stop_the_client(tmp_path: Path) -> None:
     """A list that can't be read is a failed call; an entry that can't be read is passed over."""
 
     async def scenario(w: World) -> None:
@@ -41,7 +41,7 @@
     run(scenario, tmp_path, safety={**SETTINGS["safety"], "ask_every": 1_000_000})
 
 
-def test_a_reload_moves_discovery_at_once(tmp_path: Path) -> None:
+def test_reload_moves_discovery_immediately(tmp_path: Path) -> None:
     """The watch and the notice that the old address holds are given up; the new one has lower revisions."""
 
     async def scenario(w: World) -> None:
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "{}", '{"discovery":"nowhere"}'])
-def test_a_reload_that_can_not_be_read_changes_nothing(tmp_path: Path, text: str) -> None:
+def test_malformed_reload_changes_nothing(tmp_path: Path, text: str) -> None:
     async def scenario(w: World) -> None:
         await w.start()
         (tmp_path / "config.json").write_text(text)
@@ -96,7 +96,7 @@
         ('{"name":"n","listen":"a:0","discovery":"a:1","seed":"z","settings":{}}', "bad value"),
     ],
 )
-def test_a_bad_configuration_ends_with_one_line(tmp_path: Path, text: str | None, reason: str) -> None:
+def test_invalid_configuration_exits_with_one_line(tmp_path: Path, text: str | None, reason: str) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -1,4 +1,4 @@
-"""A list of any size is taken in pieces, with the loop free in between, or refused in one line."""
+"""A list of any size is applied in segments, with the loop free in between, or rejected in one line."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 import pytest
 
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
-from loftrelay.discovery import client as module
-from loftrelay.discovery.client import AT_ONCE, MOST_LIST, PIECE, DiscoveryClient
+from loftrelay.discovery import endpoint_list as module
+from loftrelay.discovery.client import MAX_SINGLE_PASS_BYTES, DiscoveryClient
+from loftrelay.discovery.endpoint_list import MAX_LIST_BYTES, SEGMENT_ROWS
 from loftrelay.net import http
 from loftrelay.net.address import Address
 from loftrelay.net.http import MOST_BODY, AnswerTooLong, Connection
 from tests.standins.platform import Request, World, deliver, never, reply, run
 
-LONG = 5 * PIECE + 7
+LONG = 5 * SEGMENT_ROWS + 7
 PHASES = {EndpointState.ACTIVE: "Ready", EndpointState.DRAINING: "Terminating", EndpointState.REMOVED: "Gone"}
 
 
@@ -116,18 +117,18 @@
 
 
 @both
-def test_a_long_list_is_told_in_pieces_with_the_loop_free_in_between(tmp_path: Path) -> None:
+def test_long_list_is_published_in_segments_without_blocking_the_loop(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         rows = [row(i, EndpointState.DRAINING if i % 50 == 0 else EndpointState.ACTIVE) for i in range(LONG)]
         body = whole(7, rows)
-        assert len(body) > AT_ONCE
+        assert len(body) > MAX_SINGLE_PASS_BYTES
         w.list_answer = answers(body)
         told = Told(w)
         told.told.watch()
         await told.until(7)
         assert set(told.forms()) == {EndpointListKind.DELTA}
         assert len(told.pieces) == 6
-        assert all(len(listing.entries) <= PIECE for listing in told.pieces)
+        assert all(len(listing.entries) <= SEGMENT_ROWS for listing in told.pieces)
         assert all(a < b for a, b in pairwise(told.passes))
         assert set(told.revisions) == {None}
         assert told.told.revision == 7
@@ -141,7 +142,7 @@
 
 
 @both
-def test_no_more_than_a_piece_is_read_or_compared_at_a_time(
+def test_at_most_one_segment_is_decoded_or_compared_at_a_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also where nothing has changed: then no entry is told, but that the call went well."""
@@ -149,14 +150,14 @@
 
     async def scenario(w: World) -> None:
         told = Told(w)
-        was = module.read_rows
+        was = module.decode_rows
 
-        def read_rows(rows: Any, decode: Any = None) -> Any:
+        def decode_rows(rows: Any, parse: Any = None) -> Any:
             if rows:
                 at.append((told.passed, len(rows)))
-            return was(rows, decode)
+            return was(rows, parse)
 
-        monkeypatch.setattr(module, "read_rows", read_rows)
+        monkeypatch.setattr(module, "decode_rows", decode_rows)
         rows = [row(i) for i in range(LONG)]
         w.list_answer = answers(whole(7, rows), whole(8, rows))
         told.told.watch()
@@ -165,7 +166,7 @@
         assert len(at) == 12
         assert told.pieces[6] == EndpointListReceived(EndpointListKind.DELTA, ())
         assert told.revisions[6] == 8
-        assert all(many <= PIECE for _, many in at)
+        assert all(many <= SEGMENT_ROWS for _, many in at)
         assert all(a < b for (a, _), (b, _) in pairwise(at))
         told.told.close()
 
@@ -173,7 +174,7 @@
 
 
 @both
-def test_only_what_differs_is_told_and_what_is_gone_last(tmp_path: Path) -> None:
+def test_only_differences_are_published_and_removals_last(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         before = [row(i) for i in range(LONG)]
         after = [
@@ -210,7 +211,7 @@
 
 
 @both
-def test_long_changes_leave_alone_what_they_do_not_name(tmp_path: Path) -> None:
+def test_long_delta_leaves_unnamed_endpoints_unchanged(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         rows = [row(i) for i in range(LONG)]
         changes = [
@@ -232,7 +233,7 @@
 
 @both
 @pytest.mark.parametrize("way", ["paused", "moved", "cut off"])
-def test_one_that_is_left_in_the_midst_starts_anew(tmp_path: Path, way: str) -> None:
+def test_interrupted_segmented_list_is_requested_whole(tmp_path: Path, way: str) -> None:
     """The whole list: what was told of this one is a mixture, and some of it may be gone by then."""
 
     async def scenario(w: World) -> None:
@@ -250,7 +251,7 @@
                 if way == "cut off":
                     raise KeyError("a fault")
 
-        told.told.tell = listed
+        told.told.on_update = listed
         told.told.watch()
         await started.wait()
         assert told.told.revision is None
@@ -272,9 +273,7 @@
     run(scenario, tmp_path)
 
 
-def test_a_row_that_can_not_be_parsed_is_passed_over(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_row_that_cannot_be_parsed_is_skipped(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     """Found only when its piece is read, where rows are cut first: the rest of the list is taken."""
 
     async def scenario(w: World) -> None:
@@ -288,17 +287,17 @@
         told.told.close()
 
     run(scenario, tmp_path)
-    lines = [r.getMessage() for r in caplog.records if "passed over" in r.getMessage()]
+    lines = [r.getMessage() for r in caplog.records if "skipped" in r.getMessage()]
     assert len(lines) == 1
     assert "127.0.0.1:" in lines[0]
 
 
 @both
-def test_without_a_view_of_what_is_in_force_it_is_told_at_one_go(tmp_path: Path) -> None:
+def test_without_current_entries_a_list_is_published_in_one_pass(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         w.list_answer = answers(whole(7, [row(i) for i in range(LONG)]))
         told = Told(w)
-        told.told.in_force = None
+        told.told.current_entries = None
         told.told.watch()
         await told.until(7)
         assert told.forms() == [EndpointListKind.FULL]
@@ -312,9 +311,9 @@
 @pytest.mark.parametrize(
     "bad", [b"[1]", b"[" * 40_000, b'{"revision":1,"complete":true,"members":3}', b'{"members":[]}', b"{"]
 )
-def test_a_long_list_that_can_not_be_read_is_a_failed_call(tmp_path: Path, bad: bytes) -> None:
+def test_malformed_long_list_is_a_failed_call(tmp_path: Path, bad: bytes) -> None:
     async def scenario(w: World) -> None:
-        w.list_answer = answers(bad + b" " * AT_ONCE)
+        w.list_answer = answers(bad + b" " * MAX_SINGLE_PASS_BYTES)
         told = Told(w)
         told.told.watch()
         await w.until(lambda: told.forms() == [EndpointListKind.FAILED])
@@ -325,19 +324,19 @@
 
 
 @both
-def test_what_is_listed_is_out_of_the_collectors_sight(tmp_path: Path) -> None:
+def test_listed_rows_are_frozen_for_the_garbage_collector(tmp_path: Path) -> None:
     """Trouble: with 50,000 hosts a collection of garbage held the loop up for 230 ms."""
 
     async def scenario(w: World) -> None:
         gc.freeze()  # what other tests have left
         frozen = gc.get_freeze_count()
-        w.list_answer = answers(whole(7, [row(i) for i in range(20 * PIECE)]))
+        w.list_answer = answers(whole(7, [row(i) for i in range(20 * SEGMENT_ROWS)]))
         told = Told(w)
         told.told.watch()
         await told.until(7)
-        assert gc.get_freeze_count() - frozen > 15 * PIECE
+        assert gc.get_freeze_count() - frozen > 15 * SEGMENT_ROWS
         seen = sum(isinstance(each, EndpointEntry) for each in gc.get_objects())
-        assert seen <= 5 * PIECE
+        assert seen <= 5 * SEGMENT_ROWS
         told.told.close()
 
     run(scenario, tmp_path)
@@ -350,9 +349,9 @@
     return f"HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n".encode()
 
 
-def test_a_list_over_the_limit_is_refused_in_one_line_and_nobody_is_sent_here(tmp_path: Path) -> None:
+def test_oversize_list_is_rejected_in_one_log_line_and_the_relay_is_not_ready(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
-        size: int | None = MOST_LIST + 1
+        size: int | None = MAX_LIST_BYTES + 1
         asked: list[str] = []
 
         async def listed(request: Request) -> bytes:
@@ -370,10 +369,13 @@
         await w.until(lambda: len(asked) >= 3)
         assert await ready() == 503
         assert await w.hand_in("early") == 503
-        size = MOST_LIST + 2
+        size = MAX_LIST_BYTES + 2
         await w.until(lambda: len(lines()) == 2)
         for number, line in enumerate(lines(), 1):
-            assert f"the list of {MOST_LIST + number} bytes is over the limit of {MOST_LIST} bytes (" in line
+            assert (
+                f"the list of {MAX_LIST_BYTES + number} bytes is over the limit of {MAX_LIST_BYTES} bytes ("
+                in line
+            )
         assert not any("watch failed" in line for line in w.log)
         host = await w.host(deliver)
         size = None
@@ -381,7 +383,7 @@
         await w.until(lambda: host.ids == ["m"])
         assert await ready() == 200
         # With a list in force it stays ready, goes on by that, and says it anew.
-        size = MOST_LIST + 2
+        size = MAX_LIST_BYTES + 2
         w.revision += 1
         w.bump()
         w.discovery.close_connections()
@@ -393,12 +395,12 @@
     run(scenario, tmp_path, safety={"ask_every": 1_000_000})
 
 
-def test_with_a_known_list_it_is_ready(tmp_path: Path) -> None:
+def test_relay_with_a_known_list_is_ready_despite_an_oversize_list(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
 
         async def listed(request: Request) -> bytes:
-            return head(MOST_LIST + 1)
+            return head(MAX_LIST_BYTES + 1)
 
         w.list_answer = listed
         await w.start()
@@ -410,7 +412,7 @@
     run(scenario, tmp_path)
 
 
-def test_one_that_tells_no_size_is_refused_at_the_limit(
+def test_list_without_content_length_is_rejected_at_the_limit(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario(w: World) -> None:
@@ -420,7 +422,7 @@
 
         w.list_answer = endless
         told = Told(w)
-        told.told.most_list = 9 << 10
+        told.told.max_list_bytes = 9 << 10
         told.told.pause()
         for times in (1, 2):
             told.told.watch()
@@ -446,7 +448,7 @@
 
 
 @pytest.mark.parametrize("over", [0, 1])
-def test_answers_to_messages_keep_their_limit(tmp_path: Path, over: int) -> None:
+def test_responses_to_messages_keep_their_limit(tmp_path: Path, over: int) -> None:
     async def scenario(w: World) -> None:
         w.list_answer = answers(b"x" * (MOST_BODY + over), b"x" * (MOST_BODY + over))
         for most in (None, MOST_BODY):
@@ -463,7 +465,7 @@
 
 
 @pytest.mark.parametrize("more", [0, 9])
-def test_a_long_answer_that_is_coming_in_has_more_time(
+def test_long_response_in_progress_has_more_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, more: int
 ) -> None:
     monkeypatch.setattr(http, "SLOWEST", 0.1)  # bytes a second: 9 bytes more have 90 seconds
--- a/tests/discovery/test_notices.py
+++ b/tests/discovery/test_status_reporter.py
@@ -1,4 +1,4 @@
-"""Notices to the platform, and the order of a key until they are heard."""
+"""Final-status reports, and the order of a key until they are answered."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.standins.platform import Request, World, failed, reply, run
 
 
-def test_the_next_of_a_key_waits_until_the_notice_is_answered(tmp_path: Path) -> None:
+def test_next_message_of_an_ordering_key_waits_for_the_report_to_be_answered(tmp_path: Path) -> None:
     """A message that ends by a notice is over when that is answered; the next of its key goes only then."""
 
     async def scenario(w: World) -> None:
@@ -36,7 +36,7 @@
     run(scenario, tmp_path)
 
 
-def test_a_notice_is_told_until_it_is_heard(tmp_path: Path) -> None:
+def test_report_is_repeated_until_it_is_accepted(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         answers: list[bytes | None] = [None, reply(503), b"rubbish\r\n\r\n"]
 
--- a/tests/discovery/test_subscriber.py
+++ b/tests/discovery/test_subscriber.py
@@ -1,4 +1,4 @@
-"""The two connections to a registry, beside scripted ones that answer what no registry should."""
+"""The subscriber's connections to registries, among them scripted ones with invalid responses."""
 
 from __future__ import annotations
 
@@ -115,7 +115,7 @@
     return peers[0], sound, Relay(peers)
 
 
-def test_a_slice_comes_and_goes_over_two_connections(tmp_path: Path) -> None:
+def test_destinations_are_added_and_released_over_two_connections(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         sound = Sound()
         peer = await w.peer(sound)
@@ -131,7 +131,7 @@
         assert subscriber.revision == 5
         await w.until(lambda: any(isinstance(call, Watch) for call in sound.calls))
         assert len(peer.connections) == 2
-        assert subscriber.answered.is_set()
+        assert subscriber.first_answer.is_set()
         assert [listing.kind for listing in relay.listings] == [
             EndpointListKind.CACHED,
             EndpointListKind.DELTA,
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("odd", ODD)
-def test_one_that_answers_oddly_is_left_for_the_next_and_said_in_one_line(
+def test_registry_with_malformed_responses_is_left_with_one_log_line(
     tmp_path: Path, odd: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def script(request: Request) -> bytes | None:
@@ -187,7 +187,7 @@
     play(tmp_path, scenario)
 
 
-def test_a_row_that_can_not_be_read_is_passed_over(tmp_path: Path) -> None:
+def test_malformed_row_is_skipped(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         sound = Sound()
 
@@ -208,7 +208,7 @@
     play(tmp_path, scenario)
 
 
-def test_a_fault_of_the_program_while_telling_ends_no_watch(tmp_path: Path) -> None:
+def test_exception_while_publishing_does_not_end_the_watch(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         sound = Sound()
         relay = Relay([await w.peer(sound)])
--- a/tests/discovery/test_subscription.py
+++ b/tests/discovery/test_subscription.py
@@ -1,4 +1,4 @@
-"""What a relay asks of its registries, and what it believes of their answers, in virtual time."""
+"""A relay's subscription at its registries, in virtual time."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 # First messages
 
 
-def test_first_messages_are_gathered_into_one_call_and_their_destinations_held() -> None:
+def test_first_messages_are_batched_into_one_call() -> None:
     told, _, relay = make()
     before = relay.now
     relay.want(1, 2)
@@ -67,7 +67,7 @@
     assert len(relay.hosts) == 3
 
 
-def test_a_destination_that_nobody_lists_is_empty_until_it_has_a_host() -> None:
+def test_unlisted_destination_is_empty_until_it_has_an_endpoint() -> None:
     told, _, relay = make()
     relay.want(9)
     relay.run(0.05)
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("dead", [True, False])
-def test_first_messages_with_all_registries_away_hear_so_in_time_and_are_held_once_one_is_back(
+def test_lookups_fail_in_time_without_registries_and_resolve_after_recovery(
     dead: bool,
 ) -> None:
     told, registries, relay = make(lookup_timeout=0.2)
@@ -108,7 +108,7 @@
     assert len(relay.sliced) == 1  # once for each that wanted it
 
 
-def test_a_wait_is_not_prolonged_by_asking_again() -> None:
+def test_repeated_lookup_keeps_its_deadline() -> None:
     _, registries, relay = make(number=1, lookup_timeout=0.2)
     registries[0].up = False
     for _ in range(3):
@@ -121,7 +121,7 @@
 # Changes
 
 
-def test_a_drain_an_end_and_a_new_host_are_told_as_they_come() -> None:
+def test_drained_removed_and_new_endpoints_are_published() -> None:
     told, _, relay = make()
     relay.want(1, 2)
     relay.run(0.1)
@@ -145,7 +145,7 @@
     assert list(relay.hosts[1]) == ["h1"]
 
 
-def test_a_host_that_leaves_one_destination_for_another_is_gone_there_first() -> None:
+def test_endpoint_that_moves_is_removed_from_its_old_destination_first() -> None:
     told, _, relay = make()
     relay.want(1, 2)
     relay.run(0.1)
@@ -157,14 +157,14 @@
     assert relay.holds(told)
 
 
-def test_a_cell_told_while_a_watch_overtakes_it_is_asked_for_again() -> None:
+def test_full_response_overtaken_by_a_watch_is_requested_again() -> None:
     """The watch's answer told the change of a cell that was not held yet: the older whole cell is not
     taken."""
     told, registries, relay = make(number=1)
     subscription = relay.subscription
     relay.subscription.resolve(relay.now, 1)
     subscription.tick(relay.now + 0.003)
-    (call,) = [a for a in subscription.take_actions() if getattr(a, "channel", None) is Channel.CHANGES]
+    (call,) = [a for a in subscription.drain_actions() if getattr(a, "channel", None) is Channel.CHANGES]
     late: list[object] = []
     registries[0].ask(relay.now, call.target, late.append)  # type: ignore[union-attr]
     told.set("h1", 1, EndpointState.DRAINING)
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_what_a_late_watch_tells_of_a_cell_that_is_known_as_of_later_is_passed_over(whole: bool) -> None:
+def test_late_watch_response_does_not_overwrite_a_newer_destination(whole: bool) -> None:
     told, registries, relay = make(number=1)
     relay.want(1, 2)
     relay.run(0.1)
@@ -216,7 +216,7 @@
     assert relay.holds(told)
 
 
-def test_first_messages_go_before_what_nobody_waits_for() -> None:
+def test_pending_lookups_are_requested_before_other_destinations() -> None:
     _, registries, relay = make(number=1, lookup_timeout=2.5)
     registries[0].dead = True
     registries[0].start_anew()
@@ -233,7 +233,7 @@
 
 
 @pytest.mark.parametrize("too_long", [True, False])
-def test_destinations_of_many_hosts_are_asked_for_fewer_at_a_time(too_long: bool) -> None:
+def test_destinations_with_many_endpoints_are_requested_fewer_at_a_time(too_long: bool) -> None:
     told, registries, relay = make(number=1, cells=0, lookup_timeout=60.0)
     for host in range(2_000):
         told.set(f"h{host}", 1 + host % 100, EndpointState.ACTIVE)
@@ -255,7 +255,7 @@
     assert len(asked) <= 4
 
 
-def test_one_whose_hosts_alone_are_too_many_keeps_no_other_from_being_told() -> None:
+def test_oversize_destination_does_not_block_the_others() -> None:
     told, registries, relay = make(number=2, cells=10, lookup_timeout=1.0)
     for host in range(100, 140):
         told.set(f"h{host}", 99, EndpointState.ACTIVE)
@@ -296,7 +296,7 @@
     assert list(relay.hosts[1]) == ["h1"]
 
 
-def test_one_that_the_engine_does_not_have_is_told_anew() -> None:
+def test_destination_lost_by_the_engine_is_published_again() -> None:
     told, _, relay = make()
     relay.want(1)
     relay.run(0.1)
@@ -312,7 +312,7 @@
 # Which registry
 
 
-def test_relays_spread_over_registries_and_move_only_from_the_one_that_goes() -> None:
+def test_relays_spread_over_registries_and_move_only_from_a_removed_one() -> None:
     names = [f"relay-{number}" for number in range(2400)]
     first = {name: preference_order(name, PLACES)[0] for name in names}
     shares = Counter(first.values())
@@ -321,7 +321,7 @@
     assert all(after[name] == first[name] for name in names if first[name] != PLACES[2])
 
 
-def test_a_registry_that_dies_in_the_midst_of_a_watch_loses_no_change() -> None:
+def test_registry_that_dies_during_a_watch_loses_no_change() -> None:
     told, _, relay = make()
     relay.want(1)
     relay.run(0.1)
@@ -335,7 +335,7 @@
     assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
 
 
-def test_a_registry_that_stands_still_is_left_within_the_bound_and_its_late_word_does_no_harm() -> None:
+def test_paused_registry_is_left_in_time_and_its_late_responses_are_ignored() -> None:
     told, _, relay = make()
     relay.want(1)
     relay.run(0.1)
@@ -362,7 +362,7 @@
     assert relay.holds(told)
 
 
-def test_where_two_disagree_the_later_revision_holds() -> None:
+def test_later_revision_wins_between_two_registries() -> None:
     told, registries, relay = make()
     relay.want(1)
     relay.run(0.1)
@@ -384,7 +384,7 @@
     assert relay.subscription.mode is Mode.WATCHING
 
 
-def test_where_all_registries_tell_older_revisions_the_slice_is_taken_anew() -> None:
+def test_destinations_are_resolved_anew_after_all_registries_have_older_revisions() -> None:
     """Discovery counts anew. Until that is sure, the relay goes on by what it has."""
     told, _, relay = make(stale_after=6.0)
     for _ in range(20):
@@ -409,7 +409,7 @@
     assert relay.now - began < 12
 
 
-def test_old_news_makes_a_relay_try_another_once_in_a_while_and_stay_with_the_freshest() -> None:
+def test_stale_data_triggers_checks_and_the_freshest_registry_is_kept() -> None:
     told, _, relay = make(number=3, stale_after=6.0)
     relay.want(1)
     relay.run(0.1)
@@ -429,7 +429,7 @@
     assert list(relay.hosts[1]) == ["h1"]
 
 
-def test_one_that_was_left_lately_is_looked_at_where_the_one_in_use_is_cut_off() -> None:
+def test_recently_left_registry_is_checked_when_the_one_in_use_is_cut_off() -> None:
     """It stood still for 10 s and was left; then the other lost discovery: that showed 48 s later."""
     for shift in range(8):
         told, registries, relay = make(number=2, stale_after=6.0)
@@ -464,7 +464,7 @@
         assert relay.first is first
 
 
-def test_looks_grow_rarer_where_discovery_is_away_from_all() -> None:
+def test_checks_grow_rarer_while_no_registry_reaches_discovery() -> None:
     _, registries, relay = make(number=3, stale_after=6.0, idle_after=3600.0)
     relay.want(1)
     relay.run(600.1)
@@ -474,7 +474,7 @@
     assert list(relay.hosts[1]) == ["h1"]
 
 
-def test_relays_go_back_to_a_registry_that_is_there_again_spread_over_time() -> None:
+def test_failback_to_a_recovered_registry_is_spread_over_time() -> None:
     backs = []
     for number in range(40):
         told = List()
@@ -500,7 +500,7 @@
     assert max(Counter(int(back) for back in backs).values()) <= 8
 
 
-def test_a_region_that_starts_at_once_with_a_registry_dead_spreads_over_the_others() -> None:
+def test_simultaneous_start_with_one_dead_registry_spreads_over_the_others() -> None:
     told = List()
     for cell in range(1, 11):
         told.set(f"h{cell}", cell, EndpointState.ACTIVE)
@@ -523,7 +523,7 @@
     assert sum(shares) == 480
 
 
-def test_with_all_away_tries_grow_rarer_up_to_a_bound() -> None:
+def test_backoff_grows_to_a_bound_without_registries() -> None:
     _, registries, relay = make(number=2)
     for registry in registries:
         registry.dead = True
@@ -536,7 +536,7 @@
     assert relay.now > began
 
 
-def test_another_fleet_is_not_believed_and_said_in_one_line() -> None:
+def test_registry_of_another_fleet_is_rejected_with_one_log_line() -> None:
     told = List()
     told.set("h1", 1, EndpointState.ACTIVE)
     registry = Registry(PLACES[0], fleet="other")
@@ -553,7 +553,7 @@
 # Sets
 
 
-def test_a_registry_that_lost_the_set_is_told_it_anew_in_pieces_and_tells_what_changed_alone() -> None:
+def test_registry_that_lost_the_set_is_synchronized_in_pieces_and_sends_only_changes() -> None:
     told, registries, relay = make(number=1, cells=2500)
     relay.want(*range(1, 2501))
     relay.run(0.1)
@@ -573,7 +573,7 @@
     assert relay.hosts[7]["h7"][0].state is EndpointState.DRAINING
 
 
-def test_a_set_that_differs_is_told_anew() -> None:
+def test_set_that_differs_is_replaced() -> None:
     told, registries, relay = make(number=1)
     relay.want(1, 2)
     relay.run(0.1)
@@ -588,7 +588,7 @@
     assert seq < registries[0].sets[relay.subscription.subscriber][1]
 
 
-def test_what_is_idle_is_let_go_and_dropped_in_one_call_and_what_is_in_use_stays() -> None:
+def test_idle_destinations_are_released_in_one_call_and_used_ones_stay() -> None:
     told, registries, relay = make(number=1, cells=50, idle_after=10.0)
     relay.want(*range(1, 51))
     relay.run(5.0)
@@ -611,7 +611,7 @@
     assert list(relay.hosts) == [1]
 
 
-def test_over_the_most_those_used_least_lately_are_let_go() -> None:
+def test_least_recently_used_destinations_are_released_over_capacity() -> None:
     _, _, relay = make(number=1, cells=40, capacity=20)
     for cell in range(1, 41):
         relay.want(cell)
@@ -620,7 +620,7 @@
     assert sorted(relay.hosts) == list(range(21, 41))
 
 
-def test_one_let_go_and_wanted_before_the_registry_heard_is_held_again() -> None:
+def test_destination_released_and_looked_up_before_the_drop_is_sent_is_resolved_again() -> None:
     told, registries, relay = make(number=1, idle_after=10.0)
     relay.want(1)
     relay.run(10.2)
@@ -637,7 +637,7 @@
     assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
 
 
-def test_the_next_process_goes_on_with_the_slice() -> None:
+def test_successor_adopts_the_destinations() -> None:
     told, registries, relay = make(number=1)
     relay.want(1, 2)
     relay.run(0.1)
@@ -660,7 +660,7 @@
     assert after.subscription.counts["cells"] == 1
 
 
-def test_a_pause_asks_nothing_and_misses_nothing() -> None:
+def test_pause_makes_no_calls_and_misses_no_change() -> None:
     told, _, relay = make()
     relay.want(1)
     relay.run(0.1)
@@ -679,7 +679,7 @@
     assert set(relay.hosts) == {1, 2}
 
 
-def test_a_watch_that_is_answered_at_once_is_no_busy_loop() -> None:
+def test_watch_answered_at_once_is_no_busy_loop() -> None:
     told, registries, relay = make(number=1)
     relay.want(1)
     relay.run(0.1)
@@ -716,7 +716,7 @@
         max_size=40,
     ),
 )
-def test_after_any_schedule_of_faults_the_slice_is_the_list(
+def test_destinations_equal_the_list_after_any_schedule_of_faults(
     seed: int, number: int, steps: list[tuple[str, int, float]]
 ) -> None:
     """Answers are lost, doubled, late and out of order; registries stand still, die, forget and lag."""
--- a/tests/discovery/test_subscription_replay.py
+++ b/tests/discovery/test_subscription_replay.py
@@ -132,5 +132,5 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_seeded_schedule_gives_the_recorded_actions(seed: int) -> None:
+def test_seeded_schedule_gives_the_recorded_actions(seed: int) -> None:
     assert replay(seed) == RECORDED[str(seed)]
--- a/tests/discovery/test_told_in_time.py
+++ b/tests/discovery/test_update_latency.py
@@ -1,4 +1,4 @@
-"""A change counts as told 6 s after discovery had it and could be reached, whatever became of calls to it."""
+"""A change counts as received 6 s after discovery had it and could be reached, whatever became of calls."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("fault", [silent, head, half, endless], ids=lambda fault: fault.__name__)
-def test_a_watch_that_breaks_with_a_change_right_after(tmp_path: Path, fault: Fault) -> None:
+def test_change_right_after_a_broken_watch_is_received_in_time(tmp_path: Path, fault: Fault) -> None:
     """Nothing but time tells that it is broken."""
 
     async def scenario(w: World) -> None:
@@ -94,7 +94,9 @@
 
 @pytest.mark.parametrize("fault", [silent, unavailable, reset, half], ids=lambda fault: fault.__name__)
 @pytest.mark.parametrize("start", [False, True], ids=["in service", "through a start"])
-def test_discovery_that_fails_and_comes_back_with_a_change(tmp_path: Path, fault: Fault, start: bool) -> None:
+def test_change_is_received_in_time_after_discovery_recovers(
+    tmp_path: Path, fault: Fault, start: bool
+) -> None:
     async def scenario(w: World) -> None:
         await w.host(deliver)
         if not start:
@@ -112,7 +114,7 @@
     run(scenario, tmp_path)
 
 
-def test_a_fault_of_the_program_in_the_watch_does_not_end_it(tmp_path: Path) -> None:
+def test_exception_in_the_watch_does_not_end_it(tmp_path: Path) -> None:
     """The module hears that it failed, and asks anew."""
 
     async def scenario(w: World) -> None:
@@ -136,7 +138,7 @@
 
 
 @pytest.mark.parametrize("way", ["refused", "never comes up"])
-def test_connections_to_discovery_that_fail(tmp_path: Path, way: str) -> None:
+def test_change_is_received_in_time_despite_failing_connections(tmp_path: Path, way: str) -> None:
     """Its port is shut, or its queue is full, and answers nobody: then it is there again."""
 
     async def scenario(w: World) -> None:
@@ -168,7 +170,7 @@
     run(scenario, tmp_path)
 
 
-def test_idle_clients_fill_the_descriptors_while_discovery_is_down(tmp_path: Path) -> None:
+def test_change_is_received_in_time_with_descriptors_exhausted(tmp_path: Path) -> None:
     """Discovery, notices, hosts and the journal still get theirs, and a new request gets an answer."""
 
     async def scenario(w: World) -> None:
@@ -209,7 +211,7 @@
 
 
 @pytest.mark.parametrize("fault", [silent, unavailable, reset, half], ids=lambda fault: fault.__name__)
-def test_a_reload_moves_discovery_while_it_fails(tmp_path: Path, fault: Fault) -> None:
+def test_reload_moves_discovery_while_it_fails(tmp_path: Path, fault: Fault) -> None:
     """And the first call at the new address fails, too."""
 
     async def scenario(w: World) -> None:
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -57,7 +57,7 @@
         for dest in range(2, 202):
             w.name(dest)
         await w.start()
-        assert any("known list is passed over" in line for line in w.log)
+        assert any("known list ignored" in line for line in w.log)
         assert await registries.figure("slices_held") == 0
         assert await asyncio.gather(*(w.hand_in(f"m{n}") for n in range(5))) == [202] * 5
         await w.until(lambda: host.answered == 5)
--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -20,7 +20,7 @@
 )
 from loftrelay.decisions.scheduler import Destination, Endpoint
 from loftrelay.delivery.connection_pool import Group, Server
-from loftrelay.discovery.client import read_rows
+from loftrelay.discovery.endpoint_list import decode_rows
 from loftrelay.net.address import Address
 from loftrelay.relay.engine import Engine
 from loftrelay.service.assembly import build
@@ -132,7 +132,7 @@
         gc.collect()
         tracemalloc.start()
         try:
-            entries = read_rows(json.loads(told))
+            entries = decode_rows(json.loads(told))
             listing = EndpointListReceived(EndpointListKind.DELTA, tuple(e for e, _ in entries))
             engine.endpoints_listed(listing, {e.endpoint: address for e, address in entries})
             del entries, listing
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -49,6 +49,7 @@
     "simulation/links.py",
     "discovery/change_batch.py",
     "discovery/destination_table.py",
+    "discovery/endpoint_list.py",
     "discovery/freshness.py",
     "discovery/pending_lookups.py",
     "discovery/registry_selection.py",
