--- a/loftrelay/discovery/settings.py
+++ b/loftrelay/discovery/settings.py
@@ -14,10 +14,19 @@
 KEYS = (
     Key("fleet", "fleet", "", "that the registries must serve"),
     Key("registries", (), "", "addresses and ports of the registries"),
-    Key("wait_ms", 200, "ms", "for which a first message waits for its destination", least=1, most=10_000),
-    Key("idle_s", 300, "s", "without a message after which a destination is released", least=1, most=86_400),
-    Key("most", 16_384, "destinations", "held before idle ones are released early", least=1_024),
-    Key("stale_ms", 6_000, "ms", "age of a registry's data from which on others are checked", least=100),
+    Key(
+        "wait_ms", 200, "ms", "for which a first message waits for its destination", minimum=1, maximum=10_000
+    ),
+    Key(
+        "idle_s",
+        300,
+        "s",
+        "without a message after which a destination is released",
+        minimum=1,
+        maximum=86_400,
+    ),
+    Key("most", 16_384, "destinations", "held before idle ones are released early", minimum=1_024),
+    Key("stale_ms", 6_000, "ms", "age of a registry's data from which on others are checked", minimum=100),
 )
 
 
