--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -31,7 +31,12 @@
 
 from benchmarks.process import ROOT
 from loftrelay.net.address import Address
-from loftrelay.registry.protocol import MOST_CELLS, Change, Watch, target
+from loftrelay.registry.protocol import (
+    MAX_DESTINATIONS_PER_CALL,
+    SubscriptionChange,
+    SubscriptionWatch,
+    encode_request,
+)
 
 SIZES, SUBSCRIBERS, CELLS = (10_000, 100_000, 870_000), 300, 363
 CHANGES, WATCHES = 300, 3000
@@ -200,10 +205,10 @@
             before_mb, _ = memory(registry.pid)
             before = await calls.figures()
             for number, told in enumerate(cells):
-                for first in range(0, len(told), MOST_CELLS):
-                    part = tuple(told[first : first + MOST_CELLS])
-                    call = Change("fleet", f"r{number}.1", 1 + first, 0, part, reset=not first)
-                    assert (await calls.ask(target(call)))[0] == 200
+                for first in range(0, len(told), MAX_DESTINATIONS_PER_CALL):
+                    part = tuple(told[first : first + MAX_DESTINATIONS_PER_CALL])
+                    call = SubscriptionChange("fleet", f"r{number}.1", 1 + first, 0, part, is_reset=not first)
+                    assert (await calls.ask(encode_request(call)))[0] == 200
             after = await calls.figures()
             found["subscribe_us"] = round((after["cpu_s"] - before["cpu_s"]) / SUBSCRIBERS * 1e6)
             found["subscription_kb"] = round((memory(registry.pid)[0] - before_mb) * 1024 / SUBSCRIBERS, 1)
@@ -213,7 +218,9 @@
             before = await calls.figures()
             for number in range(WATCHES):
                 name = f"r{number % SUBSCRIBERS}.1"
-                assert (await calls.ask(target(Watch("fleet", name, revision, 0))))[0] == 200
+                assert (await calls.ask(encode_request(SubscriptionWatch("fleet", name, revision, 0))))[
+                    0
+                ] == 200
             after = await calls.figures()
             found["watch_us"] = round((after["cpu_s"] - before["cpu_s"]) / WATCHES * 1e6)
 
@@ -233,7 +240,7 @@
                 for number in numbers:
                     waiting = None
                     if watching:
-                        watch = target(Watch("fleet", "r0.1", revision, 60_000))
+                        watch = encode_request(SubscriptionWatch("fleet", "r0.1", revision, 60_000))
                         waiting = asyncio.create_task(watcher.ask(watch))
                     await change(number)
                     if waiting is not None:
--- a/loftrelay/cli/registry.py
+++ b/loftrelay/cli/registry.py
@@ -11,8 +11,8 @@
 
 from loftrelay.cli.log import configure_logging
 from loftrelay.config.toml_file import SettingsError
-from loftrelay.registry.service import Registry
-from loftrelay.registry.settings import RegistrySettings, load_registry
+from loftrelay.registry.service import RegistryService
+from loftrelay.registry.settings import RegistrySettings, load_registry_settings
 
 OK = 0
 CANNOT_START = 1
@@ -24,7 +24,7 @@
     configure_logging()
     options = build_parser().parse_args(arguments)
     try:
-        asyncio.run(serve(options.settings, load_registry(options.settings)))
+        asyncio.run(serve(options.settings, load_registry_settings(options.settings)))
     except SettingsError as error:
         print(f"loftrelay registry: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
@@ -40,11 +40,11 @@
     Raises:
         OSError: The registry can't listen.
     """
-    registry = Registry(path, settings)
+    registry = RegistryService(path, settings)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, registry.terminate)
-    loop.add_signal_handler(signal.SIGHUP, registry.read_again)
+    loop.add_signal_handler(signal.SIGHUP, registry.reload)
     await registry.run()
 
 
--- a/loftrelay/discovery/change_batch.py
+++ b/loftrelay/discovery/change_batch.py
@@ -7,7 +7,12 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from loftrelay.registry.protocol import MOST_CELLS, Answer, Change, checksum
+from loftrelay.registry.protocol import (
+    MAX_DESTINATIONS_PER_CALL,
+    SubscriptionChange,
+    SubscriptionResponse,
+    checksum,
+)
 
 BATCH_WINDOW_S = 0.003  # first messages within it share one call
 DROP_DELAY_S = 1.0  # removals wait for a call that is made anyway
@@ -43,7 +48,7 @@
     is_reset_due: bool = False
     batch_due_at: float = 0.0
     drop_due_at: float = 0.0
-    max_destinations: int = MOST_CELLS
+    max_destinations: int = MAX_DESTINATIONS_PER_CALL
 
     def restart(self, first: Iterable[int]) -> None:
         """Begins anew with an empty set at a registry. `first`: destinations to request before all others."""
@@ -89,35 +94,35 @@
             self.drop_due_at if self.to_drop else math.inf,
         )
 
-    def next_change(self, fleet: str, subscriber: str, revision: int) -> Change:
+    def next_change(self, fleet: str, subscriber: str, revision: int) -> SubscriptionChange:
         """Takes the next change out of the batch; the set counts as changed from then on."""
         limit = self.max_destinations
         added, limit = _pop_first(self.to_resolve, limit)
         confirmed, limit = _pop_first(self.to_confirm, limit)
         dropped, limit = _pop_first(self.to_drop, limit)
         self.sequence += 1
-        change = Change(
-            fleet, subscriber, self.sequence, revision, added, confirmed, dropped, reset=self.is_reset_due
+        change = SubscriptionChange(
+            fleet, subscriber, self.sequence, revision, added, confirmed, dropped, is_reset=self.is_reset_due
         )
         self.is_reset_due = False
         self._track(change)
         return change
 
-    def _track(self, change: Change) -> None:
-        removed = self.subscribed.intersection(change.drop)
+    def _track(self, change: SubscriptionChange) -> None:
+        removed = self.subscribed.intersection(change.dropped)
         self.subscribed -= removed
-        added = set(change.add).union(change.have) - self.subscribed
+        added = set(change.added).union(change.confirmed) - self.subscribed
         self.subscribed |= added
         self.checksum = (self.checksum + checksum(added) - checksum(removed)) & 0xFFFFFFFF
-        self.expected[change.seq] = len(self.subscribed), self.checksum
+        self.expected[change.sequence] = len(self.subscribed), self.checksum
         if len(self.expected) > MAX_REMEMBERED_CHANGES:
             self.expected.popitem(last=False)
 
-    def matches(self, answer: Answer, change: Change | None) -> bool:
+    def matches(self, answer: SubscriptionResponse, change: SubscriptionChange | None) -> bool:
         """Whether the registry answered for the expected set; for `change`, as of it."""
-        if self.expected.get(answer.seq) != (answer.count, answer.sum):
+        if self.expected.get(answer.sequence) != (answer.size, answer.checksum):
             return False
-        return change is None or change.seq == answer.seq
+        return change is None or change.sequence == answer.sequence
 
     def shrink(self, requested: int) -> None:
         """Halves the size of a call after one that failed: its response may have been too long."""
@@ -129,7 +134,7 @@
             fitting = requested * MAX_ROWS_PER_RESPONSE // rows
             self.max_destinations = max(1, min(self.max_destinations, fitting))
         elif rows <= MAX_ROWS_PER_RESPONSE // 2:
-            self.max_destinations = min(MOST_CELLS, 2 * self.max_destinations)
+            self.max_destinations = min(MAX_DESTINATIONS_PER_CALL, 2 * self.max_destinations)
 
 
 def _pop_first(numbers: dict[int, None], limit: int) -> tuple[tuple[int, ...], int]:
--- a/loftrelay/discovery/client.py
+++ b/loftrelay/discovery/client.py
@@ -23,10 +23,10 @@
 from loftrelay.discovery.subscription_actions import Row
 from loftrelay.net.address import Address
 from loftrelay.net.http import AnswerTooLong, ConnectionBroken
+from loftrelay.registry.protocol import LIST_PATH
 
 log = logging.getLogger(__name__)
 
-LIST_PATH = "/registry/instances"
 DEFAULT_POLL_INTERVAL_US = 10_000_000
 # A change counts as received 6 s after discovery had it (PROTOCOL). A watch that falls silent is given up
 # after MAX_WATCH_WAIT_S + RESPONSE_TIMEOUT_S, and the decisions ask for the next within 2 s.
--- a/loftrelay/discovery/destination_table.py
+++ b/loftrelay/discovery/destination_table.py
@@ -9,7 +9,7 @@
 
 from loftrelay.decisions.events import EndpointState
 from loftrelay.discovery.subscription_actions import Row
-from loftrelay.registry.protocol import MOST_CELLS
+from loftrelay.registry.protocol import MAX_DESTINATIONS_PER_CALL
 
 SWEEP_INTERVAL_S = 1.0
 
@@ -162,7 +162,7 @@
         found: list[int] = []
         for number, used in self.last_used.items():
             is_idle = used + self.idle_after <= now
-            if len(found) == MOST_CELLS or (not is_idle and len(found) >= surplus):
+            if len(found) == MAX_DESTINATIONS_PER_CALL or (not is_idle and len(found) >= surplus):
                 break
             found.append(number)
         return tuple(found)
--- a/loftrelay/discovery/registry_session.py
+++ b/loftrelay/discovery/registry_session.py
@@ -18,7 +18,7 @@
 from loftrelay.discovery.registry_selection import RegistrySelection
 from loftrelay.discovery.subscription_actions import Action, LogLine
 from loftrelay.discovery.subscription_calls import OutstandingCalls
-from loftrelay.registry.protocol import Answer
+from loftrelay.registry.protocol import SubscriptionResponse
 
 MIN_WATCH_INTERVAL_S = 0.05  # watches that are answered at once must not become a busy loop
 
@@ -226,9 +226,9 @@
         self.table.forget_revisions()
         self.synchronize(now)
 
-    def check_staleness(self, now: float, answer: Answer) -> None:
+    def check_staleness(self, now: float, answer: SubscriptionResponse) -> None:
         """Checks all others where the data of the registry in use is old."""
-        if not self.freshness.is_stale(answer.age / 1000):
+        if not self.freshness.is_stale(answer.age_ms / 1000):
             self.freshness.end_rounds()
         elif self.mode is Mode.WATCHING and self.freshness.is_round_due(now):
             reason = "has not heard from discovery for too long"
@@ -243,9 +243,9 @@
     def _send_check(self, position: int) -> None:
         self.calls.send_check(self.selection.registries[position].address, position)
 
-    def check_answered(self, now: float, answer: Answer) -> None:
+    def check_answered(self, now: float, answer: SubscriptionResponse) -> None:
         """Moves to the checked registry where its data is good enough."""
-        position, age = self.calls.check_position, answer.age / 1000
+        position, age = self.calls.check_position, answer.age_ms / 1000
         is_better = self.freshness.is_move_worthwhile(
             age, now - age, self.selection.current.synced_at, position == 0
         )
--- a/loftrelay/discovery/settings.py
+++ b/loftrelay/discovery/settings.py
@@ -8,7 +8,7 @@
 from loftrelay.config.toml_file import Key, SettingsError, read_toml
 from loftrelay.discovery.subscription import Timing
 from loftrelay.net.address import Address, parse_address
-from loftrelay.registry.protocol import MOST_NAME
+from loftrelay.registry.protocol import MAX_NAME_LENGTH
 
 TABLE = "subscription"
 KEYS = (
@@ -52,9 +52,9 @@
         SettingsError: A value is invalid; the text names the file, the key and the value.
     """
     values = read_toml(path, KEYS, TABLE)
-    if not 1 <= len(values["fleet"]) <= MOST_NAME:
+    if not 1 <= len(values["fleet"]) <= MAX_NAME_LENGTH:
         raise SettingsError(
-            f"{path}: fleet = {values['fleet']!r}: is not a text of 1 to {MOST_NAME} characters"
+            f"{path}: fleet = {values['fleet']!r}: is not a text of 1 to {MAX_NAME_LENGTH} characters"
         )
     if not values["registries"]:
         raise SettingsError(f"{path}: registries = []: names none")
--- a/loftrelay/discovery/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -32,7 +32,7 @@
 )
 from loftrelay.net.address import Address
 from loftrelay.net.http import Answer, AnswerTooLong, ConnectionBroken
-from loftrelay.registry.protocol import read_answer
+from loftrelay.registry.protocol import decode_response
 from loftrelay.relay.ports import ResolutionStatus
 
 log = logging.getLogger(__name__)
@@ -263,8 +263,8 @@
             text = response.body[:MAX_LOGGED_ERROR_BYTES].decode(errors="replace").strip()
             self.subscription.call_rejected(self._now(), call.number, response.status, text)
         else:
-            answer = read_answer(response.body)
-            rows = decode_rows(answer.members)
+            answer = decode_response(response.body)
+            rows = decode_rows(answer.rows)
             self.subscription.call_answered(self._now(), call.number, answer, rows)
         self._process_actions()
 
--- a/loftrelay/discovery/subscription.py
+++ b/loftrelay/discovery/subscription.py
@@ -27,7 +27,13 @@
 )
 from loftrelay.discovery.subscription_calls import OutstandingCalls
 from loftrelay.net.address import Address
-from loftrelay.registry.protocol import FORBIDDEN, GONE, MOST_NAME, Answer, Change
+from loftrelay.registry.protocol import (
+    FORBIDDEN,
+    GONE,
+    MAX_NAME_LENGTH,
+    SubscriptionChange,
+    SubscriptionResponse,
+)
 from loftrelay.relay.ports import ResolutionStatus
 
 
@@ -85,7 +91,7 @@
     def __post_init__(self) -> None:
         rng = random.Random(self.seed)
         order = [Registry(address) for address in preference_order(self.name, self.registries)]
-        self.subscriber = f"{self.name[:MOST_NAME]}.{self.incarnation_id}"
+        self.subscriber = f"{self.name[:MAX_NAME_LENGTH]}.{self.incarnation_id}"
         self.table = DestinationTable(self.timing.idle_after, self.timing.capacity, self.counts)
         self.lookups = PendingLookups(self.timing.lookup_timeout)
         self.session = RegistrySession(
@@ -209,24 +215,28 @@
             self.table.invalidate_all()
             self.session.leave_registry(now, "sent a response that could not be processed")
 
-    def call_answered(self, now: float, number: int, answer: Answer, rows: Sequence[Row]) -> None:
+    def call_answered(
+        self, now: float, number: int, answer: SubscriptionResponse, rows: Sequence[Row]
+    ) -> None:
         """A call was answered. `rows`: the response's rows, decoded."""
         if number == self.session.calls.check:
             self.session.check_answered(now, answer)
         elif self.session.calls.change is not None and self.session.calls.is_change(number):
             change, self.session.calls.change = self.session.calls.change.request, None
-            if self._accept(now, answer, change.index, change):
+            if self._accept(now, answer, change.since_revision, change):
                 self._change_answered(now, change, answer, rows)
         elif number == self.session.calls.watch:
             self.session.calls.watch = None
             if self._accept(now, answer, self.session.calls.watch_revision, None):
                 self._watch_answered(now, answer, rows)
 
-    def _accept(self, now: float, answer: Answer, min_revision: int, change: Change | None) -> bool:
+    def _accept(
+        self, now: float, answer: SubscriptionResponse, min_revision: int, change: SubscriptionChange | None
+    ) -> bool:
         """Whether a response can be used; otherwise another registry or a full synchronization follows."""
         if answer.fleet != self.fleet:
             self.session.leave_registry(
-                now, f"serves the fleet {answer.fleet[:MOST_NAME]!r}, not {self.fleet}"
+                now, f"serves the fleet {answer.fleet[:MAX_NAME_LENGTH]!r}, not {self.fleet}"
             )
             return False
         if answer.revision < min_revision:
@@ -235,14 +245,16 @@
         if not self.session.batch.matches(answer, change):
             self.session.replace_remote_set(now, "has another set of destinations than this relay")
             return False
-        self.session.selection.current.synced_at = now - answer.age / 1000
+        self.session.selection.current.synced_at = now - answer.age_ms / 1000
         self.has_answered = True
         self.session.freshness.revision_accepted()
         return True
 
-    def _change_answered(self, now: float, change: Change, answer: Answer, rows: Sequence[Row]) -> None:
-        requested = [number for number in change.add if number in self.table]
-        if not set(requested) <= set(answer.cells):
+    def _change_answered(
+        self, now: float, change: SubscriptionChange, answer: SubscriptionResponse, rows: Sequence[Row]
+    ) -> None:
+        requested = [number for number in change.added if number in self.table]
+        if not set(requested) <= set(answer.full_destinations):
             self.session.batch.request_again(requested)
             self.session.leave_registry(now, "leaves out requested destinations")
             return
@@ -251,8 +263,8 @@
             self.counts["overtaken"] += 1
             self.session.batch.request_again(requested)
         else:
-            self.session.batch.adapt(len(change.add) + len(change.have), len(rows))
-            self._confirm(change.have, answer.revision)
+            self.session.batch.adapt(len(change.added) + len(change.confirmed), len(rows))
+            self._confirm(change.confirmed, answer.revision)
             self._apply_full(answer, rows)
             self.session.piece_answered(answer.revision)
         self.session.send_due_calls(now)
@@ -264,15 +276,15 @@
             if destination is not None:
                 destination.revision = max(destination.revision, revision)
 
-    def _watch_answered(self, now: float, answer: Answer, rows: Sequence[Row]) -> None:
-        self._pass_on(self.table.apply_changes(answer.revision, answer.cells, rows))
+    def _watch_answered(self, now: float, answer: SubscriptionResponse, rows: Sequence[Row]) -> None:
+        self._pass_on(self.table.apply_changes(answer.revision, answer.full_destinations, rows))
         self._apply_full(answer, rows)
         self.session.revision = max(self.revision, answer.revision)
         self.session.watch_answered(now)
         self.session.check_staleness(now, answer)
 
-    def _apply_full(self, answer: Answer, rows: Sequence[Row]) -> None:
-        update = self.table.apply_full(answer.revision, answer.cells, rows)
+    def _apply_full(self, answer: SubscriptionResponse, rows: Sequence[Row]) -> None:
+        update = self.table.apply_full(answer.revision, answer.full_destinations, rows)
         self._pass_on(update)
         for number, has_endpoints in update.refreshed.items():
             self.session.batch.to_resolve.pop(number, None)
@@ -287,9 +299,9 @@
     def _end_lookup(self, number: int, status: ResolutionStatus) -> None:
         self.actions.append(DestinationResolved(number, status))
 
-    def _reduce_requests(self, now: float, change: Change, is_too_long: bool) -> None:
+    def _reduce_requests(self, now: float, change: SubscriptionChange, is_too_long: bool) -> None:
         """Asks for fewer destinations at a time; one whose endpoints alone are too many is left out."""
-        requested = (*change.add, *change.have)
+        requested = (*change.added, *change.confirmed)
         if is_too_long and len(requested) == 1:
             self._leave_out(now, requested[0])
         if requested:
--- a/loftrelay/discovery/subscription_calls.py
+++ b/loftrelay/discovery/subscription_calls.py
@@ -6,7 +6,7 @@
 
 from loftrelay.discovery.subscription_actions import Action, CancelCalls, Channel, StartCall
 from loftrelay.net.address import Address
-from loftrelay.registry.protocol import Change, Watch, target
+from loftrelay.registry.protocol import SubscriptionChange, SubscriptionWatch, encode_request
 
 WATCH_WAIT_S = 2.0  # for which a registry may hold a watch
 
@@ -15,7 +15,7 @@
 class OutstandingChange:
     """A change that was sent and not answered yet."""
 
-    request: Change
+    request: SubscriptionChange
     number: int
 
 
@@ -45,21 +45,23 @@
     check_position: int = 0
     number: int = 0
 
-    def send_change(self, registry: Address, change: Change) -> None:
+    def send_change(self, registry: Address, change: SubscriptionChange) -> None:
         """Sends a change of the subscription."""
-        self.change = OutstandingChange(change, self._start(Channel.CHANGES, registry, target(change), 0.0))
+        self.change = OutstandingChange(
+            change, self._start(Channel.CHANGES, registry, encode_request(change), 0.0)
+        )
 
     def send_watch(self, registry: Address, revision: int) -> None:
         """Sends a watch for what is newer than `revision`."""
         self.watch_revision = revision
-        watch = Watch(self.fleet, self.subscriber, revision, int(WATCH_WAIT_S * 1000))
-        self.watch = self._start(Channel.WATCH, registry, target(watch), WATCH_WAIT_S)
+        watch = SubscriptionWatch(self.fleet, self.subscriber, revision, int(WATCH_WAIT_S * 1000))
+        self.watch = self._start(Channel.WATCH, registry, encode_request(watch), WATCH_WAIT_S)
 
     def send_check(self, registry: Address, position: int) -> None:
         """Checks another registry by an empty subscription, while the watch goes on."""
         self.check_position = position
-        check = Change(self.fleet, f"{self.subscriber}.look", self.number, reset=True)
-        self.check = self._start(Channel.FAILBACK_CHECK, registry, target(check), 0.0)
+        check = SubscriptionChange(self.fleet, f"{self.subscriber}.look", self.number, is_reset=True)
+        self.check = self._start(Channel.FAILBACK_CHECK, registry, encode_request(check), 0.0)
 
     def cancel_all(self) -> None:
         """Ends all calls."""
--- a/loftrelay/registry/catalog.py
+++ b/loftrelay/registry/catalog.py
@@ -1,8 +1,9 @@
-"""The whole list by cell, ready to be sent, and what changed in it after which revision.
+"""The full endpoint list by destination, ready to be sent, and what changed in it after which revision.
 
-Each host has one slot: its row as JSON bytes, its cell and the revision of its last change; a host that is
-listed no longer keeps its slot for a while, as a tombstone ("Gone"), so that who missed the change can still
-be told of it. What a change costs goes by the change, not by the list. Pure: entries in, rows out.
+Each endpoint has one slot: its row as JSON, its destination and the revision of its last change. An endpoint
+that is no longer listed keeps its slot for a while as a tombstone ("Gone"), so that those who missed the
+change can still be sent it. The cost of a change depends on the change, not on the list. No input or output:
+entries in, rows out.
 """
 
 from __future__ import annotations
@@ -14,301 +15,365 @@
 from itertools import chain
 from typing import Generic, NamedTuple, TypeVar
 
-from loftrelay.registry.listing import Entry, gone
-
-RECENT = 10_000  # hosts whose changes can be told to who takes the whole list, and in cells of many hosts
-MANY = 64  # hosts of a cell beyond which its changes are looked up among the recent ones
+from loftrelay.registry.listing import ListEntry, removed_row
 
+MAX_RECENT_CHANGES = 10_000  # endpoints whose changes are indexed by revision
+LARGE_DESTINATION_ENDPOINTS = 64  # beyond which changes are looked up among the recent ones
 
 K = TypeVar("K")
 V = TypeVar("V")
 
 
-class Parts(Generic[K, V]):
-    """A dict in parts: one that grows is copied whole, and with 870,000 keys that takes 30 ms."""
+class RevisionError(ValueError):
+    """A delta does not follow the list that is held."""
+
+    def __init__(self, revision: int, current_revision: int) -> None:
+        super().__init__(f"changes up to {revision} don't follow a list of {current_revision}")
+        self.revision, self.current_revision = revision, current_revision
+
+
+class PartitionedDict(Generic[K, V]):
+    """A dict in partitions: a single one of 870,000 keys takes 30 ms to be copied when it grows."""
 
     COUNT = 64
 
     def __init__(self) -> None:
-        self.parts: list[dict[K, V]] = [{} for _ in range(self.COUNT)]
+        self.partitions: list[dict[K, V]] = [{} for _ in range(self.COUNT)]
 
-    def of(self, key: K) -> dict[K, V]:
-        """The part in which that key stands, if it does."""
-        return self.parts[hash(key) % self.COUNT]
+    def partition(self, key: K) -> dict[K, V]:
+        """Returns the partition that holds the key, if any does."""
+        return self.partitions[hash(key) % self.COUNT]
 
     def get(self, key: K) -> V | None:
-        return self.parts[hash(key) % self.COUNT].get(key)
+        """Returns the value of a key, or None."""
+        return self.partitions[hash(key) % self.COUNT].get(key)
 
     def values(self) -> Iterator[V]:
-        return chain.from_iterable(part.values() for part in self.parts)
+        """Iterates over all values."""
+        return chain.from_iterable(partition.values() for partition in self.partitions)
 
     def __len__(self) -> int:
-        return sum(map(len, self.parts))
+        return sum(map(len, self.partitions))
 
 
-class Rows(NamedTuple):
-    """A host that moved stands in two cells: who tells both tells first that it is gone from one."""
+class ChangedRows(NamedTuple):
+    """Rows to send, removed ones before listed ones: an endpoint that moved stands in two destinations."""
 
-    gone: list[bytes]
+    removed: list[bytes]
     listed: list[bytes]
 
 
-class Staged:
-    """An answer of discovery on its way: what differs from the list that is held. Nothing of it holds before
-    `Catalog.settle`, and nothing is kept of what is the same.
+class StagedList:
+    """The differences between a list that is being received and the catalog.
+
+    None of it is in force before `Catalog.commit`.
+
+    Attributes:
+        is_first: The catalog is empty: entries go into it directly.
+        changed: Entries that differ, by endpoint.
+        seen_slots: By slot, whether its endpoint was received; None where none was.
     """
 
     def __init__(self, catalog: Catalog) -> None:
         self.catalog = catalog
-        self.first = not catalog.known  # there is nothing to compare with and nobody was told of anything
-        self.changed: dict[str, Entry] = {}
-        self.seen: bytearray | None = None  # by slot, those that are told and listed already
-        if self.first:
+        self.is_first = not catalog.is_loaded
+        self.changed: dict[str, ListEntry] = {}
+        self.seen_slots: bytearray | None = None
+        if self.is_first:
             catalog.clear()
 
-    def take(self, entries: Iterable[Entry]) -> None:
-        catalog = self.catalog
-        if self.first:
+    def add(self, entries: Iterable[ListEntry]) -> None:
+        """Stages entries as they are received."""
+        if self.is_first:
             for entry in entries:
-                for _ in catalog.put(entry, 0):
+                for _ in self.catalog.put(entry, 0):
                     pass
             return
         for entry in entries:
-            slot = catalog.slots.get(entry.host)
-            if slot is not None:
-                if self.seen is None:
-                    self.seen = bytearray(len(catalog.rows))
-                self.seen[slot] = 1
-                if catalog.rows[slot] == entry.row:
-                    self.changed.pop(entry.host, None)  # of a host that stands twice the last row holds
-                    continue
-            self.changed[entry.host] = entry
+            if not self._is_unchanged(entry):
+                self.changed[entry.endpoint] = entry
+
+    def _is_unchanged(self, entry: ListEntry) -> bool:
+        slot = self.catalog.slots.get(entry.endpoint)
+        if slot is None:
+            return False
+        if self.seen_slots is None:
+            self.seen_slots = bytearray(len(self.catalog.rows))
+        self.seen_slots[slot] = 1
+        if self.catalog.rows[slot] != entry.row:
+            return False
+        self.changed.pop(entry.endpoint, None)  # of an endpoint that is listed twice the last row counts
+        return True
 
 
 class Catalog:
-    """`keep_gone`: tombstones at most."""
+    """The list that is in force.
+
+    Attributes:
+        max_tombstones: Removed endpoints that are remembered.
+        is_loaded: A list was received.
+        revision: Discovery's revision of it.
+        changes: Changed endpoints since the start.
+        oldest_revision: Below it, it is unknown whether an endpoint changed.
+        oldest_recent_revision: Below it, changes can only be found by looking at all endpoints.
+        size_bytes: Size of all listed rows.
+        slots: Slot of each listed endpoint.
+        rows: Row of each slot.
+        destination_of: Destination of each slot.
+        changed_at: Revision of the last change of each slot.
+        by_destination: Slots of each destination, tombstones among them; the slot itself where it has one.
+    """
 
-    def __init__(self, keep_gone: int) -> None:
-        self.keep_gone = keep_gone
-        self.known = False  # there has been a list
+    def __init__(self, max_tombstones: int) -> None:
+        self.max_tombstones = max_tombstones
+        self.is_loaded = False
         self.revision = 0
-        self.changes = 0  # of hosts, since the start
+        self.changes = 0
         self.clear()
 
     def clear(self) -> None:
-        # Below `floor` it is not known of any one host whether it changed; below `recent_floor` it can't be
-        # told without a walk through all.
-        self.floor = self.recent_floor = 0
-        self.size = 0  # bytes of all rows that are listed
-        self.slots: Parts[str, int] = Parts()  # by host, those listed
-        self.rows: list[bytes | None] = []  # by slot, as are the next two
-        self.cell_of = array("q")
+        """Forgets all endpoints."""
+        self.oldest_revision = self.oldest_recent_revision = 0
+        self.size_bytes = 0
+        self.slots: PartitionedDict[str, int] = PartitionedDict()
+        self.rows: list[bytes | None] = []
+        self.destination_of = array("q")
         self.changed_at = array("q")
-        self.by_cell: Parts[int, int | dict[int, None]] = Parts()  # one slot, or several; tombstones too
-        self._last: dict[int, int] = {}  # revision of the last change of a cell with several slots
-        self._gone: OrderedDict[int, str] = OrderedDict()  # tombstones -> host, the oldest first
-        self._graves: dict[tuple[str, int], int] = {}  # the same by host and cell
-        self._recent: OrderedDict[int, None] = OrderedDict()  # slots by their last change, the oldest first
+        self.by_destination: PartitionedDict[int, int | dict[int, None]] = PartitionedDict()
+        self._last_change: dict[int, int] = {}  # of destinations with several slots
+        self._tombstones: OrderedDict[int, str] = OrderedDict()  # slot -> endpoint, oldest first
+        self._tombstone_slots: dict[tuple[str, int], int] = {}  # by endpoint and destination
+        self._recent: OrderedDict[int, None] = OrderedDict()  # slots by their last change, oldest first
         self._free: list[int] = []
 
-    # What is told
-
-    def _of(self, cell: int) -> Iterable[int]:
-        slots = self.by_cell.get(cell)
-        return (slots,) if isinstance(slots, int) else slots or ()
-
-    def changed(self, cell: int) -> int:
-        """The revision of its last change; where nothing is known of any, `floor`."""
-        slots = self.by_cell.get(cell)
-        return self.changed_at[slots] if isinstance(slots, int) else self._last.get(cell, self.floor)
-
-    def whole(self, cell: int) -> list[bytes]:
-        return [row for slot in self._of(cell) if slot not in self._gone and (row := self.rows[slot])]
+    @property
+    def endpoint_count(self) -> int:
+        """Number of listed endpoints."""
+        return len(self.slots)
 
-    def since(self, cell: int, index: int) -> Rows | None:
-        """What changed after `index`. None: that is not known, and the cell is to be told whole."""
-        if self.changed(cell) <= index <= self.revision:
-            return Rows([], [])
-        if not self.floor <= index <= self.revision:
+    @property
+    def tombstone_count(self) -> int:
+        """Number of removed endpoints that are remembered."""
+        return len(self._tombstones)
+
+    # Queries
+
+    def last_change(self, destination: int) -> int:
+        """Returns the revision of a destination's last change; `oldest_revision` where none is known."""
+        slots = self.by_destination.get(destination)
+        if isinstance(slots, int):
+            return self.changed_at[slots]
+        return self._last_change.get(destination, self.oldest_revision)
+
+    def full_rows(self, destination: int) -> list[bytes]:
+        """Returns the rows of all listed endpoints of a destination."""
+        slots = self._slots_of(destination)
+        return [row for slot in slots if slot not in self._tombstones and (row := self.rows[slot])]
+
+    def changes_since(self, destination: int, revision: int) -> ChangedRows | None:
+        """Returns what changed in a destination after a revision; None where that is unknown."""
+        if self.last_change(destination) <= revision <= self.revision:
+            return ChangedRows([], [])
+        if not self.oldest_revision <= revision <= self.revision:
             return None
-        slots: Iterable[int] = self._of(cell)
-        if isinstance(slots, dict) and len(slots) > MANY and index >= self.recent_floor:
-            slots = (slot for slot in self._after(index) if self.cell_of[slot] == cell)
-        return self._rows(slot for slot in slots if self.changed_at[slot] > index)
-
-    def all_since(self, index: int) -> Rows | None:
-        """As `since`, of all cells."""
-        if not max(self.floor, self.recent_floor) <= index <= self.revision:
+        slots: Iterable[int] = self._slots_of(destination)
+        is_large = isinstance(slots, dict) and len(slots) > LARGE_DESTINATION_ENDPOINTS
+        if is_large and revision >= self.oldest_recent_revision:
+            recent = self._recent_after(revision)
+            slots = (slot for slot in recent if self.destination_of[slot] == destination)
+        return self._split_rows(slot for slot in slots if self.changed_at[slot] > revision)
+
+    def all_changes_since(self, revision: int) -> ChangedRows | None:
+        """Returns what changed in all destinations after a revision; None where that is unknown."""
+        if not max(self.oldest_revision, self.oldest_recent_revision) <= revision <= self.revision:
             return None
-        return self._rows(self._after(index))
+        return self._split_rows(self._recent_after(revision))
 
     def all_rows(self) -> Iterator[bytes]:
+        """Iterates over the rows of all listed endpoints."""
         return (row for slot in self.slots.values() if (row := self.rows[slot]))
 
-    def _after(self, index: int) -> Iterator[int]:
+    def _slots_of(self, destination: int) -> Iterable[int]:
+        slots = self.by_destination.get(destination)
+        return (slots,) if isinstance(slots, int) else slots or ()
+
+    def _recent_after(self, revision: int) -> Iterator[int]:
         for slot in reversed(self._recent):
-            if self.changed_at[slot] <= index:
+            if self.changed_at[slot] <= revision:
                 return
             yield slot
 
-    def _rows(self, slots: Iterable[int]) -> Rows:
-        rows = Rows([], [])
+    def _split_rows(self, slots: Iterable[int]) -> ChangedRows:
+        rows = ChangedRows([], [])
         for slot in slots:
             row = self.rows[slot]
             assert row is not None
-            (rows.gone if slot in self._gone else rows.listed).append(row)
+            (rows.removed if slot in self._tombstones else rows.listed).append(row)
         return rows
 
-    # What is taken
-
-    def load(self, revision: int, entries: Sequence[Entry]) -> set[int]:
-        """A whole list. Gives the cells in which something changed."""
-        staged = Staged(self)
-        staged.take(entries)
-        return set(self.settle(staged, revision, True))
-
-    def apply(self, revision: int, entries: Sequence[Entry]) -> set[int]:
-        """Changes since the revision that is held; ValueError if `revision` is below it."""
-        staged = Staged(self)
-        staged.take(entries)
-        return set(self.settle(staged, revision, False))
-
-    def settle(self, staged: Staged, revision: int, complete: bool) -> Iterator[int]:
-        """Puts in force what was staged, host by host, and gives the cell of each that changed. It may be
-        gone through in pieces, but must be to its end: until then the revision that was held stands, and what
-        is told is of then or newer. A whole list with a revision below it is a new count: nothing older than
-        it can be told from then on. Raises ValueError where changes don't follow the list that is held.
+    # Updates
+
+    def load(self, revision: int, entries: Sequence[ListEntry]) -> set[int]:
+        """Applies a full list. Returns the destinations that changed."""
+        staged = StagedList(self)
+        staged.add(entries)
+        return set(self.commit(staged, revision, True))
+
+    def apply(self, revision: int, entries: Sequence[ListEntry]) -> set[int]:
+        """Applies a delta. Returns the destinations that changed.
+
+        Raises:
+            RevisionError: `revision` is below that of the list held.
         """
-        if not complete and (staged.first or revision < self.revision):
-            raise ValueError(f"changes up to {revision} don't follow a list of {self.revision}")
-        if staged.first:
-            self.known = True
-            self._renumber(revision)
+        staged = StagedList(self)
+        staged.add(entries)
+        return set(self.commit(staged, revision, False))
+
+    def commit(self, staged: StagedList, revision: int, is_complete: bool) -> Iterator[int]:
+        """Puts a staged list in force, endpoint by endpoint, and yields the destination of each change.
+
+        The iteration may pause, but has to be run to its end; until then the former revision stands, and the
+        rows are of it or newer. A full list with a lower revision means that discovery restarted its
+        revisions: nothing older can be answered from then on.
+
+        Raises:
+            RevisionError: A delta does not follow the list held.
+        """
+        if not is_complete and (staged.is_first or revision < self.revision):
+            raise RevisionError(revision, self.revision)
+        if staged.is_first:
+            self.is_loaded = True
+            self._restart_revisions(revision)
             return
-        anew = revision < self.revision
-        number = self.revision + 1 if anew else revision
+        is_restarted = revision < self.revision
+        change_revision = self.revision + 1 if is_restarted else revision
         for entry in staged.changed.values():
-            yield from self.put(entry, number)
-        if complete:
-            seen = staged.seen or bytearray(len(self.rows))
-            slot = seen.find(0)
-            while slot >= 0:
-                row = self.rows[slot]
-                if row is not None and slot not in self._gone:
-                    host = json.loads(row)["id"]
-                    if host not in staged.changed:
-                        yield self._bury(host, slot, number)
-                slot = seen.find(0, slot + 1)
-        if anew:
-            while self._gone:
-                self._discard(next(reversed(self._gone)))
-            self._renumber(revision)
+            yield from self.put(entry, change_revision)
+        if is_complete:
+            yield from self._remove_unlisted(staged, change_revision)
+        if is_restarted:
+            while self._tombstones:
+                self._discard_tombstone(next(reversed(self._tombstones)))
+            self._restart_revisions(revision)
         self.revision = revision
 
-    def _renumber(self, revision: int) -> None:
+    def _remove_unlisted(self, staged: StagedList, revision: int) -> Iterator[int]:
+        seen = staged.seen_slots or bytearray(len(self.rows))
+        slot = seen.find(0)
+        while slot >= 0:
+            row = self.rows[slot]
+            if row is not None and slot not in self._tombstones:
+                endpoint = json.loads(row)["id"]
+                if endpoint not in staged.changed:
+                    yield self._add_tombstone(endpoint, slot, revision)
+            slot = seen.find(0, slot + 1)
+
+    def _restart_revisions(self, revision: int) -> None:
         self.changed_at = array("q", (revision,)) * len(self.rows)
         self._recent.clear()
-        self._last.clear()
-        self.revision = self.floor = self.recent_floor = revision
+        self._last_change.clear()
+        self.revision = self.oldest_revision = self.oldest_recent_revision = revision
 
-    def put(self, entry: Entry, number: int) -> Iterator[int]:
-        """Gives the cells in which that changed something."""
-        slot = self.slots.get(entry.host)
-        if entry.gone:
+    def put(self, entry: ListEntry, revision: int) -> Iterator[int]:
+        """Applies one entry and yields the destinations that it changed."""
+        slot = self.slots.get(entry.endpoint)
+        if entry.is_removed:
             if slot is not None:
-                yield self._bury(entry.host, slot, number)
+                yield self._add_tombstone(entry.endpoint, slot, revision)
             return
         if slot is not None:
-            old = self.rows[slot]
-            assert old is not None
-            if old == entry.row:
+            if self.rows[slot] == entry.row:
                 return
-            if self.cell_of[slot] == entry.cell:
-                self.size += len(entry.row) - len(old)
-                self.rows[slot] = entry.row
-                self._touch(slot, number)
-                yield entry.cell
+            if self.destination_of[slot] == entry.destination:
+                self._replace_row(slot, entry.row, revision)
+                yield entry.destination
                 return
-            yield self._bury(entry.host, slot, number)  # it moved
-        grave = self._graves.get((entry.host, entry.cell))
-        if grave is not None:
-            self._discard(grave)  # it is back
-        slot = self._place(entry)
-        self.slots.of(entry.host)[entry.host] = slot
-        self.size += len(entry.row)
-        self._touch(slot, number)
-        yield entry.cell
-
-    def _place(self, entry: Entry) -> int:
+            yield self._add_tombstone(entry.endpoint, slot, revision)  # it moved
+        self._insert(entry, revision)
+        yield entry.destination
+
+    def _replace_row(self, slot: int, row: bytes, revision: int) -> None:
+        previous = self.rows[slot]
+        assert previous is not None
+        self.size_bytes += len(row) - len(previous)
+        self.rows[slot] = row
+        self._record_change(slot, revision)
+
+    def _insert(self, entry: ListEntry, revision: int) -> None:
+        tombstone = self._tombstone_slots.get((entry.endpoint, entry.destination))
+        if tombstone is not None:
+            self._discard_tombstone(tombstone)
+        slot = self._allocate(entry)
+        self.slots.partition(entry.endpoint)[entry.endpoint] = slot
+        self.size_bytes += len(entry.row)
+        self._record_change(slot, revision)
+
+    def _allocate(self, entry: ListEntry) -> int:
         if self._free:
             slot = self._free.pop()
-            self.rows[slot], self.cell_of[slot] = entry.row, entry.cell
+            self.rows[slot], self.destination_of[slot] = entry.row, entry.destination
         else:
             slot = len(self.rows)
             self.rows.append(entry.row)
-            self.cell_of.append(entry.cell)
+            self.destination_of.append(entry.destination)
             self.changed_at.append(0)
-        there = self.by_cell.get(entry.cell)
-        if there is None:
-            self.by_cell.of(entry.cell)[entry.cell] = slot
-        elif isinstance(there, int):
-            self.by_cell.of(entry.cell)[entry.cell] = {there: None, slot: None}
-            if self.known:
-                self._last[entry.cell] = self.changed_at[there]
-        else:
-            there[slot] = None
+        self._add_to_destination(entry.destination, slot)
         return slot
 
-    def _touch(self, slot: int, number: int) -> None:
-        self.changed_at[slot] = number
-        if not self.known:
+    def _add_to_destination(self, destination: int, slot: int) -> None:
+        partition = self.by_destination.partition(destination)
+        present = partition.get(destination)
+        if present is None:
+            partition[destination] = slot
+        elif isinstance(present, int):
+            partition[destination] = {present: None, slot: None}
+            if self.is_loaded:
+                self._last_change[destination] = self.changed_at[present]
+        else:
+            present[slot] = None
+
+    def _record_change(self, slot: int, revision: int) -> None:
+        self.changed_at[slot] = revision
+        if not self.is_loaded:
             return
         self.changes += 1
-        cell = self.cell_of[slot]
-        if not isinstance(self.by_cell.get(cell), int):
-            self._last[cell] = number
+        destination = self.destination_of[slot]
+        if not isinstance(self.by_destination.get(destination), int):
+            self._last_change[destination] = revision
         self._recent[slot] = None
         self._recent.move_to_end(slot)
-        if len(self._recent) > RECENT:
+        if len(self._recent) > MAX_RECENT_CHANGES:
             oldest, _ = self._recent.popitem(last=False)
-            self.recent_floor = max(self.recent_floor, self.changed_at[oldest])
+            self.oldest_recent_revision = max(self.oldest_recent_revision, self.changed_at[oldest])
 
-    def _bury(self, host: str, slot: int, number: int) -> int:
-        row, cell = self.rows[slot], self.cell_of[slot]
+    def _add_tombstone(self, endpoint: str, slot: int, revision: int) -> int:
+        """Makes a listed endpoint a tombstone. Returns its destination."""
+        row, destination = self.rows[slot], self.destination_of[slot]
         assert row is not None
-        del self.slots.of(host)[host]
-        self.size -= len(row)
-        self.rows[slot] = gone(row)
-        self._gone[slot] = host
-        self._graves[host, cell] = slot
-        self._touch(slot, number)
-        while len(self._gone) > self.keep_gone:
-            oldest = next(iter(self._gone))
-            self.floor = max(self.floor, self.changed_at[oldest])
-            self._discard(oldest)
-        return cell
-
-    def _discard(self, slot: int) -> None:
-        """Of a tombstone."""
-        cell = self.cell_of[slot]
-        del self._graves[self._gone.pop(slot), cell]
+        del self.slots.partition(endpoint)[endpoint]
+        self.size_bytes -= len(row)
+        self.rows[slot] = removed_row(row)
+        self._tombstones[slot] = endpoint
+        self._tombstone_slots[endpoint, destination] = slot
+        self._record_change(slot, revision)
+        while len(self._tombstones) > self.max_tombstones:
+            oldest = next(iter(self._tombstones))
+            self.oldest_revision = max(self.oldest_revision, self.changed_at[oldest])
+            self._discard_tombstone(oldest)
+        return destination
+
+    def _discard_tombstone(self, slot: int) -> None:
+        destination = self.destination_of[slot]
+        del self._tombstone_slots[self._tombstones.pop(slot), destination]
         self._recent.pop(slot, None)
         self.rows[slot] = None
-        part = self.by_cell.of(cell)
-        there = part[cell]
-        if isinstance(there, int):
-            del part[cell]
+        partition = self.by_destination.partition(destination)
+        present = partition[destination]
+        if isinstance(present, int):
+            del partition[destination]
         else:
-            del there[slot]
-            if not there:
-                del part[cell]
-                self._last.pop(cell, None)
+            del present[slot]
+            if not present:
+                del partition[destination]
+                self._last_change.pop(destination, None)
         self._free.append(slot)
-
-    @property
-    def hosts(self) -> int:
-        return len(self.slots)
-
-    @property
-    def tombstones(self) -> int:
-        return len(self._gone)
--- /dev/null
+++ b/loftrelay/registry/client_connection.py
@@ -0,0 +1,218 @@
+"""One HTTP connection of a relay to a registry: reads requests, writes responses, enforces deadlines."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections import Counter
+from http import HTTPStatus
+from typing import Protocol
+
+import h11
+
+from loftrelay.registry.protocol import FullListRequest, encode_error
+from loftrelay.registry.subscriptions import WaitingWatch
+
+MAX_HEAD_BYTES = 24 << 10  # of a request
+MAX_DISCARDED_BYTES = 64 << 10  # of the body of a request, and of what comes after a rejected one
+MAX_COALESCED_BODY_BYTES = 64 << 10  # a body up to this size is written together with its head
+REQUEST_TIMEOUT_S = 2.0  # from a request's first byte, or from the connection, to its last byte
+WRITE_TIMEOUT_S = 10.0  # in which a response has to be read
+LINGER_S = 0.5  # for which a rejected client may still send
+
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of its server."""
+
+    clients: dict[ClientConnection, None]
+    counts: Counter[str]
+    idle_timeout: float
+    is_stopping: bool
+
+    def handle(self, client: ClientConnection, request: h11.Request) -> None:
+        """Answers a request, at once or later."""
+
+    def client_left(self, client: ClientConnection) -> None:
+        """Ends the client's watch: nobody reads its response."""
+
+
+class ClientConnection(asyncio.Protocol):
+    """One connection.
+
+    Attributes:
+        server: The registry's server.
+        wire: State of HTTP on the connection.
+        transport: The connection; None before it is made.
+        request: The request that is read or answered.
+        body_bytes: Bytes of its body, or of what was discarded.
+        is_reading: A request has begun and is incomplete.
+        is_discarding: The connection is about to close: what still comes is discarded.
+        is_write_blocked: A response is not written yet, as the client does not read.
+        watch: The watch that waits on this connection.
+        watch_timer: When that watch ends.
+        deadline: When `time_out` is due, in the event loop's seconds.
+    """
+
+    def __init__(self, server: ConnectionOwner) -> None:
+        self.server = server
+        self.wire = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.transport: asyncio.Transport | None = None
+        self.request: h11.Request | None = None
+        self.body_bytes = 0
+        self.is_reading = False
+        self.is_discarding = False
+        self.is_write_blocked = False
+        self.watch: WaitingWatch | FullListRequest | None = None
+        self.watch_timer: asyncio.TimerHandle | None = None
+        self.deadline = math.inf
+
+    # asyncio.Protocol
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begins to wait for the first request."""
+        assert isinstance(transport, asyncio.Transport)
+        transport.set_write_buffer_limits(high=0)  # pause_writing then reports every byte left
+        self.transport = transport
+        self._set_deadline(REQUEST_TIMEOUT_S)
+        self.server.clients[self] = None
+
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the reason does not matter
+        """Ends the watch that waits on the connection."""
+        self.server.clients.pop(self, None)
+        self.server.client_left(self)
+
+    def eof_received(self) -> bool:
+        """Closes the connection: a client that ends its sending gives its call up."""
+        return False
+
+    def pause_writing(self) -> None:
+        """Limits the time for which a client may leave a response unread."""
+        self.is_write_blocked = True
+        if not self.is_discarding:
+            self._set_deadline(WRITE_TIMEOUT_S)
+
+    def resume_writing(self) -> None:
+        """Begins to wait for the next request."""
+        self.is_write_blocked = False
+        if not self.is_discarding and not self.is_reading:
+            self._set_deadline(self.server.idle_timeout)
+
+    def data_received(self, data: bytes) -> None:
+        """Reads a request, or discards what comes after a rejected one."""
+        self.server.counts["bytes_in"] += len(data)
+        if self.is_discarding:
+            self.body_bytes += len(data)
+            if self.body_bytes > MAX_DISCARDED_BYTES:
+                self.abort()
+            return
+        if self.watch is not None or self.is_write_blocked:
+            self.server.client_left(self)
+            self.reject(HTTPStatus.BAD_REQUEST, "one call at a time on a connection")
+            return
+        if not self.is_reading:
+            self.is_reading = True
+            self._set_deadline(REQUEST_TIMEOUT_S)
+        try:
+            self.wire.receive_data(data)
+            self._read_events()
+        except h11.RemoteProtocolError as error:
+            self.reject(error.error_status_hint, str(error))
+
+    def _read_events(self) -> None:
+        while True:
+            event = self.wire.next_event()
+            if event is h11.NEED_DATA or event is h11.PAUSED:
+                return
+            if isinstance(event, h11.Request):
+                self.request, self.body_bytes = event, 0
+            elif isinstance(event, h11.Data):
+                self.body_bytes += len(event.data)
+                if self.body_bytes > MAX_DISCARDED_BYTES:
+                    self.reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "a call has no body")
+                    return
+            elif isinstance(event, h11.EndOfMessage):
+                self._request_complete()
+                return
+            else:
+                self.close()
+                return
+
+    def _request_complete(self) -> None:
+        if self.wire.trailing_data[0]:
+            self.reject(HTTPStatus.BAD_REQUEST, "one call at a time on a connection")
+            return
+        self.is_reading, self.deadline = False, math.inf
+        assert self.request is not None
+        self.server.handle(self, self.request)
+
+    # Responses
+
+    def reject(self, status: int, reason: str) -> None:
+        """Answers a request that cannot be handled, if a response can still be sent, and closes."""
+        if self.wire.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+            self.respond(status, encode_error(reason), is_last=True)
+        else:
+            self.abort()
+
+    def respond(
+        self, status: int, body: bytes, content_type: str = "application/json", is_last: bool = False
+    ) -> None:
+        """Sends a response. `is_last`: the connection is closed after it."""
+        transport = self.transport
+        if transport is None or transport.is_closing():
+            return
+        is_last = is_last or self.server.is_stopping
+        self._set_deadline(self.server.idle_timeout)  # unless pause_writing sets another
+        parts = self._encode(status, body, content_type, is_last)
+        self.server.counts["bytes_out"] += sum(map(len, parts))
+        if len(body) <= MAX_COALESCED_BODY_BYTES:
+            parts = [b"".join(parts)]
+        for part in parts:
+            transport.write(part)
+        if not is_last and self.wire.our_state is h11.DONE and self.wire.their_state is h11.DONE:
+            self.wire.start_next_cycle()
+        else:
+            self.close()
+
+    def _encode(self, status: int, body: bytes, content_type: str, is_last: bool) -> list[bytes]:
+        headers = [("Content-Type", content_type), ("Content-Length", str(len(body)))]
+        if is_last:
+            headers.append(("Connection", "close"))
+        head = h11.Response(status_code=status, reason=HTTPStatus(status).phrase, headers=headers)
+        parts = [self.wire.send(head) or b""]
+        if self.request is None or self.request.method != b"HEAD":
+            parts.append(body)
+            self.wire.send_with_data_passthrough(h11.Data(body))
+        self.wire.send(h11.EndOfMessage())
+        return parts
+
+    # End
+
+    def time_out(self) -> None:
+        """Ends what has taken too long: a request, a response or an idle connection."""
+        if self.is_discarding or self.is_write_blocked:
+            self.abort()
+        elif self.is_reading or self.request is None:
+            self.reject(HTTPStatus.REQUEST_TIMEOUT, "the call did not come in time")
+        else:
+            self.close()
+
+    def close(self) -> None:
+        """Closes after a moment in which what still comes is discarded.
+
+        A close over unread bytes resets the connection, and the client may never read its response.
+        """
+        transport = self.transport
+        if transport is None or transport.is_closing():
+            return
+        self.is_discarding, self.body_bytes = True, 0
+        self._set_deadline(WRITE_TIMEOUT_S if self.is_write_blocked else LINGER_S)
+        transport.write_eof()
+
+    def abort(self) -> None:
+        """Closes at once."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    def _set_deadline(self, seconds: float) -> None:
+        self.deadline = asyncio.get_running_loop().time() + seconds
--- a/loftrelay/registry/listing.py
+++ b/loftrelay/registry/listing.py
@@ -1,8 +1,7 @@
-"""Reads discovery's answers as they come, row by row: a whole list may be longer than a turn of the loop
-allows.
+"""Parses discovery's list incrementally: a full list may take longer than one turn of the event loop.
 
-The form is discovery's (PROTOCOL, "Discovery"), however it is spaced and in whatever order its fields stand.
-Pure: bytes in, rows out.
+The form is discovery's (PROTOCOL, "Discovery"), with any spacing and any order of fields. No input or output:
+bytes in, rows out.
 """
 
 from __future__ import annotations
@@ -13,21 +12,31 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple
 
-from loftrelay.registry.protocol import MOST_CELL
+from loftrelay.registry.protocol import MAX_DESTINATION_NUMBER
 
 try:
     import msgspec
 except ImportError:  # the extra `fleet`
     msgspec = None  # type: ignore[assignment]
 
-PHASES = frozenset(("Ready", "Terminating", "Gone"))
-MOST_PART = 64 << 10  # characters of one row, and of what stands beside the rows
-ENDS = frozenset(",}] \t\n\r")  # of a number or a name
-_space = re.compile(r"[ \t\n\r]*").match
-_decoder = json.JSONDecoder(parse_constant=lambda name: None)  # NaN is no JSON
+REMOVED_PHASE = "Gone"
+PHASE_NAMES = frozenset(("Ready", "Terminating", REMOVED_PHASE))
+MAX_BUFFERED_CHARACTERS = 64 << 10  # of one row, and of the fields beside the rows
+LITERAL_DELIMITERS = frozenset(",}] \t\n\r")  # end a number or a name
+SPACE = " \t\n\r"
+_match_space = re.compile(f"[{SPACE}]*").match
+_decoder = json.JSONDecoder(parse_constant=lambda _: None)  # NaN is not JSON
 
 
-def _plain_encoder() -> Callable[[Any], bytes]:
+class MalformedListError(ValueError):
+    """Discovery's response is not a list."""
+
+
+class MalformedEntryError(ValueError):
+    """One row of the list cannot be used."""
+
+
+def _standard_encoder() -> Callable[[Any], bytes]:
     encode = json.JSONEncoder(
         ensure_ascii=False, allow_nan=False, sort_keys=True, separators=(",", ":")
     ).encode
@@ -35,159 +44,198 @@
 
 
 if msgspec is not None:
-    _write: Callable[[Any], bytes] = msgspec.json.Encoder(order="sorted").encode
+    _encode_row: Callable[[Any], bytes] = msgspec.json.Encoder(order="sorted").encode
 else:
-    _write = _plain_encoder()
+    _encode_row = _standard_encoder()
+
 
+class ListEntry(NamedTuple):
+    """One endpoint of the list.
 
-class Entry(NamedTuple):
-    """A row of the list that can be read; `row` is it as compact JSON, its fields always in one order."""
+    Attributes:
+        endpoint: Its id.
+        destination: The destination that it serves.
+        is_removed: It is no longer listed.
+        row: Its row as compact JSON with sorted fields.
+    """
 
-    host: str
-    cell: int
-    gone: bool
+    endpoint: str
+    destination: int
+    is_removed: bool
     row: bytes
 
 
-def read_entry(row: Any) -> Entry:
-    """Raises ValueError. What does not concern the registry is handed on as it is."""
+def decode_entry(row: Any) -> ListEntry:
+    """Decodes the fields that concern the registry; the others are passed on as they are.
+
+    Raises:
+        MalformedEntryError: A field is missing or invalid.
+    """
     if not isinstance(row, dict):
-        raise ValueError("is no object")
-    host, cell, phase = row.get("id"), row.get("cell"), row.get("phase")
-    if not isinstance(host, str) or not isinstance(cell, int) or isinstance(cell, bool):
-        raise ValueError(f"id = {host!r:.60}, cell = {cell!r:.60}: one is of the wrong type")
-    if not 0 <= cell <= MOST_CELL:
-        raise ValueError(f"cell = {cell!r:.60}: is not from 0 to {MOST_CELL}")
-    if not isinstance(phase, str) or phase not in PHASES:
-        raise ValueError(f"phase = {phase!r:.60}: is none of {', '.join(sorted(PHASES))}")
-    return Entry(host, cell, phase == "Gone", _write(row))
+        raise MalformedEntryError("is no object")
+    endpoint, destination, phase = row.get("id"), row.get("cell"), row.get("phase")
+    if not isinstance(endpoint, str) or not isinstance(destination, int) or isinstance(destination, bool):
+        raise MalformedEntryError(
+            f"id = {endpoint!r:.60}, cell = {destination!r:.60}: one is of the wrong type"
+        )
+    if not 0 <= destination <= MAX_DESTINATION_NUMBER:
+        raise MalformedEntryError(f"cell = {destination!r:.60}: is not from 0 to {MAX_DESTINATION_NUMBER}")
+    if not isinstance(phase, str) or phase not in PHASE_NAMES:
+        raise MalformedEntryError(f"phase = {phase!r:.60}: is none of {', '.join(sorted(PHASE_NAMES))}")
+    return ListEntry(endpoint, destination, phase == REMOVED_PHASE, _encode_row(row))
+
+
+def decode_entries(
+    rows: Iterable[Any], on_malformed: Callable[[Any, ValueError], None]
+) -> Iterator[ListEntry]:
+    """Decodes rows; calls `on_malformed` with each row that cannot be used, and the reason."""
+    for row in rows:
+        try:
+            yield decode_entry(row)
+        except (ValueError, RecursionError) as error:
+            on_malformed(row, MalformedEntryError(str(error)))
 
 
-def gone(row: bytes) -> bytes:
-    """That entry as it is told once it is listed no longer."""
-    return _write({**json.loads(row), "phase": "Gone"})
+def removed_row(row: bytes) -> bytes:
+    """Returns the row of an endpoint as it is sent once the endpoint is no longer listed."""
+    return _encode_row({**json.loads(row), "phase": REMOVED_PHASE})
 
 
-class ListReader:
-    """One answer. `feed` gives the rows that are whole by now; `end` says what the list is."""
+class ListParser:
+    """Parses one list. `feed` returns the rows complete so far, `finish` what the list is.
+
+    Attributes:
+        fields: The fields beside the rows.
+    """
 
     def __init__(self) -> None:
-        self.fields: dict[str, Any] = {}  # beside the rows
+        self.fields: dict[str, Any] = {}
         self._utf8 = codecs.getincrementaldecoder("utf-8")()
-        self._text, self._at = "", 0
+        self._text, self._position = "", 0
         self._rows: list[Any] = []
-        self._last: Any = None
-        self._steps = self._read()
-        self._over = False
-
-    def feed(self, data: bytes, last: bool = False) -> list[Any]:
-        """Raises ValueError when this is no list."""
-        rest = self._text[self._at :]
-        self._text, self._at = rest + self._utf8.decode(data, last), 0
+        self._parsed: Any = None
+        self._parser = self._parse_list()
+        self._is_finished = False
+
+    def feed(self, data: bytes, is_last: bool = False) -> list[Any]:
+        """Parses further bytes.
+
+        Raises:
+            MalformedListError: This is no list.
+            UnicodeDecodeError: The bytes are not UTF-8.
+        """
+        unparsed = self._text[self._position :]
+        self._text, self._position = unparsed + self._utf8.decode(data, is_last), 0
         try:
-            next(self._steps)  # up to what is not whole yet
+            next(self._parser)  # runs up to what is incomplete
         except StopIteration:
-            self._over = True
+            self._is_finished = True
         except RecursionError as error:
-            raise ValueError("the list is nested too deep") from error
-        if self._over and self._text[self._at :].strip(" \t\n\r"):
-            raise ValueError("something stands behind the list")
-        if len(self._text) - self._at > MOST_PART:
-            raise ValueError(f"the list can't be read at {self._text[self._at : self._at + 40]!r}")
+            raise MalformedListError("the list is nested too deep") from error
+        if self._is_finished and self._text[self._position :].strip(SPACE):
+            raise MalformedListError("something stands behind the list")
+        if len(self._text) - self._position > MAX_BUFFERED_CHARACTERS:
+            raise self._error()
         rows, self._rows = self._rows, []
         return rows
 
-    def end(self) -> tuple[int, bool]:
-        """Revision, and whether the list is whole. Raises ValueError."""
-        if not self._over:
-            self.feed(b"", last=True)
-        if not self._over:
-            raise ValueError("the list ends early")
-        revision, complete = self.fields.get("revision"), self.fields.get("complete")
-        if not isinstance(revision, int) or not isinstance(complete, bool) or isinstance(revision, bool):
-            raise ValueError("the list has no revision, or does not say whether it is complete")
-        if not 0 <= revision <= MOST_CELL:
-            raise ValueError(f"revision = {revision!r:.60}: is not from 0 to {MOST_CELL}")
+    def finish(self) -> tuple[int, bool]:
+        """Returns the list's revision and whether it is complete.
+
+        Raises:
+            MalformedListError: The list ends early, or a field is missing or invalid.
+        """
+        if not self._is_finished:
+            self.feed(b"", is_last=True)
+        if not self._is_finished:
+            raise MalformedListError("the list ends early")
+        revision, is_complete = self.fields.get("revision"), self.fields.get("complete")
+        if not isinstance(revision, int) or not isinstance(is_complete, bool) or isinstance(revision, bool):
+            raise MalformedListError("the list has no revision, or does not say whether it is complete")
+        if not 0 <= revision <= MAX_DESTINATION_NUMBER:
+            raise MalformedListError(
+                f"revision = {revision!r:.60}: is not from 0 to {MAX_DESTINATION_NUMBER}"
+            )
         if "members" not in self.fields:
-            raise ValueError("the list has no members")
-        return revision, complete
+            raise MalformedListError("the list has no members")
+        return revision, is_complete
+
+    def _error(self) -> MalformedListError:
+        found = self._text[self._position : self._position + 40]
+        return MalformedListError(f"the list can't be read at {found!r}")
+
+    # Generators that yield wherever more text is needed
 
-    def _mark(self) -> Iterator[None]:
-        """Waits until there is a character that is no space; it stands at `_at` then."""
+    def _skip_space(self) -> Iterator[None]:
         while True:
-            found = _space(self._text, self._at)
-            assert found is not None
-            self._at = found.end()
-            if self._at < len(self._text):
+            space = _match_space(self._text, self._position)
+            assert space is not None
+            self._position = space.end()
+            if self._position < len(self._text):
                 return
             yield
 
     def _expect(self, marks: str) -> Iterator[None]:
-        yield from self._mark()
-        if self._text[self._at] not in marks:
-            raise ValueError(f"the list can't be read at {self._text[self._at : self._at + 40]!r}")
+        yield from self._skip_space()
+        if self._text[self._position] not in marks:
+            raise self._error()
 
-    def _value(self) -> Iterator[None]:
-        """Reads one value, into `_last`."""
+    def _parse_value(self) -> Iterator[None]:
+        """Parses one value, into `_parsed`."""
         while True:
             try:
-                value, end = _decoder.raw_decode(self._text, self._at)
-            except json.JSONDecodeError:  # not whole, or not JSON: `feed` bounds how much is waited for
+                value, end = _decoder.raw_decode(self._text, self._position)
+            except json.JSONDecodeError:  # incomplete or not JSON: `feed` limits how much is buffered
                 yield
                 continue
-            if self._text[end - 1] not in '}]"' and self._text[end : end + 1] not in ENDS:
+            is_delimited = self._text[end - 1] in '}]"' or self._text[end : end + 1] in LITERAL_DELIMITERS
+            if not is_delimited:
                 yield  # a number may go on
                 continue
-            self._last, self._at = value, end
+            self._parsed, self._position = value, end
             return
 
-    def _read(self) -> Iterator[None]:
+    def _parse_list(self) -> Iterator[None]:
         yield from self._expect("{")
         mark = "{"
         while mark != "}":
-            self._at += 1
+            self._position += 1
             yield from self._expect('"}' if mark == "{" else '"')
-            if self._text[self._at] == "}":
+            if self._text[self._position] == "}":
                 break
-            yield from self._value()
-            name = self._last
-            if name in self.fields:
-                raise ValueError(f"{name!r:.60} stands twice in the list")
-            yield from self._expect(":")
-            self._at += 1
-            yield from self._mark()
-            if name == "members":
-                yield from self._members()
-                self.fields[name] = None
-            else:
-                yield from self._value()
-                self.fields[name] = self._last
+            yield from self._parse_field()
             yield from self._expect(",}")
-            mark = self._text[self._at]
-        self._at += 1
-
-    def _members(self) -> Iterator[None]:
+            mark = self._text[self._position]
+        self._position += 1
+
+    def _parse_field(self) -> Iterator[None]:
+        yield from self._parse_value()
+        name = self._parsed
+        if name in self.fields:
+            raise MalformedListError(f"{name!r:.60} stands twice in the list")
+        yield from self._expect(":")
+        self._position += 1
+        yield from self._skip_space()
+        if name == "members":
+            yield from self._parse_members()
+            self.fields[name] = None
+        else:
+            yield from self._parse_value()
+            self.fields[name] = self._parsed
+
+    def _parse_members(self) -> Iterator[None]:
         yield from self._expect("[")
         mark = "["
         while mark != "]":
-            self._at += 1
-            yield from self._mark()
-            if mark == "[" and self._text[self._at] == "]":
+            self._position += 1
+            yield from self._skip_space()
+            if mark == "[" and self._text[self._position] == "]":
                 break
-            yield from self._value()
-            self._rows.append(self._last)
-            # Next to always the mark stands right here: the way through two generators is for the rest.
-            mark = self._text[self._at : self._at + 1]
-            if mark != "," and mark != "]":
+            yield from self._parse_value()
+            self._rows.append(self._parsed)
+            # Nearly always the mark follows at once; two generators for each row would be slow.
+            mark = self._text[self._position : self._position + 1]
+            if mark not in (",", "]"):
                 yield from self._expect(",]")
-                mark = self._text[self._at]
-        self._at += 1
-
-
-def read_entries(rows: Iterable[Any], passed_over: Callable[[Any, ValueError], None]) -> Iterator[Entry]:
-    """Those that can be read; of the others `passed_over` is told."""
-    for row in rows:
-        try:
-            yield read_entry(row)
-        except (ValueError, RecursionError) as error:
-            passed_over(row, ValueError(str(error)))
+                mark = self._text[self._position]
+        self._position += 1
--- a/loftrelay/registry/protocol.py
+++ b/loftrelay/registry/protocol.py
@@ -1,11 +1,12 @@
-"""What relays and registries say to each other: discovery's list and watch, for a slice of the destinations.
+"""Protocol between relays and registries: discovery's list and watch, for a subscription to destinations.
 
 Both calls are `GET /registry/instances`, as discovery's are (PROTOCOL, "Discovery"), with a query of their
-own; the answer is discovery's, with some fields more. docs/slices.md tells why. Pure: texts in, values out.
+own; the response is discovery's with further fields. docs/slices.md has the reasons. On the wire a
+destination is a *cell*. No input or output: text in, values out.
 
-A *subscription* is the set of destinations ("cells" on the wire) that a registry tells one relay's life of.
-It is changed by `Change` calls alone and read by `Watch` calls. All of it may be lost at any time: the
-registry then answers 410, and the relay tells its whole set anew.
+A *subscription* is the set of destinations of which a registry sends changes to one process of a relay. It is
+changed by `SubscriptionChange` alone and read by `SubscriptionWatch`. A registry may lose it at any time: it
+then answers 410, and the relay sends the whole set again.
 """
 
 from __future__ import annotations
@@ -16,208 +17,261 @@
 from typing import Any
 from urllib.parse import parse_qsl, urlencode
 
-PATH = "/registry/instances"
-MOST_CELLS = 1_000  # in one call: its request line stays under 16 KiB
-MOST_CELL = 1 << 53  # numbers that JSON carries whole everywhere
-MOST_NAME = 64  # characters of a fleet's name; of a subscriber, which has a life besides
-MOST_SUBSCRIBER = 100
-
-# Statuses of a registry's answers besides 200.
-BAD, FORBIDDEN, GONE, UNAVAILABLE = 400, 403, 410, 503
+LIST_PATH = "/registry/instances"
+MAX_DESTINATIONS_PER_CALL = 1_000  # keeps the request line under 16 KiB
+MAX_DESTINATION_NUMBER = 1 << 53  # JSON numbers up to this are exact everywhere
+MAX_DIGITS = 16
+MAX_NAME_LENGTH = 64  # characters of a fleet's or a relay's name
+MAX_SUBSCRIBER_LENGTH = 100  # characters of a relay's name with its incarnation
+MAX_WAIT_MS = 60_000
+MAX_QUERY_FIELDS = 20
+
+# Statuses of a registry's responses besides 200.
+BAD_REQUEST, FORBIDDEN, GONE, UNAVAILABLE = 400, 403, 410, 503
+
+# Wire names of the lists of a change, and of the numbers of a response, with the fields that they fill.
+CHANGE_LISTS = {"add": "added", "have": "confirmed", "drop": "dropped"}
+RESPONSE_NUMBERS = {
+    "revision": "revision",
+    "age_ms": "age_ms",
+    "seq": "sequence",
+    "count": "size",
+    "sum": "checksum",
+}
 
 
 class ProtocolError(ValueError):
-    """A call or an answer that can't be read; the text names the field and its value."""
+    """A request or a response that cannot be decoded; the text names the field and its value."""
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """Changes a subscription and is answered at once.
-
-    `add`: cells of which the relay has nothing: each is told whole. `have`: cells of which it has all up to
-    revision `index`: told whole only where anything changed since, or where that is not known. `drop`: told
-    of no more, and before the others. All three may be told again without harm. `seq` grows with each call of
-    one subscriber: one below the last is answered 410, since it was overtaken, and the last may be repeated.
-    `reset`: the set was empty before.
+class SubscriptionChange:
+    """Changes a subscription; answered at once.
+
+    A change may be repeated without harm. Dropped destinations are removed before others are added.
+
+    Attributes:
+        fleet: Name of the relay's fleet.
+        subscriber: The relay's name and incarnation, `NAME.INCARNATION`; no two processes share one.
+        sequence: Grows with each change of one subscriber. One below the last is answered 410, since it was
+            overtaken; the last may be repeated.
+        since_revision: Revision up to which the relay knows the destinations in `confirmed`.
+        added: Destinations of which the relay knows nothing; each is sent in full.
+        confirmed: Destinations that the relay knows; sent in full only where they changed since, or where
+            that is not known.
+        dropped: Destinations to remove.
+        is_reset: The set is emptied first.
     """
 
     fleet: str
-    subscriber: str  # the relay's name and life, `NAME.LIFE`: no two processes share one
-    seq: int
-    index: int = 0
-    add: tuple[int, ...] = ()
-    have: tuple[int, ...] = ()
-    drop: tuple[int, ...] = ()
-    reset: bool = False
+    subscriber: str
+    sequence: int
+    since_revision: int = 0
+    added: tuple[int, ...] = ()
+    confirmed: tuple[int, ...] = ()
+    dropped: tuple[int, ...] = ()
+    is_reset: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
-    """Waits until something in the subscription is newer than `index`, or `wait` milliseconds have passed. A
-    newer one of the same subscriber ends it, with nothing new. Answered 410 where discovery has counted anew
-    since, and where more than MOST_CELLS cells would have to be told whole at once.
+class SubscriptionWatch:
+    """Waits for a change in the subscription.
+
+    A newer watch of the same subscriber ends it without changes. It is answered 410 where discovery has
+    restarted its revisions since, and where more than MAX_DESTINATIONS_PER_CALL destinations would have to be
+    sent in full.
+
+    Attributes:
+        fleet: Name of the relay's fleet.
+        subscriber: The subscription.
+        since_revision: Revision up to which the relay knows all destinations.
+        wait_ms: Milliseconds after which it is answered without changes.
     """
 
     fleet: str
     subscriber: str
-    index: int
-    wait: int
+    since_revision: int
+    wait_ms: int
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """Of a registry to either call, status 200.
-
-    `revision`: discovery's, up to which the registry knows the list. `members`: rows in discovery's form, of
-    whole cells and, in a watch's answer, of entries that changed after `index` ("Gone" among them, and first:
-    it concerns that cell, and a host that moved to another stands there, too). `cells`:
-    those that are told whole: a host of one that is not among `members` is no longer listed there, and one
-    with no members at all has none. `age`: milliseconds since the registry last heard discovery. `seq`,
-    `count`, `sum`: the last change that is in the subscription, how many cells it holds, and their sum modulo
-    2^32, by which the relay knows that both hold the same.
+class SubscriptionResponse:
+    """A registry's response to either call, with status 200.
+
+    Attributes:
+        fleet: Name of the registry's fleet.
+        revision: Discovery's revision up to which the registry knows the list.
+        age_ms: Milliseconds since the registry last heard from discovery.
+        sequence: Number of the last change that was applied.
+        size: Number of destinations in the set.
+        checksum: Checksum of the set, by which the relay knows that both hold the same.
+        full_destinations: Destinations sent in full: an endpoint that is not among `rows` is not listed.
+        rows: In discovery's form: of full destinations and, in a response to a watch, of endpoints that
+            changed since. Rows with "Gone" come first: an endpoint may have moved to another destination.
     """
 
     fleet: str
     revision: int
-    age: int
-    seq: int
-    count: int
-    sum: int
-    cells: tuple[int, ...]
-    members: Sequence[Any]
+    age_ms: int
+    sequence: int
+    size: int
+    checksum: int
+    full_destinations: tuple[int, ...]
+    rows: Sequence[Any]
 
 
 @dataclass(frozen=True, slots=True)
-class Plain:
-    """A call in discovery's own form, for the whole list: without `index` it is told whole."""
-
-    index: int | None = None
-    wait: int = 0
+class FullListRequest:
+    """A call in discovery's own form, for all destinations.
 
+    Attributes:
+        since_revision: Revision that the caller knows; None: it wants the full list.
+        wait_ms: Milliseconds to wait for a change.
+    """
 
-def checksum(cells: Iterable[int]) -> int:
-    return sum(cells) & 0xFFFFFFFF
+    since_revision: int | None = None
+    wait_ms: int = 0
 
 
-def _cells(numbers: Sequence[int]) -> str:
-    return ",".join(map(str, numbers))
+def checksum(destinations: Iterable[int]) -> int:
+    """Returns the sum of destinations modulo 2^32."""
+    return sum(destinations) & 0xFFFFFFFF
 
 
-def target(call: Change | Watch) -> str:
-    """The request's target. At most MOST_CELLS cells stand in one call."""
-    told: dict[str, str] = {"fleet": call.fleet, "subscriber": call.subscriber}
-    if isinstance(call, Watch):
-        told |= {"index": str(call.index), "wait": str(call.wait)}
+def encode_request(call: SubscriptionChange | SubscriptionWatch) -> str:
+    """Returns the target of a request."""
+    query = {"fleet": call.fleet, "subscriber": call.subscriber}
+    if isinstance(call, SubscriptionWatch):
+        query |= {"index": str(call.since_revision), "wait": str(call.wait_ms)}
     else:
-        assert len(call.add) + len(call.have) + len(call.drop) <= MOST_CELLS
-        told |= {"seq": str(call.seq), "index": str(call.index)}
-        lists = {"add": call.add, "have": call.have, "drop": call.drop}
-        told |= {name: _cells(cells) for name, cells in lists.items() if cells}
-        if call.reset:
-            told["reset"] = "1"
-    return f"{PATH}?{urlencode(told, safe=',')}"
-
-
-def _number(told: Mapping[str, str], name: str, most: int = MOST_CELL) -> int:
-    text = told.get(name, "0")
-    if not (text.isascii() and text.isdigit()) or len(text) > 16 or int(text) > most:
-        raise ProtocolError(f"{name} = {text[:40]!r}: is not a whole number from 0 to {most}")
-    return int(text)
+        assert len(call.added) + len(call.confirmed) + len(call.dropped) <= MAX_DESTINATIONS_PER_CALL
+        query |= {"seq": str(call.sequence), "index": str(call.since_revision)}
+        for name, field in CHANGE_LISTS.items():
+            if destinations := getattr(call, field):
+                query[name] = ",".join(map(str, destinations))
+        if call.is_reset:
+            query["reset"] = "1"
+    return f"{LIST_PATH}?{urlencode(query, safe=',')}"
 
 
-def _read_cells(told: Mapping[str, str], name: str) -> tuple[int, ...]:
-    parts = told[name].split(",") if told.get(name) else []
-    if not all(p.isascii() and p.isdigit() and len(p) <= 16 and int(p) <= MOST_CELL for p in parts):
-        raise ProtocolError(f"{name} = {told[name][:40]!r}: is no list of destinations")
-    return tuple(map(int, parts))
+def decode_request(target: str) -> SubscriptionChange | SubscriptionWatch | FullListRequest:
+    """Decodes the target of a request.
+
+    Raises:
+        ProtocolError: It is none of the calls.
+    """
+    query = _decode_query(target)
+    if "fleet" not in query and "subscriber" not in query:
+        since = _decode_number(query, "index") if "index" in query else None
+        return FullListRequest(since, _decode_number(query, "wait", MAX_WAIT_MS))
+    for name, longest in (("fleet", MAX_NAME_LENGTH), ("subscriber", MAX_SUBSCRIBER_LENGTH)):
+        if not 1 <= len(query.get(name, "")) <= longest:
+            raise ProtocolError(
+                f"{name} = {query.get(name, '')[:40]!r}: is no text of 1 to {longest} characters"
+            )
+    since = _decode_number(query, "index")
+    if "wait" in query:
+        wait_ms = _decode_number(query, "wait", MAX_WAIT_MS)
+        return SubscriptionWatch(query["fleet"], query["subscriber"], since, wait_ms)
+    return _decode_change(query, since)
+
+
+def _decode_change(query: Mapping[str, str], since: int) -> SubscriptionChange:
+    lists = {field: _decode_destinations(query, name) for name, field in CHANGE_LISTS.items()}
+    count = sum(map(len, lists.values()))
+    if count > MAX_DESTINATIONS_PER_CALL:
+        raise ProtocolError(f"cells = {count}: at most {MAX_DESTINATIONS_PER_CALL} in one call")
+    if "seq" not in query:
+        raise ProtocolError("seq = '': a change has a number, a watch a wait")
+    return SubscriptionChange(
+        query["fleet"],
+        query["subscriber"],
+        _decode_number(query, "seq"),
+        since,
+        **lists,
+        is_reset=query.get("reset", "") == "1",
+    )
 
 
-def read_target(text: str) -> Change | Watch | Plain:
-    """Raises ProtocolError."""
-    path, _, query = text.partition("?")
-    if path != PATH:
-        raise ProtocolError(f"target = {path[:80]!r}: there is only {PATH}")
+def _decode_query(target: str) -> dict[str, str]:
+    path, _, query = target.partition("?")
+    if path != LIST_PATH:
+        raise ProtocolError(f"target = {path[:80]!r}: there is only {LIST_PATH}")
     try:
-        pairs = parse_qsl(query, keep_blank_values=True, strict_parsing=bool(query), max_num_fields=20)
+        pairs = parse_qsl(
+            query, keep_blank_values=True, strict_parsing=bool(query), max_num_fields=MAX_QUERY_FIELDS
+        )
     except ValueError as error:
         raise ProtocolError(f"query = {query[:80]!r}: {error}") from error
-    told = dict(pairs)
-    if len(told) < len(pairs):
+    fields = dict(pairs)
+    if len(fields) < len(pairs):
         raise ProtocolError(f"query = {query[:80]!r}: a field stands in it twice")
-    if "fleet" not in told and "subscriber" not in told:
-        index = _number(told, "index") if "index" in told else None
-        return Plain(index, _number(told, "wait", 60_000))
-    for name, most in (("fleet", MOST_NAME), ("subscriber", MOST_SUBSCRIBER)):
-        if not 1 <= len(told.get(name, "")) <= most:
-            raise ProtocolError(f"{name} = {told.get(name, '')[:40]!r}: is no text of 1 to {most} characters")
-    fleet, subscriber = told["fleet"], told["subscriber"]
-    index = _number(told, "index")
-    if "wait" in told:
-        return Watch(fleet, subscriber, index, _number(told, "wait", 60_000))
-    add, have, drop = (_read_cells(told, name) for name in ("add", "have", "drop"))
-    if len(add) + len(have) + len(drop) > MOST_CELLS:
-        raise ProtocolError(f"cells = {len(add) + len(have) + len(drop)}: at most {MOST_CELLS} in one call")
-    if "seq" not in told:
-        raise ProtocolError("seq = '': a change has a number, a watch a wait")
-    reset = told.get("reset", "") == "1"
-    return Change(fleet, subscriber, _number(told, "seq"), index, add, have, drop, reset)
-
-
-def write_answer(answer: Answer, rows: Iterable[bytes]) -> bytes:
-    """`rows`: the members, each as JSON already; `answer.members` is not looked at."""
-    told = {
-        "fleet": answer.fleet,
-        "revision": answer.revision,
-        "complete": False,
-        "age_ms": answer.age,
-        "seq": answer.seq,
-        "count": answer.count,
-        "sum": answer.sum,
-        "cells": answer.cells,
-    }
-    head = json.dumps(told, separators=(",", ":")).encode()
-    return head[:-1] + b',"members":[' + b",".join(rows) + b"]}"
+    return fields
+
 
+def _decode_number(query: Mapping[str, str], name: str, maximum: int = MAX_DESTINATION_NUMBER) -> int:
+    text = query.get(name, "0")
+    if not _is_number(text, maximum):
+        raise ProtocolError(f"{name} = {text[:40]!r}: is not a whole number from 0 to {maximum}")
+    return int(text)
 
-def write_plain(revision: int, complete: bool, rows: Iterable[bytes]) -> bytes:
-    """Discovery's own answer."""
-    head = json.dumps({"revision": revision, "complete": complete}, separators=(",", ":")).encode()
+
+def _decode_destinations(query: Mapping[str, str], name: str) -> tuple[int, ...]:
+    parts = query[name].split(",") if query.get(name) else []
+    if not all(_is_number(part, MAX_DESTINATION_NUMBER) for part in parts):
+        raise ProtocolError(f"{name} = {query[name][:40]!r}: is no list of destinations")
+    return tuple(map(int, parts))
+
+
+def _is_number(text: str, maximum: int) -> bool:
+    return text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS and int(text) <= maximum
+
+
+def encode_response(response: SubscriptionResponse, rows: Iterable[bytes]) -> bytes:
+    """Returns the body of a response. `rows`: its rows as JSON; those of `response` are ignored."""
+    document = {"fleet": response.fleet, "revision": response.revision, "complete": False}
+    document |= {name: getattr(response, field) for name, field in RESPONSE_NUMBERS.items()}
+    return _encode_with_rows({**document, "cells": response.full_destinations}, rows)
+
+
+def encode_full_list(revision: int, is_complete: bool, rows: Iterable[bytes]) -> bytes:
+    """Returns the body of a response in discovery's own form. `rows`: each as JSON."""
+    return _encode_with_rows({"revision": revision, "complete": is_complete}, rows)
+
+
+def _encode_with_rows(document: Mapping[str, Any], rows: Iterable[bytes]) -> bytes:
+    head = json.dumps(document, separators=(",", ":")).encode()
     return head[:-1] + b',"members":[' + b",".join(rows) + b"]}"
 
 
-def write_error(why: str) -> bytes:
-    """One line, for a status other than 200."""
-    return json.dumps({"error": why}).encode() + b"\n"
+def encode_error(reason: str) -> bytes:
+    """Returns the body of a response with another status than 200: one line."""
+    return json.dumps({"error": reason}).encode() + b"\n"
 
 
-def read_answer(body: bytes) -> Answer:
-    """The rows are not looked into. Raises ProtocolError."""
+def decode_response(body: bytes) -> SubscriptionResponse:
+    """Decodes the body of a response; its rows stay as they are.
+
+    Raises:
+        ProtocolError: It is no response of a registry.
+    """
     try:
-        told = json.loads(body)
+        document = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise ProtocolError(f"the answer can't be read: {error}") from error
-    if not isinstance(told, dict):
+    if not isinstance(document, dict):
         raise ProtocolError("the answer is no JSON object")
     numbers: dict[str, int] = {}
-    for name in ("revision", "age_ms", "seq", "count", "sum"):
-        value = told.get(name)
+    for name, field in RESPONSE_NUMBERS.items():
+        value = document.get(name)
         if not isinstance(value, int) or isinstance(value, bool) or value < 0:
             raise ProtocolError(f"{name} = {value!r}: is no whole number from 0 on")
-        numbers[name] = value
-    fleet, cells, members = told.get("fleet"), told.get("cells"), told.get("members")
+        numbers[field] = value
+    fleet, cells, members = document.get("fleet"), document.get("cells"), document.get("members")
     if not isinstance(fleet, str):
         raise ProtocolError(f"fleet = {fleet!r}: is no text")
     if not isinstance(cells, list) or not all(type(cell) is int and cell >= 0 for cell in cells):
         raise ProtocolError("cells: is no list of destinations")
     if not isinstance(members, list):
         raise ProtocolError("members: is no list")
-    return Answer(
-        fleet,
-        numbers["revision"],
-        numbers["age_ms"],
-        numbers["seq"],
-        numbers["count"],
-        numbers["sum"],
-        tuple(cells),
-        members,
-    )
+    return SubscriptionResponse(fleet, **numbers, full_destinations=tuple(cells), rows=members)
--- a/loftrelay/registry/service.py
+++ b/loftrelay/registry/service.py
@@ -1,4 +1,4 @@
-"""A registry as a process: its parts joined, its file read again, its end."""
+"""A registry as a process: its parts, the reload of its settings, its shutdown."""
 
 from __future__ import annotations
 
@@ -10,62 +10,89 @@
 
 from loftrelay.config.toml_file import SettingsError
 from loftrelay.registry.catalog import Catalog
-from loftrelay.registry.server import Server
-from loftrelay.registry.settings import RegistrySettings, load_registry
+from loftrelay.registry.server import RegistryServer
+from loftrelay.registry.settings import FIELDS, RegistrySettings, load_registry_settings
 from loftrelay.registry.subscriptions import Subscriptions
 from loftrelay.registry.upstream import Upstream
 
 log = logging.getLogger(__name__)
 
 
-class Registry:
+class RegistryService:
+    """One registry."""
+
     def __init__(self, path: Path, settings: RegistrySettings) -> None:
+        """Assembles a registry. `path`: the settings file, which `reload` reads again."""
         self.path, self.settings = path, settings
-        self.catalog = Catalog(settings.keep_gone)
-        self.subscriptions = Subscriptions(settings.fleet, self.catalog, settings.forget)
+        self.catalog = Catalog(settings.max_tombstones)
+        self.subscriptions = Subscriptions(settings.fleet, self.catalog, settings.subscription_timeout)
         self.upstream = Upstream(
-            settings.discovery, self.catalog, self.subscriptions.touch, self._settled, settings.most_list
+            settings.discovery,
+            self.catalog,
+            self.subscriptions.destination_changed,
+            self._list_committed,
+            settings.max_list_bytes,
         )
-        self.server = Server(
-            self.catalog, self.subscriptions, lambda: self.upstream.age, self._figures, settings.idle
+        self.server = RegistryServer(
+            self.catalog,
+            self.subscriptions,
+            lambda: self.upstream.age,
+            self._metrics_lines,
+            settings.idle_timeout,
         )
-        self._ended = asyncio.Event()
+        self._should_exit = asyncio.Event()
 
     async def run(self) -> None:
-        """Until `terminate`. Raises OSError if it can't listen."""
+        """Serves until `terminate`.
+
+        Raises:
+            OSError: The address cannot be listened on.
+        """
         host, port = await self.server.listen(self.settings.listen)
         log.info("registry of %s listens on %s:%d", self.settings.fleet, host, port)
         self.upstream.start()
-        await self._ended.wait()
+        await self._should_exit.wait()
         self.upstream.close()
         await self.server.stop()
 
     def terminate(self) -> None:
-        self._ended.set()
+        """Begins the shutdown."""
+        self._should_exit.set()
+
+    def reload(self) -> None:
+        """Reads the settings file again.
 
-    def read_again(self) -> None:
-        """Only `discovery` changes in service; whatever is wrong, all that is in force stays."""
+        Only `discovery` may change in service; with any error the present settings stay.
+        """
         try:
-            told = load_registry(self.path)
+            settings = load_registry_settings(self.path)
         except SettingsError as error:
             log.warning("not taken: %s", error)
             return
-        same = replace(told, discovery=self.settings.discovery)
-        if same != self.settings:
-            keys = [k for k in same.__slots__ if getattr(same, k) != getattr(self.settings, k)]
-            log.warning("not taken: %s: %s: can't change in service", self.path, ", ".join(keys))
-        elif told.discovery == self.settings.discovery:
+        changed = self._fixed_keys_changed(settings)
+        if changed:
+            log.warning("not taken: %s: %s: can't change in service", self.path, ", ".join(changed))
+        elif settings.discovery == self.settings.discovery:
             log.info("%s: read again, nothing changed", self.path)
         else:
-            self.settings = told
-            self.upstream.move(told.discovery)
-            log.info("%s: discovery is at %s:%d now", self.path, *told.discovery)
+            self.settings = settings
+            self.upstream.move_to(settings.discovery)
+            log.info("%s: discovery is at %s:%d now", self.path, *settings.discovery)
+
+    def _fixed_keys_changed(self, settings: RegistrySettings) -> list[str]:
+        """Returns the keys of the file that changed and can't in service."""
+        comparable = replace(settings, discovery=self.settings.discovery)
+        return [
+            key
+            for key, field in FIELDS.items()
+            if getattr(comparable, field) != getattr(self.settings, field)
+        ]
 
-    def _settled(self, changed: bool, anew: bool) -> None:
-        if changed or anew:
-            self.server.news(anew)
+    def _list_committed(self, is_changed: bool, is_restarted: bool) -> None:
+        if is_changed or is_restarted:
+            self.server.list_changed(is_restarted)
 
-    def _figures(self) -> list[str]:
+    def _metrics_lines(self) -> list[str]:
         return [
             f"discovery_bytes_in {self.upstream.bytes_in}",
             f"discovery_failures {self.upstream.failures}",
--- a/loftrelay/registry/settings.py
+++ b/loftrelay/registry/settings.py
@@ -1,4 +1,4 @@
-"""The operator's file on the registry (deploy/registry.toml): its keys, checked."""
+"""The operator's settings of a registry (deploy/registry.toml)."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from loftrelay.config.toml_file import Key, SettingsError, read_toml
 from loftrelay.net.address import Address, parse_address
-from loftrelay.registry.protocol import MOST_NAME
+from loftrelay.registry.protocol import MAX_NAME_LENGTH
 
 TABLE = "registry"
 KEYS = (
-    Key("fleet", "fleet", "", "whose relays are answered: those of another one are not"),
+    Key("fleet", "fleet", "", "whose relays are served; others are rejected"),
     Key("listen", "", "", "address and port for relays; port 0: a free one"),
     Key("discovery", "", "", "address and port of the platform's discovery"),
     Key("keep_gone", 20_000, "hosts", "no longer listed that are remembered", maximum=10_000_000),
@@ -21,40 +21,67 @@
     Key("idle_s", 60.0, "s", "for which a connection without a call is kept", minimum=1, maximum=3600),
     Key("most_list_mb", 1024, "MB", "of one answer of discovery", minimum=1, maximum=65_536),
 )
+# Lowest port that each address may name: a registry may listen on any free one.
+LOWEST_PORTS = {"listen": 0, "discovery": 1}
 
 
 @dataclass(frozen=True, slots=True)
 class RegistrySettings:
+    """Settings of a registry.
+
+    Attributes:
+        fleet: Name of the fleet that it serves.
+        listen: Where it listens.
+        discovery: Where the platform's discovery listens.
+        max_tombstones: Removed endpoints that are remembered.
+        subscription_timeout: Seconds without a call after which a subscription is dropped.
+        idle_timeout: Seconds for which a connection without a call is kept.
+        max_list_bytes: Largest response of discovery.
+    """
+
     fleet: str
     listen: Address
     discovery: Address
-    keep_gone: int
-    forget: float  # seconds
-    idle: float  # seconds
-    most_list: int  # bytes
+    max_tombstones: int
+    subscription_timeout: float
+    idle_timeout: float
+    max_list_bytes: int
+
+
+# Settings file key -> field.
+FIELDS = {
+    "fleet": "fleet",
+    "listen": "listen",
+    "discovery": "discovery",
+    "keep_gone": "max_tombstones",
+    "forget_s": "subscription_timeout",
+    "idle_s": "idle_timeout",
+    "most_list_mb": "max_list_bytes",
+}
 
 
-def load_registry(path: Path) -> RegistrySettings:
-    """Raises SettingsError, which names the file, the key and the value."""
-    told = read_toml(path, KEYS, TABLE)
-    if not 1 <= len(told["fleet"]) <= MOST_NAME:
+def load_registry_settings(path: Path) -> RegistrySettings:
+    """Reads the settings from a file.
+
+    Raises:
+        SettingsError: A value is invalid; the text names the file, the key and the value.
+    """
+    values = dict(read_toml(path, KEYS, TABLE))
+    if not 1 <= len(values["fleet"]) <= MAX_NAME_LENGTH:
         raise SettingsError(
-            f"{path}: fleet = {told['fleet']!r}: is not a text of 1 to {MOST_NAME} characters"
+            f"{path}: fleet = {values['fleet']!r}: is not a text of 1 to {MAX_NAME_LENGTH} characters"
         )
-    places: dict[str, Address] = {}
-    for name, least in (("listen", 0), ("discovery", 1)):
-        try:
-            places[name] = parse_address(told[name])
-            if places[name][1] < least:
-                raise ValueError("port 0 is nobody's")
-        except ValueError as error:
-            raise SettingsError(f"{path}: {name} = {told[name]!r}: {error}") from error
-    return RegistrySettings(
-        told["fleet"],
-        places["listen"],
-        places["discovery"],
-        told["keep_gone"],
-        told["forget_s"],
-        told["idle_s"],
-        told["most_list_mb"] << 20,
-    )
+    for name, lowest_port in LOWEST_PORTS.items():
+        values[name] = _parse_address(path, name, values[name], lowest_port)
+    values["most_list_mb"] <<= 20
+    return RegistrySettings(**{field: values[key] for key, field in FIELDS.items()})
+
+
+def _parse_address(path: Path, name: str, text: str, lowest_port: int) -> Address:
+    try:
+        address = parse_address(text)
+    except ValueError as error:
+        raise SettingsError(f"{path}: {name} = {text!r}: {error}") from error
+    if address[1] < lowest_port:
+        raise SettingsError(f"{path}: {name} = {text!r}: port 0 is nobody's")
+    return address
--- a/loftrelay/registry/subscriptions.py
+++ b/loftrelay/registry/subscriptions.py
@@ -1,7 +1,7 @@
-"""Which relay is told of which cells, who waits for news, and whom a change concerns.
+"""Relays' subscriptions: which destinations each holds, which watches wait, and whom a change concerns.
 
-A subscription lives as long as its relay calls; all of it may be lost, and the relay then tells its set anew.
-Pure: calls and the time in (seconds of any one clock), what to answer out.
+A subscription lasts as long as its relay calls. It may be lost at any time; the relay then sends its set
+again. No input or output: calls and the time in (seconds of any one clock), updates out.
 """
 
 from __future__ import annotations
@@ -13,268 +13,375 @@
 from enum import Enum, auto
 from typing import Any
 
-from loftrelay.registry.catalog import Catalog, Parts
-from loftrelay.registry.protocol import FORBIDDEN, GONE, MOST_CELLS, Change, Watch
+from loftrelay.registry.catalog import Catalog, PartitionedDict
+from loftrelay.registry.protocol import (
+    FORBIDDEN,
+    GONE,
+    MAX_DESTINATIONS_PER_CALL,
+    SubscriptionChange,
+    SubscriptionWatch,
+)
 
+CHECKSUM_MASK = 0xFFFFFFFF
 
-class Refused(Exception):
-    """A call that is answered with a status other than 200 and one line."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+class RequestRejectedError(Exception):
+    """A call that is answered with another status than 200 and one line."""
+
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
+class UnknownSubscriberError(RequestRejectedError):
+    """The registry has no such subscription, or has lost it."""
+
+    def __init__(self, subscriber: str) -> None:
+        super().__init__(GONE, f"subscriber = {subscriber!r}: not known here, tell the whole set")
+
+
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What an answer says, but for what is the same in all: fleet, revision and age."""
+class SubscriptionUpdate:
+    """The part of a response that is particular to a subscription (see SubscriptionResponse)."""
 
-    seq: int
-    count: int
-    sum: int
-    cells: tuple[int, ...]  # told whole
+    sequence: int
+    size: int
+    checksum: int
+    full_destinations: tuple[int, ...]
     rows: Sequence[bytes]
 
 
-class Count(Enum):
-    """Whether a relay's revisions are of discovery's present count. Where that count began anew and has come
-    up to what the relay knows, the numbers alone don't tell.
+class RevisionEpoch(Enum):
+    """Whether a relay's revisions are of discovery's present numbering.
+
+    After discovery restarted its revisions and came up to what the relay knows, numbers alone don't say.
     """
 
-    SAME = auto()
-    ANEW = auto()  # it began anew since: the set is to be told anew
-    TOLD = auto()  # the set is being told: until the next watch, what the relay has is told whole
+    CURRENT = auto()
+    RESTARTED = auto()  # the numbering restarted since: the relay has to send its set again
+    RESYNCING = auto()  # it is sending the set: until its next watch, destinations are sent in full
 
 
 class Subscription:
-    """One relay's life. Its cells stand in order, eight bytes each: there are many."""
+    """The subscription of one process of a relay.
+
+    Attributes:
+        name: Name of the subscriber.
+        destinations: Its set in ascending order, eight bytes each.
+        destination_sum: Sum of the set.
+        sequence: Number of the last change.
+        epoch: Whether the relay's revisions are of the present numbering.
+        newest_change: No change of its destinations is of a later revision.
+        last_call_at: When its last call came or ended.
+        watch: Its watch that waits.
+    """
 
-    __slots__ = ("cells", "count", "name", "newest", "seen", "seq", "sum", "watch")
+    __slots__ = (
+        "destination_sum",
+        "destinations",
+        "epoch",
+        "last_call_at",
+        "name",
+        "newest_change",
+        "sequence",
+        "watch",
+    )
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.cells = array("q")
-        self.sum = 0
-        self.seq = 0
-        self.count = Count.SAME
-        self.newest = 0  # no change of its cells is of a later revision
-        self.seen = 0.0  # the last call, or its end
-        self.watch: Parked | None = None
+        self.destinations = array("q")
+        self.destination_sum = 0
+        self.sequence = 0
+        self.epoch = RevisionEpoch.CURRENT
+        self.newest_change = 0
+        self.last_call_at = 0.0
+        self.watch: WaitingWatch | None = None
 
-    def holds(self, cell: int) -> bool:
-        at = bisect_left(self.cells, cell)
-        return at < len(self.cells) and self.cells[at] == cell
+    def contains(self, destination: int) -> bool:
+        """Whether the set holds a destination."""
+        position = bisect_left(self.destinations, destination)
+        return position < len(self.destinations) and self.destinations[position] == destination
 
 
-Subscribed = Subscription | tuple[Subscription, ...] | set[Subscription]  # to one cell: most have one, or few
-FEW = 8
+# Of one destination: most have one subscriber or a few, for which a set would be large.
+Subscribers = Subscription | tuple[Subscription, ...] | set[Subscription]
+MAX_TUPLE_SUBSCRIBERS = 8
 
 
 @dataclass(slots=True, eq=False)
-class Parked:
-    """A watch that waits. `token`: of who has to answer it."""
+class WaitingWatch:
+    """A watch that waits.
+
+    Attributes:
+        subscription: Whose.
+        since_revision: Revision that the relay knows.
+        token: Identifies the connection to the caller.
+    """
 
     subscription: Subscription
-    index: int
+    since_revision: int
     token: Any
 
     @property
-    def open(self) -> bool:
-        """It was not ended yet, neither by `end` nor by a newer watch or a caller that left."""
+    def is_waiting(self) -> bool:
+        """Whether neither `end`, a newer watch nor the caller has ended it yet."""
         return self.subscription.watch is self
 
 
 class Subscriptions:
-    """`forget`: seconds after which one without a call is dropped."""
+    """All subscriptions of a registry.
+
+    Attributes:
+        fleet: Name of the registry's fleet.
+        catalog: The endpoint list.
+        expire_after: Seconds without a call after which a subscription is dropped.
+        by_subscriber: The subscriptions by name.
+        ended_by_change: Watches that a change ended, since the start.
+        waiting_watches: Watches that wait now.
+        destination_count: Destinations in all subscriptions.
+    """
 
-    def __init__(self, fleet: str, catalog: Catalog, forget: float) -> None:
-        self.fleet, self.catalog, self.forget = fleet, catalog, forget
-        self.of: dict[str, Subscription] = {}
-        self._by_cell: Parts[int, Subscribed] = Parts()
-        self._touched: dict[Subscription, None] = {}
-        self.woken = 0  # watches that a change ended
-        self.watches = 0  # that wait
-        self.cells = 0  # in all subscriptions
+    def __init__(self, fleet: str, catalog: Catalog, expire_after: float) -> None:
+        self.fleet, self.catalog, self.expire_after = fleet, catalog, expire_after
+        self.by_subscriber: dict[str, Subscription] = {}
+        self.ended_by_change = 0
+        self.waiting_watches = 0
+        self.destination_count = 0
+        self._by_destination: PartitionedDict[int, Subscribers] = PartitionedDict()
+        self._changed: dict[Subscription, None] = {}
 
     # Calls
 
-    def change(self, call: Change, now: float) -> Told:
-        """Raises Refused. A cell that stands in `drop` and elsewhere in the call is dropped first."""
-        self._check(call.fleet)
-        subscription = self.of.get(call.subscriber)
+    def change(self, call: SubscriptionChange, now: float) -> SubscriptionUpdate:
+        """Changes a subscription.
+
+        Raises:
+            RequestRejectedError: Another fleet, an unknown subscriber or an overtaken change.
+        """
+        subscription = self._subscription_for(call)
+        subscription.sequence, subscription.last_call_at = call.sequence, now
+        if call.is_reset:
+            self._clear(subscription)
+            if subscription.epoch is RevisionEpoch.RESTARTED:
+                subscription.epoch = RevisionEpoch.RESYNCING
+        is_current = subscription.epoch is RevisionEpoch.CURRENT
+        is_comparable = is_current and call.since_revision <= self.catalog.revision
+        for destination in call.dropped:
+            self._drop(subscription, destination)
+        full: dict[int, None] = {}
+        for destination in call.added:
+            full[destination] = None
+            self._add(subscription, destination)
+        for destination in call.confirmed:
+            self._add(subscription, destination)
+            if not is_comparable or self.catalog.last_change(destination) > call.since_revision:
+                full[destination] = None
+        rows = [row for destination in full for row in self.catalog.full_rows(destination)]
+        return self._update(subscription, tuple(full), rows)
+
+    def _subscription_for(self, call: SubscriptionChange) -> Subscription:
+        self._check_fleet(call.fleet)
+        subscription = self.by_subscriber.get(call.subscriber)
         if subscription is None:
-            if not call.reset:
-                raise Refused(GONE, f"subscriber = {call.subscriber!r}: not known here, tell the whole set")
-            subscription = self.of[call.subscriber] = Subscription(call.subscriber)
-        elif call.seq < subscription.seq:
-            raise Refused(GONE, f"seq = {call.seq}: overtaken by {subscription.seq}, tell the whole set")
-        subscription.seq, subscription.seen = call.seq, now
-        if call.reset:
-            self._empty(subscription)
-            if subscription.count is Count.ANEW:
-                subscription.count = Count.TOLD
-        unknown = subscription.count is not Count.SAME or call.index > self.catalog.revision
-        catalog = self.catalog
-        for cell in call.drop:
-            self._drop(subscription, cell)
-        whole: dict[int, None] = {}
-        for cell in call.add:
-            whole[cell] = None
-            self._add(subscription, cell)
-        for cell in call.have:
-            self._add(subscription, cell)
-            if unknown or catalog.changed(cell) > call.index:
-                whole[cell] = None
-        return self._told(subscription, tuple(whole), [row for cell in whole for row in catalog.whole(cell)])
-
-    def watch(self, call: Watch, token: Any, now: float) -> tuple[Told | None, Parked | None]:
-        """What to answer at once, or None: it waits until it is woken, or ended by `end`. And an older watch
-        of this subscriber, which is to be answered with nothing new. Raises Refused.
+            if not call.is_reset:
+                raise UnknownSubscriberError(call.subscriber)
+            subscription = self.by_subscriber[call.subscriber] = Subscription(call.subscriber)
+        elif call.sequence < subscription.sequence:
+            reason = f"seq = {call.sequence}: overtaken by {subscription.sequence}, tell the whole set"
+            raise RequestRejectedError(GONE, reason)
+        return subscription
+
+    def watch(
+        self, call: SubscriptionWatch, token: Any, now: float
+    ) -> tuple[SubscriptionUpdate | None, WaitingWatch | None]:
+        """Begins a watch.
+
+        Returns:
+            The update to answer with at once, or None where the watch waits; and an older watch of this
+            subscriber, which is to be answered without changes.
+
+        Raises:
+            RequestRejectedError: Another fleet, unknown subscriber, restarted revisions, too many changes.
         """
-        self._check(call.fleet)
-        subscription = self.of.get(call.subscriber)
+        self._check_fleet(call.fleet)
+        subscription = self.by_subscriber.get(call.subscriber)
         if subscription is None:
-            raise Refused(GONE, f"subscriber = {call.subscriber!r}: not known here, tell the whole set")
-        subscription.seen = now
-        if subscription.count is Count.ANEW:
-            raise Refused(GONE, f"index = {call.index}: discovery counts anew since, tell the whole set")
-        subscription.count = Count.SAME
-        told = self._news(subscription, call.index)
+            raise UnknownSubscriberError(call.subscriber)
+        subscription.last_call_at = now
+        if subscription.epoch is RevisionEpoch.RESTARTED:
+            reason = f"index = {call.since_revision}: discovery counts anew since, tell the whole set"
+            raise RequestRejectedError(GONE, reason)
+        subscription.epoch = RevisionEpoch.CURRENT
+        update = self._changes(subscription, call.since_revision)
         older = subscription.watch
         if older is not None:
-            self._unpark(older)
-        if told is None:
-            subscription.watch = Parked(subscription, call.index, token)
-            self.watches += 1
-        return told, older
-
-    def end(self, parked: Parked, now: float) -> Told:
-        """What to answer to a watch that is `open` and is woken, or whose time is up. Raises Refused."""
-        subscription = parked.subscription
-        subscription.seen = now
-        self._unpark(parked)
-        return self._news(subscription, parked.index) or self.nothing(subscription)
-
-    def left(self, parked: Parked, now: float) -> None:
-        """Nobody is there any more to hear the answer."""
-        parked.subscription.seen = now
-        self._unpark(parked)
-
-    def nothing(self, subscription: Subscription) -> Told:
-        return self._told(subscription, (), ())
-
-    def _check(self, fleet: str) -> None:
-        if fleet != self.fleet:
-            raise Refused(FORBIDDEN, f"fleet = {fleet!r}: this is the registry of {self.fleet!r}")
+            self._stop_waiting(older)
+        if update is None:
+            subscription.watch = WaitingWatch(subscription, call.since_revision, token)
+            self.waiting_watches += 1
+        return update, older
 
-    def _told(self, subscription: Subscription, cells: tuple[int, ...], rows: Sequence[bytes]) -> Told:
-        return Told(subscription.seq, len(subscription.cells), subscription.sum & 0xFFFFFFFF, cells, rows)
+    def end(self, watch: WaitingWatch, now: float) -> SubscriptionUpdate:
+        """Ends a watch that waits, after a change or its time, and returns the update to answer with.
+
+        Raises:
+            RequestRejectedError: Too much would have to be sent in full.
+        """
+        subscription = watch.subscription
+        subscription.last_call_at = now
+        self._stop_waiting(watch)
+        return self._changes(subscription, watch.since_revision) or self.empty_update(subscription)
 
-    def _news(self, subscription: Subscription, index: int) -> Told | None:
-        """None: nothing is newer. Raises Refused where too much would have to be told whole at once."""
+    def abandon(self, watch: WaitingWatch, now: float) -> None:
+        """Ends a watch whose caller has left."""
+        watch.subscription.last_call_at = now
+        self._stop_waiting(watch)
+
+    def empty_update(self, subscription: Subscription) -> SubscriptionUpdate:
+        """Returns an update without changes."""
+        return self._update(subscription, (), ())
+
+    def _check_fleet(self, fleet: str) -> None:
+        if fleet != self.fleet:
+            reason = f"fleet = {fleet!r}: this is the registry of {self.fleet!r}"
+            raise RequestRejectedError(FORBIDDEN, reason)
+
+    def _update(
+        self, subscription: Subscription, full: tuple[int, ...], rows: Sequence[bytes]
+    ) -> SubscriptionUpdate:
+        return SubscriptionUpdate(
+            subscription.sequence,
+            len(subscription.destinations),
+            subscription.destination_sum & CHECKSUM_MASK,
+            full,
+            rows,
+        )
+
+    def _changes(self, subscription: Subscription, since: int) -> SubscriptionUpdate | None:
+        """Returns what changed after a revision; None where nothing did."""
         catalog = self.catalog
-        if index >= subscription.newest or index >= catalog.revision:
+        if since >= subscription.newest_change or since >= catalog.revision:
             return None
-        whole: list[int] = []
-        gone: list[bytes] = []
+        full: list[int] = []
+        removed: list[bytes] = []
         listed: list[bytes] = []
-        for cell in subscription.cells:
-            if catalog.changed(cell) <= index:
+        for destination in subscription.destinations:
+            if catalog.last_change(destination) <= since:
                 continue
-            since = catalog.since(cell, index)
-            if since is None:
-                whole.append(cell)
-                listed += catalog.whole(cell)
+            changes = catalog.changes_since(destination, since)
+            if changes is None:
+                full.append(destination)
+                listed += catalog.full_rows(destination)
             else:
-                gone += since.gone
-                listed += since.listed
-        if len(whole) > MOST_CELLS:
-            raise Refused(GONE, f"index = {index}: {len(whole)} cells changed since, tell the whole set")
-        if not (whole or gone or listed):
+                removed += changes.removed
+                listed += changes.listed
+        if len(full) > MAX_DESTINATIONS_PER_CALL:
+            reason = f"index = {since}: {len(full)} cells changed since, tell the whole set"
+            raise RequestRejectedError(GONE, reason)
+        if not (full or removed or listed):
             return None
-        return self._told(subscription, tuple(whole), gone + listed)
+        return self._update(subscription, tuple(full), removed + listed)
 
     # Sets
 
-    def _add(self, subscription: Subscription, cell: int) -> None:
-        subscription.newest = max(subscription.newest, self.catalog.changed(cell))
-        at = bisect_left(subscription.cells, cell)
-        if at < len(subscription.cells) and subscription.cells[at] == cell:
+    def _add(self, subscription: Subscription, destination: int) -> None:
+        newest = self.catalog.last_change(destination)
+        subscription.newest_change = max(subscription.newest_change, newest)
+        position = bisect_left(subscription.destinations, destination)
+        is_last = position == len(subscription.destinations)
+        if not is_last and subscription.destinations[position] == destination:
             return
-        subscription.cells.insert(at, cell)
-        subscription.sum += cell
-        self.cells += 1
-        part = self._by_cell.of(cell)
-        there = part.get(cell)
-        if there is None:
-            part[cell] = subscription
-        elif isinstance(there, set):
-            there.add(subscription)
-        elif isinstance(there, tuple):
-            part[cell] = (*there, subscription) if len(there) < FEW else {*there, subscription}
+        subscription.destinations.insert(position, destination)
+        subscription.destination_sum += destination
+        self._add_subscriber(subscription, destination)
+
+    def _add_subscriber(self, subscription: Subscription, destination: int) -> None:
+        self.destination_count += 1
+        partition = self._by_destination.partition(destination)
+        present = partition.get(destination)
+        if present is None:
+            partition[destination] = subscription
+        elif isinstance(present, set):
+            present.add(subscription)
+        elif isinstance(present, tuple):
+            is_small = len(present) < MAX_TUPLE_SUBSCRIBERS
+            partition[destination] = (*present, subscription) if is_small else {*present, subscription}
         else:
-            part[cell] = (there, subscription)
+            partition[destination] = (present, subscription)
 
-    def _drop(self, subscription: Subscription, cell: int) -> None:
-        at = bisect_left(subscription.cells, cell)
-        if at == len(subscription.cells) or subscription.cells[at] != cell:
+    def _drop(self, subscription: Subscription, destination: int) -> None:
+        position = bisect_left(subscription.destinations, destination)
+        is_last = position == len(subscription.destinations)
+        if is_last or subscription.destinations[position] != destination:
             return
-        subscription.cells.pop(at)
-        subscription.sum -= cell
-        self._forget(subscription, cell)
-
-    def _forget(self, subscription: Subscription, cell: int) -> None:
-        self.cells -= 1
-        part = self._by_cell.of(cell)
-        there = part[cell]
-        if isinstance(there, Subscription):
-            del part[cell]
-        elif isinstance(there, set) and len(there) > FEW:
-            there.remove(subscription)
+        subscription.destinations.pop(position)
+        subscription.destination_sum -= destination
+        self._remove_subscriber(subscription, destination)
+
+    def _remove_subscriber(self, subscription: Subscription, destination: int) -> None:
+        self.destination_count -= 1
+        partition = self._by_destination.partition(destination)
+        present = partition[destination]
+        if isinstance(present, Subscription):
+            del partition[destination]
+        elif isinstance(present, set) and len(present) > MAX_TUPLE_SUBSCRIBERS:
+            present.remove(subscription)
         else:
-            others = tuple(other for other in there if other is not subscription)
-            part[cell] = others if len(others) > 1 else others[0]
+            others = tuple(other for other in present if other is not subscription)
+            partition[destination] = others if len(others) > 1 else others[0]
 
-    def _empty(self, subscription: Subscription) -> None:
-        for cell in subscription.cells:
-            self._forget(subscription, cell)
-        subscription.cells, subscription.sum, subscription.newest = array("q"), 0, 0
+    def _clear(self, subscription: Subscription) -> None:
+        for destination in subscription.destinations:
+            self._remove_subscriber(subscription, destination)
+        subscription.destinations, subscription.destination_sum = array("q"), 0
+        subscription.newest_change = 0
 
-    # The list changes
+    # Changes of the list
 
-    def touch(self, cell: int, revision: int) -> None:
-        """Something in this cell changed; `wake` once the list is in force."""
-        there = self._by_cell.get(cell)
-        if there is None:
+    def destination_changed(self, destination: int, revision: int) -> None:
+        """Notes a change; `pop_affected_watches` follows once the list is in force."""
+        present = self._by_destination.get(destination)
+        if present is None:
             return
-        for subscription in (there,) if isinstance(there, Subscription) else there:
-            subscription.newest = max(subscription.newest, revision)
-            self._touched[subscription] = None
+        for subscription in (present,) if isinstance(present, Subscription) else present:
+            subscription.newest_change = max(subscription.newest_change, revision)
+            self._changed[subscription] = None
+
+    def pop_affected_watches(self, is_restarted: bool = False) -> list[WaitingWatch]:
+        """Returns the watches that changes since the last call concern; each is to be ended by `end`.
 
-    def wake(self, everyone: bool = False) -> list[Parked]:
-        """Watches that the changes since the last call concern, each to be ended by `end`. `everyone`: the
-        list counts anew, and what was told of older revisions tells nothing any more.
+        `is_restarted`: discovery restarted its revisions, which concerns all.
         """
-        touched, self._touched = self._touched, {}
-        if everyone:
-            touched = dict.fromkeys(self.of.values())
-            for subscription in touched:
-                subscription.newest, subscription.count = self.catalog.revision, Count.ANEW
-        woken = [s.watch for s in touched if s.watch is not None and (everyone or s.watch.index < s.newest)]
-        self.woken += len(woken)
-        return woken
-
-    def _unpark(self, parked: Parked) -> None:
-        if parked.open:
-            parked.subscription.watch = None
-            self.watches -= 1
+        changed, self._changed = self._changed, {}
+        if is_restarted:
+            changed = dict.fromkeys(self.by_subscriber.values())
+            for subscription in changed:
+                subscription.newest_change = self.catalog.revision
+                subscription.epoch = RevisionEpoch.RESTARTED
+        affected = [
+            subscription.watch
+            for subscription in changed
+            if subscription.watch is not None
+            and (is_restarted or subscription.watch.since_revision < subscription.newest_change)
+        ]
+        self.ended_by_change += len(affected)
+        return affected
+
+    def _stop_waiting(self, watch: WaitingWatch) -> None:
+        if watch.is_waiting:
+            watch.subscription.watch = None
+            self.waiting_watches -= 1
 
     # Time
 
     def expire(self, now: float) -> int:
-        """Drops those that have not called for a while; how many."""
-        old = [s for s in self.of.values() if s.watch is None and now - s.seen > self.forget]
-        for subscription in old:
-            self._empty(subscription)
-            del self.of[subscription.name]
-        return len(old)
+        """Drops subscriptions without a recent call. Returns how many."""
+        expired = [
+            subscription
+            for subscription in self.by_subscriber.values()
+            if subscription.watch is None and now - subscription.last_call_at > self.expire_after
+        ]
+        for subscription in expired:
+            self._clear(subscription)
+            del self.by_subscriber[subscription.name]
+        return len(expired)
--- a/loftrelay/registry/upstream.py
+++ b/loftrelay/registry/upstream.py
@@ -1,7 +1,8 @@
-"""The registry's watch on discovery: its answers go into the catalog as they come, a little in each turn.
+"""A registry's watch on discovery: responses go into the catalog as they arrive, a part in each turn.
 
-What discovery has to tell counts as told 6 s after it had it and could be reached (PROTOCOL, "Figures"): a
-watch that falls silent is given up after MOST_WAIT + PATIENCE, and asked anew within MOST_PAUSE + CONNECT.
+A change counts as received 6 s after discovery had it and could be reached (PROTOCOL, "Figures"): a watch
+that falls silent is given up after MAX_WATCH_WAIT_S + RESPONSE_TIMEOUT_S, and repeated within
+MAX_RETRY_PAUSE_S + CONNECT_TIMEOUT_S.
 """
 
 from __future__ import annotations
@@ -16,66 +17,156 @@
 import h11
 
 from loftrelay.net.address import Address
-from loftrelay.registry.catalog import Catalog, Staged
-from loftrelay.registry.listing import ListReader, read_entries
-from loftrelay.registry.protocol import PATH
+from loftrelay.registry.catalog import Catalog, StagedList
+from loftrelay.registry.listing import ListParser, decode_entries
+from loftrelay.registry.protocol import LIST_PATH
 
 log = logging.getLogger(__name__)
 
-MOST_WAIT = 2.0  # seconds for which discovery may hold a watch
-PATIENCE = 2.2  # seconds for an answer's first byte beyond that, and for each next piece of it
-CONNECT = 1.0  # seconds for a connection to come up
-MOST_TIME = 120.0  # seconds for a whole list
-LEAST_GAP = 0.05  # between calls: a watch that answers at once must not become a busy loop
-LEAST_PAUSE, MOST_PAUSE = 0.1, 0.8  # after a call that failed, doubling, of which up to a half is left out
-PIECE = 32 << 10  # bytes of a list that are read in one turn of the loop: about 200 rows
-SLICE = 0.005  # seconds of changes that are put in force in one turn
-SHOWN = 3  # rows of a list passed over that are shown
+MAX_WATCH_WAIT_S = 2.0  # for which discovery may hold a watch
+RESPONSE_TIMEOUT_S = 2.2  # for the first byte beyond that wait, and for each further part
+CONNECT_TIMEOUT_S = 1.0
+LIST_TIMEOUT_S = 120.0  # for a whole response
+MIN_CALL_INTERVAL_S = 0.05  # watches that are answered at once must not become a busy loop
+MIN_RETRY_PAUSE_S = 0.1  # doubled with each failure, and shortened by up to a half at random
+MAX_RETRY_PAUSE_S = 0.8
+READ_BYTES = 32 << 10  # read in one turn of the event loop: about 200 rows
+MAX_TURN_S = 0.005  # of changes put in force in one turn
+MAX_LOGGED_ENTRIES = 3  # malformed entries of one list that are logged in full
+
+
+class UnexpectedStatusError(ValueError):
+    """Discovery answered with another status than 200."""
+
+    def __init__(self, status: int) -> None:
+        super().__init__(f"answers {status}")
+        self.status = status
+
+
+class ListTooLongError(ValueError):
+    """A response of discovery exceeds the operator's limit."""
+
+    def __init__(self, size: int, limit: int) -> None:
+        super().__init__(
+            f"an answer of {size >> 20} MB is over most_list_mb = {limit >> 20}, "
+            "nothing of it is taken and what is held stays"
+        )
+        self.size, self.limit = size, limit
+
+
+class ResponseReader:
+    """Reads one response into a staged list.
+
+    Attributes:
+        staged: The entries received.
+        parser: The list's parser; `finish` tells its revision.
+    """
+
+    def __init__(self, catalog: Catalog, max_list_bytes: int) -> None:
+        self.staged = StagedList(catalog)
+        self.parser = ListParser()
+        self.max_list_bytes = max_list_bytes
+        self.size = 0
+        self.malformed = 0
+
+    def begin(self, response: h11.Response) -> None:
+        """Checks the head of a response.
+
+        Raises:
+            UnexpectedStatusError: It is no 200.
+            ListTooLongError: It announces too long a body.
+        """
+        if response.status_code != 200:
+            raise UnexpectedStatusError(response.status_code)
+        self._check_size(int(dict(response.headers).get(b"content-length", b"0")))
+
+    def add(self, data: bytes) -> None:
+        """Stages the entries that are complete.
+
+        Raises:
+            ValueError: It is no list, or too long (ListTooLongError).
+        """
+        self.size += len(data)
+        self._check_size(self.size)
+        self.staged.add(decode_entries(self.parser.feed(data), self._log_malformed))
+
+    def finish(self) -> None:
+        """Logs how many entries were malformed."""
+        if self.malformed > MAX_LOGGED_ENTRIES:
+            log.warning("discovery: %d malformed entries of the list skipped in all", self.malformed)
+
+    def _check_size(self, size: int) -> None:
+        if size > self.max_list_bytes:
+            raise ListTooLongError(size, self.max_list_bytes)
+
+    def _log_malformed(self, row: Any, reason: ValueError) -> None:
+        self.malformed += 1
+        if self.malformed <= MAX_LOGGED_ENTRIES:
+            log.warning("discovery: malformed entry of the list skipped: %s in %.300r", reason, row)
 
 
 class Upstream:
-    """`touch`: of each cell that changes, with the revision; `settled`: an answer is in force; told whether
-    something changed and whether the list counts anew. `most`: bytes of one answer.
+    """Long poll of discovery's list.
+
+    Attributes:
+        address: Where discovery listens.
+        catalog: The list in force.
+        last_response_at: When discovery last answered, in the event loop's seconds.
+        bytes_in: Bytes received.
+        failures: Consecutive failed calls.
     """
 
     def __init__(
         self,
         address: Address,
         catalog: Catalog,
-        touch: Callable[[int, int], None],
-        settled: Callable[[bool, bool], None],
-        most: int,
+        on_destination_changed: Callable[[int, int], None],
+        on_committed: Callable[[bool, bool], None],
+        max_list_bytes: int,
     ) -> None:
-        self.address, self.catalog, self.most = address, catalog, most
-        self.touch, self.settled = touch, settled
-        self.heard_at: float | None = None  # the loop's seconds
+        """Initializes a watch that does nothing until `start`.
+
+        Args:
+            address: Where discovery listens.
+            catalog: The list in force.
+            on_destination_changed: Called for each change with the destination and the revision.
+            on_committed: Called once a response is in force, with whether anything changed and whether
+                discovery restarted its revisions.
+            max_list_bytes: Largest response.
+        """
+        self.address, self.catalog, self.max_list_bytes = address, catalog, max_list_bytes
+        self.on_destination_changed, self.on_committed = on_destination_changed, on_committed
+        self.last_response_at: float | None = None
         self.bytes_in = 0
-        self.failures = 0  # in a row
-        self._held = False  # the last call was answered: the next may wait until there is something new
-        self._whole = True  # the whole list is to come
+        self.failures = 0
+        self._can_long_poll = False  # the last call succeeded: the next may be held until a change
+        self._needs_full_list = True
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
         self._task: asyncio.Task[None] | None = None
 
     @property
     def age(self) -> float:
-        """Seconds since the last answer; there must have been one."""
-        return asyncio.get_running_loop().time() - (self.heard_at or 0.0)
+        """Seconds since the last response; there must have been one."""
+        return asyncio.get_running_loop().time() - (self.last_response_at or 0.0)
 
     def start(self) -> None:
+        """Starts the long poll."""
         self._task = asyncio.create_task(self._watch())
 
-    def move(self, address: Address) -> None:
-        """The whole list comes anew: the other address may count its revisions in its own way."""
+    def move_to(self, address: Address) -> None:
+        """Continues at another address with the full list: its revisions may be numbered differently."""
         self.close()
-        self.address, self._held, self._whole, self.failures = address, False, True, 0
+        self.address, self.failures = address, 0
+        self._can_long_poll, self._needs_full_list = False, True
         self.start()
 
     def close(self) -> None:
+        """Stops the long poll and closes the connection."""
         if self._task is not None:
             self._task.cancel()
-        self._hang_up()
+        self._disconnect()
 
-    def _hang_up(self) -> None:
+    def _disconnect(self) -> None:
         if self._streams is not None:
             self._streams[1].transport.abort()
             self._streams = None
@@ -83,131 +174,124 @@
     async def _watch(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            asked = loop.time()
+            started = loop.time()
             try:
-                await self._ask()
+                await self._poll()
                 if self.failures:
                     log.info("discovery answers again, revision %d", self.catalog.revision)
-                self.failures, self._held = 0, True
-                pause = max(0.0, asked + LEAST_GAP - loop.time())
+                self.failures, self._can_long_poll = 0, True
+                pause = max(0.0, started + MIN_CALL_INTERVAL_S - loop.time())
             except (OSError, ValueError, h11.RemoteProtocolError, asyncio.IncompleteReadError) as error:
-                pause = self._failed(f"{error or type(error).__name__}")
+                pause = self._call_failed(f"{error or type(error).__name__}")
             except Exception:
-                # A fault of the program: without a further call no relay would hear of a change again.
-                log.exception("a fault of the program: the watch on discovery failed")
-                pause = self._failed("a fault of the program")
+                # A fault of the program; without a further call no relay would learn of a change again.
+                log.exception("discovery: the watch failed by a fault of the program")
+                pause = self._call_failed("a fault of the program")
             await asyncio.sleep(pause)
 
-    def _failed(self, why: str) -> float:
-        """Seconds until the next call. One line for each run of failures, not one for each call."""
-        self._hang_up()
-        self._held = False
+    def _call_failed(self, reason: str) -> float:
+        """Returns seconds until the next call. Logs the first of a run of failures only."""
+        self._disconnect()
+        self._can_long_poll = False
         if not self.failures:
-            log.warning("discovery at %s:%d: %s; asked again until it answers", *self.address, why)
-        pause = min(MOST_PAUSE, LEAST_PAUSE * 2.0 ** min(self.failures, 10))
+            log.warning("discovery at %s:%d: %s; asked again until it answers", *self.address, reason)
+        pause = min(MAX_RETRY_PAUSE_S, MIN_RETRY_PAUSE_S * 2.0 ** min(self.failures, 10))
         self.failures += 1
         return pause * random.uniform(0.5, 1.0)
 
-    async def _ask(self) -> None:
-        target, wait = PATH, 0.0
-        if not self._whole:
-            wait = MOST_WAIT if self._held else 0.0
+    async def _poll(self) -> None:
+        target, wait = LIST_PATH, 0.0
+        if not self._needs_full_list:
+            wait = MAX_WATCH_WAIT_S if self._can_long_poll else 0.0
             target += f"?index={self.catalog.revision}&wait={int(wait * 1000)}"
-        first = not self.catalog.known
-        if first:
-            gc.disable()  # it looks at every row again and again: the loop would stand still for 100 ms
+        reader = await self._receive(target, wait)
+        revision, is_complete = reader.parser.finish()
+        self.last_response_at = asyncio.get_running_loop().time()
+        if not is_complete and (reader.staged.is_first or revision < self.catalog.revision):
+            self._needs_full_list = True  # discovery restarted its revisions: a delta of another list
+            return
+        self._needs_full_list = False
+        await self._commit(reader.staged, revision, is_complete)
+
+    async def _receive(self, target: str, wait: float) -> ResponseReader:
+        """Receives one response, for the first list without garbage collection: it would look at each row."""
+        is_first = not self.catalog.is_loaded
+        if is_first:
+            gc.disable()
         try:
-            async with asyncio.timeout(CONNECT + wait + MOST_TIME):
-                staged, reader = await self._call(target, wait + PATIENCE)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S + wait + LIST_TIMEOUT_S):
+                return await self._call(target, wait + RESPONSE_TIMEOUT_S)
         finally:
-            if first:
+            if is_first:
                 gc.enable()
-        revision, complete = reader.end()
-        self.heard_at = asyncio.get_running_loop().time()
-        if not complete and (staged.first or revision < self.catalog.revision):
-            self._whole = True  # discovery counts anew: what came are changes of a list that is not held
-            return
-        self._whole = False
-        await self._settle(staged, revision, complete)
 
-    async def _call(self, target: str, patience: float) -> tuple[Staged, ListReader]:
+    async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         if self._streams is not None and self._streams[0].at_eof():
-            self._hang_up()
+            self._disconnect()
         if self._streams is None:
-            async with asyncio.timeout(CONNECT):
-                self._streams = await asyncio.open_connection(*self.address, limit=PIECE)
-        source, sink = self._streams
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                self._streams = await asyncio.open_connection(*self.address, limit=READ_BYTES)
+        return self._streams
+
+    async def _call(self, target: str, timeout: float) -> ResponseReader:
+        source, sink = await self._connect()
         wire = h11.Connection(h11.CLIENT)
         head = h11.Request(method="GET", target=target, headers=[("Host", "discovery")])
         sink.write((wire.send(head) or b"") + (wire.send(h11.EndOfMessage()) or b""))
-        staged, reader = Staged(self.catalog), ListReader()
-        size, passed = 0, 0
-
-        def passed_over(row: Any, why: ValueError) -> None:
-            nonlocal passed
-            passed += 1
-            if passed <= SHOWN:
-                log.warning("an entry of the list is passed over: %s in %.300r", why, row)
-
+        reader = ResponseReader(self.catalog, self.max_list_bytes)
         while True:
             event = wire.next_event()
             if event is h11.NEED_DATA:
-                async with asyncio.timeout(patience):
-                    data = await source.read(PIECE)
+                async with asyncio.timeout(timeout):
+                    data = await source.read(READ_BYTES)
                 self.bytes_in += len(data)
                 wire.receive_data(data)
-                patience = PATIENCE
+                timeout = RESPONSE_TIMEOUT_S
             elif isinstance(event, h11.Response):
-                if event.status_code != 200:
-                    raise ValueError(f"answers {event.status_code}")
-                size = int(dict(event.headers).get(b"content-length", b"0"))
-                self._bound(size)
-                size = 0
+                reader.begin(event)
             elif isinstance(event, h11.Data):
-                size += len(event.data)
-                self._bound(size)
-                staged.take(read_entries(reader.feed(bytes(event.data)), passed_over))
+                reader.add(bytes(event.data))
                 await asyncio.sleep(0)
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif not isinstance(event, h11.InformationalResponse):
                 raise ConnectionError("the connection ended")
-        if passed > SHOWN:
-            log.warning("%d entries of the list are passed over in all", passed)
+        reader.finish()
         if wire.their_state is not h11.DONE or wire.trailing_data[0]:
-            self._hang_up()
-        return staged, reader
+            self._disconnect()
+        return reader
 
-    def _bound(self, size: int) -> None:
-        if size > self.most:
-            raise ValueError(
-                f"an answer of {size >> 20} MB is over most_list_mb = {self.most >> 20}, "
-                "nothing of it is taken and what is held stays"
-            )
-
-    async def _settle(self, staged: Staged, revision: int, complete: bool) -> None:
+    async def _commit(self, staged: StagedList, revision: int, is_complete: bool) -> None:
+        """Puts a list in force; other work of the event loop runs in between."""
+        is_restarted = revision < self.catalog.revision
+        self._log_revision(staged, revision, is_restarted)
+        change_revision = self.catalog.revision + 1 if is_restarted else revision
+        is_changed = False
+        changes = self.catalog.commit(staged, revision, is_complete)
         loop = asyncio.get_running_loop()
-        catalog = self.catalog
-        first, anew = staged.first, revision < catalog.revision
-        if anew:
-            log.warning("discovery counts anew: revision %d after %d", revision, catalog.revision)
-        elif not first and revision == catalog.revision and staged.changed:
-            log.warning("discovery tells changes under revision %d, which it told before", revision)
-        number = catalog.revision + 1 if anew else revision
-        changed, since = False, loop.time()
-        steps = catalog.settle(staged, revision, complete)
+        turn_began = loop.time()
         try:
-            for cell in steps:
-                changed = True
-                self.touch(cell, number)
-                if loop.time() - since > SLICE:
+            for destination in changes:
+                is_changed = True
+                self.on_destination_changed(destination, change_revision)
+                if loop.time() - turn_began > MAX_TURN_S:
                     await asyncio.sleep(0)
-                    since = loop.time()
+                    turn_began = loop.time()
         finally:
-            for cell in steps:  # also when this is cancelled: half a list must not stay
-                changed = True
-                self.touch(cell, number)
-            if first:
-                gc.freeze()  # the collector looks at these rows no more
-                log.info("the list of discovery: %d hosts, revision %d", catalog.hosts, revision)
-            self.settled(changed or first, anew)
+            for destination in changes:  # also when this is cancelled: no part of a list may stay
+                is_changed = True
+                self.on_destination_changed(destination, change_revision)
+            if staged.is_first:
+                self._first_list_committed(revision)
+            self.on_committed(is_changed or staged.is_first, is_restarted)
+
+    def _log_revision(self, staged: StagedList, revision: int, is_restarted: bool) -> None:
+        current = self.catalog.revision
+        if is_restarted:
+            log.warning("discovery counts anew: revision %d after %d", revision, current)
+        elif not staged.is_first and revision == current and staged.changed:
+            log.warning("discovery sent changes under revision %d, which it had sent before", revision)
+
+    def _first_list_committed(self, revision: int) -> None:
+        gc.freeze()  # keeps garbage collections short: these rows need none
+        log.info("the list of discovery: %d hosts, revision %d", self.catalog.endpoint_count, revision)
--- a/tests/discovery/registries.py
+++ b/tests/discovery/registries.py
@@ -22,7 +22,15 @@
     StartCall,
 )
 from loftrelay.net.address import Address
-from loftrelay.registry.protocol import GONE, UNAVAILABLE, Answer, Change, Watch, checksum, read_target
+from loftrelay.registry.protocol import (
+    GONE,
+    UNAVAILABLE,
+    SubscriptionChange,
+    SubscriptionResponse,
+    SubscriptionWatch,
+    checksum,
+    decode_request,
+)
 from loftrelay.relay.ports import ResolutionStatus
 
 PATIENCE = 2.2  # seconds for an answer beyond a call's own wait
@@ -66,10 +74,10 @@
         self.list: List | None = None
         self.heard = 0.0
         self.sets: dict[str, tuple[set[int], int]] = {}
-        self.waiting: list[tuple[Watch, Callable[[Answer | int], None]]] = []
+        self.waiting: list[tuple[SubscriptionWatch, Callable[[SubscriptionResponse | int], None]]] = []
         self.up = True  # False: its process stands still, calls wait unread
         self.dead = False  # connections are refused
-        self.unread: list[tuple[str, Callable[[Answer | int], None]]] = []
+        self.unread: list[tuple[str, Callable[[SubscriptionResponse | int], None]]] = []
         self.calls: list[str] = []
         self.most_rows = 1 << 30  # of an answer to a change; a longer one is cut off
 
@@ -95,51 +103,58 @@
         for text, done in unread:
             self.ask(now, text, done)
 
-    def ask(self, now: float, text: str, done: Callable[[Answer | int], None]) -> None:
+    def ask(self, now: float, text: str, done: Callable[[SubscriptionResponse | int], None]) -> None:
         if not self.up:
             self.unread.append((text, done))
             return
         self.calls.append(text)
-        call = read_target(text)
+        call = decode_request(text)
         if self.list is None:
             done(UNAVAILABLE)
-        elif isinstance(call, Change):
+        elif isinstance(call, SubscriptionChange):
             done(self._change(now, call))
-        elif isinstance(call, Watch):
+        elif isinstance(call, SubscriptionWatch):
             self._watch(now, call, done)
 
-    def _change(self, now: float, call: Change) -> Answer | int:
+    def _change(self, now: float, call: SubscriptionChange) -> SubscriptionResponse | int:
         assert self.list is not None
         cells, seq = self.sets.get(call.subscriber, (None, 0))
-        if call.reset:
+        if call.is_reset:
             cells = set()
-        if cells is None or call.seq <= seq:
+        if cells is None or call.sequence <= seq:
             return GONE
-        cells -= set(call.drop)
-        cells |= {*call.add, *call.have}
-        self.sets[call.subscriber] = cells, call.seq
-        changed = {row[0].destination for row, at in self.list.rows.values() if at > call.index}
-        whole = [*call.add, *(cell for cell in call.have if cell in changed or not call.index)]
+        cells -= set(call.dropped)
+        cells |= {*call.added, *call.confirmed}
+        self.sets[call.subscriber] = cells, call.sequence
+        changed = {row[0].destination for row, at in self.list.rows.values() if at > call.since_revision}
+        whole = [
+            *call.added,
+            *(cell for cell in call.confirmed if cell in changed or not call.since_revision),
+        ]
         wanted = set(whole)
         rows = [row for row, _ in self.list.rows.values() if row[0].destination in wanted]
         rows = [row for row in rows if row[0].state is not EndpointState.REMOVED]
         return self._answer(now, call.subscriber, whole, rows) if len(rows) <= self.most_rows else TOO_LONG
 
-    def _watch(self, now: float, watch: Watch, done: Callable[[Answer | int], None]) -> None:
+    def _watch(
+        self, now: float, watch: SubscriptionWatch, done: Callable[[SubscriptionResponse | int], None]
+    ) -> None:
         assert self.list is not None
         if watch.subscriber not in self.sets:
             done(GONE)
             return
         cells = self.sets[watch.subscriber][0]
         changed = [
-            row for row, at in self.list.rows.values() if at > watch.index and row[0].destination in cells
+            row
+            for row, at in self.list.rows.values()
+            if at > watch.since_revision and row[0].destination in cells
         ]
-        if changed or not watch.wait:
+        if changed or not watch.wait_ms:
             done(self._answer(now, watch.subscriber, [], changed))
         else:
             self.waiting.append((watch, done))
 
-    def time_out(self, now: float, done: Callable[[Answer | int], None]) -> None:
+    def time_out(self, now: float, done: Callable[[SubscriptionResponse | int], None]) -> None:
         for watch, waits in list(self.waiting):
             if waits is done and self.up:
                 self.waiting.remove((watch, waits))
@@ -148,11 +163,11 @@
                 else:
                     done(GONE)
 
-    def _answer(self, now: float, subscriber: str, whole: list[int], rows: list[Row]) -> Answer:
+    def _answer(self, now: float, subscriber: str, whole: list[int], rows: list[Row]) -> SubscriptionResponse:
         assert self.list is not None
         cells, seq = self.sets[subscriber]
         age = int((now - self.heard) * 1000)
-        return Answer(
+        return SubscriptionResponse(
             self.fleet, self.list.revision, age, seq, len(cells), checksum(cells), tuple(whole), rows
         )
 
@@ -249,14 +264,14 @@
                 over = True
                 subscription.call_failed(self.now, call.number, why)
 
-        def answered(told: Answer | int) -> None:
+        def answered(told: SubscriptionResponse | int) -> None:
             if self.random.random() < self.loss:
                 return
             times = 2 if self.random.random() < self.doubled else 1
             for _ in range(times):
                 self.at(self.now + self.random.uniform(0, self.delay), lambda: hear(told))
 
-        def hear(told: Answer | int) -> None:
+        def hear(told: SubscriptionResponse | int) -> None:
             nonlocal over
             over = True  # a doubled one still comes: the subscription has to know
             if told in (BROKEN, TOO_LONG):
@@ -264,7 +279,7 @@
             elif isinstance(told, int):
                 subscription.call_rejected(self.now, call.number, told, "no")
             else:
-                subscription.call_answered(self.now, call.number, told, tuple(told.members))
+                subscription.call_answered(self.now, call.number, told, tuple(told.rows))
 
         def arrive() -> None:
             if registry.dead:
--- a/tests/discovery/test_subscriber.py
+++ b/tests/discovery/test_subscriber.py
@@ -16,7 +16,15 @@
 from loftrelay.discovery.subscriber import Subscriber
 from loftrelay.discovery.subscription import Timing
 from loftrelay.net.address import Address, parse_address
-from loftrelay.registry.protocol import PATH, Answer, Change, Watch, checksum, read_target, write_answer
+from loftrelay.registry.protocol import (
+    LIST_PATH,
+    SubscriptionChange,
+    SubscriptionResponse,
+    SubscriptionWatch,
+    checksum,
+    decode_request,
+    encode_response,
+)
 from loftrelay.relay.ports import ResolutionStatus
 from tests.standins.platform import HANG, Peer, Request, World, never, reply
 
@@ -34,34 +42,34 @@
     def __init__(self) -> None:
         self.cells: set[int] = set()
         self.seq = 0
-        self.calls: list[Change | Watch] = []
+        self.calls: list[SubscriptionChange | SubscriptionWatch] = []
 
     async def __call__(self, request: Request) -> bytes | None:
-        assert request.target.startswith(PATH)
-        call = read_target(request.target)
-        assert isinstance(call, Change | Watch)
+        assert request.target.startswith(LIST_PATH)
+        call = decode_request(request.target)
+        assert isinstance(call, SubscriptionChange | SubscriptionWatch)
         self.calls.append(call)
-        if isinstance(call, Watch):
+        if isinstance(call, SubscriptionWatch):
             return await never(request)
-        self.cells = (set() if call.reset else self.cells) | {*call.add, *call.have}
-        self.cells -= set(call.drop)
-        self.seq = call.seq
-        rows = [json.dumps(row(f"h{cell}", cell)).encode() for cell in call.add]
-        return reply(200, self.answer(call.add, rows))
+        self.cells = (set() if call.is_reset else self.cells) | {*call.added, *call.confirmed}
+        self.cells -= set(call.dropped)
+        self.seq = call.sequence
+        rows = [json.dumps(row(f"h{cell}", cell)).encode() for cell in call.added]
+        return reply(200, self.answer(call.added, rows))
 
     def answer(self, cells: Sequence[int], rows: list[bytes], **changes: Any) -> bytes:
         told: dict[str, Any] = {
             "fleet": FLEET,
             "revision": 5,
-            "age": 0,
-            "seq": self.seq,
-            "count": len(self.cells),
-            "sum": checksum(self.cells),
-            "cells": tuple(cells),
-            "members": (),
+            "age_ms": 0,
+            "sequence": self.seq,
+            "size": len(self.cells),
+            "checksum": checksum(self.cells),
+            "full_destinations": tuple(cells),
+            "rows": (),
             **changes,
         }
-        return write_answer(Answer(**told), rows)
+        return encode_response(SubscriptionResponse(**told), rows)
 
 
 class Relay:
@@ -129,7 +137,7 @@
         await relay.until(lambda: relay.states == [(7, ResolutionStatus.RESOLVED)])
         assert relay.addresses == {"h7": ("127.0.0.1", 9)}
         assert subscriber.revision == 5
-        await w.until(lambda: any(isinstance(call, Watch) for call in sound.calls))
+        await w.until(lambda: any(isinstance(call, SubscriptionWatch) for call in sound.calls))
         assert len(peer.connections) == 2
         assert subscriber.first_answer.is_set()
         assert [listing.kind for listing in relay.listings] == [
@@ -159,9 +167,9 @@
     "410": reply(410, b"not known here\n"),
     "500": reply(500),
     "nothing": None,
-    "other fleet": reply(200, Sound().answer((), [], fleet="other", seq=1)),
-    "other set": reply(200, Sound().answer((), [], count=9, seq=1)),
-    "not what was asked": reply(200, Sound().answer((), [], count=1, sum=7, seq=1)),
+    "other fleet": reply(200, Sound().answer((), [], fleet="other", sequence=1)),
+    "other set": reply(200, Sound().answer((), [], size=9, sequence=1)),
+    "not what was asked": reply(200, Sound().answer((), [], size=1, checksum=7, sequence=1)),
 }
 
 
@@ -178,7 +186,7 @@
         relay.subscriber.resolve(7)
         relay.subscriber.watch()
         await relay.until(lambda: (7, ResolutionStatus.RESOLVED) in relay.states)
-        await w.until(lambda: any(isinstance(call, Watch) for call in sound.calls))
+        await w.until(lambda: any(isinstance(call, SubscriptionWatch) for call in sound.calls))
         said = [r.getMessage() for r in caplog.records if first.address in r.getMessage()]
         assert len(said) == 1 and "\n" not in said[0], said
         assert len(first.requests) <= 4
@@ -215,7 +223,7 @@
         relay.broken = 1
         relay.subscriber.resolve(7)
         relay.subscriber.watch()
-        await w.until(lambda: any(isinstance(call, Watch) for call in sound.calls))
+        await w.until(lambda: any(isinstance(call, SubscriptionWatch) for call in sound.calls))
         assert relay.broken == 0
         await relay.until(lambda: bool(relay.addresses))  # it is told anew
         assert list(relay.addresses) == ["h7"]
--- a/tests/discovery/test_subscription.py
+++ b/tests/discovery/test_subscription.py
@@ -15,7 +15,14 @@
 from loftrelay.discovery.registry_session import Mode
 from loftrelay.discovery.subscription import Timing
 from loftrelay.discovery.subscription_actions import Channel
-from loftrelay.registry.protocol import MOST_CELLS, Answer, Change, Watch, read_target, target
+from loftrelay.registry.protocol import (
+    MAX_DESTINATIONS_PER_CALL,
+    SubscriptionChange,
+    SubscriptionResponse,
+    SubscriptionWatch,
+    decode_request,
+    encode_request,
+)
 from loftrelay.relay.ports import ResolutionStatus
 from tests.discovery.registries import FLEET, List, Registry, Relay
 
@@ -42,9 +49,11 @@
         registry.hear(relay.now, told)
 
 
-def changes(relay: Relay, since: float = 0.0) -> list[Change]:
-    calls = [read_target(c.target) for at, c in relay.calls if at >= since and c.channel is Channel.CHANGES]
-    return [call for call in calls if isinstance(call, Change)]
+def changes(relay: Relay, since: float = 0.0) -> list[SubscriptionChange]:
+    calls = [
+        decode_request(c.target) for at, c in relay.calls if at >= since and c.channel is Channel.CHANGES
+    ]
+    return [call for call in calls if isinstance(call, SubscriptionChange)]
 
 
 # First messages
@@ -57,7 +66,7 @@
     relay.run(0.001)
     relay.want(3, 1)
     relay.run(0.01)
-    assert [c.add for c in changes(relay, before)] == [(1, 2, 3)]
+    assert [c.added for c in changes(relay, before)] == [(1, 2, 3)]
     assert sorted(s[:2] for s in relay.sliced) == [
         (1, ResolutionStatus.RESOLVED),
         (2, ResolutionStatus.RESOLVED),
@@ -172,7 +181,7 @@
     relay.run(0.01)
     assert subscription.revision == told.revision
     assert relay.hosts == {}
-    subscription.call_answered(relay.now, call.number, late[0], tuple(late[0].members))  # type: ignore[union-attr, arg-type, attr-defined]
+    subscription.call_answered(relay.now, call.number, late[0], tuple(late[0].rows))  # type: ignore[union-attr, arg-type, attr-defined]
     relay.run(0.1)
     assert subscription.counts["overtaken"] == 1
     assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
@@ -192,10 +201,10 @@
     assert number is not None
     told.set("h1", 1, EndpointState.DRAINING)
     told.set("h2", 2, EndpointState.DRAINING)
-    late: list[Answer | int] = []
+    late: list[SubscriptionResponse | int] = []
     registries[0].waiting.clear()  # answered, and the answer is under way
     registries[0].hear(relay.now, told)
-    registries[0].ask(relay.now, target(watch), late.append)
+    registries[0].ask(relay.now, encode_request(watch), late.append)
     told.set("h1", 1, EndpointState.ACTIVE)
     registries[0].hear(relay.now, told)
     relay.hosts.pop(1)  # let go, and wanted once more
@@ -203,11 +212,11 @@
     relay.want(1)
     relay.run(0.05)
     (answer,) = late
-    assert isinstance(answer, Answer)
+    assert isinstance(answer, SubscriptionResponse)
     assert list(relay.hosts[1]) == ["h1"]
     if whole:
-        answer = replace(answer, cells=(1, 2))
-    relay.subscription.call_answered(relay.now, number, answer, tuple(answer.members))
+        answer = replace(answer, full_destinations=(1, 2))
+    relay.subscription.call_answered(relay.now, number, answer, tuple(answer.rows))
     relay.do()
     assert relay.hosts[1]["h1"][0].state is EndpointState.ACTIVE
     assert relay.subscription.counts["overtaken"] == 1
@@ -228,8 +237,8 @@
     before = relay.now
     relay.run(3.0)
     pieces = changes(relay, before)
-    assert pieces[0].add[0] == 9999
-    assert sum(len(piece.add) for piece in pieces) >= 2501
+    assert pieces[0].added[0] == 9999
+    assert sum(len(piece.added) for piece in pieces) >= 2501
 
 
 @pytest.mark.parametrize("too_long", [True, False])
@@ -246,10 +255,10 @@
     relay.run(5.0)
     assert relay.holds(told)
     assert len(relay.hosts) == 100
-    sizes = [len(call.add) for call in changes(relay) if call.add]
+    sizes = [len(call.added) for call in changes(relay) if call.added]
     assert sizes[0] == 80
     assert sizes[1] == (40 if too_long else 50)
-    asked = [call for call in changes(relay) if len(call.add) > 50]
+    asked = [call for call in changes(relay) if len(call.added) > 50]
     assert sum(sizes) >= 400
     assert len(sizes) <= 12
     assert len(asked) <= 4
@@ -565,9 +574,9 @@
     before, cells = relay.now, relay.subscription.counts["cells"]
     relay.run(2.5)
     pieces = changes(relay, before)
-    assert [len(p.have) for p in pieces] == [MOST_CELLS, MOST_CELLS, 500]
-    assert not any(p.add for p in pieces)
-    assert [p.reset for p in pieces] == [True, False, False]
+    assert [len(p.confirmed) for p in pieces] == [MAX_DESTINATIONS_PER_CALL, MAX_DESTINATIONS_PER_CALL, 500]
+    assert not any(p.added for p in pieces)
+    assert [p.is_reset for p in pieces] == [True, False, False]
     assert relay.subscription.counts["cells"] - cells == 1
     assert relay.holds(told)
     assert relay.hosts[7]["h7"][0].state is EndpointState.DRAINING
@@ -598,7 +607,7 @@
     relay.run(7.5)
     assert sorted(relay.hosts) == [1, 2, 3]
     assert sorted(relay.offered) == list(range(2, 51))
-    dropped = [call.drop for call in changes(relay, before) if call.drop]
+    dropped = [call.dropped for call in changes(relay, before) if call.dropped]
     assert [sorted(drop) for drop in dropped] == [list(range(4, 51))]
     assert registries[0].sets[relay.subscription.subscriber][0] == {1, 2, 3}
     relay.busy = set()
@@ -655,8 +664,8 @@
     assert after.holds(told)
     assert after.hosts[2]["h2"][0].state is EndpointState.DRAINING
     (piece,) = changes(after)
-    assert piece.have == (1, 2)
-    assert not piece.add
+    assert piece.confirmed == (1, 2)
+    assert not piece.added
     assert after.subscription.counts["cells"] == 1
 
 
@@ -689,7 +698,9 @@
         registries[0].hear(relay.now, told)
         relay.run(0.001)
     assert relay.subscription.counts["watches"] - before <= 1.0 / 0.05 + 2
-    assert all(isinstance(read_target(c.target), Watch | Change) for _, c in relay.calls)
+    assert all(
+        isinstance(decode_request(c.target), SubscriptionWatch | SubscriptionChange) for _, c in relay.calls
+    )
 
 
 # All of it at once
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -58,10 +58,10 @@
             w.name(dest)
         await w.start()
         assert any("known list ignored" in line for line in w.log)
-        assert await registries.figure("slices_held") == 0
+        assert await registries.metric("slices_held") == 0
         assert await asyncio.gather(*(w.hand_in(f"m{n}") for n in range(5))) == [202] * 5
         await w.until(lambda: host.answered == 5)
-        assert await registries.figure("slices_held") == 1 == await registries.figure("discovered")
+        assert await registries.metric("slices_held") == 1 == await registries.metric("discovered")
         assert await refused(w, "nobody", dest=900) == "1"
         more = await w.host(deliver, dest=900)
         assert await served_by(w, [more], "somebody", dest=900) == 0
@@ -77,22 +77,24 @@
         host = await w.host(deliver)
         await w.start()
         for address in registries.addresses:
-            await registries.stop(address)
+            await registries.suspend(address)
         writers = []
         for number in range(8):
             reader, writer = await asyncio.open_connection(*w.address)
             writers.append((reader, writer))
             writer.write(message(f"m{number}", "order"))
-            await registries.until("slices_parked", number + 1)  # read before the next one is written
+            await registries.wait_for_metric(
+                "slices_parked", number + 1
+            )  # read before the next one is written
         assert await w.hand_in("m0", "order") == 409  # that id is open
         reader, writer = writers.pop(3)
         writer.write_eof()  # its client leaves
         async with asyncio.timeout(HANG):
             assert await reader.read() == b""
         writer.close()
-        assert await registries.figure("slices_parked") == 7
+        assert await registries.metric("slices_parked") == 7
         for address in registries.addresses:
-            registries.go_on(address)
+            registries.resume(address)
         for reader, writer in writers:
             async with asyncio.timeout(HANG):
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 202")
@@ -112,7 +114,7 @@
         await w.start()
         assert await served_by(w, [known], "before") == 0
         for address in registries.addresses:
-            await (registries.kill(address) if how == "dead" else registries.stop(address))
+            await (registries.kill(address) if how == "dead" else registries.suspend(address))
         began = time.monotonic()
         assert await refused(w, "first", dest=2) == "1"
         assert time.monotonic() - began >= 0.2
@@ -122,7 +124,7 @@
             if how == "dead":
                 await registries.start(address)
             else:
-                registries.go_on(address)
+                registries.resume(address)
         assert await served_by(w, [other], "again", dest=2) == 0
         assert other.ids == ["again"]
         assert not w.notices
@@ -224,10 +226,10 @@
         while not all(host.ids for host in hosts):
             number += 1
             await w.hand_in_once_listed(f"before{number}", 1)
-        assert await registries.figure("slices_registry") == 0
-        await (registries.kill(first) if how == "dead" else registries.stop(first))
+        assert await registries.metric("slices_registry") == 0
+        await (registries.kill(first) if how == "dead" else registries.suspend(first))
         change(w, 0, "Terminating")
-        await registries.until("slices_moved", 1)
+        await registries.wait_for_metric("slices_moved", 1)
         assert any(f"registry {first} does not answer" in line for line in w.log)
         # The first change at the next registry tells it, and the watch begins after that.
         await w.until(
@@ -238,7 +240,7 @@
             assert await w.hand_in(f"after{number}") == 202
         await w.until(lambda: sum(name.startswith("after") for name in hosts[1].ids) == 10)
         if how == "stopped":
-            registries.go_on(first)
+            registries.resume(first)
         else:
             await registries.start(first)
         change(w, 1, "Terminating")
@@ -246,7 +248,7 @@
         while "last" not in third.ids:
             await w.hand_in("last")
         assert not hosts[0].ids
-        assert await registries.figure("slices_registry") == 1
+        assert await registries.metric("slices_registry") == 1
 
     play(scenario, tmp_path)
 
@@ -267,7 +269,7 @@
         await w.until(lambda: host.answered > 0)
         change(w, 0, "Gone")
         async with asyncio.timeout(HANG):
-            while await registries.figure("discovered"):
+            while await registries.metric("discovered"):
                 await asyncio.sleep(0.01)
         host.requests.clear()
         assert await w.hand_in("meanwhile") == 202
@@ -287,7 +289,7 @@
         await w.start()
         assert await served_by(w, [host], "before") == 0
         change(w, 0, "Gone")
-        await registries.until("slices_let_go", 1)
+        await registries.wait_for_metric("slices_let_go", 1)
         assert await refused(w, "new") == "1"
         back = await w.host(deliver)
         assert await served_by(w, [back], "again") == 0
@@ -319,7 +321,7 @@
         await w.start()
         assert await served_by(w, [new], "before") == 0
         await registries.kill(first)
-        await registries.until("slices_older", 1)
+        await registries.wait_for_metric("slices_older", 1)
         assert any(f"registry {second} has an older revision" in line for line in w.log)
         assert await w.hand_in("after") == 202
         await w.until(lambda: "after" in new.ids)
@@ -350,19 +352,19 @@
         assert await w.hand_in("out", "order") == 202
         await w.until(lambda: host.ids == ["out"])
         assert await w.hand_in("in-line", "order", Request_Timeout_Ms="4000") == 202
-        assert await registries.figure("slices_held") == 1
+        assert await registries.metric("slices_held") == 1
         await asyncio.sleep(2.5)  # idle for longer than what is set: it must not be let go
-        assert await registries.figure("slices_let_go") == 0
+        assert await registries.metric("slices_let_go") == 0
         assert host.ids == ["out"]
         let.set()
         await w.until(lambda: [notice["id"] for notice in w.notices] == ["in-line"])
-        await registries.until("slices_let_go", 1)
-        assert await registries.figure("slices_held") == 0 == await registries.figure("discovered")
+        await registries.wait_for_metric("slices_let_go", 1)
+        assert await registries.metric("slices_held") == 0 == await registries.metric("discovered")
         number, held = 0, 0
         while not held:  # a busy machine may let the time pass for which a first message waits
             number += 1
             assert await w.hand_in(f"again{number}") == 503
-            held = await registries.figure("slices_held")
+            held = await registries.metric("slices_held")
         assert await w.hand_in("last") == 503
         assert host.ids == ["out"]
 
@@ -377,8 +379,8 @@
         for dest in (1, 2):
             assert await served_by(w, [hosts[dest - 1]], f"before{dest}", dest) == 0
         await w.upgrade()
-        assert await registries.figure("slices_held") == 2
-        assert await registries.figure("slices_cells") == 0  # nothing was told whole again
+        assert await registries.metric("slices_held") == 2
+        assert await registries.metric("slices_cells") == 0  # nothing was told whole again
         for address in registries.addresses:
             await registries.kill(address)
         assert await w.hand_in("after1", dest=1) == 202
@@ -433,7 +435,7 @@
 
         host = await w.host(no)
         await w.start()
-        changes = await registries.figure("slices_changes")
+        changes = await registries.metric("slices_changes")
         new = await w.peer(w.discover)
         w.configure(new.address)
         w.reload()
@@ -442,7 +444,7 @@
         await w.until(lambda: w.notices == [failed("m")])
         assert {r.target for r in new.requests} == {"/reports"}
         assert host.ids
-        assert await registries.figure("slices_changes") == changes + 1  # the first message's
+        assert await registries.metric("slices_changes") == changes + 1  # the first message's
 
     play(scenario, tmp_path)
 
@@ -452,10 +454,10 @@
         await w.host(deliver)
         await w.start()
         for address in registries.addresses:
-            await registries.stop(address)
+            await registries.suspend(address)
         reader, writer = await asyncio.open_connection(*w.address)
         writer.write(message("m"))
-        await registries.until("slices_parked", 1)
+        await registries.wait_for_metric("slices_parked", 1)
         assert w.process is not None
         w.process.terminate()
         async with asyncio.timeout(HANG):
--- a/tests/registry/test_catalog.py
+++ b/tests/registry/test_catalog.py
@@ -1,4 +1,4 @@
-"""Whoever applies the answers of a registry holds the rows of its cells, whatever was lost or repeated.
+"""Whoever applies a registry's responses has the rows of its destinations, whatever was lost or repeated.
 
 The model is naive: the list as discovery has it, and relays that keep what answers tell them.
 """
@@ -15,17 +15,23 @@
 from hypothesis import strategies as st
 
 from loftrelay.registry import catalog as catalog_module
-from loftrelay.registry.catalog import Catalog, Staged
-from loftrelay.registry.listing import Entry, read_entry
-from loftrelay.registry.protocol import Change, Watch, checksum
-from loftrelay.registry.subscriptions import Count, Parked, Refused, Subscriptions, Told
+from loftrelay.registry.catalog import Catalog, StagedList
+from loftrelay.registry.listing import ListEntry, decode_entry
+from loftrelay.registry.protocol import SubscriptionChange, SubscriptionWatch, checksum
+from loftrelay.registry.subscriptions import (
+    RequestRejectedError,
+    RevisionEpoch,
+    Subscriptions,
+    SubscriptionUpdate,
+    WaitingWatch,
+)
 from tests.standins.discovery import row
 
 Rows = dict[str, dict[str, Any]]
 
 
-def entries(*rows: dict[str, Any]) -> list[Entry]:
-    return [read_entry(told) for told in rows]
+def entries(*rows: dict[str, Any]) -> list[ListEntry]:
+    return [decode_entry(told) for told in rows]
 
 
 def told(rows: list[bytes]) -> list[tuple[str, int, str]]:
@@ -41,122 +47,122 @@
 # One step at a time
 
 
-def test_a_list_told_again_changes_nothing() -> None:
+def test_repeated_list_changes_nothing() -> None:
     catalog = holding(row("a", 1), row("b", 2))
     assert catalog.load(5, entries(row("b", 2), row("a", 1))) == set()
-    assert (catalog.revision, catalog.changed(1), catalog.changed(2), catalog.changes) == (5, 1, 1, 0)
+    assert (catalog.revision, catalog.last_change(1), catalog.last_change(2), catalog.changes) == (5, 1, 1, 0)
 
 
-def test_only_true_changes_get_the_new_revision() -> None:
+def test_only_actual_changes_get_the_new_revision() -> None:
     catalog = holding(row("a", 1), row("b", 2), row("c", 3))
     assert catalog.load(2, entries(row("a", 1), row("b", 2, "Terminating"))) == {2, 3}
-    assert [catalog.changed(cell) for cell in (1, 2, 3)] == [1, 2, 2]
-    rows = catalog.since(3, 1)
+    assert [catalog.last_change(cell) for cell in (1, 2, 3)] == [1, 2, 2]
+    rows = catalog.changes_since(3, 1)
     assert rows is not None
-    assert told(rows.gone) == [("c", 3, "Gone")]
+    assert told(rows.removed) == [("c", 3, "Gone")]
     assert not rows.listed
-    assert catalog.whole(3) == []
-    assert told(catalog.whole(2)) == [("b", 2, "Terminating")]
+    assert catalog.full_rows(3) == []
+    assert told(catalog.full_rows(2)) == [("b", 2, "Terminating")]
     assert catalog.apply(3, entries(row("a", 1))) == set()
-    assert catalog.changed(1) == 1
+    assert catalog.last_change(1) == 1
 
 
-def test_a_host_that_moves_is_gone_in_the_first_cell() -> None:
+def test_endpoint_that_moves_is_removed_from_its_old_destination() -> None:
     catalog = holding(row("a", 1), row("b", 1))
     assert catalog.apply(2, entries(row("a", 7))) == {1, 7}
-    was, now = catalog.since(1, 1), catalog.since(7, 1)
+    was, now = catalog.changes_since(1, 1), catalog.changes_since(7, 1)
     assert was is not None
-    assert (told(was.gone), told(was.listed)) == ([("a", 1, "Gone")], [])
+    assert (told(was.removed), told(was.listed)) == ([("a", 1, "Gone")], [])
     assert now is not None
-    assert (told(now.gone), told(now.listed)) == ([], [("a", 7, "Ready")])
+    assert (told(now.removed), told(now.listed)) == ([], [("a", 7, "Ready")])
     assert catalog.apply(3, entries(row("a", 1))) == {1, 7}  # and back
-    assert sorted(told(catalog.whole(1))) == [("a", 1, "Ready"), ("b", 1, "Ready")]
-    back = catalog.since(1, 2)
+    assert sorted(told(catalog.full_rows(1))) == [("a", 1, "Ready"), ("b", 1, "Ready")]
+    back = catalog.changes_since(1, 2)
     assert back is not None
-    assert (told(back.gone), told(back.listed)) == ([], [("a", 1, "Ready")])
-    assert catalog.tombstones == 1
+    assert (told(back.removed), told(back.listed)) == ([], [("a", 1, "Ready")])
+    assert catalog.tombstone_count == 1
 
 
-def test_below_what_is_remembered_a_cell_is_told_whole() -> None:
+def test_destination_is_full_below_the_oldest_revision() -> None:
     catalog = holding(row("a", 1), row("b", 1), row("c", 2), row("d", 3), keep_gone=1)
     catalog.apply(2, entries(row("a", 1, "Gone")))
-    assert catalog.floor == 1
+    assert catalog.oldest_revision == 1
     catalog.apply(3, entries(row("c", 2, "Gone")))
-    assert (catalog.floor, catalog.tombstones) == (2, 1)
-    assert catalog.since(1, 1) is None
-    assert catalog.changed(1) == 2
-    assert catalog.since(1, 2) == ([], [])
-    assert catalog.since(3, 1) == ([], [])  # nothing changed in it, however much was forgotten
-    assert catalog.since(9, 1) is None  # nobody serves it: since when is not known
-    assert catalog.since(9, 2) == ([], [])
+    assert (catalog.oldest_revision, catalog.tombstone_count) == (2, 1)
+    assert catalog.changes_since(1, 1) is None
+    assert catalog.last_change(1) == 2
+    assert catalog.changes_since(1, 2) == ([], [])
+    assert catalog.changes_since(3, 1) == ([], [])  # nothing changed in it, however much was forgotten
+    assert catalog.changes_since(9, 1) is None  # nobody serves it: since when is not known
+    assert catalog.changes_since(9, 2) == ([], [])
 
 
-def test_a_new_count_is_a_new_list() -> None:
+def test_restarted_revisions_make_a_new_list() -> None:
     catalog = holding(row("a", 1), row("b", 2), revision=5000)
     catalog.apply(5001, entries(row("b", 2, "Gone")))
     assert catalog.load(3, entries(row("a", 1), row("c", 3))) == {3}
-    assert (catalog.revision, catalog.floor, catalog.tombstones) == (3, 3, 0)
-    assert [catalog.changed(cell) for cell in (1, 2, 3)] == [3, 3, 3]
-    assert catalog.since(1, 5001) is None
-    assert catalog.since(1, 2) is None
-    assert catalog.since(1, 3) == ([], [])
+    assert (catalog.revision, catalog.oldest_revision, catalog.tombstone_count) == (3, 3, 0)
+    assert [catalog.last_change(cell) for cell in (1, 2, 3)] == [3, 3, 3]
+    assert catalog.changes_since(1, 5001) is None
+    assert catalog.changes_since(1, 2) is None
+    assert catalog.changes_since(1, 3) == ([], [])
 
 
-def test_changes_that_dont_follow_the_list_are_refused() -> None:
+def test_delta_that_does_not_follow_the_list_is_rejected() -> None:
     catalog = holding(row("a", 1), revision=7)
     with pytest.raises(ValueError):
         catalog.apply(6, entries(row("a", 1, "Gone")))
     with pytest.raises(ValueError):
         Catalog(5).apply(6, entries(row("a", 1)))
-    assert told(catalog.whole(1)) == [("a", 1, "Ready")]
+    assert told(catalog.full_rows(1)) == [("a", 1, "Ready")]
     assert catalog.revision == 7
 
 
-def test_of_a_host_that_stands_twice_the_last_row_holds() -> None:
+def test_last_row_of_a_duplicate_endpoint_counts() -> None:
     for first in (row("a", 1), row("a", 1, "Terminating"), row("a", 2)):
         catalog = holding(row("a", 1))
         catalog.load(2, entries(first, row("a", 1)))
-        assert told(catalog.whole(1)) == [("a", 1, "Ready")]
-        assert catalog.whole(2) == []
+        assert told(catalog.full_rows(1)) == [("a", 1, "Ready")]
+        assert catalog.full_rows(2) == []
 
 
-def test_half_a_list_is_never_told() -> None:
+def test_partial_list_is_never_in_force() -> None:
     """What is staged does not hold; what is being settled is told as of the revision held, or newer."""
     catalog = holding(*(row(f"h{i}", i) for i in range(10)))
-    staged = Staged(catalog)
-    staged.take(entries(*(row(f"h{i}", i, "Terminating") for i in range(5))))
-    assert told(catalog.whole(0)) == [("h0", 0, "Ready")]
-    steps = catalog.settle(staged, 2, True)
+    staged = StagedList(catalog)
+    staged.add(entries(*(row(f"h{i}", i, "Terminating") for i in range(5))))
+    assert told(catalog.full_rows(0)) == [("h0", 0, "Ready")]
+    steps = catalog.commit(staged, 2, True)
     assert next(steps) == 0
     assert catalog.revision == 1
-    assert told(catalog.whole(0)) == [("h0", 0, "Terminating")]
-    rows = catalog.since(0, 1)
+    assert told(catalog.full_rows(0)) == [("h0", 0, "Terminating")]
+    rows = catalog.changes_since(0, 1)
     assert rows is not None
     assert told(rows.listed) == [("h0", 0, "Terminating")]
     assert set(steps) == set(range(1, 10))
     assert catalog.revision == 2
-    assert catalog.hosts == 5
+    assert catalog.endpoint_count == 5
 
 
-def test_a_first_list_that_is_cut_off_leaves_nothing() -> None:
+def test_interrupted_first_list_leaves_nothing() -> None:
     catalog = Catalog(5)
-    Staged(catalog).take(entries(row("a", 1)))
-    assert not catalog.known
+    StagedList(catalog).add(entries(row("a", 1)))
+    assert not catalog.is_loaded
     catalog.load(4, entries(row("b", 2)))
-    assert catalog.known
-    assert catalog.hosts == 1
-    assert catalog.whole(1) == []
+    assert catalog.is_loaded
+    assert catalog.endpoint_count == 1
+    assert catalog.full_rows(1) == []
 
 
-def test_changes_of_a_cell_of_many_hosts_are_found_without_a_walk_through_it() -> None:
+def test_changes_of_a_large_destination_are_found_without_a_scan() -> None:
     catalog = holding(*(row(f"h{i}", 1) for i in range(2000)))
     catalog.apply(2, entries(row("h5", 1, "Terminating"), row("x", 2), row("h6", 1, "Gone")))
-    rows = catalog.since(1, 1)
+    rows = catalog.changes_since(1, 1)
     assert rows is not None
-    assert (told(rows.gone), told(rows.listed)) == ([("h6", 1, "Gone")], [("h5", 1, "Terminating")])
+    assert (told(rows.removed), told(rows.listed)) == ([("h6", 1, "Gone")], [("h5", 1, "Terminating")])
 
 
-def test_a_host_costs_the_same_in_a_cell_of_many() -> None:
+def test_endpoint_costs_the_same_in_a_large_destination() -> None:
     """Processor time; were a cell walked through for each of its hosts, it would be 16 times as much."""
 
     def each(count: int) -> float:
@@ -174,21 +180,21 @@
     assert each(16_000) < 6 * each(1000)
 
 
-def test_the_changes_of_all_cells_are_told_as_long_as_they_are_recent(
+def test_all_changes_are_known_while_they_are_recent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(catalog_module, "RECENT", 3)
+    monkeypatch.setattr(catalog_module, "MAX_RECENT_CHANGES", 3)
     catalog = holding(*(row(f"h{i}", i) for i in range(6)))
     for i in range(3):
         catalog.apply(2 + i, entries(row(f"h{i}", i, "Terminating")))
-    rows = catalog.all_since(2)
+    rows = catalog.all_changes_since(2)
     assert rows is not None
     assert sorted(told(rows.listed)) == [("h1", 1, "Terminating"), ("h2", 2, "Terminating")]
-    assert catalog.all_since(1) is not None
+    assert catalog.all_changes_since(1) is not None
     catalog.apply(5, entries(row("h3", 3, "Gone")))
-    assert catalog.all_since(1) is None
-    assert catalog.all_since(2) is not None
-    assert catalog.all_since(6) is None
+    assert catalog.all_changes_since(1) is None
+    assert catalog.all_changes_since(2) is not None
+    assert catalog.all_changes_since(6) is None
     assert sorted(told(list(catalog.all_rows()))) == [
         ("h0", 0, "Terminating"),
         ("h1", 1, "Terminating"),
@@ -196,7 +202,7 @@
         ("h4", 4, "Ready"),
         ("h5", 5, "Ready"),
     ]
-    assert catalog.size == sum(map(len, catalog.all_rows()))
+    assert catalog.size_bytes == sum(map(len, catalog.all_rows()))
 
 
 # Any steps
@@ -216,11 +222,11 @@
     seq: int = 0
     reset: bool = True
 
-    def take(self, revision: int, answer: Told) -> None:
+    def take(self, revision: int, answer: SubscriptionUpdate) -> None:
         if revision < self.revision:  # a new count: all of it is taken anew
             self.forget()
             return
-        for cell in answer.cells:
+        for cell in answer.full_destinations:
             self.hosts = {key: r for key, r in self.hosts.items() if key[1] != cell}
             if cell in self.wanted:  # the registry may not have heard yet of one that was let go
                 self.held[cell] = revision
@@ -232,8 +238,8 @@
                 self.hosts.pop((r["id"], r["cell"]), None)
             else:
                 self.hosts[r["id"], r["cell"]] = r
-        same = (answer.count, answer.sum) == (len(self.wanted), checksum(self.wanted))
-        if answer.seq == self.seq and not same:
+        same = (answer.size, answer.checksum) == (len(self.wanted), checksum(self.wanted))
+        if answer.sequence == self.seq and not same:
             self.reset = True
 
     def forget(self) -> None:
@@ -247,13 +253,13 @@
             self.seq += 1
             add = tuple(sorted(self.wanted - set(self.held)))
             have = tuple(sorted(self.wanted & set(self.held)))
-            call = Change("f", self.name, self.seq, self.revision, add, have, (), self.reset)
+            call = SubscriptionChange("f", self.name, self.seq, self.revision, add, have, (), self.reset)
             if not self.reset:
                 drop = tuple(sorted(set(range(CELLS)) - self.wanted))
-                call = Change("f", self.name, self.seq, self.revision, add, (), drop)
+                call = SubscriptionChange("f", self.name, self.seq, self.revision, add, (), drop)
             try:
                 answer = of.change(call, 0.0)
-            except Refused:
+            except RequestRejectedError:
                 self.reset = True
                 continue
             if lost:
@@ -271,13 +277,13 @@
 
     def watch(self, of: Subscriptions, lost: bool = False) -> None:
         try:
-            answer, older = of.watch(Watch("f", self.name, self.revision, 0), None, 0.0)
+            answer, older = of.watch(SubscriptionWatch("f", self.name, self.revision, 0), None, 0.0)
             assert older is None
-            parked = of.of[self.name].watch
+            parked = of.by_subscriber[self.name].watch
             if answer is None:
                 assert parked is not None
                 answer = of.end(parked, 0.0)
-        except Refused:
+        except RequestRejectedError:
             self.reset = True
             return
         if not lost:
@@ -313,7 +319,9 @@
 @example([("want", 0), ("ask", False), ("anew", []), *[("gone", 0)] * 75], 0)  # up to the old number
 @example([("want", 0), ("ask", False), ("watch", False), ("anew", []), *[("gone", 0)] * 80], 3)
 @given(STEPS, st.integers(0, 3))
-def test_a_subscriber_ends_with_the_rows_of_its_cells(steps: list[tuple[str, Any]], keep_gone: int) -> None:
+def test_subscriber_has_the_rows_of_its_destinations_after_any_sequence(
+    steps: list[tuple[str, Any]], keep_gone: int
+) -> None:
     revision, listed = 100, {"h0": row("h0", 0)}
     catalog = Catalog(keep_gone)
     catalog.load(revision, entries(*listed.values()))
@@ -321,8 +329,8 @@
 
     def changed(cells: set[int]) -> None:
         for cell in cells:
-            of.touch(cell, catalog.revision)
-        of.wake()
+            of.destination_changed(cell, catalog.revision)
+        of.pop_affected_watches()
 
     for step, what in steps:
         match step:
@@ -343,8 +351,8 @@
                 revision = 1 + revision // 4
                 listed = {r["id"]: r for r in what}
                 catalog.load(revision, entries(*what))
-                of.wake(everyone=True)
-                if relay.name not in of.of and revision <= relay.revision:
+                of.pop_affected_watches(is_restarted=True)
+                if relay.name not in of.by_subscriber and revision <= relay.revision:
                     # Nobody remembers that this relay's numbers are of the old count: while they are above
                     # those of the new one it sees that for itself, later it can't be seen.
                     relay.forget()
@@ -360,30 +368,35 @@
                 relay.ask(of, lost=True)
                 relay.ask(of)
             case "forgotten":
-                if relay.name in of.of and of.of[relay.name].count is not Count.SAME:
+                if (
+                    relay.name in of.by_subscriber
+                    and of.by_subscriber[relay.name].epoch is not RevisionEpoch.CURRENT
+                ):
                     relay.forget()
                 of.expire(1e9)
-                assert not of.of
-                assert not of.cells
+                assert not of.by_subscriber
+                assert not of.destination_count
     for _ in range(4):  # nothing more happens: a few calls, and all agree
         relay.ask(of)
         relay.watch(of)
     model = {(host, r["cell"]): r for host, r in listed.items() if r["cell"] in relay.wanted}
     assert relay.hosts == model
-    assert {cell: sorted(map(json.dumps, map(json.loads, catalog.whole(cell)))) for cell in range(CELLS)} == {
+    assert {
+        cell: sorted(map(json.dumps, map(json.loads, catalog.full_rows(cell)))) for cell in range(CELLS)
+    } == {
         cell: sorted(json.dumps(dict(sorted(r.items()))) for r in listed.values() if r["cell"] == cell)
         for cell in range(CELLS)
     }
-    assert catalog.tombstones <= keep_gone
-    assert catalog.size == sum(map(len, catalog.all_rows()))
+    assert catalog.tombstone_count <= keep_gone
+    assert catalog.size_bytes == sum(map(len, catalog.all_rows()))
 
 
-def test_parked_is_what_a_watch_becomes() -> None:
+def test_watch_without_changes_waits() -> None:
     of = Subscriptions("f", holding(row("a", 1)), 30.0)
-    of.change(Change("f", "a.1", 1, 0, (1,), reset=True), 0.0)
-    answer, older = of.watch(Watch("f", "a.1", 1, 0), "token", 0.0)
-    parked = of.of["a.1"].watch
+    of.change(SubscriptionChange("f", "a.1", 1, 0, (1,), is_reset=True), 0.0)
+    answer, older = of.watch(SubscriptionWatch("f", "a.1", 1, 0), "token", 0.0)
+    parked = of.by_subscriber["a.1"].watch
     assert answer is None
     assert older is None
-    assert isinstance(parked, Parked)
+    assert isinstance(parked, WaitingWatch)
     assert parked.token == "token"
--- a/tests/registry/test_listing.py
+++ b/tests/registry/test_listing.py
@@ -1,4 +1,4 @@
-"""Discovery's answer is read in whatever pieces it comes, and half of one is never taken for a whole."""
+"""Discovery's response is parsed in chunks of any size, and a part of one is never accepted as a whole."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from loftrelay.registry import listing
-from loftrelay.registry.listing import Entry, ListReader, read_entries, read_entry
+from loftrelay.registry.listing import ListEntry, ListParser, decode_entries, decode_entry
 from tests.standins.discovery import row
 
 TEXT = st.text(max_size=12)
@@ -24,12 +24,12 @@
 
 
 def read(body: bytes, cuts: list[int]) -> tuple[list[Any], int, bool]:
-    reader = ListReader()
+    reader = ListParser()
     at = [0, *sorted(cut % (len(body) + 1) for cut in cuts), len(body)]
     rows: list[Any] = []
     for first, last in pairwise(at):
         rows += reader.feed(body[first:last])
-    return rows, *reader.end()
+    return rows, *reader.finish()
 
 
 @settings(deadline=None, derandomize=True)
@@ -43,7 +43,7 @@
     VALUES,
     st.booleans(),
 )
-def test_any_pieces_any_spaces_any_order_of_fields(
+def test_list_is_parsed_with_any_chunks_spacing_and_order_of_fields(
     revision: int,
     complete: bool,
     members: list[Any],
@@ -65,7 +65,7 @@
 WHOLE = json.dumps({"revision": 4, "complete": True, "members": [row("a", 1), row("b", 2)]}).encode()
 
 
-def test_every_cut_is_seen() -> None:
+def test_every_truncation_is_detected() -> None:
     for length in range(len(WHOLE)):
         with pytest.raises(ValueError):
             read(WHOLE[:length], [])
@@ -99,7 +99,7 @@
         b'{"revision":' + b"9" * 5000 + b',"complete":true,"members":[]}',
     ],
 )
-def test_what_is_no_list_is_refused(body: bytes) -> None:
+def test_what_is_no_list_is_rejected(body: bytes) -> None:
     for cuts in ([], list(range(min(len(body), 300)))):
         with pytest.raises(ValueError):
             read(body, cuts)
@@ -107,7 +107,7 @@
 
 @settings(deadline=None, derandomize=True)
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_list_or_a_value_error(data: bytes) -> None:
+def test_any_bytes_are_a_list_or_raise_value_error(data: bytes) -> None:
     for body in (data, b'{"revision":1,"complete":true,"members":[' + data):
         try:
             rows, revision, complete = read(body, [7, 60])
@@ -117,15 +117,15 @@
         assert (told["members"], told["revision"], told["complete"]) == (rows, revision, complete)
 
 
-def test_a_row_has_one_form_however_it_was_told() -> None:
+def test_row_has_one_encoding() -> None:
     told = row("a", 1, more=["x", None])
     backwards = dict(reversed(told.items()))
-    assert read_entry(told) == read_entry(backwards)
-    entry = read_entry(told)
-    assert (entry.host, entry.cell, entry.gone) == ("a", 1, False)
+    assert decode_entry(told) == decode_entry(backwards)
+    entry = decode_entry(told)
+    assert (entry.endpoint, entry.destination, entry.is_removed) == ("a", 1, False)
     assert json.loads(entry.row) == told
     assert b" " not in entry.row
-    assert json.loads(listing.gone(entry.row)) == {**told, "phase": "Gone"}
+    assert json.loads(listing.removed_row(entry.row)) == {**told, "phase": "Gone"}
 
 
 @pytest.mark.parametrize(
@@ -147,14 +147,14 @@
         {**row("a", 1), "cell": 1.0},
     ],
 )
-def test_a_row_that_cant_be_read_is_passed_over_alone(bad: Any) -> None:
+def test_only_the_malformed_row_is_skipped(bad: Any) -> None:
     passed: list[Any] = []
-    taken = list(read_entries([row("x", 1), bad, row("y", 2)], lambda told, why: passed.append(told)))
-    assert [entry.host for entry in taken] == ["x", "y"]
+    taken = list(decode_entries([row("x", 1), bad, row("y", 2)], lambda told, why: passed.append(told)))
+    assert [entry.endpoint for entry in taken] == ["x", "y"]
     assert passed == [bad]
 
 
-def test_without_the_extra_rows_are_written_alike() -> None:
+def test_rows_are_encoded_alike_without_msgspec() -> None:
     told = row("ä", 3, size=0.5, more={"b": [1, 2.5, "\n"], "a": None})
-    assert listing._plain_encoder()(told) == read_entry(told).row
-    assert Entry("ä", 3, False, listing._plain_encoder()(told)) == read_entry(told)
+    assert listing._standard_encoder()(told) == decode_entry(told).row
+    assert ListEntry("ä", 3, False, listing._standard_encoder()(told)) == decode_entry(told)
