--- a/tests/registry/test_settings.py
+++ b/tests/registry/test_settings.py
@@ -1,4 +1,4 @@
-"""The registry's file: what stands in it, and one line for what can't."""
+"""The registry's settings file, and one line for an invalid value."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from loftrelay.config.toml_file import SettingsError, read_toml
-from loftrelay.registry.settings import KEYS, RegistrySettings, load_registry
+from loftrelay.registry.settings import KEYS, RegistrySettings, load_registry_settings
 
 ROOT = Path(__file__).parents[2]
 GOOD = {"listen": '"127.0.0.1:7500"', "discovery": '"disco.example:8500"'}
@@ -20,15 +20,15 @@
     return file
 
 
-def test_what_is_left_out_has_its_default(tmp_path: Path) -> None:
-    assert load_registry(written(tmp_path)) == RegistrySettings(
+def test_omitted_keys_have_defaults(tmp_path: Path) -> None:
+    assert load_registry_settings(written(tmp_path)) == RegistrySettings(
         "fleet", ("127.0.0.1", 7500), ("disco.example", 8500), 20_000, 30.0, 60.0, 1 << 30
     )
 
 
-def test_the_file_that_is_shipped_can_be_read_and_tells_every_key() -> None:
+def test_shipped_file_is_valid_and_names_every_key() -> None:
     file = ROOT / "deploy/registry.toml"
-    assert load_registry(file).fleet == "windwacht"
+    assert load_registry_settings(file).fleet == "windwacht"
     told = read_toml(file, KEYS, "registry")
     lines = file.read_text().splitlines()
     for key in KEYS:
@@ -55,11 +55,11 @@
         ({"fleet": '"'}, "can't be read"),
     ],
 )
-def test_what_is_wrong_is_named_with_file_key_and_value(
+def test_invalid_value_is_reported_with_file_key_and_value(
     tmp_path: Path, keys: dict[str, str], says: str
 ) -> None:
     file = written(tmp_path, **keys)
     with pytest.raises(SettingsError) as caught:
-        load_registry(file)
+        load_registry_settings(file)
     assert str(caught.value).startswith(f"{file}: {says}")
     assert "\n" not in str(caught.value)
--- a/tests/registry/test_upstream.py
+++ b/tests/registry/test_upstream.py
@@ -1,4 +1,4 @@
-"""The watch on discovery, in this process: what is cut off is not taken, and a long list holds nobody up."""
+"""The watch on discovery, in this process: interrupted responses are ignored, a long list blocks nobody."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from loftrelay.net.address import Address, parse_address
 from loftrelay.registry.catalog import Catalog
-from loftrelay.registry.upstream import PIECE, Upstream
+from loftrelay.registry.upstream import READ_BYTES, Upstream
 from tests.standins.discovery import Discovery, row
 from tests.standins.platform import HANG
 
@@ -80,23 +80,23 @@
         HEAD % (len(EMPTY), EMPTY),
     ],
 )
-def test_what_is_no_whole_answer_is_not_taken_and_asked_for_again(bad: bytes) -> None:
+def test_incomplete_response_is_ignored_and_repeated(bad: bytes) -> None:
     async def scenario() -> None:
         w, asked = await scripted(bad, bad, HEAD % (len(GOOD), GOOD))()
         w.upstream.start()
         try:
-            await w.until(lambda: w.catalog.known)
-            assert (w.catalog.revision, w.catalog.hosts) == (7, 2)
+            await w.until(lambda: w.catalog.is_loaded)
+            assert (w.catalog.revision, w.catalog.endpoint_count) == (7, 2)
             assert w.settled == [(True, False)]
             assert asked[:3] == [b"/registry/instances"] * 3
-            assert w.upstream.heard_at is not None
+            assert w.upstream.last_response_at is not None
         finally:
             w.upstream.close()
 
     asyncio.run(scenario())
 
 
-def test_the_collector_leaves_the_list_alone_and_nothing_of_calls_that_failed(
+def test_garbage_collection_is_off_only_during_the_first_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What is frozen is never collected: it must not grow while a registry waits for discovery for days."""
@@ -107,7 +107,7 @@
         monkeypatch.setattr(gc, "freeze", lambda: frozen.append(len(asked)))
         w.upstream.start()
         try:
-            await w.until(lambda: w.catalog.known)
+            await w.until(lambda: w.catalog.is_loaded)
             assert frozen == [3]
             assert gc.isenabled()
         finally:
@@ -116,7 +116,7 @@
     asyncio.run(scenario())
 
 
-def test_a_watch_cut_off_in_its_midst_changes_nothing() -> None:
+def test_interrupted_watch_changes_nothing() -> None:
     async def scenario() -> None:
         changes = json.dumps(
             {"revision": 8, "complete": False, "members": [row("a", 0, "Gone"), row("c", 2)]}
@@ -135,20 +135,20 @@
     asyncio.run(scenario())
 
 
-def test_a_watch_that_ends_with_nothing_new_is_news_of_discovery() -> None:
+def test_watch_without_changes_refreshes_the_age() -> None:
     async def scenario() -> None:
         answers = [HEAD % (len(body), body) for body in (GOOD, EMPTY)]
         w, asked = await scripted(*answers)()
         w.upstream.start()
         try:
             await w.until(lambda: len(w.settled) == 1)
-            first = w.upstream.heard_at
+            first = w.upstream.last_response_at
             await w.until(lambda: len(w.settled) == 2)
             assert w.settled[1] == (False, False)
             assert w.touched == []
             assert first is not None
-            assert w.upstream.heard_at is not None
-            assert w.upstream.heard_at > first
+            assert w.upstream.last_response_at is not None
+            assert w.upstream.last_response_at > first
             assert w.upstream.age < HANG
             assert asked[1].startswith(b"/registry/instances?index=7&wait=")
         finally:
@@ -157,7 +157,7 @@
     asyncio.run(scenario())
 
 
-def test_changes_of_a_new_count_have_the_whole_list_asked_for() -> None:
+def test_delta_of_restarted_revisions_triggers_a_full_request() -> None:
     async def scenario() -> None:
         changes = b'{"revision":2,"complete":false,"members":[]}'
         anew = whole(2, "b")
@@ -167,14 +167,14 @@
             await w.until(lambda: w.catalog.revision == 2)
             assert asked[2] == b"/registry/instances"
             assert w.settled[-1] == (True, True)
-            assert (w.catalog.hosts, w.catalog.floor) == (1, 2)
+            assert (w.catalog.endpoint_count, w.catalog.oldest_revision) == (1, 2)
         finally:
             w.upstream.close()
 
     asyncio.run(scenario())
 
 
-def test_others_have_their_turn_while_a_long_list_is_taken() -> None:
+def test_event_loop_is_free_while_a_long_list_is_received() -> None:
     """Counted in turns of the loop; how long one lasts: benchmarks/registry.py."""
 
     async def scenario() -> None:
@@ -191,9 +191,9 @@
             w.upstream.start()
             others_task = asyncio.create_task(others())
             try:
-                await w.until(lambda: w.catalog.known)
-                assert w.catalog.hosts == 20_000
-                assert turns >= w.upstream.bytes_in / PIECE > 50
+                await w.until(lambda: w.catalog.is_loaded)
+                assert w.catalog.endpoint_count == 20_000
+                assert turns >= w.upstream.bytes_in / READ_BYTES > 50
             finally:
                 others_task.cancel()
                 w.upstream.close()
@@ -201,16 +201,16 @@
     asyncio.run(scenario())
 
 
-def test_a_list_that_is_put_in_force_is_put_in_force_whole_also_where_it_is_interrupted(
+def test_interrupted_commit_is_completed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("loftrelay.registry.upstream.SLICE", 0.0)  # a turn for each host
+    monkeypatch.setattr("loftrelay.registry.upstream.MAX_TURN_S", 0.0)  # a turn for each host
 
     async def scenario() -> None:
         async with Discovery([row(f"h{i}", i) for i in range(50)], 5) as discovery:
             w = World(parse_address(discovery.address))
             w.upstream.start()
-            await w.until(lambda: w.catalog.known)
+            await w.until(lambda: w.catalog.is_loaded)
             moved = asyncio.Event()
 
             def touch(cell: int, revision: int) -> None:
@@ -219,7 +219,7 @@
                     w.upstream.close()
                     moved.set()
 
-            w.upstream.touch = touch
+            w.upstream.on_destination_changed = touch
             discovery.change(*(row(f"h{i}", i, "Terminating") for i in range(50)))
             async with asyncio.timeout(HANG):
                 await moved.wait()
--- a/tests/standins/discovery.py
+++ b/tests/standins/discovery.py
@@ -32,9 +32,9 @@
         self.rows = {told["id"]: told for told in rows}
         self.log: list[tuple[int, dict[str, Any]]] = []  # what changed, by revision
         self.indent: int | None = None
-        self.silent = False
-        self.asked: list[str] = []  # targets
-        self.answered = 0
+        self.is_silent = False
+        self.requests: list[str] = []  # targets
+        self.answered_count = 0
         self.port = 0
         self._since = revision  # what was before is told whole
         self._down = False
@@ -66,7 +66,7 @@
         self._down = True
         for writer in self._writers:
             writer.transport.abort()
-        self.bump()
+        self.notify()
         await asyncio.gather(*self._tasks)
 
     def change(self, *rows: dict[str, Any]) -> None:
@@ -78,20 +78,20 @@
             else:
                 self.rows[told["id"]] = told
             self.log.append((self.revision, told))
-        self.bump()
+        self.notify()
 
-    def count_anew(self, revision: int, rows: Iterable[dict[str, Any]]) -> None:
+    def restart_revisions(self, revision: int, rows: Iterable[dict[str, Any]]) -> None:
         self.revision, self.log, self._since = revision, [], revision
         self.rows = {told["id"]: told for told in rows}
-        self.bump()
+        self.notify()
 
-    def bump(self) -> None:
+    def notify(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def until_asked(self, count: int) -> None:
+    async def wait_for_requests(self, count: int) -> None:
         async with asyncio.timeout(HANG):
-            while len(self.asked) < count:
+            while len(self.requests) < count:
                 await self._changed.wait()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -103,13 +103,13 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 target = head.split(b" ", 2)[1].decode()
-                self.asked.append(target)
-                self.bump()
+                self.requests.append(target)
+                self.notify()
                 body = await self._answer(target)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
                 await writer.drain()
-                self.answered += 1
-                self.bump()
+                self.answered_count += 1
+                self.notify()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -118,12 +118,12 @@
             writer.transport.abort()
 
     async def _answer(self, target: str) -> bytes:
-        while self.silent:
+        while self.is_silent:
             await self._wait()
         _, _, query = target.partition("?")
         fields = dict(part.split("=") for part in query.split("&") if part)
         if "index" not in fields:
-            return self._whole()
+            return self._full_list()
         index, wait = int(fields["index"]), int(fields["wait"]) / 1000
         try:
             async with asyncio.timeout(wait):
@@ -131,21 +131,21 @@
                     await self._wait()
         except TimeoutError:
             pass
-        while self.silent:
+        while self.is_silent:
             await self._wait()
         if not self._since <= index <= self.revision:
-            return self._whole()
+            return self._full_list()
         last = {told["id"]: told for revision, told in self.log if revision > index}
-        return self._write(False, list(last.values()))
+        return self._encode(False, list(last.values()))
 
     async def _wait(self) -> None:
         await self._changed.wait()
         if self._down:
             raise ConnectionError
 
-    def _whole(self) -> bytes:
-        return self._write(True, list(self.rows.values()))
+    def _full_list(self) -> bytes:
+        return self._encode(True, list(self.rows.values()))
 
-    def _write(self, complete: bool, members: list[dict[str, Any]]) -> bytes:
+    def _encode(self, complete: bool, members: list[dict[str, Any]]) -> bytes:
         told = {"revision": self.revision, "complete": complete, "members": members}
         return json.dumps(told, indent=self.indent).encode()
--- a/tests/standins/registries.py
+++ b/tests/standins/registries.py
@@ -80,7 +80,7 @@
         async with asyncio.timeout(HANG):
             await process.wait()
 
-    async def stop(self, address: str) -> None:
+    async def suspend(self, address: str) -> None:
         """Stands still, with its connections up."""
         process = self.processes[address]
         process.send_signal(signal.SIGSTOP)
@@ -89,16 +89,16 @@
             while stat.read_text().rpartition(")")[2].split()[0] != "T":
                 await asyncio.sleep(0.002)
 
-    def go_on(self, address: str) -> None:
+    def resume(self, address: str) -> None:
         self.processes[address].send_signal(signal.SIGCONT)
 
     # What the relay shows at its door
 
-    async def figure(self, name: str) -> int:
+    async def metric(self, name: str) -> int:
         lines = dict(line.split("=") for line in (await self.world.call("show-stat")).split() if "=" in line)
         return int(lines[f"app.{name}"])
 
-    async def until(self, name: str, least: int) -> None:
+    async def wait_for_metric(self, name: str, least: int) -> None:
         async with asyncio.timeout(HANG):
-            while await self.figure(name) < least:
+            while await self.metric(name) < least:
                 await asyncio.sleep(0.01)
--- a/tests/standins/registry.py
+++ b/tests/standins/registry.py
@@ -13,11 +13,17 @@
 from pathlib import Path
 from typing import Any
 
-from loftrelay.registry.protocol import Answer, Change, Watch, read_answer, target
+from loftrelay.registry.protocol import (
+    SubscriptionChange,
+    SubscriptionResponse,
+    SubscriptionWatch,
+    decode_response,
+    encode_request,
+)
 from tests.standins.platform import HANG, ROOT
 
 
-class Line:
+class RegistryConnection:
     """One connection to a registry."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -33,22 +39,22 @@
             body = await self.reader.readexactly(int(headers["content-length"]))
         return int(head[0].split()[1]), headers, body
 
-    async def ask(self, what: str) -> tuple[int, Any]:
+    async def request(self, what: str) -> tuple[int, Any]:
         """Status, and the body: as JSON where it is that."""
         self.send(what)
         status, headers, body = await self.read()
         return status, json.loads(body) if headers["content-type"] == "application/json" else body.decode()
 
-    async def call(self, call: Change | Watch) -> Answer:
-        self.send(target(call))
-        return await self.answer()
+    async def call(self, call: SubscriptionChange | SubscriptionWatch) -> SubscriptionResponse:
+        self.send(encode_request(call))
+        return await self.response()
 
-    async def answer(self) -> Answer:
+    async def response(self) -> SubscriptionResponse:
         status, _, body = await self.read()
         assert status == 200, body
-        return read_answer(body)
+        return decode_response(body)
 
-    async def ended(self) -> bytes:
+    async def read_until_closed(self) -> bytes:
         """What comes until the registry ends the connection."""
         async with asyncio.timeout(HANG):
             with contextlib.suppress(ConnectionError):
@@ -59,29 +65,29 @@
         self.writer.transport.abort()
 
 
-class Registry:
+class RegistryProcess:
     """Use as an async context: a process of its own. `keys`: of its file, as TOML values."""
 
     def __init__(self, folder: Path, discovery: str, /, **keys: str) -> None:
         self.file = folder / "registry.toml"
         self.keys = {"fleet": '"f"', "listen": '"127.0.0.1:0"', "discovery": f'"{discovery}"', **keys}
         self.log: list[str] = []
-        self.lines: list[Line] = []
+        self.connections: list[RegistryConnection] = []
         self.address = ("", 0)
         self.process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
-        self._said = asyncio.Event()
+        self._logged = asyncio.Event()
 
     def write(self) -> None:
         lines = ["[registry]", *(f"{name} = {value}" for name, value in self.keys.items())]
         self.file.write_text("\n".join(lines))
 
-    async def __aenter__(self) -> Registry:
+    async def __aenter__(self) -> RegistryProcess:
         await self.start()
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for line in self.lines:
+        for line in self.connections:
             line.close()
         assert self.process is not None
         assert self._reading is not None
@@ -106,26 +112,26 @@
         )
         self._reading = asyncio.create_task(self._read(self.process))
         if listens:
-            said = await self.says(r"listens on .*:(\d+)$")
+            said = await self.wait_for_log(r"listens on .*:(\d+)$")
             self.address = ("127.0.0.1", int(said[1]))
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while line := await process.stderr.readline():
             self.log.append(line.decode().rstrip())
-            self._said.set()
+            self._logged.set()
 
-    async def says(self, pattern: str, since: int = 0) -> re.Match[str]:
+    async def wait_for_log(self, pattern: str, since: int = 0) -> re.Match[str]:
         """The first line from number `since` on in which that is found."""
         async with asyncio.timeout(HANG):
             while True:
-                self._said.clear()
+                self._logged.clear()
                 for line in self.log[since:]:
                     if (found := re.search(pattern, line)) is not None:
                         return found
-                await self._said.wait()
+                await self._logged.wait()
 
-    async def end(self, number: signal.Signals = signal.SIGTERM) -> int:
+    async def terminate(self, number: signal.Signals = signal.SIGTERM) -> int:
         assert self.process is not None
         self.process.send_signal(number)
         return await self.wait()
@@ -135,21 +141,21 @@
         async with asyncio.timeout(HANG):
             return await self.process.wait()
 
-    async def line(self) -> Line:
-        line = Line(*await asyncio.open_connection(*self.address, limit=1 << 24))
-        self.lines.append(line)
+    async def connect(self) -> RegistryConnection:
+        line = RegistryConnection(*await asyncio.open_connection(*self.address, limit=1 << 24))
+        self.connections.append(line)
         return line
 
-    async def figures(self) -> dict[str, float]:
-        line = await self.line()
-        status, body = await line.ask("/figures")
+    async def metrics(self) -> dict[str, float]:
+        line = await self.connect()
+        status, body = await line.request("/figures")
         line.close()
         assert status == 200
         return {name: float(value) for name, value in (told.split() for told in body.splitlines())}
 
     async def until(self, holds: Callable[[dict[str, float]], bool]) -> dict[str, float]:
         async with asyncio.timeout(HANG):
-            while not holds(figures := await self.figures()):
+            while not holds(figures := await self.metrics()):
                 await asyncio.sleep(0.01)
         return figures
 
