--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -250,7 +250,7 @@
         while not self.should_exit.is_set() and loop.time() < began + MAX_REGISTRY_WAIT_S:
             if engine.recovery.unresolved and loop.time() >= began + MAX_RESOLUTION_WAIT_S:
                 engine.recovery.replay()
-            if subscriber.answered.is_set() and not engine.recovery.unresolved:
+            if subscriber.first_answer.is_set() and not engine.recovery.unresolved:
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
         engine.recovery.replay()
--- a/tests/discovery/test_subscription.py
+++ b/tests/discovery/test_subscription.py
@@ -1,4 +1,4 @@
-"""What a relay asks of its registries, and what it believes of their answers, in virtual time."""
+"""A relay's subscription at its registries, in virtual time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,14 @@
 from loftrelay.discovery.registry_session import Mode
 from loftrelay.discovery.subscription import Timing
 from loftrelay.discovery.subscription_actions import Channel
-from loftrelay.registry.protocol import MOST_CELLS, Answer, Change, Watch, read_target, target
+from loftrelay.registry.protocol import (
+    MAX_DESTINATIONS_PER_CALL,
+    SubscriptionChange,
+    SubscriptionResponse,
+    SubscriptionWatch,
+    decode_request,
+    encode_request,
+)
 from loftrelay.relay.ports import ResolutionStatus
 from tests.discovery.registries import FLEET, List, Registry, Relay
 
@@ -42,22 +49,24 @@
         registry.hear(relay.now, told)
 
 
-def changes(relay: Relay, since: float = 0.0) -> list[Change]:
-    calls = [read_target(c.target) for at, c in relay.calls if at >= since and c.channel is Channel.CHANGES]
-    return [call for call in calls if isinstance(call, Change)]
+def changes(relay: Relay, since: float = 0.0) -> list[SubscriptionChange]:
+    calls = [
+        decode_request(c.target) for at, c in relay.calls if at >= since and c.channel is Channel.CHANGES
+    ]
+    return [call for call in calls if isinstance(call, SubscriptionChange)]
 
 
 # First messages
 
 
-def test_first_messages_are_gathered_into_one_call_and_their_destinations_held() -> None:
+def test_first_messages_are_batched_into_one_call() -> None:
     told, _, relay = make()
     before = relay.now
     relay.want(1, 2)
     relay.run(0.001)
     relay.want(3, 1)
     relay.run(0.01)
-    assert [c.add for c in changes(relay, before)] == [(1, 2, 3)]
+    assert [c.added for c in changes(relay, before)] == [(1, 2, 3)]
     assert sorted(s[:2] for s in relay.sliced) == [
         (1, ResolutionStatus.RESOLVED),
         (2, ResolutionStatus.RESOLVED),
@@ -67,7 +76,7 @@
     assert len(relay.hosts) == 3
 
 
-def test_a_destination_that_nobody_lists_is_empty_until_it_has_a_host() -> None:
+def test_unlisted_destination_is_empty_until_it_has_an_endpoint() -> None:
     told, _, relay = make()
     relay.want(9)
     relay.run(0.05)
@@ -86,7 +95,7 @@
 
 
 @pytest.mark.parametrize("dead", [True, False])
-def test_first_messages_with_all_registries_away_hear_so_in_time_and_are_held_once_one_is_back(
+def test_lookups_fail_in_time_without_registries_and_resolve_after_recovery(
     dead: bool,
 ) -> None:
     told, registries, relay = make(lookup_timeout=0.2)
@@ -108,7 +117,7 @@
     assert len(relay.sliced) == 1  # once for each that wanted it
 
 
-def test_a_wait_is_not_prolonged_by_asking_again() -> None:
+def test_repeated_lookup_keeps_its_deadline() -> None:
     _, registries, relay = make(number=1, lookup_timeout=0.2)
     registries[0].up = False
     for _ in range(3):
@@ -121,7 +130,7 @@
 # Changes
 
 
-def test_a_drain_an_end_and_a_new_host_are_told_as_they_come() -> None:
+def test_drained_removed_and_new_endpoints_are_published() -> None:
     told, _, relay = make()
     relay.want(1, 2)
     relay.run(0.1)
@@ -145,7 +154,7 @@
     assert list(relay.hosts[1]) == ["h1"]
 
 
-def test_a_host_that_leaves_one_destination_for_another_is_gone_there_first() -> None:
+def test_endpoint_that_moves_is_removed_from_its_old_destination_first() -> None:
     told, _, relay = make()
     relay.want(1, 2)
     relay.run(0.1)
@@ -157,14 +166,14 @@
     assert relay.holds(told)
 
 
-def test_a_cell_told_while_a_watch_overtakes_it_is_asked_for_again() -> None:
+def test_full_response_overtaken_by_a_watch_is_requested_again() -> None:
     """The watch's answer told the change of a cell that was not held yet: the older whole cell is not
     taken."""
     told, registries, relay = make(number=1)
     subscription = relay.subscription
     relay.subscription.resolve(relay.now, 1)
     subscription.tick(relay.now + 0.003)
-    (call,) = [a for a in subscription.take_actions() if getattr(a, "channel", None) is Channel.CHANGES]
+    (call,) = [a for a in subscription.drain_actions() if getattr(a, "channel", None) is Channel.CHANGES]
     late: list[object] = []
     registries[0].ask(relay.now, call.target, late.append)  # type: ignore[union-attr]
     told.set("h1", 1, EndpointState.DRAINING)
@@ -172,7 +181,7 @@
     relay.run(0.01)
     assert subscription.revision == told.revision
     assert relay.hosts == {}
-    subscription.call_answered(relay.now, call.number, late[0], tuple(late[0].members))  # type: ignore[union-attr, arg-type, attr-defined]
+    subscription.call_answered(relay.now, call.number, late[0], tuple(late[0].rows))  # type: ignore[union-attr, arg-type, attr-defined]
     relay.run(0.1)
     assert subscription.counts["overtaken"] == 1
     assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
@@ -183,7 +192,7 @@
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_what_a_late_watch_tells_of_a_cell_that_is_known_as_of_later_is_passed_over(whole: bool) -> None:
+def test_late_watch_response_does_not_overwrite_a_newer_destination(whole: bool) -> None:
     told, registries, relay = make(number=1)
     relay.want(1, 2)
     relay.run(0.1)
@@ -192,10 +201,10 @@
     assert number is not None
     told.set("h1", 1, EndpointState.DRAINING)
     told.set("h2", 2, EndpointState.DRAINING)
-    late: list[Answer | int] = []
+    late: list[SubscriptionResponse | int] = []
     registries[0].waiting.clear()  # answered, and the answer is under way
     registries[0].hear(relay.now, told)
-    registries[0].ask(relay.now, target(watch), late.append)
+    registries[0].ask(relay.now, encode_request(watch), late.append)
     told.set("h1", 1, EndpointState.ACTIVE)
     registries[0].hear(relay.now, told)
     relay.hosts.pop(1)  # let go, and wanted once more
@@ -203,11 +212,11 @@
     relay.want(1)
     relay.run(0.05)
     (answer,) = late
-    assert isinstance(answer, Answer)
+    assert isinstance(answer, SubscriptionResponse)
     assert list(relay.hosts[1]) == ["h1"]
     if whole:
-        answer = replace(answer, cells=(1, 2))
-    relay.subscription.call_answered(relay.now, number, answer, tuple(answer.members))
+        answer = replace(answer, full_destinations=(1, 2))
+    relay.subscription.call_answered(relay.now, number, answer, tuple(answer.rows))
     relay.do()
     assert relay.hosts[1]["h1"][0].state is EndpointState.ACTIVE
     assert relay.subscription.counts["overtaken"] == 1
@@ -216,7 +225,7 @@
     assert relay.holds(told)
 
 
-def test_first_messages_go_before_what_nobody_waits_for() -> None:
+def test_pending_lookups_are_requested_before_other_destinations() -> None:
     _, registries, relay = make(number=1, lookup_timeout=2.5)
     registries[0].dead = True
     registries[0].start_anew()
@@ -228,12 +237,12 @@
     before = relay.now
     relay.run(3.0)
     pieces = changes(relay, before)
-    assert pieces[0].add[0] == 9999
-    assert sum(len(piece.add) for piece in pieces) >= 2501
+    assert pieces[0].added[0] == 9999
+    assert sum(len(piece.added) for piece in pieces) >= 2501
 
 
 @pytest.mark.parametrize("too_long", [True, False])
-def test_destinations_of_many_hosts_are_asked_for_fewer_at_a_time(too_long: bool) -> None:
+def test_destinations_with_many_endpoints_are_requested_fewer_at_a_time(too_long: bool) -> None:
     told, registries, relay = make(number=1, cells=0, lookup_timeout=60.0)
     for host in range(2_000):
         told.set(f"h{host}", 1 + host % 100, EndpointState.ACTIVE)
@@ -246,16 +255,16 @@
     relay.run(5.0)
     assert relay.holds(told)
     assert len(relay.hosts) == 100
-    sizes = [len(call.add) for call in changes(relay) if call.add]
+    sizes = [len(call.added) for call in changes(relay) if call.added]
     assert sizes[0] == 80
     assert sizes[1] == (40 if too_long else 50)
-    asked = [call for call in changes(relay) if len(call.add) > 50]
+    asked = [call for call in changes(relay) if len(call.added) > 50]
     assert sum(sizes) >= 400
     assert len(sizes) <= 12
     assert len(asked) <= 4
 
 
-def test_one_whose_hosts_alone_are_too_many_keeps_no_other_from_being_told() -> None:
+def test_oversize_destination_does_not_block_the_others() -> None:
     told, registries, relay = make(number=2, cells=10, lookup_timeout=1.0)
     for host in range(100, 140):
         told.set(f"h{host}", 99, EndpointState.ACTIVE)
@@ -296,7 +305,7 @@
     assert list(relay.hosts[1]) == ["h1"]
 
 
-def test_one_that_the_engine_does_not_have_is_told_anew() -> None:
+def test_destination_lost_by_the_engine_is_published_again() -> None:
     told, _, relay = make()
     relay.want(1)
     relay.run(0.1)
@@ -312,7 +321,7 @@
 # Which registry
 
 
-def test_relays_spread_over_registries_and_move_only_from_the_one_that_goes() -> None:
+def test_relays_spread_over_registries_and_move_only_from_a_removed_one() -> None:
     names = [f"relay-{number}" for number in range(2400)]
     first = {name: preference_order(name, PLACES)[0] for name in names}
     shares = Counter(first.values())
@@ -321,7 +330,7 @@
     assert all(after[name] == first[name] for name in names if first[name] != PLACES[2])
 
 
-def test_a_registry_that_dies_in_the_midst_of_a_watch_loses_no_change() -> None:
+def test_registry_that_dies_during_a_watch_loses_no_change() -> None:
     told, _, relay = make()
     relay.want(1)
     relay.run(0.1)
@@ -335,7 +344,7 @@
     assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
 
 
-def test_a_registry_that_stands_still_is_left_within_the_bound_and_its_late_word_does_no_harm() -> None:
+def test_paused_registry_is_left_in_time_and_its_late_responses_are_ignored() -> None:
     told, _, relay = make()
     relay.want(1)
     relay.run(0.1)
@@ -362,7 +371,7 @@
     assert relay.holds(told)
 
 
-def test_where_two_disagree_the_later_revision_holds() -> None:
+def test_later_revision_wins_between_two_registries() -> None:
     told, registries, relay = make()
     relay.want(1)
     relay.run(0.1)
@@ -384,7 +393,7 @@
     assert relay.subscription.mode is Mode.WATCHING
 
 
-def test_where_all_registries_tell_older_revisions_the_slice_is_taken_anew() -> None:
+def test_destinations_are_resolved_anew_after_all_registries_have_older_revisions() -> None:
     """Discovery counts anew. Until that is sure, the relay goes on by what it has."""
     told, _, relay = make(stale_after=6.0)
     for _ in range(20):
@@ -409,7 +418,7 @@
     assert relay.now - began < 12
 
 
-def test_old_news_makes_a_relay_try_another_once_in_a_while_and_stay_with_the_freshest() -> None:
+def test_stale_data_triggers_checks_and_the_freshest_registry_is_kept() -> None:
     told, _, relay = make(number=3, stale_after=6.0)
     relay.want(1)
     relay.run(0.1)
@@ -429,7 +438,7 @@
     assert list(relay.hosts[1]) == ["h1"]
 
 
-def test_one_that_was_left_lately_is_looked_at_where_the_one_in_use_is_cut_off() -> None:
+def test_recently_left_registry_is_checked_when_the_one_in_use_is_cut_off() -> None:
     """It stood still for 10 s and was left; then the other lost discovery: that showed 48 s later."""
     for shift in range(8):
         told, registries, relay = make(number=2, stale_after=6.0)
@@ -464,7 +473,7 @@
         assert relay.first is first
 
 
-def test_looks_grow_rarer_where_discovery_is_away_from_all() -> None:
+def test_checks_grow_rarer_while_no_registry_reaches_discovery() -> None:
     _, registries, relay = make(number=3, stale_after=6.0, idle_after=3600.0)
     relay.want(1)
     relay.run(600.1)
@@ -474,7 +483,7 @@
     assert list(relay.hosts[1]) == ["h1"]
 
 
-def test_relays_go_back_to_a_registry_that_is_there_again_spread_over_time() -> None:
+def test_failback_to_a_recovered_registry_is_spread_over_time() -> None:
     backs = []
     for number in range(40):
         told = List()
@@ -500,7 +509,7 @@
     assert max(Counter(int(back) for back in backs).values()) <= 8
 
 
-def test_a_region_that_starts_at_once_with_a_registry_dead_spreads_over_the_others() -> None:
+def test_simultaneous_start_with_one_dead_registry_spreads_over_the_others() -> None:
     told = List()
     for cell in range(1, 11):
         told.set(f"h{cell}", cell, EndpointState.ACTIVE)
@@ -523,7 +532,7 @@
     assert sum(shares) == 480
 
 
-def test_with_all_away_tries_grow_rarer_up_to_a_bound() -> None:
+def test_backoff_grows_to_a_bound_without_registries() -> None:
     _, registries, relay = make(number=2)
     for registry in registries:
         registry.dead = True
@@ -536,7 +545,7 @@
     assert relay.now > began
 
 
-def test_another_fleet_is_not_believed_and_said_in_one_line() -> None:
+def test_registry_of_another_fleet_is_rejected_with_one_log_line() -> None:
     told = List()
     told.set("h1", 1, EndpointState.ACTIVE)
     registry = Registry(PLACES[0], fleet="other")
@@ -553,7 +562,7 @@
 # Sets
 
 
-def test_a_registry_that_lost_the_set_is_told_it_anew_in_pieces_and_tells_what_changed_alone() -> None:
+def test_registry_that_lost_the_set_is_synchronized_in_pieces_and_sends_only_changes() -> None:
     told, registries, relay = make(number=1, cells=2500)
     relay.want(*range(1, 2501))
     relay.run(0.1)
@@ -565,15 +574,15 @@
     before, cells = relay.now, relay.subscription.counts["cells"]
     relay.run(2.5)
     pieces = changes(relay, before)
-    assert [len(p.have) for p in pieces] == [MOST_CELLS, MOST_CELLS, 500]
-    assert not any(p.add for p in pieces)
-    assert [p.reset for p in pieces] == [True, False, False]
+    assert [len(p.confirmed) for p in pieces] == [MAX_DESTINATIONS_PER_CALL, MAX_DESTINATIONS_PER_CALL, 500]
+    assert not any(p.added for p in pieces)
+    assert [p.is_reset for p in pieces] == [True, False, False]
     assert relay.subscription.counts["cells"] - cells == 1
     assert relay.holds(told)
     assert relay.hosts[7]["h7"][0].state is EndpointState.DRAINING
 
 
-def test_a_set_that_differs_is_told_anew() -> None:
+def test_set_that_differs_is_replaced() -> None:
     told, registries, relay = make(number=1)
     relay.want(1, 2)
     relay.run(0.1)
@@ -588,7 +597,7 @@
     assert seq < registries[0].sets[relay.subscription.subscriber][1]
 
 
-def test_what_is_idle_is_let_go_and_dropped_in_one_call_and_what_is_in_use_stays() -> None:
+def test_idle_destinations_are_released_in_one_call_and_used_ones_stay() -> None:
     told, registries, relay = make(number=1, cells=50, idle_after=10.0)
     relay.want(*range(1, 51))
     relay.run(5.0)
@@ -598,7 +607,7 @@
     relay.run(7.5)
     assert sorted(relay.hosts) == [1, 2, 3]
     assert sorted(relay.offered) == list(range(2, 51))
-    dropped = [call.drop for call in changes(relay, before) if call.drop]
+    dropped = [call.dropped for call in changes(relay, before) if call.dropped]
     assert [sorted(drop) for drop in dropped] == [list(range(4, 51))]
     assert registries[0].sets[relay.subscription.subscriber][0] == {1, 2, 3}
     relay.busy = set()
@@ -611,7 +620,7 @@
     assert list(relay.hosts) == [1]
 
 
-def test_over_the_most_those_used_least_lately_are_let_go() -> None:
+def test_least_recently_used_destinations_are_released_over_capacity() -> None:
     _, _, relay = make(number=1, cells=40, capacity=20)
     for cell in range(1, 41):
         relay.want(cell)
@@ -620,7 +629,7 @@
     assert sorted(relay.hosts) == list(range(21, 41))
 
 
-def test_one_let_go_and_wanted_before_the_registry_heard_is_held_again() -> None:
+def test_destination_released_and_looked_up_before_the_drop_is_sent_is_resolved_again() -> None:
     told, registries, relay = make(number=1, idle_after=10.0)
     relay.want(1)
     relay.run(10.2)
@@ -637,7 +646,7 @@
     assert relay.hosts[1]["h1"][0].state is EndpointState.DRAINING
 
 
-def test_the_next_process_goes_on_with_the_slice() -> None:
+def test_successor_adopts_the_destinations() -> None:
     told, registries, relay = make(number=1)
     relay.want(1, 2)
     relay.run(0.1)
@@ -655,12 +664,12 @@
     assert after.holds(told)
     assert after.hosts[2]["h2"][0].state is EndpointState.DRAINING
     (piece,) = changes(after)
-    assert piece.have == (1, 2)
-    assert not piece.add
+    assert piece.confirmed == (1, 2)
+    assert not piece.added
     assert after.subscription.counts["cells"] == 1
 
 
-def test_a_pause_asks_nothing_and_misses_nothing() -> None:
+def test_pause_makes_no_calls_and_misses_no_change() -> None:
     told, _, relay = make()
     relay.want(1)
     relay.run(0.1)
@@ -679,7 +688,7 @@
     assert set(relay.hosts) == {1, 2}
 
 
-def test_a_watch_that_is_answered_at_once_is_no_busy_loop() -> None:
+def test_watch_answered_at_once_is_no_busy_loop() -> None:
     told, registries, relay = make(number=1)
     relay.want(1)
     relay.run(0.1)
@@ -689,7 +698,9 @@
         registries[0].hear(relay.now, told)
         relay.run(0.001)
     assert relay.subscription.counts["watches"] - before <= 1.0 / 0.05 + 2
-    assert all(isinstance(read_target(c.target), Watch | Change) for _, c in relay.calls)
+    assert all(
+        isinstance(decode_request(c.target), SubscriptionWatch | SubscriptionChange) for _, c in relay.calls
+    )
 
 
 # All of it at once
@@ -716,7 +727,7 @@
         max_size=40,
     ),
 )
-def test_after_any_schedule_of_faults_the_slice_is_the_list(
+def test_destinations_equal_the_list_after_any_schedule_of_faults(
     seed: int, number: int, steps: list[tuple[str, int, float]]
 ) -> None:
     """Answers are lost, doubled, late and out of order; registries stand still, die, forget and lag."""
