--- a/loftrelay/demo/__init__.py
+++ b/loftrelay/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Peers on loopback among which one relay shows what it does, without a platform (`loftrelay demo`)."""
+"""The demo: one relay with a store of record at work among stand-in peers on loopback, without a platform."""
--- a/loftrelay/demo/clients.py
+++ b/loftrelay/demo/clients.py
@@ -1,4 +1,4 @@
-"""Clients that hand messages in over kept connections, again and again until each is taken on."""
+"""Clients that submit messages over persistent connections and retry each until it is admitted."""
 
 from __future__ import annotations
 
@@ -6,29 +6,34 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-RETRY_PAUSE_S = 0.05  # seconds before one that was not taken on, or not answered, is handed in again
-MESSAGE_TIMEOUT_S = 20  # seconds that a message has
+RETRY_PAUSE_S = 0.05  # after a rejection or a lost connection
+MESSAGE_TIMEOUT_S = 20
+ADMITTED_STATUSES = (200, 202)
+REJECTED_STATUS = 503
 
 
 @dataclass
 class ClientStatistics:
-    """What clients heard."""
+    """What all clients together observed."""
 
     admitted: set[str] = field(default_factory=set)
-    rejections: int = 0  # times that one was turned away
-    lost_responses: int = 0  # connections that ended with no answer
+    rejections: int = 0
+    lost_responses: int = 0  # connections that ended without a response
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
+    """One message, of class "order" (at most once, ordered by key) or "status" (idempotent)."""
+
     message_id: str
-    class_name: str  # "order": must not run twice, in order for each key; "status": may run again
+    class_name: str
     destination: int
     ordering_key: str
     body: bytes
 
     @property
     def request(self) -> bytes:
+        """The HTTP request that submits it."""
         path = f"/order/{self.ordering_key}" if self.class_name == "order" else "/status"
         return (
             f"POST {path} HTTP/1.1\r\nHost: relay\r\nRequest-Id: {self.message_id}\r\n"
@@ -39,19 +44,26 @@
 
 
 class Client:
-    """`address` tells where the relay listens now: it may have been started again."""
+    """One client with at most one connection.
+
+    Args:
+        relay_address: Returns where the relay listens now, which changes when it is restarted.
+        statistics: Where outcomes are counted.
+    """
 
-    def __init__(self, address: Callable[[], tuple[str, int]], account: ClientStatistics) -> None:
-        self.relay_address, self.statistics = address, account
+    def __init__(self, relay_address: Callable[[], tuple[str, int]], statistics: ClientStatistics) -> None:
+        self.relay_address = relay_address
+        self.statistics = statistics
         self.connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     def close(self) -> None:
+        """Closes the connection."""
         if self.connection is not None:
             self.connection[1].close()
             self.connection = None
 
     async def submit(self, message: Message) -> None:
-        """Until it is taken on, or has run already."""
+        """Submits a message until it is admitted, or has reached its final status."""
         while True:
             try:
                 status = await self._exchange(message.request)
@@ -60,15 +72,16 @@
                 self.close()
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
-            if status in (200, 202):
+            if status in ADMITTED_STATUSES:
                 self.statistics.admitted.add(message.message_id)
                 return
-            if status != 503:
-                return  # its end, told at once
+            if status != REJECTED_STATUS:
+                return
             self.statistics.rejections += 1
             await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _exchange(self, request: bytes) -> int:
+        """Returns the status of the response."""
         if self.connection is None:
             self.connection = await asyncio.open_connection(*self.relay_address())
         reader, writer = self.connection
--- a/loftrelay/demo/peers.py
+++ b/loftrelay/demo/peers.py
@@ -1,4 +1,4 @@
-"""A discovery and a partner's host, as the platform's protocol has them: enough for one relay to work."""
+"""The relay's peers in the platform's protocol: discovery and destinations, enough for one relay to work."""
 
 from __future__ import annotations
 
@@ -11,18 +11,32 @@
 from typing import Any
 
 MAX_HEAD_BYTES = 64 << 10
+# Response time of a destination, in seconds.
+MIN_RESPONSE_S = 0.002
+MAX_RESPONSE_S = 0.01
+# Fractions of the calls to a destination. Rejections are rare enough to be no sign of overload.
+RATE_LIMITED_FRACTION = 0.004  # 429 with a Retry-After
+UNAVAILABLE_FRACTION = 0.002  # 503
+ERROR_FRACTION = 0.006  # 500
+RETRY_AFTER_MS = 50
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """One HTTP request; header names are in lower case."""
+
     method: str
     target: str
-    headers: dict[str, str]  # names in lower case
+    headers: dict[str, str]
     body: bytes
 
 
 async def read_request(reader: asyncio.StreamReader) -> Request | None:
-    """None at the end of the connection. Raises ValueError for what is no request."""
+    """Reads the next request; None at the end of the connection.
+
+    Raises:
+        ValueError: The head can't be parsed.
+    """
     try:
         head = await reader.readuntil(b"\r\n\r\n")
         start, *lines = head.decode("latin-1").rstrip("\r\n").split("\r\n")
@@ -35,12 +49,17 @@
 
 
 def format_response(status: int, body: bytes = b"", **headers: str) -> bytes:
-    told = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
-    return f"HTTP/1.1 {status} Demo\r\nContent-Length: {len(body)}\r\n{told}\r\n".encode() + body
+    """Returns a response; underscores in names of headers stand for hyphens."""
+    lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
+    return f"HTTP/1.1 {status} Demo\r\nContent-Length: {len(body)}\r\n{lines}\r\n".encode() + body
 
 
 class HTTPPeer:
-    """Listens on a free port of loopback; `respond` gives each request's answer. Use as an async context."""
+    """An HTTP server on a free loopback port, used as an async context manager.
+
+    Args:
+        respond: Returns the response to each request.
+    """
 
     def __init__(self, respond: Callable[[Request], Awaitable[bytes]]) -> None:
         self.respond = respond
@@ -60,6 +79,7 @@
 
     @property
     def address(self) -> str:
+        """Where it listens, as HOST:PORT."""
         assert self.server is not None
         host, port = self.server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
@@ -73,24 +93,26 @@
                 writer.write(await self.respond(request))
                 await writer.drain()
         except (ValueError, ConnectionError, asyncio.CancelledError):
-            pass  # what can't be read is closed on; cancelled only at the end
+            pass  # a malformed request closes the connection; the task is cancelled only at the end
         finally:
             self.tasks.discard(task)
             writer.transport.abort()
 
 
 class DiscoveryPeer:
-    """One list that never changes, and the notices that it was sent."""
+    """Discovery with an endpoint list that never changes; it keeps the final statuses reported to it."""
 
     def __init__(self) -> None:
         self.endpoints: list[dict[str, Any]] = []
-        self.final_statuses: dict[str, str] = {}  # message -> status
+        self.final_statuses: dict[str, str] = {}  # message id -> status
 
     @property
     def full_list(self) -> dict[str, Any]:
+        """The list in the form of discovery's answers."""
         return {"revision": 1, "complete": True, "members": self.endpoints}
 
     def add_endpoint(self, destination: int, address: str) -> None:
+        """Lists the one endpoint of a destination."""
         self.endpoints.append(
             {
                 "id": f"host-{destination}",
@@ -105,41 +127,40 @@
         )
 
     async def respond(self, request: Request) -> bytes:
+        """Answers a report, a watch (after its wait, with no change) or a poll."""
         if request.target == "/reports":
             for line in request.body.splitlines():
-                notice = json.loads(line)
-                self.final_statuses[notice["id"]] = notice["status"]
+                report = json.loads(line)
+                self.final_statuses[report["id"]] = report["status"]
             return format_response(204)
         if "index=" in request.target:
-            wait = int(request.target.partition("wait=")[2] or 0)
-            await asyncio.sleep(wait / 1000)  # nothing will change
-            return format_response(
-                200, json.dumps({**self.full_list, "complete": False, "members": []}).encode()
-            )
+            wait_ms = int(request.target.partition("wait=")[2] or 0)
+            await asyncio.sleep(wait_ms / 1000)
+            unchanged = {**self.full_list, "complete": False, "members": []}
+            return format_response(200, json.dumps(unchanged).encode())
         return format_response(200, json.dumps(self.full_list).encode())
 
 
 class DestinationPeer:
-    """Runs what it is sent, and seldom turns away or fails, by one seed. `effects` is its true account.
+    """A destination that executes what it receives, and rarely rejects or fails, by one seed.
 
-    Harm: one that turned 6 of 100 away, whatever its load, was held to be overloaded, and 177 of 1,000
-    messages waited until their time was up.
+    Attributes:
+        executions: How often each message was executed.
     """
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.effects: Counter[str] = Counter()
-        self.attempts = 0
+        self.executions: Counter[str] = Counter()
 
     async def respond(self, request: Request) -> bytes:
-        self.attempts += 1
-        await asyncio.sleep(self.random.uniform(0.002, 0.01))
+        """Executes, rejects or fails a message."""
+        await asyncio.sleep(self.random.uniform(MIN_RESPONSE_S, MAX_RESPONSE_S))
         chance = self.random.random()
-        if chance < 0.004:
-            return format_response(429, X_Come_Back_Ms="50")  # it never ran
-        if chance < 0.006:
+        if chance < RATE_LIMITED_FRACTION:
+            return format_response(429, X_Come_Back_Ms=str(RETRY_AFTER_MS))
+        if chance < RATE_LIMITED_FRACTION + UNAVAILABLE_FRACTION:
             return format_response(503)
-        if chance < 0.012:
-            return format_response(500)  # here it did not run, but nobody could know
-        self.effects[request.headers["request-id"]] += 1
+        if chance < RATE_LIMITED_FRACTION + UNAVAILABLE_FRACTION + ERROR_FRACTION:
+            return format_response(500)  # not executed, which the relay can't know
+        self.executions[request.headers["request-id"]] += 1
         return format_response(200)
--- /dev/null
+++ b/loftrelay/demo/result.py
@@ -0,0 +1,62 @@
+"""What a run of the demo shows, and whether its witnesses agree."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from loftrelay.demo.scenario import AT_MOST_ONCE_CLASSES
+from loftrelay.store.state_machine import Answer, Entry
+
+
+@dataclass
+class DemoResult:
+    """The accounts of the store, the clients, the destinations and discovery.
+
+    Attributes:
+        entries: All records of the store.
+        admitted: Ids that clients were told are admitted.
+        executions: How often destinations executed each message.
+        final_statuses: What was reported to discovery, by message id.
+        store_faults: What the store's own check found.
+        store_warnings: Log lines which say that the store was slow or unavailable.
+        rejections: How often a client was rejected and retried.
+    """
+
+    entries: list[Entry]
+    admitted: set[str]
+    executions: Counter[str]
+    final_statuses: dict[str, str]
+    store_faults: list[str]
+    store_warnings: list[str] = field(default_factory=list)
+    rejections: int = 0
+
+    @property
+    def duplicates(self) -> int:
+        """Executions beyond the first of at-most-once messages; others may be repeated after a kill."""
+        names = {entry.message for entry in self.entries if entry.about.class_name in AT_MOST_ONCE_CLASSES}
+        return sum(count - 1 for name, count in self.executions.items() if name in names)
+
+    def disagreements(self) -> list[str]:
+        """Returns one line for each contradiction between the accounts."""
+        recorded = {entry.message for entry in self.entries}
+        lines = list(self.store_faults)
+        lines += [f"{name}: admitted, and not in the store" for name in sorted(self.admitted - recorded)]
+        lines += [
+            f"{name}: executed, and not in the store" for name in sorted(set(self.executions) - recorded)
+        ]
+        lines += self._contradicted_entries()
+        return lines
+
+    def _contradicted_entries(self) -> Iterator[str]:
+        # One record a message: a later one replaces an earlier one.
+        for name, entry in {entry.message: entry for entry in self.entries}.items():
+            if entry.told_at is None:
+                yield f"{name}: its final status is not reported"
+                continue
+            if entry.answer is Answer.FAILED:
+                continue  # it may have been executed, after a kill
+            if (entry.answer is Answer.DELIVERED) != (self.executions[name] > 0):
+                answer = entry.answer.value if entry.answer is not None else "no answer"
+                yield f"{name}: {answer}, executed {self.executions[name]} times"
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -1,4 +1,4 @@
-"""The command `demo`: a relay at work on this machine alone, and what it compares."""
+"""The command `demo`: a relay among peers on loopback, and what it compares."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 import pytest
 
-from loftrelay.cli.demo import DemoResult, main, report
+from loftrelay.cli.demo import main, report
+from loftrelay.demo.result import DemoResult
 from loftrelay.store.state_machine import Answer, Entry, apply
 from tests.standins.platform import ROOT
 from tests.store.test_sqlite import life
@@ -55,23 +56,23 @@
     assert report(DemoResult([entry("a")], {"a"}, Counter("a"), {}, [], slow, 3), sys.stdout) == 0
     said = capsys.readouterr().out.splitlines()
     assert "a commit took 0.80 s" in said[-2]
-    assert "turned away 3 times" in said[-2]
+    assert "rejected 3 times" in said[-2]
     assert LAST.fullmatch(said[-1])
     report(DemoResult([entry("a")], {"a"}, Counter("a"), {}, []), sys.stdout)
     assert "slow" not in capsys.readouterr().out
 
 
-def test_what_it_can_not_do_is_said_in_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_unusable_options_end_with_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     (tmp_path / "there").write_text("")
-    for arguments, says in (
+    for arguments, reason in (
         (["--folder", str(tmp_path)], "is not empty"),
         (["--folder", str(tmp_path / "new"), "--messages", "0"], "--messages 0: at least 1"),
         (["--folder", str(tmp_path / "there" / "in")], "there"),
     ):
         assert main(arguments) == 2
-        said = capsys.readouterr().err
-        assert says in said
-        assert said.count("\n") == 1
+        error = capsys.readouterr().err
+        assert reason in error
+        assert error.count("\n") == 1
 
 
 def entry(name: str, answer: Answer = Answer.DELIVERED) -> Entry:
@@ -86,18 +87,18 @@
     sound = DemoResult([entry("a")], {"a"}, Counter("a"), {}, [])
     assert sound.disagreements() == []
     assert sound.duplicates == 0
-    assert replace(sound, effects=Counter("aa")).duplicates == 1
+    assert replace(sound, executions=Counter("aa")).duplicates == 1
     status = replace(sound.entries[0], about=replace(sound.entries[0].about, class_name="status"))
-    assert replace(sound, entries=[status], effects=Counter("aa")).duplicates == 0  # it may run again
-    for result, says in (
-        (replace(sound, admitted={"a", "b"}), "b: taken on, and not in the store"),
-        (replace(sound, effects=Counter("ab")), "b: ran, and not in the store"),
-        (replace(sound, effects=Counter()), "a: delivered, ran 0 times"),
-        (replace(sound, entries=[replace(entry("a"), told_at=None)]), "a: its end is not told"),
-        (replace(sound, entries=[entry("a", Answer.REFUSED)]), "a: refused, ran 1 times"),
+    assert replace(sound, entries=[status], executions=Counter("aa")).duplicates == 0  # it may run again
+    for result, line in (
+        (replace(sound, admitted={"a", "b"}), "b: admitted, and not in the store"),
+        (replace(sound, executions=Counter("ab")), "b: executed, and not in the store"),
+        (replace(sound, executions=Counter()), "a: delivered, executed 0 times"),
+        (replace(sound, entries=[replace(entry("a"), told_at=None)]), "a: its final status is not reported"),
+        (replace(sound, entries=[entry("a", Answer.REFUSED)]), "a: refused, executed 1 times"),
         (replace(sound, store_faults=["torn"]), "torn"),
     ):
-        assert result.disagreements() == [says]
+        assert result.disagreements() == [line]
 
 
 def test_help() -> None:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -17,7 +17,7 @@
     "relay": {"decisions", "net", "metrics"},
     "journal": {"decisions", "relay"},
     "store": {"decisions", "relay", "config"},
-    "demo": set[str](),
+    "demo": {"store"},
     "cli": {"store", "registry", "demo", "config", "net", "service", "delivery", "discovery", "gossip"},
     "registry": {"net", "config"},
     "discovery": {"decisions", "relay", "net", "registry", "config"},
