--- a/loftrelay/cli/demo.py
+++ b/loftrelay/cli/demo.py
@@ -59,9 +59,9 @@
     """Returns the parser of this command's options."""
     parser = argparse.ArgumentParser(
         prog="python -m loftrelay demo",
-        description="Starts a relay with a store of record, stand-in destinations and a discovery on "
-        "loopback, submits messages of two classes (work orders, at most once, and idempotent status updates), "
-        "and compares the store with what the destinations executed.",
+        description="Starts a relay with a store of record, destinations and a discovery on loopback, "
+        "submits messages of two classes (work orders, at most once, and idempotent status updates), and "
+        "compares the store with what the destinations executed.",
         epilog="Exit status 0: all agree, no duplicates; 1: not so; 2: it could not be run.",
     )
     parser.add_argument(
