--- a/benchmarks/coldreturn.py
+++ b/benchmarks/coldreturn.py
@@ -17,8 +17,9 @@
 from pathlib import Path
 from typing import Any
 
+from benchmarks.earlier_decisions import load_earlier_decisions
 from benchmarks.fleetmodel import Case, Fleet, over_budget
-from benchmarks.manyrelays import Make, earlier_brain
+from benchmarks.manyrelays import Make
 from benchmarks.process import run
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.decisions.scheduler import Scheduler
@@ -70,7 +71,7 @@
     global made
     if commit is not None:
         with tempfile.TemporaryDirectory() as folder:
-            earlier = earlier_brain(Path(folder), commit)
+            earlier = load_earlier_decisions(Path(folder), commit)
         assert earlier is not None
         made = earlier
 
@@ -98,7 +99,7 @@
     seeds = 2 if quick else 20
     result: dict[str, Any] = {"before_commit": BEFORE, "now": figures(FLEETS, seeds)}
     with tempfile.TemporaryDirectory() as folder:
-        if earlier_brain(Path(folder), BEFORE) is not None:
+        if load_earlier_decisions(Path(folder), BEFORE) is not None:
             result["before"] = figures(FLEETS, seeds, BEFORE)
     return result
 
--- /dev/null
+++ b/benchmarks/earlier_decisions.py
@@ -0,0 +1,179 @@
+"""Runs the decision module of an earlier commit, with its own types, where today's scheduler runs.
+
+Up to 32c0038 the module was `mulleinlead`, with other names for the same events, actions and settings. The
+tables below map them; only what `benchmarks.fleetmodel` uses is mapped.
+"""
+
+from __future__ import annotations
+
+import importlib
+import sys
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import fields
+from pathlib import Path
+from types import ModuleType
+from typing import Any, Protocol
+
+from benchmarks.process import earlier_program
+from loftrelay.decisions.actions import Action, FailMessage, RejectMessage, SendAttempt, SetTimer
+from loftrelay.decisions.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListReceived,
+    Event,
+    MessageSubmitted,
+    TimerFired,
+)
+from loftrelay.decisions.settings import EndpointKind, MessageClass, RelaySettings, Tenant
+
+PACKAGE = "mulleinlead"
+# Today's field -> the earlier one; a field that is not listed had the same name.
+SETTING_FIELDS = {
+    "endpoint_kinds": "kinds",
+    "zone_costs": "zone_fees",
+    "relay_count": "instances",
+    "max_concurrent_calls": "slots",
+    "max_open_messages": "max_held",
+    "polls_endpoint_list": "list_on_request",
+    "poll_interval": "ask_every",
+    "sends_retry_after": "can_advise",
+    "max_retry_after": "max_advice",
+    "listed_rate_kind": "told_rates",
+    "over_quota_weight": "over_share_worth",
+    "ordering_cooldown": "rest_after_doubt",
+    "slow_start_duration": "cold",
+    "slow_start_initial_fraction": "cold_from",
+    "overload_multiple": "fall_multiple",
+    "overload_window": "tip_after",
+    "batch_interval": "tick",
+    "connection_idle_timeout": "idle_limit",
+    "awaits_final_status": "ends_by_notice",
+}
+CLASS_FIELDS = {
+    "semantics": "effect",
+    "dedup_scope": "scope",
+    "dedup_window": "window",
+    "latency_objective": "aim",
+    "priority_weight": "worth",
+    "late_priority_weight": "late_worth",
+    "is_ordered": "in_order",
+}
+TENANT_FIELDS = {"quota_rate": "allowance", "traffic_share": "fraction"}
+KIND_FIELDS = {"max_batch_size": "bundle_max", "has_endpoint_limits": "routes_apart"}
+ENTRY_FIELDS = {"listed_rate": "rate"}
+SUBMISSION_FIELDS = {
+    "message_id": "message",
+    "time_remaining": "remaining",
+    "ordering_key": "order_key",
+}
+OUTCOME_FIELDS = {
+    "message_id": "message",
+    "status": "result",
+    "is_final": "over",
+    "retry_after": "wait",
+    "rate_limit": "limit",
+    "rate_limit_remaining": "room",
+    "connection_idle": "idle",
+    "is_expired": "expired",
+    "postponed_for": "postponed",
+    "is_late": "late",
+}
+# The values of these enums are the earlier names (they are stored); list kinds had other names.
+LIST_KINDS = {"DELTA": "CHANGES", "FULL": "FULL", "CACHED": "CACHED", "FAILED": "FAILED"}
+
+
+class EarlierModule(Protocol):
+    """The earlier module's one call."""
+
+    def handle(self, now: int, events: Iterable[Any]) -> list[Any]: ...
+
+
+class EarlierDecisions:
+    """One relay's decisions by an earlier commit, in today's events and actions."""
+
+    def __init__(self, brain: ModuleType, interface: ModuleType, seed: int, settings: RelaySettings) -> None:
+        self.interface = interface
+        self.module: EarlierModule = brain.Brain(seed, self._settings(settings))
+
+    def handle_batch(self, now: int, events: Iterable[Event]) -> list[Action]:
+        actions = self.module.handle(now, [self._event(event) for event in events])
+        return [action for earlier in actions if (action := self._action(earlier)) is not None]
+
+    def _settings(self, settings: RelaySettings) -> Any:
+        return self._convert(
+            settings,
+            "Settings",
+            SETTING_FIELDS,
+            classes={name: self._class(row) for name, row in settings.classes.items()},
+            tenants={name: self._tenant(row) for name, row in settings.tenants.items()},
+            kinds={name: self._kind(row) for name, row in settings.endpoint_kinds.items()},
+        )
+
+    def _class(self, row: MessageClass) -> Any:
+        return self._convert(
+            row, "MessageClass", CLASS_FIELDS, effect=self.interface.Effect[row.semantics.value]
+        )
+
+    def _tenant(self, row: Tenant) -> Any:
+        return self._convert(row, "Tenant", TENANT_FIELDS)
+
+    def _kind(self, row: EndpointKind) -> Any:
+        return self._convert(row, "Kind", KIND_FIELDS)
+
+    def _entry(self, row: EndpointEntry) -> Any:
+        return self._convert(row, "Entry", ENTRY_FIELDS, state=self.interface.State[row.state.value])
+
+    def _event(self, event: Event) -> Any:
+        match event:
+            case EndpointListReceived(kind, entries):
+                form = self.interface.Form[LIST_KINDS[kind.name]]
+                return self.interface.Listing(form, tuple(self._entry(entry) for entry in entries))
+            case MessageSubmitted():
+                return self._convert(event, "Submit", SUBMISSION_FIELDS)
+            case AttemptEnded():
+                result = self.interface.Result[event.status.value]
+                return self._convert(event, "Outcome", OUTCOME_FIELDS, result=result)
+            case TimerFired(token):
+                return self.interface.Timer(token)
+        raise TypeError(f"{type(event).__name__} is not translated")
+
+    def _action(self, action: Any) -> Action | None:
+        """None: an action that the model of a fleet ignores."""
+        match type(action).__name__:
+            case "Send":
+                return SendAttempt(action.message, action.endpoint, action.timeout)
+            case "SetTimer":
+                return SetTimer(action.delay, action.token)
+            case "Refuse":
+                return RejectMessage(action.message, action.retry_in)
+            case "Fail":
+                return FailMessage(action.message)
+        return None
+
+    def _convert(self, row: Any, type_name: str, names: Mapping[str, str], **values: Any) -> Any:
+        """Builds the earlier type; fields that it does not have yet are left out."""
+        earlier_type = getattr(self.interface, type_name)
+        known = {field.name for field in fields(earlier_type)}
+        copied = {names.get(field.name, field.name): getattr(row, field.name) for field in fields(row)}
+        return earlier_type(**{name: value for name, value in (copied | values).items() if name in known})
+
+
+def load_earlier_decisions(
+    folder: Path, commit: str
+) -> Callable[[int, RelaySettings], EarlierDecisions] | None:
+    """Loads the module of a commit before 32c0038, or of that one.
+
+    Returns:
+        What makes one relay's decisions from its seed and settings; None where the history is not at hand.
+    """
+    if earlier_program(commit, folder) is None:
+        return None
+    for name in [name for name in sys.modules if name.partition(".")[0] == PACKAGE]:
+        del sys.modules[name]  # of another commit
+    sys.path.insert(0, str(folder))
+    try:
+        interface = importlib.import_module(f"{PACKAGE}.interface")
+        brain = importlib.import_module(f"{PACKAGE}.brain")
+    finally:
+        sys.path.remove(str(folder))
+    return lambda seed, settings: EarlierDecisions(brain, interface, seed, settings)
--- a/benchmarks/manyrelays.py
+++ b/benchmarks/manyrelays.py
@@ -5,15 +5,14 @@
 
 from __future__ import annotations
 
-import importlib.util
-import sys
 import tempfile
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
+from benchmarks.earlier_decisions import load_earlier_decisions
 from benchmarks.fleetmodel import Case, Decider, Fleet, Told
-from benchmarks.process import earlier_program, run
+from benchmarks.process import run
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import RelaySettings
@@ -26,20 +25,6 @@
 Make = Callable[[int, RelaySettings], Decider]
 
 
-def earlier_brain(folder: Path, commit: str = BEFORE) -> Make | None:
-    """The module of that commit; None where the history is not at hand."""
-    if earlier_program(commit, folder) is None:
-        return None
-    spec = importlib.util.spec_from_file_location("brain_before", folder / "mulleinlead" / "brain.py")
-    assert spec is not None
-    assert spec.loader is not None
-    module = importlib.util.module_from_spec(spec)
-    sys.modules[spec.name] = module  # its dataclasses look themselves up
-    spec.loader.exec_module(module)
-    make: Make = module.Brain
-    return make
-
-
 def recovered(told: Told, case: Case) -> float:
     """Seconds from the limit's return until a second's deliveries come up to eight tenths of it."""
     second = int(BACK)
@@ -77,7 +62,7 @@
     seeds = 3 if quick else 12
     result: dict[str, Any] = {"before_commit": BEFORE}
     with tempfile.TemporaryDirectory() as folder:
-        before = earlier_brain(Path(folder))
+        before = load_earlier_decisions(Path(folder), BEFORE)
         for relays in FLEETS:
             now = figures(Scheduler, relays, seeds)
             was = figures(before, relays, seeds) if before is not None else {}
