--- a/benchmarks/fleetmodel.py
+++ b/benchmarks/fleetmodel.py
@@ -1,4 +1,4 @@
-"""Many Brains at one destination, in virtual time: what each does alone, and what that makes together.
+"""Many schedulers at one destination, in virtual time: what each does alone, and what that makes together.
 
 A model of a limited destination and of the clients of each relay, small enough to be read whole and to run
 thousands of messages a second. It knows no sockets and no program round the module. Times are microseconds.
@@ -105,7 +105,7 @@
 
 
 class Fleet:
-    """Runs one case. `make` gives the module of one relay, from its seed and settings."""
+    """Runs one case. `make` gives the scheduler of one relay, from its seed and settings."""
 
     def __init__(self, case: Case, make: Callable[[int, RelaySettings], Decider] = Scheduler) -> None:
         self.case = case
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -329,7 +329,7 @@
 # A watch on the socket
 
 
-HELD_MS = 60  # a watch that is answered sooner is followed by a rest (membership/discovery.py, LEAST_GAP)
+HELD_MS = 60  # a watch that is answered sooner is followed by a rest (discovery/client.py, the least gap between calls)
 
 
 async def _watch(entries: int, watches: int) -> Figures:
