--- a/benchmarks/misses.py
+++ b/benchmarks/misses.py
@@ -39,13 +39,13 @@
     """A module that holds a slice, and who waits for what."""
 
     def __init__(self, file: Path) -> None:
-        self.brain = Scheduler(1, read_settings({"classes": []}))
+        self.scheduler = Scheduler(1, read_settings({"classes": []}))
         self.waiting: dict[int, asyncio.Future[ResolutionStatus]] = {}
         told = load_subscription(file)
         self.subscriber = Subscriber(told, "n1", ("127.0.0.1", 9), self.listed, self.sliced, self.let_go)
 
     def listed(self, listing: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
-        self.brain.handle_batch(int(asyncio.get_running_loop().time() * 1e6), [listing])
+        self.scheduler.handle_batch(int(asyncio.get_running_loop().time() * 1e6), [listing])
 
     def sliced(self, destination: int, state: ResolutionStatus) -> None:
         self.waiting.pop(destination).set_result(state)
@@ -61,7 +61,7 @@
             self.subscriber.resolve(number)
         states = await asyncio.gather(*waiting)
         assert set(states) == {ResolutionStatus.RESOLVED}, states
-        assert all(number in self.brain.state.destinations for number in destinations)
+        assert all(number in self.scheduler.state.destinations for number in destinations)
 
 
 async def measure(quick: bool) -> dict[str, Any]:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -73,7 +73,7 @@
         self.whole: asyncio.Future[float] = asyncio.get_running_loop().create_future()
         self.began = time.monotonic()
         settings = replace(read_settings(dict(SETTINGS)), polls_endpoint_list=True, awaits_final_status=True)
-        self.brain = Scheduler(self.number, settings)
+        self.scheduler = Scheduler(self.number, settings)
         self.addresses: dict[str, Address] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.retries: set[asyncio.TimerHandle] = set()
@@ -146,7 +146,7 @@
 
     def _handle(self, events: list[Any]) -> None:
         loop = asyncio.get_running_loop()
-        for action in self.brain.handle_batch(int(loop.time() * 1e6), events):
+        for action in self.scheduler.handle_batch(int(loop.time() * 1e6), events):
             if isinstance(action, SetTimer):
                 if self.timer is not None:
                     self.timer.cancel()
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -343,10 +343,10 @@
     def entry(n: int, state: EndpointState = EndpointState.ACTIVE) -> EndpointEntry:
         return EndpointEntry(f"h{n}", n, state, "a", "plain", 1.0)
 
-    brains = [Scheduler(1, read_settings(dict(SETTINGS))) for _ in listed]
+    schedulers = [Scheduler(1, read_settings(dict(SETTINGS))) for _ in listed]
     events = []
-    for brain, count in zip(brains, listed, strict=True):
-        brain.handle_batch(
+    for scheduler, count in zip(schedulers, listed, strict=True):
+        scheduler.handle_batch(
             0, [EndpointListReceived(EndpointListKind.FULL, tuple(entry(n) for n in range(count)))]
         )
         states = [EndpointState.ACTIVE, EndpointState.DRAINING]
@@ -354,10 +354,10 @@
         events.append([EndpointListReceived(EndpointListKind.DELTA, (row,)) for row in rows])
     least = [math.inf for _ in listed]
     for n in range(rounds):
-        for at, brain in enumerate(brains):
+        for at, scheduler in enumerate(schedulers):
             began = time.process_time()
             for event in events[at]:
-                brain.handle_batch(1_000 * (n + 1), [event])
+                scheduler.handle_batch(1_000 * (n + 1), [event])
             least[at] = min(least[at], (time.process_time() - began) / CHANGES)
     return least
 
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -69,8 +69,8 @@
         for number in range(size)
     ]
     before = uss()
-    brain = Scheduler(1, read_settings(SETTINGS))
-    brain.handle_batch(SECOND, [EndpointListReceived(EndpointListKind.FULL, tuple(entries))])
+    scheduler = Scheduler(1, read_settings(SETTINGS))
+    scheduler.handle_batch(SECOND, [EndpointListReceived(EndpointListKind.FULL, tuple(entries))])
     grown = uss() - before
     spent = []
     for time_ in range(times):
@@ -80,7 +80,7 @@
         ]
         event = EndpointListReceived(EndpointListKind.DELTA, (replace(entry, state=state),))
         began = time.process_time()
-        brain.handle_batch(2 * SECOND + time_ * SECOND, [event])
+        scheduler.handle_batch(2 * SECOND + time_ * SECOND, [event])
         spent.append(time.process_time() - began)
     return {"change_us": sorted(spent)[len(spent) // 2] * 1e6, "module_bytes": grown}
 
@@ -329,7 +329,7 @@
 # A watch on the socket
 
 
-HELD_MS = 60  # a watch that is answered sooner is followed by a rest (discovery/client.py, the least gap between calls)
+HELD_MS = 60  # a watch that is answered sooner is followed by a pause (discovery/client.py)
 
 
 async def _watch(entries: int, watches: int) -> Figures:
