--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -30,9 +30,13 @@
 }  # besides themselves; `service` assembles all of them
 PURE = {
     "delivery/connection_pool.py",
+    "journal/records.py",
+    "journal/index.py",
     "store/state_machine.py",
     "relay/pending_submissions.py",
     "relay/ports.py",
+    "relay/statuses.py",
+    "relay/events.py",
     "relay/stall_detector.py",
     "relay/message.py",
     "relay/message_state.py",
@@ -41,6 +45,7 @@
     "relay/handover.py",
     "upgrade/state_machine.py",
     "metrics/counters.py",
+    "upgrade/messages.py",
     "server/admin/protocol.py",
     "config/validation.py",
     "config/resource_limits.py",
