--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -29,9 +29,9 @@
 from typing import Any
 
 from benchmarks.process import cpu_seconds, run
-from loftrelay.store.backend import Query
+from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import About, Answer, Change, Entry, Kind
+from loftrelay.store.state_machine import MessageFacts, StoredAnswer, Change, MessageRecord, ChangeKind
 from tests.program.test_connections import LIMITS
 from tests.standins.partner import Partner
 from tests.standins.platform import SETTINGS, World
@@ -83,21 +83,25 @@
         async with asyncio.timeout(60):
             while True:
                 store = SQLiteStore(path)
-                found = {entry.message: entry for entry in store.select(Query())}
+                found = {entry.message: entry for entry in store.select(RecordQuery())}
                 wrong = store.verify()
                 store.close()
-                if all(name in found and found[name].told_at is not None for name in account.taken):
+                if all(name in found and found[name].reported_at is not None for name in account.taken):
                     break
                 await asyncio.sleep(0.1)
         return {"kills": kills, **compare(found, wrong, partner, account)}
 
 
-def compare(found: dict[str, Entry], wrong: list[str], partner: Partner, account: Account) -> dict[str, int]:
+def compare(
+    found: dict[str, MessageRecord], wrong: list[str], partner: Partner, account: Account
+) -> dict[str, int]:
     """Store against partner, message by message."""
     disagreements = len(wrong) + len(set(partner.effects) - set(found))
     for name, entry in found.items():
         ran = partner.effects[name] > 0
-        if (entry.answer is Answer.DELIVERED and not ran) or (entry.answer is Answer.REFUSED and ran):
+        if (entry.answer is StoredAnswer.DELIVERED and not ran) or (
+            entry.answer is StoredAnswer.REJECTED and ran
+        ):
             disagreements += 1
     duplicates = sum(ran - 1 for ran in partner.effects.values())
     return {"messages": len(account.taken), "disagreements": disagreements, "duplicates": duplicates}
@@ -140,11 +144,11 @@
             async with asyncio.timeout(60):
                 while True:
                     store = await asyncio.to_thread(PostgresStore, server.dsn)
-                    entries = await asyncio.to_thread(list, store.select(Query()))
+                    entries = await asyncio.to_thread(list, store.select(RecordQuery()))
                     found = {entry.message: entry for entry in entries}
                     wrong = await asyncio.to_thread(store.verify)
                     store.close()
-                    if all(name in found and found[name].told_at is not None for name in account.taken):
+                    if all(name in found and found[name].reported_at is not None for name in account.taken):
                         break
                     await asyncio.sleep(0.1)
             return {"cuts": server.cuts, **compare(found, wrong, partner, account)}
@@ -210,7 +214,7 @@
                 assert told is not None
                 result["commits_per_message"] = round(int(told[2]) / len(account.taken), 3)
         opened = SQLiteStore(store)
-        result["recorded"] = sum(1 for _ in opened.select(Query()))
+        result["recorded"] = sum(1 for _ in opened.select(RecordQuery()))
         opened.close()
         return result
 
@@ -219,9 +223,9 @@
     store = SQLiteStore(folder / "probe.sqlite")
     times = []
     for i in range(count):
-        about = About("n", "order", None, 1, None, 0, "00" * 32)
+        about = MessageFacts("n", "order", None, 1, None, 0, "00" * 32)
         began = time.perf_counter()
-        store.commit([Change(f"m{i}", 1, 1, Kind.TAKE, i, about=about)])
+        store.commit([Change(f"m{i}", 1, 1, ChangeKind.ADMIT, i, facts=about)])
         times.append(time.perf_counter() - began)
     store.close()
     return statistics.median(times) * 1000
--- a/loftrelay/cli/demo.py
+++ b/loftrelay/cli/demo.py
@@ -16,13 +16,20 @@
 from loftrelay.demo.result import DemoResult
 from loftrelay.demo.run import DemoRun
 from loftrelay.store.backend import StoreError
-from loftrelay.store.state_machine import Answer, Entry
+from loftrelay.store.state_machine import StoredAnswer, MessageRecord
 
 AGREEMENT = 0
 DISAGREEMENT = 1
 NOT_RUN = 2
 MAX_PRINTED_DISAGREEMENTS = 20
-TABLE_HEAD = ("class", "taken", *(answer.value for answer in Answer), "attempts each", "median", "longest")
+TABLE_HEAD = (
+    "class",
+    "taken",
+    *(answer.value for answer in StoredAnswer),
+    "attempts each",
+    "median",
+    "longest",
+)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -47,8 +54,8 @@
     _print_store_warnings(result, out)
     answers = Counter(entry.answer for entry in result.entries)
     print(
-        f"taken {len(result.entries)} delivered {answers[Answer.DELIVERED]} "
-        f"refused {answers[Answer.REFUSED]} failed {answers[Answer.FAILED]} duplicates {result.duplicates}",
+        f"taken {len(result.entries)} delivered {answers[StoredAnswer.DELIVERED]} "
+        f"refused {answers[StoredAnswer.REJECTED]} failed {answers[StoredAnswer.FAILED]} duplicates {result.duplicates}",
         file=out,
         flush=True,
     )
@@ -93,18 +100,18 @@
     return folder
 
 
-def _class_rows(entries: Sequence[Entry]) -> list[tuple[str, ...]]:
-    names = sorted({entry.about.class_name for entry in entries})
-    return [_class_row(name, [e for e in entries if e.about.class_name == name]) for name in names]
+def _class_rows(entries: Sequence[MessageRecord]) -> list[tuple[str, ...]]:
+    names = sorted({entry.facts.class_name for entry in entries})
+    return [_class_row(name, [e for e in entries if e.facts.class_name == name]) for name in names]
 
 
-def _class_row(name: str, entries: Sequence[Entry]) -> tuple[str, ...]:
+def _class_row(name: str, entries: Sequence[MessageRecord]) -> tuple[str, ...]:
     answers = Counter(entry.answer for entry in entries)
-    seconds = sorted((e.answered_at - e.taken_at) / 1e6 for e in entries if e.answered_at is not None)
+    seconds = sorted((e.decided_at - e.admitted_at) / 1e6 for e in entries if e.decided_at is not None)
     return (
         name,
         str(len(entries)),
-        *(str(answers[answer]) for answer in Answer),
+        *(str(answers[answer]) for answer in StoredAnswer),
         f"{sum(e.attempts for e in entries) / len(entries):.2f}",
         f"{seconds[len(seconds) // 2]:.3f} s" if seconds else "-",
         f"{seconds[-1]:.3f} s" if seconds else "-",
--- a/loftrelay/cli/record.py
+++ b/loftrelay/cli/record.py
@@ -12,11 +12,11 @@
 from typing import Any, TextIO
 
 from loftrelay.config.toml_file import SettingsError
-from loftrelay.store.backend import Query, Store, StoreError
-from loftrelay.store.factory import opener
-from loftrelay.store.settings import load_record
+from loftrelay.store.backend import RecordQuery, StoreBackend, StoreError
+from loftrelay.store.factory import store_opener
+from loftrelay.store.settings import load_store_settings
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import Answer, Entry
+from loftrelay.store.state_machine import StoredAnswer, MessageRecord
 
 COLUMNS = ("taken on", "message", "class", "tenant", "to", "state", "answer", "attempts", "answered")
 
@@ -38,7 +38,7 @@
     )
 
 
-def plain(entry: Entry) -> dict[str, Any]:
+def plain(entry: MessageRecord) -> dict[str, Any]:
     """One record as JSON holds it, times in microseconds since 1970."""
     told = asdict(entry)
     told |= told.pop("about")
@@ -68,7 +68,9 @@
         each = commands.add_parser(name, help=text, description=text)
         each.add_argument("--class", dest="class_name", help="only of this class")
         each.add_argument("--tenant", help="only of this tenant")
-        each.add_argument("--answer", choices=[answer.value for answer in Answer], help="only so answered")
+        each.add_argument(
+            "--answer", choices=[answer.value for answer in StoredAnswer], help="only so answered"
+        )
         each.add_argument("--since", type=moment, metavar="TIME", help="taken on then or later")
         each.add_argument("--until", type=moment, metavar="TIME", help="taken on before")
         each.add_argument("--unfinished", action="store_true", help="only those whose end is not told")
@@ -79,18 +81,18 @@
     return about
 
 
-def table(entries: Iterable[Entry], out: TextIO) -> int:
+def table(entries: Iterable[MessageRecord], out: TextIO) -> int:
     rows = [
         (
-            shown(e.taken_at),
+            shown(e.admitted_at),
             e.message,
-            e.about.class_name,
-            e.about.tenant or "-",
-            str(e.about.destination),
+            e.facts.class_name,
+            e.facts.tenant or "-",
+            str(e.facts.destination),
             e.state.value,
             e.answer.value if e.answer else "-",
             str(e.attempts),
-            shown(e.answered_at),
+            shown(e.decided_at),
         )
         for e in entries
     ]
@@ -107,14 +109,14 @@
         )
 
 
-def open_store(asked: argparse.Namespace) -> Store:
+def open_store(asked: argparse.Namespace) -> StoreBackend:
     """Raises StoreError or SettingsError. A file that isn't there is not made."""
-    told = load_record(asked.settings) if asked.settings is not None else None
+    told = load_store_settings(asked.settings) if asked.settings is not None else None
     file: Path | None = told.file if told is not None else asked.store
     if file is not None and not file.exists():
         raise StoreError(f"{file}: there is no such file")
     if told is not None:
-        return opener(told)()
+        return store_opener(told)()
     assert file is not None
     return SQLiteStore(file)
 
@@ -131,10 +133,10 @@
             found = store.read([asked.id]).get(asked.id)
             print(json.dumps(plain(found), indent=2) if found else f"{asked.id}: no record", file=out)
             return 0 if found else 1
-        query = Query(
+        query = RecordQuery(
             asked.class_name,
             asked.tenant,
-            Answer(asked.answer) if asked.answer else None,
+            StoredAnswer(asked.answer) if asked.answer else None,
             asked.since,
             asked.until,
             asked.unfinished,
--- a/loftrelay/cli/run.py
+++ b/loftrelay/cli/run.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:  # each is loaded with its operator's file, which keeps other starts quick
     from loftrelay.discovery.settings import SubscriptionSettings
     from loftrelay.gossip.settings import GossipSettings
-    from loftrelay.store.settings import RecordSettings
+    from loftrelay.store.settings import StoreSettings
 
 OK = 0
 CANNOT_START = 1
@@ -33,7 +33,7 @@
     """The operators' files, read and checked; None for one that was not given."""
 
     connections: Limits
-    record: RecordSettings | None
+    record: StoreSettings | None
     fleet: GossipSettings | None
     subscription: SubscriptionSettings | None
 
@@ -80,9 +80,9 @@
 
         connections = load_limits(options.connections)
     if options.record:
-        from loftrelay.store.settings import load_record
+        from loftrelay.store.settings import load_store_settings
 
-        record = load_record(options.record)
+        record = load_store_settings(options.record)
     if options.fleet:
         from loftrelay.gossip.settings import load_gossip_settings
 
--- a/loftrelay/demo/result.py
+++ b/loftrelay/demo/result.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from loftrelay.demo.scenario import AT_MOST_ONCE_CLASSES
-from loftrelay.store.state_machine import Answer, Entry
+from loftrelay.store.state_machine import StoredAnswer, MessageRecord
 
 
 @dataclass
@@ -24,7 +24,7 @@
         rejections: How often a client was rejected and retried.
     """
 
-    entries: list[Entry]
+    entries: list[MessageRecord]
     admitted: set[str]
     executions: Counter[str]
     final_statuses: dict[str, str]
@@ -35,7 +35,7 @@
     @property
     def duplicates(self) -> int:
         """Executions beyond the first of at-most-once messages; others may be repeated after a kill."""
-        names = {entry.message for entry in self.entries if entry.about.class_name in AT_MOST_ONCE_CLASSES}
+        names = {entry.message for entry in self.entries if entry.facts.class_name in AT_MOST_ONCE_CLASSES}
         return sum(count - 1 for name, count in self.executions.items() if name in names)
 
     def disagreements(self) -> list[str]:
@@ -52,11 +52,11 @@
     def _contradicted_entries(self) -> Iterator[str]:
         # One record a message: a later one replaces an earlier one.
         for name, entry in {entry.message: entry for entry in self.entries}.items():
-            if entry.told_at is None:
+            if entry.reported_at is None:
                 yield f"{name}: its final status is not reported"
                 continue
-            if entry.answer is Answer.FAILED:
+            if entry.answer is StoredAnswer.FAILED:
                 continue  # it may have been executed, after a kill
-            if (entry.answer is Answer.DELIVERED) != (self.executions[name] > 0):
+            if (entry.answer is StoredAnswer.DELIVERED) != (self.executions[name] > 0):
                 answer = entry.answer.value if entry.answer is not None else "no answer"
                 yield f"{name}: {answer}, executed {self.executions[name]} times"
--- a/loftrelay/demo/run.py
+++ b/loftrelay/demo/run.py
@@ -15,9 +15,9 @@
 from loftrelay.demo.relay_process import RelayProcess
 from loftrelay.demo.result import DemoResult
 from loftrelay.demo.scenario import DESTINATIONS, LIMITS, SETTINGS, create_messages
-from loftrelay.store.backend import Query
+from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import Entry
+from loftrelay.store.state_machine import MessageRecord
 
 POLL_INTERVAL_S = 0.02
 PROGRESS_INTERVAL_S = 0.5
@@ -124,7 +124,7 @@
         deadline = time.monotonic() + MESSAGE_TIMEOUT_S + COMPLETION_MARGIN_S
         while True:
             entries, _ = await asyncio.to_thread(read_store, relay.store_path)
-            is_complete = all(entry.told_at is not None for entry in entries)
+            is_complete = all(entry.reported_at is not None for entry in entries)
             if is_complete and self.statistics.admitted <= {entry.message for entry in entries}:
                 return
             if time.monotonic() > deadline:
@@ -145,7 +145,7 @@
         print(line, file=self.out, flush=True)
 
 
-def read_store(path: Path) -> tuple[list[Entry], list[str]]:
+def read_store(path: Path) -> tuple[list[MessageRecord], list[str]]:
     """Returns all records, and the faults that the store's own check finds.
 
     Raises:
@@ -153,6 +153,6 @@
     """
     store = SQLiteStore(path)
     try:
-        return list(store.select(Query())), store.verify()
+        return list(store.select(RecordQuery())), store.verify()
     finally:
         store.close()
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -114,6 +114,17 @@
         """The operator has enabled a host here."""
 
 
+class RecoveryAction(Enum):
+    """What a restart does about a message, by what the journal and the store have of it."""
+
+    AGREE = auto()  # nothing: both have it as over
+    STORE = auto()  # the store is told what the journal knows
+    RESUME = auto()  # the message goes on; the store is told where it stands
+    FAIL = auto()  # it may have run and must not run twice: it is failed, and not sent
+    FORGET = auto()  # its client was never told that it was admitted: dropped from the journal
+    REPORT_AGAIN = auto()  # its final status is reported once more
+
+
 class MessageStore(AttemptGate, Protocol):
     """The store of record, where the operator has set one. Calls back from the loop, at once or later."""
 
@@ -131,8 +142,8 @@
     def recorded_answer(self, message: str) -> str | None:
         """Returns how a message ended, as stored before a restart; None while it has not."""
 
-    def recover(self, held: Message | None, message: str, unsafe: bool) -> str:
-        """Reconciles the record of a message with the journal; returns the remedy, by name.
+    def recover(self, held: Message | None, message: str, unsafe: bool) -> RecoveryAction:
+        """Reconciles the record of a message with the journal; returns what is to be done.
 
         Args:
             held: the message in the journal, if it is there.
--- a/loftrelay/relay/recovery.py
+++ b/loftrelay/relay/recovery.py
@@ -17,7 +17,7 @@
 from loftrelay.relay.final_statuses import FinalStatuses
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_terms import is_idempotent, is_repeatable
-from loftrelay.relay.ports import MessageStore, ResolutionStatus
+from loftrelay.relay.ports import MessageStore, RecoveryAction, ResolutionStatus
 from loftrelay.relay.statuses import (
     DELIVERED,
     FAILED,
@@ -115,20 +115,20 @@
         if store is None:
             return True
         answer = store.recorded_answer(message.id)
-        remedy = store.recover(message, message.id, not is_repeatable(message.packed_terms))
-        if remedy in ("AGREE", "FORGET"):
+        action = store.recover(message, message.id, not is_repeatable(message.packed_terms))
+        if action in (RecoveryAction.AGREE, RecoveryAction.FORGET):
             self._forget(message, answer)
             return False
-        if remedy == "STORE" and message.final_status is None:
+        if action is RecoveryAction.STORE and message.final_status is None:
             answer = STORED_DELIVERED
         final_status = message.final_status
         is_delivered = final_status is not None and final_status["status"] == STATUS_DELIVERED
         if is_delivered or answer == STORED_DELIVERED:
             self.final_statuses.delivered(message)
             return False
-        if remedy == "TELL_AGAIN" and message.final_status is None:
+        if action is RecoveryAction.REPORT_AGAIN and message.final_status is None:
             self.context.journal.record_final_status(message.id, rejected_or_failed(answer))
-        if remedy == "FAIL" and message.first_attempt_at is None:
+        if action is RecoveryAction.FAIL and message.first_attempt_at is None:
             self.context.journal.record_dispute(message, message.attempt_host or "", wall_clock())
         return True
 
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -31,7 +31,7 @@
     from loftrelay.gossip.settings import GossipSettings
     from loftrelay.service.gossip_member import GossipMember
     from loftrelay.store.recorder import Recorder
-    from loftrelay.store.settings import RecordSettings
+    from loftrelay.store.settings import StoreSettings
 
 log = logging.getLogger("loftrelay")
 
@@ -69,7 +69,7 @@
         self,
         config: Config,
         connections: Limits,
-        record: RecordSettings | None = None,
+        record: StoreSettings | None = None,
         fleet: GossipSettings | None = None,
         subscription: SubscriptionSettings | None = None,
     ) -> None:
@@ -111,9 +111,9 @@
     def _apply_to_store(self, settings: RelaySettings) -> None:
         if self.record is None or self.recorder is None:
             return
-        from loftrelay.service.store_setup import modes
+        from loftrelay.service.store_setup import durability_modes
 
-        self.recorder.modes = {**self.recorder.modes, **modes(settings, self.record)}
+        self.recorder.modes = {**self.recorder.modes, **durability_modes(settings, self.record)}
 
     # Startup, serving, shutdown
 
@@ -224,11 +224,11 @@
     async def _open_store(self, journal: Journal) -> None:
         if self.record is None:
             return
-        from loftrelay.service.store_setup import open_record
+        from loftrelay.service.store_setup import open_store
         from loftrelay.store.backend import StoreError
 
         try:
-            self.recorder = await open_record(self.config, self.record, journal)
+            self.recorder = await open_store(self.config, self.record, journal)
         except StoreError as error:
             raise OSError(str(error)) from error
 
--- a/loftrelay/service/store_setup.py
+++ b/loftrelay/service/store_setup.py
@@ -8,39 +8,44 @@
 from loftrelay.config.platform import Config
 from loftrelay.decisions.settings import DeliverySemantics, RelaySettings
 from loftrelay.journal.journal import Journal
-from loftrelay.store.backend import Unavailable
-from loftrelay.store.factory import opener
+from loftrelay.store.backend import StoreUnavailableError
+from loftrelay.store.factory import store_opener
 from loftrelay.store.recorder import Recorder
-from loftrelay.store.settings import RecordSettings
-from loftrelay.store.state_machine import Mode
+from loftrelay.store.settings import StoreSettings
+from loftrelay.store.state_machine import DurabilityMode
 from loftrelay.store.writer import Writer
 
 log = logging.getLogger(__name__)
 
-RETRY = 0.5  # seconds between looks for a store that is away at the start
+RETRY_INTERVAL_S = 0.5  # seconds between looks for a store that is away at the start
 
 
-def modes(settings: RelaySettings, told: RecordSettings) -> dict[str, Mode]:
+def durability_modes(settings: RelaySettings, told: StoreSettings) -> dict[str, DurabilityMode]:
     """How each class is recorded: by its effect."""
     harmless = (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED)
     return {
-        name: told.repeatable if about.semantics in harmless else told.unsafe
+        name: told.repeatable_mode if about.semantics in harmless else told.at_most_once_mode
         for name, about in settings.classes.items()
     }
 
 
-async def open_record(config: Config, told: RecordSettings, journal: Journal) -> Recorder:
+async def open_store(config: Config, told: StoreSettings, journal: Journal) -> Recorder:
     """The store of record, read. Waits for one that is away, and raises Unusable for one that stays so."""
-    writer = Writer(opener(told), told.most_queued, told.most_in_commit)
+    writer = Writer(store_opener(told), told.max_queued, told.max_changes_per_commit)
     recorder = Recorder(
-        writer, config.name, modes(config.settings, told), told.memory, told.keep, told.patience
+        writer,
+        config.name,
+        durability_modes(config.settings, told),
+        told.remembered_for,
+        told.retention,
+        told.max_store_wait_s,
     )
     while True:
         try:
             await recorder.load(list(journal.messages))
-        except Unavailable as error:
+        except StoreUnavailableError as error:
             log.warning("the relay waits for its store of record: %s", error)
-            await asyncio.sleep(RETRY)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         except BaseException:
             await recorder.close()
             raise
--- a/loftrelay/store/backend.py
+++ b/loftrelay/store/backend.py
@@ -1,4 +1,4 @@
-"""What a back end of the record does, and how it fails. Its calls block: a thread of their own makes them."""
+"""What a back end of the store of record does, and how it fails. Its calls block, in a thread of their own."""
 
 from __future__ import annotations
 
@@ -6,56 +6,60 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from loftrelay.store.state_machine import Answer, Change, Entry
+from loftrelay.store.state_machine import StoredAnswer, Change, MessageRecord
 
 
 class StoreError(Exception):
-    """One plain line for the operator."""
+    """A failure of the store, in one line for the operator."""
 
 
-class Unavailable(StoreError):
+class StoreUnavailableError(StoreError):
     """Nothing of the call was stored; it may succeed later."""
 
 
-class Ambiguous(StoreError):
-    """Whether the commit took place is not known: read back."""
+class CommitUncertainError(StoreError):
+    """Whether the commit took place is not known; reading back tells."""
 
 
-class Unusable(StoreError):
-    """It will not get better by itself: a newer schema, no database, no permission."""
+class StoreUnusableError(StoreError):
+    """The store can't be used until the operator acts: a newer schema, no database, no permission."""
 
 
 @dataclass(frozen=True, slots=True)
-class Query:
-    """Which records; None leaves a field open. Times are those of taking on, `until` is exclusive."""
+class RecordQuery:
+    """Which records; None leaves a field open. Times are those of admission, `until` is exclusive."""
 
     class_name: str | None = None
     tenant: str | None = None
-    answer: Answer | None = None
+    answer: StoredAnswer | None = None
     since: int | None = None
     until: int | None = None
-    unfinished: bool = False  # only those whose end is not told
+    unfinished: bool = False  # only those that are not reported
     limit: int | None = None
 
 
-class Store(Protocol):
-    """One database. Raises StoreError, in all calls."""
+class StoreBackend(Protocol):
+    """One database. All calls raise StoreError."""
 
-    def commit(self, changes: Sequence[Change]) -> dict[int, Entry]:
-        """Stores all in one transaction. Gives, by place, the records that kept a change from being applied:
-        for a TAKE the one that has its id; the rest is stored all the same.
+    def commit(self, changes: Sequence[Change]) -> dict[int, MessageRecord]:
+        """Stores changes in one transaction.
+
+        Returns:
+            By position, the record that has the id of an admission that could not be applied; the rest is
+            stored all the same.
         """
-        ...
 
-    def read(self, messages: Sequence[str]) -> dict[str, Entry]: ...
-    def select(self, query: Query) -> Iterator[Entry]: ...
+    def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
+        """Returns the records of these messages, where there are any."""
+
+    def select(self, query: RecordQuery) -> Iterator[MessageRecord]:
+        """Yields the records that a query asks for."""
 
     def prune(self, before: int, most: int) -> int:
-        """Deletes records that were told before, the oldest first, so many at the most. Gives how many."""
-        ...
+        """Deletes at most so many records that were reported before a time, oldest first; returns how many."""
 
     def verify(self) -> list[str]:
-        """What is wrong in the database, in plain lines."""
-        ...
+        """Returns what is inconsistent in the database, a line each."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the database."""
--- a/loftrelay/store/factory.py
+++ b/loftrelay/store/factory.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from functools import partial
 
-from loftrelay.store.backend import Store, Unusable
-from loftrelay.store.settings import RecordSettings
+from loftrelay.store.backend import StoreBackend, StoreUnusableError
+from loftrelay.store.settings import StoreSettings
 
 
-def opener(told: RecordSettings) -> Callable[[], Store]:
-    """What opens the store, in the writer's thread. Libraries are imported only for the one that is used."""
+def store_opener(told: StoreSettings) -> Callable[[], StoreBackend]:
+    """Returns what opens the store, in the writer's thread; only the library that is used is imported."""
     if told.file is not None:
         from loftrelay.store.sqlite import SQLiteStore
 
@@ -18,5 +18,7 @@
     try:
         from loftrelay.store.postgres import PostgresStore
     except ImportError as error:
-        raise Unusable(f"a PostgreSQL store needs the extra loftrelay[postgres]: {error}") from error
-    return partial(PostgresStore, told.dsn, told.call_seconds)
+        raise StoreUnusableError(
+            f"a PostgreSQL store needs the extra loftrelay[postgres]: {error}"
+        ) from error
+    return partial(PostgresStore, told.dsn, told.call_timeout_s)
--- a/loftrelay/store/postgres.py
+++ b/loftrelay/store/postgres.py
@@ -15,10 +15,24 @@
 
 import psycopg
 
-from loftrelay.store.backend import Ambiguous, Query, StoreError, Unavailable, Unusable
-from loftrelay.store.group_commit import Group, fold
-from loftrelay.store.rows import COLUMNS, MISCOUNTED, conditions, entry_of, miscounted, row_of, wrong_in
-from loftrelay.store.state_machine import Change, Entry
+from loftrelay.store.backend import (
+    CommitUncertainError,
+    RecordQuery,
+    StoreError,
+    StoreUnavailableError,
+    StoreUnusableError,
+)
+from loftrelay.store.group_commit import CommitGroup, build_group
+from loftrelay.store.rows import (
+    COLUMNS,
+    ATTEMPT_COUNT_MISMATCHES,
+    conditions,
+    record_of,
+    attempt_count_mismatch,
+    row_of,
+    inconsistencies,
+)
+from loftrelay.store.state_machine import Change, MessageRecord
 
 MIGRATIONS: tuple[tuple[str, ...], ...] = (
     (
@@ -93,7 +107,7 @@
         row = self.database.execute("SELECT version FROM record_version").fetchone()
         version = row[0] if row is not None else 0
         if version > VERSION:
-            raise Unusable(f"its schema has version {version}, this program knows up to {VERSION}")
+            raise StoreUnusableError(f"its schema has version {version}, this program knows up to {VERSION}")
         for texts in MIGRATIONS[version:]:
             for text in texts:
                 self.database.execute(text.encode())
@@ -118,7 +132,7 @@
         try:
             watched = os.dup(self.database.fileno())
         except (psycopg.Error, OSError) as error:
-            raise Unavailable(f"the connection is gone: {error}") from error
+            raise StoreUnavailableError(f"the connection is gone: {error}") from error
         watch = threading.Thread(target=cut, args=(watched,), daemon=True)
         watch.start()
         try:
@@ -135,25 +149,25 @@
         if state is None:
             broken = isinstance(error, psycopg.OperationalError | psycopg.InterfaceError)
             if committing and broken:
-                return Ambiguous(text)
-            return Unavailable(text) if broken else Unusable(text)
+                return CommitUncertainError(text)
+            return StoreUnavailableError(text) if broken else StoreUnusableError(text)
         if state.startswith(TRANSIENT):
             # 40003 says itself that it does not know; 57 and 08 in a COMMIT: the server went in its midst.
             unknown = state == "40003" or state.startswith(("57", "08"))
-            return Ambiguous(text) if committing and unknown else Unavailable(text)
-        return Unusable(text)
+            return CommitUncertainError(text) if committing and unknown else StoreUnavailableError(text)
+        return StoreUnusableError(text)
 
     def close(self) -> None:
         with contextlib.suppress(psycopg.Error):
             self.database.close()
 
-    def commit(self, changes: Sequence[Change]) -> dict[int, Entry]:
+    def commit(self, changes: Sequence[Change]) -> dict[int, MessageRecord]:
         """Raises Unavailable (nothing is stored), Ambiguous, Unusable, or RuleBroken (nothing is stored)."""
         committing = False
         try:
             with self._call():
                 self.database.execute("BEGIN")
-                group = fold(changes, self._read(list({change.message for change in changes})))
+                group = build_group(changes, self._read(list({change.message for change in changes})))
                 self._put(group)
                 try:
                     committing = True
@@ -162,12 +176,12 @@
                     raise self._told(error, committing=True) from error
         except Raced as error:
             self._roll_back()
-            raise Unavailable(f"{error}: another instance wrote them meanwhile") from error
+            raise StoreUnavailableError(f"{error}: another instance wrote them meanwhile") from error
         except BaseException:
             if not committing:
                 self._roll_back()
             raise
-        return group.kept
+        return group.ids_in_use
 
     def _roll_back(self) -> None:
         if self.database.closed or self.database.broken:
@@ -175,7 +189,7 @@
         with contextlib.suppress(psycopg.Error, StoreError), self._call():
             self.database.execute("ROLLBACK")
 
-    def _put(self, group: Group) -> None:
+    def _put(self, group: CommitGroup) -> None:
         """Each kind of row in one pipeline: as many round trips for a group as for one change."""
         new: list[Sequence[Any]] = []
         grown: list[Sequence[Any]] = []
@@ -194,19 +208,19 @@
             if group.attempts:
                 cursor.executemany(ATTEMPT.encode(), [attempt.row for attempt in group.attempts.values()])
 
-    def _read(self, messages: Sequence[str]) -> dict[str, Entry]:
+    def _read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
         if not messages:
             return {}
         marks = ", ".join(["%s"] * len(messages))
         text = f"SELECT {COLUMNS} FROM messages WHERE id IN ({marks})"
         rows = self.database.execute(text.encode(), list(messages)).fetchall()
-        return {entry.message: entry for entry in map(entry_of, rows)}
+        return {entry.message: entry for entry in map(record_of, rows)}
 
-    def read(self, messages: Sequence[str]) -> dict[str, Entry]:
+    def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
         with self._call():
             return self._read(messages)
 
-    def select(self, query: Query) -> Iterator[Entry]:
+    def select(self, query: RecordQuery) -> Iterator[MessageRecord]:
         terms, given = conditions(query, "%s")
         text = f"SELECT {COLUMNS} FROM messages WHERE {terms} ORDER BY taken_at, id"
         if query.limit is not None:
@@ -214,7 +228,7 @@
             given.append(query.limit)
         with self._call():
             rows = self.database.execute(text.encode(), given).fetchall()
-        yield from map(entry_of, rows)
+        yield from map(record_of, rows)
 
     def prune(self, before: int, most: int) -> int:
         with self._call():
@@ -229,7 +243,7 @@
         return len(rows)
 
     def verify(self) -> list[str]:
-        said = [line for entry in self.select(Query()) for line in wrong_in(entry)]
+        said = [line for entry in self.select(RecordQuery()) for line in inconsistencies(entry)]
         with self._call():
-            rows = self.database.execute(MISCOUNTED).fetchall()
-        return said + [miscounted(*row) for row in rows]
+            rows = self.database.execute(ATTEMPT_COUNT_MISMATCHES).fetchall()
+        return said + [attempt_count_mismatch(*row) for row in rows]
--- a/loftrelay/store/rows.py
+++ b/loftrelay/store/rows.py
@@ -1,26 +1,27 @@
-"""What the back ends have in common: the columns of the table of messages, and what is asked of it."""
+"""The columns of the table of messages, mapped to the fields of a record, and the queries on it."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from typing import Any
 
-from loftrelay.store.backend import Query
-from loftrelay.store.state_machine import About, Answer, Entry, State
+from loftrelay.store.backend import RecordQuery
+from loftrelay.store.state_machine import MessageFacts, StoredAnswer, MessageRecord, RecordState
 
 COLUMNS = (
     "id, run, number, state, instance, class, tenant, destination, key, sha256, deadline, taken_at, "
     "attempts, host, intended_at, result, result_at, answer, answered_at, told_at"
 )
 # Records whose attempts are not all in the table of attempts, with both numbers.
-MISCOUNTED = (
+ATTEMPT_COUNT_MISMATCHES = (
     "SELECT m.id, m.attempts, count(a.attempt) FROM messages m LEFT JOIN attempts a "
     "ON a.id = m.id AND a.run = m.run GROUP BY m.id, m.attempts HAVING count(a.attempt) <> m.attempts"
 )
 
 
-def row_of(entry: Entry) -> tuple[object, ...]:
-    about = entry.about
+def row_of(entry: MessageRecord) -> tuple[object, ...]:
+    """Returns the values of a record, in the order of COLUMNS."""
+    about = entry.facts
     return (
         entry.message,
         entry.run,
@@ -33,19 +34,20 @@
         about.key,
         about.sha256,
         about.deadline,
-        entry.taken_at,
+        entry.admitted_at,
         entry.attempts,
         entry.host,
-        entry.intended_at,
+        entry.attempt_started_at,
         entry.result,
         entry.result_at,
         entry.answer.value if entry.answer else None,
-        entry.answered_at,
-        entry.told_at,
+        entry.decided_at,
+        entry.reported_at,
     )
 
 
-def entry_of(row: Sequence[Any]) -> Entry:
+def record_of(row: Sequence[Any]) -> MessageRecord:
+    """Returns the record of a row, in the order of COLUMNS."""
     (
         message,
         run,
@@ -68,27 +70,27 @@
         answered_at,
         told_at,
     ) = row
-    about = About(instance, class_name, tenant, destination, key, deadline, sha256)
-    return Entry(
+    about = MessageFacts(instance, class_name, tenant, destination, key, deadline, sha256)
+    return MessageRecord(
         message,
         run,
         about,
         number,
-        State(state),
+        RecordState(state),
         taken_at,
         attempts,
         host,
         intended_at,
         result,
         result_at,
-        Answer(answer) if answer else None,
+        StoredAnswer(answer) if answer else None,
         answered_at,
         told_at,
     )
 
 
-def conditions(query: Query, mark: str) -> tuple[str, list[object]]:
-    """The terms after WHERE, with `mark` for each value, and the values. The limit is not among them."""
+def conditions(query: RecordQuery, mark: str) -> tuple[str, list[object]]:
+    """Returns the conditions of a query, with `mark` for each value, and the values; the limit aside."""
     terms, given = ["1 = 1"], list[object]()
     for term, value in (
         ("class =", query.class_name),
@@ -105,20 +107,21 @@
     return " AND ".join(terms), given
 
 
-def wrong_in(entry: Entry) -> list[str]:
-    """What contradicts itself in a record."""
+def inconsistencies(entry: MessageRecord) -> list[str]:
+    """Returns the contradictions in a record, a line each."""
     said = []
-    ended = entry.state in (State.ENDED, State.TOLD)
-    if ended != (entry.answer is not None) or ended != (entry.answered_at is not None):
+    ended = entry.state in (RecordState.ENDED, RecordState.REPORTED)
+    if ended != (entry.answer is not None) or ended != (entry.decided_at is not None):
         said.append(
             f"{entry.message}: {entry.state.value}, with answer {entry.answer and entry.answer.value}"
         )
-    if (entry.state is State.TOLD) != (entry.told_at is not None):
-        said.append(f"{entry.message}: {entry.state.value}, with told_at {entry.told_at}")
-    if entry.answer is Answer.DELIVERED and not entry.attempts:
+    if (entry.state is RecordState.REPORTED) != (entry.reported_at is not None):
+        said.append(f"{entry.message}: {entry.state.value}, with told_at {entry.reported_at}")
+    if entry.answer is StoredAnswer.DELIVERED and not entry.attempts:
         said.append(f"{entry.message}: delivered without an attempt")
     return said
 
 
-def miscounted(message: str, told: int, kept: int) -> str:
+def attempt_count_mismatch(message: str, told: int, kept: int) -> str:
+    """Returns the line for a record whose attempts are not all in the table of attempts."""
     return f"{message}: {told} attempts told, {kept} kept"
--- a/loftrelay/store/settings.py
+++ b/loftrelay/store/settings.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 from loftrelay.config.toml_file import Key, SettingsError, read_toml
-from loftrelay.store.state_machine import Mode
+from loftrelay.store.state_machine import DurabilityMode
 
 DAY = 86_400.0
-MODES = tuple(mode.value for mode in Mode)
+MODES = tuple(mode.value for mode in DurabilityMode)
 KEYS = (
     Key("file", "", "", "the SQLite file; relative to the folder in which the relay is started"),
     Key("dsn", "", "", "in its place, a PostgreSQL database (libpq's connection string)"),
@@ -43,41 +43,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RecordSettings:
-    """Times in microseconds."""
+class StoreSettings:
+    """The operator's settings of the store of record. Times are in microseconds unless named otherwise."""
 
     file: Path | None
     dsn: str
-    call_seconds: float
+    call_timeout_s: float
     synchronous: str
     busy_ms: int
-    unsafe: Mode
-    repeatable: Mode
-    patience: float  # seconds
-    most_queued: int
-    most_in_commit: int
-    memory: int
-    keep: int | None
+    at_most_once_mode: DurabilityMode
+    repeatable_mode: DurabilityMode
+    max_store_wait_s: float  # seconds
+    max_queued: int
+    max_changes_per_commit: int
+    remembered_for: int
+    retention: int | None
 
 
-def load_record(path: Path) -> RecordSettings:
-    """Raises SettingsError, which names the file, the key and the value."""
+def load_store_settings(path: Path) -> StoreSettings:
+    """Reads and checks the operator's file.
+
+    Raises:
+        SettingsError: it names the file, the key and the value.
+    """
     told = read_toml(path, KEYS)
     if bool(told["file"]) == bool(told["dsn"]):
         raise SettingsError(
             f"{path}: file = {told['file']!r}: one of file and dsn is to be set, and not both"
         )
-    return RecordSettings(
+    return StoreSettings(
         file=Path(told["file"]) if told["file"] else None,
         dsn=told["dsn"],
-        call_seconds=told["call_s"],
+        call_timeout_s=told["call_s"],
         synchronous=told["synchronous"],
         busy_ms=told["busy_ms"],
-        unsafe=Mode(told["unsafe"]),
-        repeatable=Mode(told["repeatable"]),
-        patience=told["take_ms"] / 1000,
-        most_queued=told["most_queued"],
-        most_in_commit=told["most_in_commit"],
-        memory=round(told["memory_s"] * 1_000_000),
-        keep=round(told["keep_days"] * DAY * 1_000_000) if told["keep_days"] else None,
+        at_most_once_mode=DurabilityMode(told["unsafe"]),
+        repeatable_mode=DurabilityMode(told["repeatable"]),
+        max_store_wait_s=told["take_ms"] / 1000,
+        max_queued=told["most_queued"],
+        max_changes_per_commit=told["most_in_commit"],
+        remembered_for=round(told["memory_s"] * 1_000_000),
+        retention=round(told["keep_days"] * DAY * 1_000_000) if told["keep_days"] else None,
     )
--- a/loftrelay/store/sqlite.py
+++ b/loftrelay/store/sqlite.py
@@ -11,10 +11,23 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from loftrelay.store.backend import Ambiguous, Query, Unavailable, Unusable
-from loftrelay.store.group_commit import fold
-from loftrelay.store.rows import COLUMNS, MISCOUNTED, conditions, entry_of, miscounted, row_of, wrong_in
-from loftrelay.store.state_machine import Change, Entry
+from loftrelay.store.backend import (
+    CommitUncertainError,
+    RecordQuery,
+    StoreUnavailableError,
+    StoreUnusableError,
+)
+from loftrelay.store.group_commit import build_group
+from loftrelay.store.rows import (
+    COLUMNS,
+    ATTEMPT_COUNT_MISMATCHES,
+    conditions,
+    record_of,
+    attempt_count_mismatch,
+    row_of,
+    inconsistencies,
+)
+from loftrelay.store.state_machine import Change, MessageRecord
 
 MIGRATIONS = (
     """
@@ -78,7 +91,7 @@
                 path, timeout=busy_ms / 1000, isolation_level=None, check_same_thread=False
             )
         except (OSError, sqlite3.Error) as error:
-            raise Unusable(f"{path}: can't be opened: {error}") from error
+            raise StoreUnusableError(f"{path}: can't be opened: {error}") from error
         try:
             self._prepare(synchronous)
         except BaseException:
@@ -89,12 +102,12 @@
         try:
             (version,) = self.database.execute("PRAGMA user_version").fetchone()
             if version > VERSION:
-                raise Unusable(
+                raise StoreUnusableError(
                     f"{self.path}: its schema has version {version}, this program knows up to {VERSION}"
                 )
             (mode,) = self.database.execute("PRAGMA journal_mode=WAL").fetchone()
             if mode != "wal":
-                raise Unusable(f"{self.path}: no write-ahead log is possible there, but {mode}")
+                raise StoreUnusableError(f"{self.path}: no write-ahead log is possible there, but {mode}")
             self.database.execute(f"PRAGMA synchronous={synchronous}")
             for number in range(version, VERSION):
                 self.database.executescript(
@@ -102,8 +115,8 @@
                 )
         except sqlite3.Error as error:
             if self._code(error) in TRANSIENT:
-                raise Unavailable(f"{self.path}: {error}") from error
-            raise Unusable(f"{self.path}: {error}") from error
+                raise StoreUnavailableError(f"{self.path}: {error}") from error
+            raise StoreUnusableError(f"{self.path}: {error}") from error
 
     @staticmethod
     def _code(error: sqlite3.Error) -> int:
@@ -114,12 +127,12 @@
     def close(self) -> None:
         self.database.close()
 
-    def commit(self, changes: Sequence[Change]) -> dict[int, Entry]:
+    def commit(self, changes: Sequence[Change]) -> dict[int, MessageRecord]:
         """Raises Unavailable (nothing is stored), Ambiguous, Unusable, or RuleBroken (nothing is stored)."""
         committing = False
         try:
             self.database.execute("BEGIN IMMEDIATE")
-            group = fold(changes, self._read(list({change.message for change in changes})))
+            group = build_group(changes, self._read(list({change.message for change in changes})))
             new, grown = list[Sequence[object]](), list[Sequence[object]]()
             for message, after in group.after.items():
                 before = group.before[message]
@@ -139,43 +152,43 @@
             self._roll_back()
             text = f"{self.path}: {error}"
             if committing and self._code(error) == sqlite3.SQLITE_IOERR:
-                raise Ambiguous(text) from error  # the log may hold the commit, synced or not
+                raise CommitUncertainError(text) from error  # the log may hold the commit, synced or not
             if self._code(error) in TRANSIENT:
-                raise Unavailable(text) from error
-            raise Unusable(text) from error
+                raise StoreUnavailableError(text) from error
+            raise StoreUnusableError(text) from error
         except BaseException:
             self._roll_back()
             raise
-        return group.kept
+        return group.ids_in_use
 
     def _roll_back(self) -> None:
         if self.database.in_transaction:
             with contextlib.suppress(sqlite3.Error):  # the error itself may have rolled it back
                 self.database.execute("ROLLBACK")
 
-    def _read(self, messages: Sequence[str]) -> dict[str, Entry]:
-        found: dict[str, Entry] = {}
+    def _read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
+        found: dict[str, MessageRecord] = {}
         for first in range(0, len(messages), AT_ONCE):
             names = messages[first : first + AT_ONCE]
             marks = ", ".join("?" * len(names))
             rows = self.database.execute(f"SELECT {COLUMNS} FROM messages WHERE id IN ({marks})", names)
-            found |= {entry.message: entry for entry in map(entry_of, rows)}
+            found |= {entry.message: entry for entry in map(record_of, rows)}
         return found
 
-    def read(self, messages: Sequence[str]) -> dict[str, Entry]:
+    def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
         try:
             return self._read(messages)
         except sqlite3.Error as error:
-            raise Unavailable(f"{self.path}: {error}") from error
+            raise StoreUnavailableError(f"{self.path}: {error}") from error
 
-    def select(self, query: Query) -> Iterator[Entry]:
+    def select(self, query: RecordQuery) -> Iterator[MessageRecord]:
         terms, given = conditions(query, "?")
         text = f"SELECT {COLUMNS} FROM messages WHERE {terms} ORDER BY taken_at, id LIMIT ?"
         try:
             for row in self.database.execute(text, (*given, -1 if query.limit is None else query.limit)):
-                yield entry_of(row)
+                yield record_of(row)
         except sqlite3.Error as error:
-            raise Unavailable(f"{self.path}: {error}") from error
+            raise StoreUnavailableError(f"{self.path}: {error}") from error
 
     def prune(self, before: int, most: int) -> int:
         try:
@@ -188,15 +201,15 @@
             self.database.execute("COMMIT")
         except sqlite3.Error as error:
             self._roll_back()
-            raise Unavailable(f"{self.path}: {error}") from error
+            raise StoreUnavailableError(f"{self.path}: {error}") from error
         return len(rows)
 
     def verify(self) -> list[str]:
         try:
             said = [row[0] for row in self.database.execute("PRAGMA integrity_check") if row[0] != "ok"]
-            for entry in self.select(Query()):
-                said += wrong_in(entry)
-            said += [miscounted(*row) for row in self.database.execute(MISCOUNTED)]
+            for entry in self.select(RecordQuery()):
+                said += inconsistencies(entry)
+            said += [attempt_count_mismatch(*row) for row in self.database.execute(ATTEMPT_COUNT_MISMATCHES)]
         except (sqlite3.Error, ValueError) as error:
             return [str(error)]
         return said
--- a/loftrelay/store/state_machine.py
+++ b/loftrelay/store/state_machine.py
@@ -1,8 +1,8 @@
-"""The record's states and rules, with no input or output: what may follow what, what must be stored first.
+"""The state machine of a record in the store of record: its transitions, and what has to be stored first.
 
-A message's record grows by numbered changes. Each is worth the same whether it is stored once or, after a
-commit whose outcome is not known, once more: a store applies change n only to a record that stands at n - 1.
-So an ambiguous commit is resolved by reading back, never by guessing (`resolve`).
+A record grows by numbered changes. A store applies change n only to a record at n - 1, so storing a change
+once more is harmless, and a commit with an unknown outcome is resolved by reading back (`resolve_commit`). No
+input or output.
 
 Times are wall-clock microseconds.
 """
@@ -13,62 +13,66 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from loftrelay.relay.ports import RecoveryAction
 
-class RuleBroken(Exception):
-    """A change that may not follow what is recorded. A fault of the program: nothing of it is stored."""
 
+class RecordRuleError(Exception):
+    """A change that may not follow what is recorded: a fault of the program. Nothing of it is stored."""
 
-class State(Enum):
-    """Where a record stands. The words are those in the store."""
 
-    TAKEN = "taken"  # the relay owes its end; nothing has gone out
-    OUT = "out"  # an attempt's intent is recorded, its outcome is not: it may have run
-    WAITING = "waiting"  # no attempt is out; more may follow
-    ENDED = "ended"  # its final answer is decided
-    TOLD = "told"  # and whoever is owed it has heard
+class RecordState(Enum):
+    """Where a record stands. Values are the words in the store."""
 
+    ADMITTED = "taken"  # no attempt was made yet
+    IN_FLIGHT = "out"  # an attempt was begun, and may have run
+    WAITING = "waiting"  # no attempt is in flight; more may follow
+    ENDED = "ended"  # its end is decided
+    REPORTED = "told"  # whoever waits for the end has it
+
+
+class StoredAnswer(Enum):
+    """How a message ended. Values are the words in the store."""
 
-class Answer(Enum):
     DELIVERED = "delivered"
-    REFUSED = "refused"  # promises that handing it in again does no harm
+    REJECTED = "refused"  # promises that submitting it again does no harm
     FAILED = "failed"  # promises nothing
 
 
-class Kind(Enum):
-    """What a change records."""
+class ChangeKind(Enum):
+    """What a change records. Values are the names of the fault points."""
 
-    TAKE = "take"
-    INTEND = "intend"
-    OUTCOME = "outcome"
-    END = "end"
-    TOLD = "told"
+    ADMIT = "take"
+    BEGIN_ATTEMPT = "intend"
+    END_ATTEMPT = "outcome"
+    DECIDE = "end"
+    REPORT = "told"
 
 
-class Mode(Enum):
-    """How a class is recorded."""
+class DurabilityMode(Enum):
+    """How a message class is recorded. Values are the words in the settings."""
 
-    REQUIRED = "required"  # nothing happens before the store has it
-    FOLLOWS = "follows"  # the journal answers for it, the store catches up
+    WRITE_AHEAD = "required"  # nothing happens before the store has it
+    WRITE_BEHIND = "follows"  # the journal is relied on; the store follows
 
 
-FOLLOWS_FROM: Mapping[Kind, tuple[State, ...]] = {
-    Kind.INTEND: (State.TAKEN, State.WAITING),
-    Kind.OUTCOME: (State.OUT,),
-    Kind.END: (State.TAKEN, State.OUT, State.WAITING),
-    Kind.TOLD: (State.ENDED,),
+STATES_BEFORE: Mapping[ChangeKind, tuple[RecordState, ...]] = {
+    ChangeKind.BEGIN_ATTEMPT: (RecordState.ADMITTED, RecordState.WAITING),
+    ChangeKind.END_ATTEMPT: (RecordState.IN_FLIGHT,),
+    ChangeKind.DECIDE: (RecordState.ADMITTED, RecordState.IN_FLIGHT, RecordState.WAITING),
+    ChangeKind.REPORT: (RecordState.ENDED,),
 }
-LEADS_TO: Mapping[Kind, State] = {
-    Kind.TAKE: State.TAKEN,
-    Kind.INTEND: State.OUT,
-    Kind.OUTCOME: State.WAITING,
-    Kind.END: State.ENDED,
-    Kind.TOLD: State.TOLD,
+STATE_AFTER: Mapping[ChangeKind, RecordState] = {
+    ChangeKind.ADMIT: RecordState.ADMITTED,
+    ChangeKind.BEGIN_ATTEMPT: RecordState.IN_FLIGHT,
+    ChangeKind.END_ATTEMPT: RecordState.WAITING,
+    ChangeKind.DECIDE: RecordState.ENDED,
+    ChangeKind.REPORT: RecordState.REPORTED,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class About:
-    """What a message is, as it was taken on."""
+class MessageFacts:
+    """What a message is, as it was admitted."""
 
     instance: str
     class_name: str
@@ -81,216 +85,255 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One step of one message. `run`: how often its id was taken on, for it is free again once refused."""
+    """One change of one record. `run` counts how often its id was admitted: after a rejection it is reusable."""
 
     message: str
     run: int
     number: int  # of this change, from 1
-    kind: Kind
+    kind: ChangeKind
     at: int
-    about: About | None = None  # TAKE
+    facts: MessageFacts | None = None  # TAKE
     host: str | None = None  # INTEND
     result: str | None = None  # OUTCOME, and END where an attempt was out
-    answer: Answer | None = None  # END
+    answer: StoredAnswer | None = None  # END
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class MessageRecord:
     """The record of one message."""
 
     message: str
     run: int
-    about: About
+    facts: MessageFacts
     number: int  # of the last change that is stored
-    state: State
-    taken_at: int
+    state: RecordState
+    admitted_at: int
     attempts: int = 0
     host: str | None = None  # of the last attempt
-    intended_at: int | None = None
+    attempt_started_at: int | None = None
     result: str | None = None  # of the last attempt
     result_at: int | None = None
-    answer: Answer | None = None
-    answered_at: int | None = None
-    told_at: int | None = None
-
-
-def apply(entry: Entry | None, change: Change) -> Entry:
-    """The record after a change. Raises RuleBroken."""
-    if change.kind is Kind.TAKE:
-        if change.about is None or change.number != 1:
-            raise RuleBroken(f"{change.message}: the first change tells what the message is")
-        if entry is not None and not (entry.state is State.TOLD and change.run == entry.run + 1):
-            raise RuleBroken(f"{change.message}: taken on while its record stands at {entry.state.value}")
-        if entry is None and change.run != 1:
-            raise RuleBroken(f"{change.message}: run {change.run} of an id that has no record")
-        return Entry(change.message, change.run, change.about, 1, State.TAKEN, change.at)
-    if entry is None:
-        raise RuleBroken(f"{change.message}: {change.kind.value} of a message that was not taken on")
-    if (change.run, change.number) != (entry.run, entry.number + 1):
-        raise RuleBroken(
-            f"{change.message}: change {change.run}.{change.number} after {entry.run}.{entry.number}"
+    answer: StoredAnswer | None = None
+    decided_at: int | None = None
+    reported_at: int | None = None
+
+
+def apply(record: MessageRecord | None, change: Change) -> MessageRecord:
+    """Returns the record after a change.
+
+    Raises:
+        RecordRuleError: the change may not follow what is recorded.
+    """
+    if change.kind is ChangeKind.ADMIT:
+        return _admit(record, change)
+    if record is None:
+        raise RecordRuleError(f"{change.message}: {change.kind.value} of a message that was not admitted")
+    _check_order(record, change)
+    return _advance(record, change)
+
+
+def _admit(record: MessageRecord | None, change: Change) -> MessageRecord:
+    if change.facts is None or change.number != 1:
+        raise RecordRuleError(f"{change.message}: the first change describes the message")
+    if record is not None and not (record.state is RecordState.REPORTED and change.run == record.run + 1):
+        raise RecordRuleError(f"{change.message}: admitted while its record is {record.state.value}")
+    if record is None and change.run != 1:
+        raise RecordRuleError(f"{change.message}: run {change.run} of an id that has no record")
+    return MessageRecord(change.message, change.run, change.facts, 1, RecordState.ADMITTED, change.at)
+
+
+def _check_order(record: MessageRecord, change: Change) -> None:
+    if (change.run, change.number) != (record.run, record.number + 1):
+        raise RecordRuleError(
+            f"{change.message}: change {change.run}.{change.number} after {record.run}.{record.number}"
         )
-    if entry.state not in FOLLOWS_FROM[change.kind]:
-        raise RuleBroken(f"{change.message}: {change.kind.value} after {entry.state.value}")
-    host, intended_at, result, result_at = entry.host, entry.intended_at, entry.result, entry.result_at
-    attempts, answer, answered_at, told_at = entry.attempts, entry.answer, entry.answered_at, entry.told_at
-    if change.kind is Kind.INTEND:
-        attempts += 1
-        host, intended_at, result, result_at = change.host, change.at, None, None
-    elif change.kind is Kind.OUTCOME:
+    if record.state not in STATES_BEFORE[change.kind]:
+        raise RecordRuleError(f"{change.message}: {change.kind.value} after {record.state.value}")
+    if change.kind is ChangeKind.DECIDE and change.answer is None:
+        raise RecordRuleError(f"{change.message}: an end without an answer")
+    if change.answer is StoredAnswer.DELIVERED and record.state is not RecordState.IN_FLIGHT:
+        raise RecordRuleError(f"{change.message}: delivered without an attempt in flight")
+
+
+def _advance(record: MessageRecord, change: Change) -> MessageRecord:
+    attempts, host, started_at = record.attempts, record.host, record.attempt_started_at
+    result, result_at = record.result, record.result_at
+    answer, decided_at, reported_at = record.answer, record.decided_at, record.reported_at
+    if change.kind is ChangeKind.BEGIN_ATTEMPT:
+        attempts, host, started_at = attempts + 1, change.host, change.at
+        result, result_at = None, None
+    elif record.state is RecordState.IN_FLIGHT:
         result, result_at = change.result, change.at
-    elif change.kind is Kind.END:
-        if change.answer is None:
-            raise RuleBroken(f"{change.message}: an end without an answer")
-        if change.answer is Answer.DELIVERED and entry.state is not State.OUT:
-            raise RuleBroken(f"{change.message}: delivered without an attempt out")
-        if entry.state is State.OUT:
-            result, result_at = change.result, change.at
-        answer, answered_at = change.answer, change.at
-    else:
-        told_at = change.at
-    # Made anew field by field: `dataclasses.replace` was a third of what a commit costs in this process.
-    return Entry(
-        entry.message,
-        entry.run,
-        entry.about,
+    if change.kind is ChangeKind.DECIDE:
+        answer, decided_at = change.answer, change.at
+    elif change.kind is ChangeKind.REPORT:
+        reported_at = change.at
+    # Field by field: dataclasses.replace would take much of the time of a commit.
+    return MessageRecord(
+        record.message,
+        record.run,
+        record.facts,
         change.number,
-        LEADS_TO[change.kind],
-        entry.taken_at,
+        STATE_AFTER[change.kind],
+        record.admitted_at,
         attempts,
         host,
-        intended_at,
+        started_at,
         result,
         result_at,
         answer,
-        answered_at,
-        told_at,
+        decided_at,
+        reported_at,
     )
 
 
-def free_again(entry: Entry) -> bool:
-    """Whether the id is new at once: only a refusal that was told has promised that."""
-    return entry.state is State.TOLD and entry.answer is Answer.REFUSED
+def is_id_reusable(entry: MessageRecord) -> bool:
+    """Returns whether an id can be used again: only a reported rejection has promised that."""
+    return entry.state is RecordState.REPORTED and entry.answer is StoredAnswer.REJECTED
 
 
-# What must be in the store before which step
+# What has to be stored before a step
 
 
 class Step(Enum):
     """What a relay is about to do."""
 
-    ANSWER_TAKEN = "tell the client that it is taken on"
-    SEND = "send an attempt's first byte"
-    TELL_END = "tell the final answer"
+    ACCEPT = "answer the client that it is admitted"
+    SEND = "send the first byte of an attempt"
+    REPORT = "report the end"
 
 
-def needed(step: Step, mode: Mode) -> Kind | None:
-    """The change that must be committed before the step; None where the journal answers for it."""
-    if mode is Mode.FOLLOWS:
+def required_before(step: Step, mode: DurabilityMode) -> ChangeKind | None:
+    """Returns the change that has to be committed before a step; None where the journal is relied on."""
+    if mode is DurabilityMode.WRITE_BEHIND:
         return None
-    return {Step.ANSWER_TAKEN: Kind.TAKE, Step.SEND: Kind.INTEND, Step.TELL_END: Kind.END}[step]
+    return {
+        Step.ACCEPT: ChangeKind.ADMIT,
+        Step.SEND: ChangeKind.BEGIN_ATTEMPT,
+        Step.REPORT: ChangeKind.DECIDE,
+    }[step]
 
 
-# Commits whose outcome is not known
+# Commits with an unknown outcome
 
 
-class Found(Enum):
-    """What reading back shows of a change that may have been committed."""
+class CommitStatus(Enum):
+    """What reading back shows of a change whose commit has an unknown outcome."""
 
-    APPLIED = "applied"  # nothing is to be done
-    MISSING = "missing"  # it is to be stored again, as it was
-    TAKEN_ELSEWHERE = "taken elsewhere"  # another instance has the id
-    CONFLICT = "conflict"  # the record stands where this change can't have been next
+    APPLIED = "applied"  # it is stored
+    MISSING = "missing"  # it has to be stored again
+    ID_IN_USE = "taken elsewhere"  # another instance has the id
+    CONFLICT = "conflict"  # this change can't have been the next one
 
 
-def resolve(change: Change, seen: Entry | None) -> Found:
-    """By what the store holds now."""
+def resolve_commit(change: Change, seen: MessageRecord | None) -> CommitStatus:
+    """Returns what became of a change, by what the store holds now."""
     if seen is None:
-        return Found.MISSING if change.kind is Kind.TAKE and change.run == 1 else Found.CONFLICT
-    if change.kind is Kind.TAKE:
+        return (
+            CommitStatus.MISSING
+            if change.kind is ChangeKind.ADMIT and change.run == 1
+            else CommitStatus.CONFLICT
+        )
+    if change.kind is ChangeKind.ADMIT:
         if seen.run == change.run:
-            mine = change.about is not None and seen.about == change.about and seen.taken_at == change.at
-            return Found.APPLIED if mine else Found.TAKEN_ELSEWHERE
-        after = seen.run == change.run - 1 and seen.state is State.TOLD
-        return Found.MISSING if after else Found.TAKEN_ELSEWHERE
+            mine = change.facts is not None and seen.facts == change.facts and seen.admitted_at == change.at
+            return CommitStatus.APPLIED if mine else CommitStatus.ID_IN_USE
+        after = seen.run == change.run - 1 and seen.state is RecordState.REPORTED
+        return CommitStatus.MISSING if after else CommitStatus.ID_IN_USE
     if seen.run != change.run:
-        return Found.CONFLICT
+        return CommitStatus.CONFLICT
     if seen.number >= change.number:
-        return Found.APPLIED
-    return Found.MISSING if seen.number == change.number - 1 else Found.CONFLICT
+        return CommitStatus.APPLIED
+    return CommitStatus.MISSING if seen.number == change.number - 1 else CommitStatus.CONFLICT
 
 
-# An id that was seen before
+# Ids that are submitted again
 
 
-class Known(Enum):
-    """What is answered to an id that the store knows."""
+class KnownId(Enum):
+    """What is answered to a submitted id, by what the store has of it."""
 
     NEW = "new"
-    IN_PROGRESS = "in progress"  # taken on, here or elsewhere: not begun a second time
+    IN_PROGRESS = "in progress"  # admitted, here or at another instance: not begun again
     DELIVERED = "delivered"
     FAILED = "failed"
-    REFUSED = "refused"  # that is being told: the id is free once it is, and nothing would follow a 202 now
+    REJECTED = "refused"  # not reported yet: the id can be used again once it is
 
 
-def known(entry: Entry | None, now: int, memory: int) -> Known:
-    """`memory`: how long after its end an id is answered as before, and in no case before its deadline."""
-    if entry is None or free_again(entry):
-        return Known.NEW
+def status_of_id(entry: MessageRecord | None, now: int, memory: int) -> KnownId:
+    """Returns what is answered to an id.
+
+    Args: entry: its record, if there is one. now: wall clock, in microseconds. memory: microseconds after its
+    end for which an id is answered as before; never less than to its deadline.
+    """
+    if entry is None or is_id_reusable(entry):
+        return KnownId.NEW
     if entry.answer is None:
-        return Known.IN_PROGRESS
-    if entry.answer is Answer.REFUSED:
-        return Known.REFUSED
-    if entry.answered_at is not None and now > max(entry.answered_at + memory, entry.about.deadline):
-        return Known.NEW
-    return Known.DELIVERED if entry.answer is Answer.DELIVERED else Known.FAILED
+        return KnownId.IN_PROGRESS
+    if entry.answer is StoredAnswer.REJECTED:
+        return KnownId.REJECTED
+    if entry.decided_at is not None and now > max(entry.decided_at + memory, entry.facts.deadline):
+        return KnownId.NEW
+    return KnownId.DELIVERED if entry.answer is StoredAnswer.DELIVERED else KnownId.FAILED
 
 
-# Recovery: what the journal holds against what the store holds
+# Recovery: the journal against the store
 
 
-class Held(Enum):
-    """What the journal tells of a message at a start."""
+class JournalStanding(Enum):
+    """What the journal has of a message at a start."""
 
     NOTHING = "nothing"
-    TAKEN = "taken on, never tried"
-    OUT = "an attempt was out when the process ended"
-    TRIED = "tried, and may go again"
-    DOUBTFUL = "tried, and may have run"
+    ADMITTED = "admitted, never attempted"
+    IN_FLIGHT = "an attempt was in flight at the end of the process"
+    TRIED = "attempted, and has not run"
+    MAY_HAVE_RUN = "attempted, and may have run"
     DELIVERED = "delivered"
-    ENDED = "its end is decided and not heard"
-
-
-class Mend(Enum):
-    """What is done about it."""
-
-    AGREE = "nothing"
-    STORE = "the store is told what the journal knows"
-    TAKE_UP = "the message goes on, the store is told where it stands"
-    FAIL = "it may have run: it is failed, and not sent"
-    FORGET = "it was never told as taken on: dropped from the journal"
-    TELL_AGAIN = "its end is told once more"
-
-
-def reconcile(held: Held, seen: Entry | None, unsafe: bool, mode: Mode) -> Mend:
-    """Never claims what the store never saw, never resends an unsafe message because the store forgot it."""
-    if held is Held.NOTHING:
-        if seen is None or seen.state in (State.TOLD,):
-            return Mend.AGREE
-        if seen.state is State.ENDED:
-            return Mend.TELL_AGAIN if seen.answer is not Answer.DELIVERED else Mend.STORE
-        return Mend.FAIL  # the store saw it taken on, and the journal is lost: nobody knows whether it ran
+    ENDED = "its end is decided and not reported"
+
+
+def reconcile(
+    held: JournalStanding, seen: MessageRecord | None, unsafe: bool, mode: DurabilityMode
+) -> RecoveryAction:
+    """Returns what a start does about a message.
+
+    It never claims what the store never saw, and never sends a message again that must not run twice because
+    the store has lost it.
+
+    Args:
+        held: what the journal has of it.
+        seen: what the store has of it.
+        unsafe: whether it must not run twice.
+        mode: how its class is recorded.
+    """
+    if held is JournalStanding.NOTHING:
+        if seen is None or seen.state in (RecordState.REPORTED,):
+            return RecoveryAction.AGREE
+        if seen.state is RecordState.ENDED:
+            return (
+                RecoveryAction.REPORT_AGAIN
+                if seen.answer is not StoredAnswer.DELIVERED
+                else RecoveryAction.STORE
+            )
+        return RecoveryAction.FAIL  # the journal is lost: nobody knows whether it ran
     if seen is None:
-        if mode is Mode.REQUIRED and held is Held.TAKEN:
-            return Mend.FORGET  # the commit never came, so its client was never told
-        if unsafe and held in (Held.OUT, Held.DOUBTFUL):
-            return Mend.FAIL
-        return Mend.STORE if held in (Held.DELIVERED, Held.ENDED) else Mend.TAKE_UP
-    if seen.state is State.TOLD:
-        return Mend.AGREE  # the journal had not heard that it was told
-    if seen.state is State.ENDED:
-        return Mend.STORE if seen.answer is Answer.DELIVERED else Mend.TELL_AGAIN
-    if held in (Held.DELIVERED, Held.ENDED):
-        return Mend.STORE
-    may_have_run = held in (Held.OUT, Held.DOUBTFUL) or seen.state is State.OUT
-    return Mend.FAIL if unsafe and may_have_run else Mend.TAKE_UP
+        if mode is DurabilityMode.WRITE_AHEAD and held is JournalStanding.ADMITTED:
+            return RecoveryAction.FORGET  # never committed, so its client was never told
+        if unsafe and held in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN):
+            return RecoveryAction.FAIL
+        return (
+            RecoveryAction.STORE
+            if held in (JournalStanding.DELIVERED, JournalStanding.ENDED)
+            else RecoveryAction.RESUME
+        )
+    if seen.state is RecordState.REPORTED:
+        return RecoveryAction.AGREE  # reported, and the journal did not have that yet
+    if seen.state is RecordState.ENDED:
+        return RecoveryAction.STORE if seen.answer is StoredAnswer.DELIVERED else RecoveryAction.REPORT_AGAIN
+    if held in (JournalStanding.DELIVERED, JournalStanding.ENDED):
+        return RecoveryAction.STORE
+    may_have_run = (
+        held in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN)
+        or seen.state is RecordState.IN_FLIGHT
+    )
+    return RecoveryAction.FAIL if unsafe and may_have_run else RecoveryAction.RESUME
--- a/loftrelay/store/writer.py
+++ b/loftrelay/store/writer.py
@@ -1,4 +1,4 @@
-"""Writes changes to a store from a thread of its own, many in one commit, with a bounded queue before it.
+"""Group commit: writes changes to a store from a thread of its own, many in one commit, from a bounded queue.
 
 The event loop never waits for a disk. What is queued while one commit is under way makes the next one.
 """
@@ -15,42 +15,48 @@
 from typing import TypeVar
 
 from loftrelay.relay import fault_points
-from loftrelay.store.backend import Ambiguous, Store, StoreError, Unusable
-from loftrelay.store.state_machine import Change, Entry, RuleBroken
+from loftrelay.store.backend import CommitUncertainError, StoreBackend, StoreError, StoreUnusableError
+from loftrelay.store.state_machine import Change, MessageRecord, RecordRuleError
 
 log = logging.getLogger(__name__)
 
-LINGER = 0.05  # seconds for which changes that nobody waits for gather: those of one message make one row
-SLOW = 0.25  # seconds from which on a commit is told of as slow
-PAUSES = (0.05, 2.0)  # seconds before a store that is away is tried again: at first, at most
+GATHER_TIME_S = (
+    0.05  # seconds for which changes that nobody waits for gather: those of one message make one row
+)
+SLOW_COMMIT_S = 0.25  # seconds from which on a commit is told of as slow
+MIN_BACKOFF_S = 0.05  # before a store that is away is tried again
+MAX_BACKOFF_S = 2.0
 T = TypeVar("T")
 
 
-class Away(Exception):
-    """The store can't take it now. `retry_ms`: when to come back."""
+class StoreAwayError(Exception):
+    """The store can't take a change now; `retry_after_ms` tells when to try again."""
 
     def __init__(self, retry_ms: int) -> None:
         super().__init__(f"the store of record is away, come back in {retry_ms} ms")
-        self.retry_ms = retry_ms
+        self.retry_after_ms = retry_ms
 
 
-class Elsewhere(Exception):
-    """The id is another's, or this one's own from before."""
+class IdInUseError(Exception):
+    """The id of an admission has a record already, of this instance or another."""
 
-    def __init__(self, entry: Entry) -> None:
-        super().__init__(f"{entry.message} is recorded as {entry.state.value} by {entry.about.instance}")
-        self.entry = entry
+    def __init__(self, entry: MessageRecord) -> None:
+        super().__init__(f"{entry.message} is recorded as {entry.state.value} by {entry.facts.instance}")
+        self.record = entry
 
 
 @dataclass(slots=True)
-class Item:
+class QueuedChange:
+    """A change that waits for its commit."""
+
     change: Change
-    done: Callable[[Exception | None], None] | None  # None: nobody waits, and what goes wrong is logged
-    optional: bool  # it may be given up when the store is away: nothing has happened yet
+    done: Callable[[Exception | None], None] | None  # None: nobody waits, and a failure is logged
+    optional: bool  # may be dropped while the store is away: nothing has happened yet
     urgent: bool  # somebody waits for it
     settled: bool = False
 
     def settle(self, error: Exception | None) -> None:
+        """Tells whoever waits how it ended, once."""
         if self.settled:
             return
         self.settled = True
@@ -64,22 +70,22 @@
     """`open_store` is called in the thread, anew after each failure of the database."""
 
     def __init__(
-        self, open_store: Callable[[], Store], most_queued: int = 10_000, most_in_commit: int = 500
+        self, open_store: Callable[[], StoreBackend], most_queued: int = 10_000, most_in_commit: int = 500
     ) -> None:
         self.open_store = open_store
-        self.most_queued = most_queued
-        self.most_in_commit = most_in_commit
+        self.max_queued = most_queued
+        self.max_changes_per_commit = most_in_commit
         self.thread = ThreadPoolExecutor(1, "record")
-        self.store: Store | None = None
-        self.queue: deque[Item] = deque()
-        self.wanted = asyncio.Event()
-        self.hurry = asyncio.Event()  # something urgent is queued, or there is no time left
-        self.away = False
-        self.pause = PAUSES[0]
-        self.slow = False
+        self.store: StoreBackend | None = None
+        self.queue: deque[QueuedChange] = deque()
+        self.has_work = asyncio.Event()
+        self.has_urgent_work = asyncio.Event()  # something urgent is queued, or there is no time left
+        self.is_store_away = False
+        self.backoff_s = MIN_BACKOFF_S
+        self.is_store_slow = False
         self.commits = 0
         self.changes = 0
-        self.closing = False
+        self.is_closing = False
         self.task = asyncio.create_task(self._run())
 
     def put(
@@ -89,21 +95,24 @@
         optional: bool = False,
         urgent: bool = True,
     ) -> None:
-        """Calls `done` with None once the change is committed, or with Away (only where `optional`),
-        Elsewhere (a TAKE whose id is known) or RuleBroken; never before this returns.
-
-        Optional: a message that is not taken on yet, an attempt that is not begun. These are refused at once
-        while the store is away or its queue is full; the rest stays queued until the store is back, and is
-        bounded by what may be held.
+        """Queues a change for the next commit.
+
+        Args:
+            change: the change.
+            done: called with None once it is committed, or with StoreAwayError (only if `optional`),
+                IdInUseError (an admission whose id is known) or RecordRuleError; never before this returns.
+            optional: nothing has happened yet (a message not admitted, an attempt not begun): it is refused
+                at once while the store is away or its queue is full. Any other change stays queued.
+            urgent: somebody waits for it.
         """
-        if optional and (self.away or self.closing or len(self.queue) >= self.most_queued):
+        if optional and (self.is_store_away or self.is_closing or len(self.queue) >= self.max_queued):
             if done is not None:
-                asyncio.get_running_loop().call_soon(done, Away(self.retry_ms))
+                asyncio.get_running_loop().call_soon(done, StoreAwayError(self.retry_after_ms))
             return
-        self.queue.append(Item(change, done, optional, urgent))
-        self.wanted.set()
-        if urgent or len(self.queue) >= self.most_in_commit:
-            self.hurry.set()
+        self.queue.append(QueuedChange(change, done, optional, urgent))
+        self.has_work.set()
+        if urgent or len(self.queue) >= self.max_changes_per_commit:
+            self.has_urgent_work.set()
 
     def write(self, change: Change, optional: bool = False, urgent: bool = True) -> asyncio.Future[None]:
         """As `put`; what it would be told is the future's."""
@@ -121,29 +130,30 @@
         return future
 
     @property
-    def retry_ms(self) -> int:
-        return max(1, int(2 * self.pause * 1000))
+    def retry_after_ms(self) -> int:
+        """When a refused change may be tried again."""
+        return max(1, int(2 * self.backoff_s * 1000))
 
-    async def call(self, work: Callable[[Store], T]) -> T:
+    async def call(self, work: Callable[[StoreBackend], T]) -> T:
         """Something else in the thread, in turn with the commits. Raises StoreError."""
-        return await asyncio.get_running_loop().run_in_executor(self.thread, lambda: work(self._opened()))
+        return await asyncio.get_running_loop().run_in_executor(self.thread, lambda: work(self._open()))
 
     async def close(self) -> None:
         """What is queued is written first, if the store takes it at once."""
-        self.closing = True
-        self.wanted.set()
-        self.hurry.set()
+        self.is_closing = True
+        self.has_work.set()
+        self.has_urgent_work.set()
         await self.task
         self.thread.shutdown(wait=True)
 
     # The thread's side
 
-    def _opened(self) -> Store:
+    def _open(self) -> StoreBackend:
         if self.store is None:
             self.store = self.open_store()
         return self.store
 
-    def _shut(self) -> None:
+    def _close_store(self) -> None:
         if self.store is not None:
             try:
                 self.store.close()
@@ -151,14 +161,14 @@
                 log.warning("%s", error)
             self.store = None
 
-    def _commit(self, changes: Sequence[Change]) -> dict[int, Entry]:
-        store = self._opened()
-        self._reached("commit", changes)
+    def _commit(self, changes: Sequence[Change]) -> dict[int, MessageRecord]:
+        store = self._open()
+        self._pass_fault_points("commit", changes)
         kept = store.commit(changes)
-        self._reached("committed", changes)
+        self._pass_fault_points("committed", changes)
         return kept
 
-    def _reached(self, side: str, changes: Sequence[Change]) -> None:
+    def _pass_fault_points(self, side: str, changes: Sequence[Change]) -> None:
         if fault_points.listener is not None:
             for change in changes:
                 fault_points.fault_point(f"{side} {change.kind.value}")
@@ -166,89 +176,97 @@
     # The loop's side
 
     async def _run(self) -> None:
-        while True:
-            if not self.queue:
-                if self.closing:
-                    await asyncio.sleep(0)  # who waited for the last commit may have more to write
-                    if not self.queue:
-                        break
-                    continue
-                self.wanted.clear()
-                await self.wanted.wait()
+        while await self._wait_for_changes():
+            group = await self._gather_group()
+            if await self._write(group):
                 continue
-            if not self.hurry.is_set():
-                with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self.hurry.wait(), LINGER)
-            group = [self.queue.popleft() for _ in range(min(len(self.queue), self.most_in_commit))]
-            if not self.closing and not any(item.urgent for item in self.queue):
-                self.hurry.clear()
-            if not await self._write(group):
-                self.queue.extendleft(reversed([item for item in group if not item.settled]))
-                if self.closing:
-                    break
-                await asyncio.sleep(self.pause)
-                self.pause = min(2 * self.pause, PAUSES[1])
-        await asyncio.get_running_loop().run_in_executor(self.thread, self._shut)
+            self.queue.extendleft(reversed([item for item in group if not item.settled]))
+            if self.is_closing:
+                break
+            await asyncio.sleep(self.backoff_s)
+            self.backoff_s = min(2 * self.backoff_s, MAX_BACKOFF_S)
+        await asyncio.get_running_loop().run_in_executor(self.thread, self._close_store)
         if self.commits:
-            log.info("%d changes were stored in %d commits", self.changes, self.commits)
+            log.info("%d changes stored in %d commits", self.changes, self.commits)
         for item in self.queue:
-            item.settle(Away(self.retry_ms))
+            item.settle(StoreAwayError(self.retry_after_ms))
+
+    async def _wait_for_changes(self) -> bool:
+        """Returns whether there is something to write; False once the writer closes with nothing left."""
+        while not self.queue:
+            if self.is_closing:
+                await asyncio.sleep(0)  # who waited for the last commit may have more to write
+                return bool(self.queue)
+            self.has_work.clear()
+            await self.has_work.wait()
+        return True
 
-    async def _write(self, group: list[Item]) -> bool:
+    async def _gather_group(self) -> list[QueuedChange]:
+        """Takes the changes of the next commit; those that nobody waits for gather for a while first."""
+        if not self.has_urgent_work.is_set():
+            with contextlib.suppress(TimeoutError):
+                await asyncio.wait_for(self.has_urgent_work.wait(), GATHER_TIME_S)
+        size = min(len(self.queue), self.max_changes_per_commit)
+        group = [self.queue.popleft() for _ in range(size)]
+        if not self.is_closing and not any(item.urgent for item in self.queue):
+            self.has_urgent_work.clear()
+        return group
+
+    async def _write(self, group: list[QueuedChange]) -> bool:
         """Whether the store took it, or said for good that it will not."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         changes = [item.change for item in group]
         try:
             kept = await loop.run_in_executor(self.thread, self._commit, changes)
-        except RuleBroken:
+        except RecordRuleError:
             return await self._one_by_one(group)
-        except Ambiguous as error:
+        except CommitUncertainError as error:
             log.warning("a commit's outcome is not known, it is read back: %s", error)
-            self._gone_away(error)  # the next try applies only what is missing: each change is numbered
+            self._mark_away(error)  # the next try applies only what is missing: each change is numbered
             for item in group:
                 item.optional = False  # it may be stored: given up now, its record would stand for nobody
-            await loop.run_in_executor(self.thread, self._shut)
+            await loop.run_in_executor(self.thread, self._close_store)
             return False
         except StoreError as error:
-            self._gone_away(error)
-            await loop.run_in_executor(self.thread, self._shut)
+            self._mark_away(error)
+            await loop.run_in_executor(self.thread, self._close_store)
             for item in (*group, *self.queue):
                 if item.optional:
-                    item.settle(Away(self.retry_ms))
+                    item.settle(StoreAwayError(self.retry_after_ms))
             self.queue = deque(item for item in self.queue if not item.optional)
             return False
-        if self.away:
+        if self.is_store_away:
             log.warning("the store of record is back")
-            self.away, self.pause = False, PAUSES[0]
-        self._took(loop.time() - began)
+            self.is_store_away, self.backoff_s = False, MIN_BACKOFF_S
+        self._log_slowness(loop.time() - began)
         self.commits += 1
         self.changes += len(group)
         for place, item in enumerate(group):
-            item.settle(Elsewhere(kept[place]) if place in kept else None)
+            item.settle(IdInUseError(kept[place]) if place in kept else None)
         return True
 
-    def _took(self, seconds: float) -> None:
+    def _log_slowness(self, seconds: float) -> None:
         """One line when commits begin to be slow: what is refused or put off by then has no other reason."""
-        if self.slow != (seconds >= SLOW):
-            self.slow = not self.slow
-            if self.slow:
+        if self.is_store_slow != (seconds >= SLOW_COMMIT_S):
+            self.is_store_slow = not self.is_store_slow
+            if self.is_store_slow:
                 log.warning("the store of record is slow: a commit took %.2f s", seconds)
             else:
                 log.info("the store of record is no longer slow")
 
-    async def _one_by_one(self, group: list[Item]) -> bool:
+    async def _one_by_one(self, group: list[QueuedChange]) -> bool:
         """One of the group is at fault: the others are written all the same."""
         if len(group) == 1:
             item = group[0]
             log.error("a record breaks its rules: %s", item.change)
-            item.settle(RuleBroken(f"{item.change.message}: {item.change.kind.value}"))
+            item.settle(RecordRuleError(f"{item.change.message}: {item.change.kind.value}"))
             return True
         results = [await self._write([item]) for item in group]
         return all(results)
 
-    def _gone_away(self, error: StoreError) -> None:
-        if not self.away:
-            level = logging.ERROR if isinstance(error, Unusable) else logging.WARNING
+    def _mark_away(self, error: StoreError) -> None:
+        if not self.is_store_away:
+            level = logging.ERROR if isinstance(error, StoreUnusableError) else logging.WARNING
             log.log(level, "the store of record is away: %s", error)
-        self.away = True
+        self.is_store_away = True
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -13,7 +13,7 @@
 
 from loftrelay.cli.demo import main, report
 from loftrelay.demo.result import DemoResult
-from loftrelay.store.state_machine import Answer, Entry, apply
+from loftrelay.store.state_machine import StoredAnswer, MessageRecord, apply
 from tests.standins.platform import ROOT
 from tests.store.test_sqlite import life
 
@@ -75,8 +75,8 @@
         assert error.count("\n") == 1
 
 
-def entry(name: str, answer: Answer = Answer.DELIVERED) -> Entry:
-    found: Entry | None = None
+def entry(name: str, answer: StoredAnswer = StoredAnswer.DELIVERED) -> MessageRecord:
+    found: MessageRecord | None = None
     for change in life(name, end=answer):
         found = apply(found, change)
     assert found is not None
@@ -88,14 +88,17 @@
     assert sound.disagreements() == []
     assert sound.duplicates == 0
     assert replace(sound, executions=Counter("aa")).duplicates == 1
-    status = replace(sound.entries[0], about=replace(sound.entries[0].about, class_name="status"))
+    status = replace(sound.entries[0], facts=replace(sound.entries[0].facts, class_name="status"))
     assert replace(sound, entries=[status], executions=Counter("aa")).duplicates == 0  # it may run again
     for result, line in (
         (replace(sound, admitted={"a", "b"}), "b: admitted, and not in the store"),
         (replace(sound, executions=Counter("ab")), "b: executed, and not in the store"),
         (replace(sound, executions=Counter()), "a: delivered, executed 0 times"),
-        (replace(sound, entries=[replace(entry("a"), told_at=None)]), "a: its final status is not reported"),
-        (replace(sound, entries=[entry("a", Answer.REFUSED)]), "a: refused, executed 1 times"),
+        (
+            replace(sound, entries=[replace(entry("a"), reported_at=None)]),
+            "a: its final status is not reported",
+        ),
+        (replace(sound, entries=[entry("a", StoredAnswer.REJECTED)]), "a: refused, executed 1 times"),
         (replace(sound, store_faults=["torn"]), "torn"),
     ):
         assert result.disagreements() == [line]
--- a/tests/program/test_fault_points.py
+++ b/tests/program/test_fault_points.py
@@ -13,7 +13,7 @@
 import pytest
 
 from loftrelay.relay.fault_points import NOTICE_STEPS, STEPS, TAKING_STEPS
-from loftrelay.store.state_machine import Answer, State
+from loftrelay.store.state_machine import StoredAnswer, RecordState
 from tests.program.test_record import entries, until, with_store
 from tests.standins.platform import HANG, SETTINGS, Request, World, reply, run
 
@@ -55,16 +55,16 @@
             heard = await w.hand_in("m", "order")  # as a client does that heard nothing
         assert heard in (200, 202, 500, 503)
         if heard in (202, 200):
-            found = await until(path, ["m"], State.TOLD)
+            found = await until(path, ["m"], RecordState.REPORTED)
             ends = {"delivered": [], "failed": ["undeliverable"], "refused": ["deferred"]}
             answer = found["m"].answer
             assert answer is not None
             if heard == 202:
                 assert {notice["status"] for notice in w.notices} == set(ends[answer.value])
-            if answer is Answer.DELIVERED:
+            if answer is StoredAnswer.DELIVERED:
                 assert status == 200
                 assert ran == ["m"]
-            if answer is Answer.REFUSED:
+            if answer is StoredAnswer.REJECTED:
                 assert not ran
         assert ran in ([], ["m"])
         if status != 503:
@@ -86,11 +86,11 @@
         w.program = ["-c", TRACED]
         await w.start()
         assert await w.hand_in("m", "order") == 202
-        await until(path, ["m"], State.TOLD)
+        await until(path, ["m"], RecordState.REPORTED)
         await w.until(lambda: "step journal over" in w.log)
         passed = [line[5:] for line in w.log if line.startswith("step ")]
         assert [step for step in passed if step not in TAKING_STEPS] == list(STEPS)
-        assert entries(path)["m"].answer is Answer.DELIVERED
+        assert entries(path)["m"].answer is StoredAnswer.DELIVERED
 
     run(scenario, tmp_path)
 
--- a/tests/program/test_record.py
+++ b/tests/program/test_record.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from loftrelay.store.backend import Query
+from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import VERSION, SQLiteStore
-from loftrelay.store.state_machine import Answer, Entry, State
+from loftrelay.store.state_machine import StoredAnswer, MessageRecord, RecordState
 from tests.standins.platform import HANG, SETTINGS, Request, World, deliver, message, never, reply, run
 
 FAST = {**SETTINGS["policy_limits"], "most_held": 2000}
@@ -27,16 +27,16 @@
     return path
 
 
-def entries(path: Path) -> dict[str, Entry]:
+def entries(path: Path) -> dict[str, MessageRecord]:
     store = SQLiteStore(path)
     try:
         assert not store.verify()
-        return {entry.message: entry for entry in store.select(Query())}
+        return {entry.message: entry for entry in store.select(RecordQuery())}
     finally:
         store.close()
 
 
-async def until(path: Path, names: list[str], state: State) -> dict[str, Entry]:
+async def until(path: Path, names: list[str], state: RecordState) -> dict[str, MessageRecord]:
     """Until the store tells that of all these."""
     async with asyncio.timeout(HANG):
         while True:
@@ -56,14 +56,14 @@
         await w.start()
         for name, of in (("order", "order"), ("status", "status"), ("bad", "order")):
             assert await w.hand_in(name, of, path="/order/k1" if name == "bad" else f"/{of}") == 202
-        found = await until(path, ["order", "status", "bad"], State.TOLD)
+        found = await until(path, ["order", "status", "bad"], RecordState.REPORTED)
         assert [found[name].answer for name in ("order", "status", "bad")] == [
-            Answer.DELIVERED,
-            Answer.DELIVERED,
-            Answer.FAILED,
+            StoredAnswer.DELIVERED,
+            StoredAnswer.DELIVERED,
+            StoredAnswer.FAILED,
         ]
         bad = found["bad"]
-        about = bad.about
+        about = bad.facts
         assert (about.instance, about.tenant, about.destination, about.key) == ("n1", "acme", 1, "k1")
         assert bad.attempts == 1
         assert bad.result == "ERROR"
@@ -81,7 +81,7 @@
         host = await w.host(deliver)
         await w.start()
         assert await w.hand_in("m", "order") == 202
-        await until(path, ["m"], State.TOLD)
+        await until(path, ["m"], RecordState.REPORTED)
         assert await w.hand_in("m", "order") == 200
         await w.kill()
         shutil.rmtree(tmp_path / "state")
@@ -134,7 +134,7 @@
         await w.start()
         await w.warm(host)
         assert await w.hand_in("before", "order") == 202
-        await until(path, ["before"], State.TOLD)
+        await until(path, ["before"], RecordState.REPORTED)
         lock = sqlite3.connect(path, isolation_level=None)
         lock.execute("BEGIN EXCLUSIVE")
         status, headers, _ = await w.ask(message("away", "order"))
@@ -147,7 +147,7 @@
         async with asyncio.timeout(HANG):
             while await w.hand_in("after", "order") == 503:
                 await asyncio.sleep(0.02)
-        found = await until(path, ["update", "after"], State.TOLD)
+        found = await until(path, ["update", "after"], RecordState.REPORTED)
         assert "away" not in found
         assert "away" not in host.ids
 
@@ -179,9 +179,9 @@
         lock.close()
         assert entries(path)["m"].answer is None
         await w.start()
-        found = await until(path, ["m"], State.TOLD)
+        found = await until(path, ["m"], RecordState.REPORTED)
         # The answer was read before the kill, or the attempt may have run: never a second time either way.
-        assert found["m"].answer in (Answer.DELIVERED, Answer.FAILED)
+        assert found["m"].answer in (StoredAnswer.DELIVERED, StoredAnswer.FAILED)
         assert host.ids == ["m"]
 
     run(scenario, tmp_path)
@@ -200,8 +200,8 @@
         shutil.rmtree(tmp_path / "state")
         await w.start()
         await w.until(lambda: w.notices == [{"id": "m", "status": "undeliverable"}])
-        found = await until(path, ["m"], State.TOLD)
-        assert found["m"].answer is Answer.FAILED
+        found = await until(path, ["m"], RecordState.REPORTED)
+        assert found["m"].answer is StoredAnswer.FAILED
         assert host.ids == ["m"]
 
     run(scenario, tmp_path)
@@ -223,10 +223,10 @@
             file.unlink()
         await w.start()
         await w.until(lambda: w.notices == [{"id": "out", "status": "undeliverable"}])
-        found = await until(path, ["out"], State.TOLD)
-        assert found["out"].answer is Answer.FAILED
+        found = await until(path, ["out"], RecordState.REPORTED)
+        assert found["out"].answer is StoredAnswer.FAILED
         assert found["out"].attempts == 1
-        assert (await until(path, ["waits"], State.TAKEN))["waits"].attempts == 0
+        assert (await until(path, ["waits"], RecordState.ADMITTED))["waits"].attempts == 0
         assert host.ids == ["out"]
 
     run(scenario, tmp_path)
@@ -259,14 +259,14 @@
             stop.set()
             await asyncio.gather(*clients)
         await w.start()
-        found = await until(path, taken, State.TOLD)
+        found = await until(path, taken, RecordState.REPORTED)
         assert len(taken) > 50
         assert len(set(host.ids)) == len(host.ids)
         told = {notice["id"]: notice["status"] for notice in w.notices}
         for name, entry in found.items():
-            if entry.answer is Answer.DELIVERED:
+            if entry.answer is StoredAnswer.DELIVERED:
                 assert name in host.ids
-            elif entry.answer is Answer.FAILED:
+            elif entry.answer is StoredAnswer.FAILED:
                 assert told[name] == "undeliverable"
         assert set(host.ids) <= set(found)  # nothing went out that the store had not seen
 
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -12,9 +12,9 @@
 
 psycopg = pytest.importorskip("psycopg", reason="the extra `postgres` is not installed")
 
-from loftrelay.store.backend import Query  # noqa: E402
+from loftrelay.store.backend import RecordQuery  # noqa: E402
 from loftrelay.store.postgres import PostgresStore  # noqa: E402
-from loftrelay.store.state_machine import Answer, Entry, State  # noqa: E402
+from loftrelay.store.state_machine import StoredAnswer, MessageRecord, RecordState  # noqa: E402
 from tests.program.test_connections import LIMITS  # noqa: E402
 from tests.program.test_record import given_to_two  # noqa: E402
 from tests.standins.partner import Partner  # noqa: E402
@@ -37,20 +37,20 @@
     w.arguments = ["--record", str(w.folder / "record.toml")]
 
 
-def entries(server: PostgresStandIn) -> dict[str, Entry]:
+def entries(server: PostgresStandIn) -> dict[str, MessageRecord]:
     store = PostgresStore(server.dsn)
     try:
         assert not store.verify()
-        return {entry.message: entry for entry in store.select(Query())}
+        return {entry.message: entry for entry in store.select(RecordQuery())}
     finally:
         store.close()
 
 
-async def all_told(server: PostgresStandIn, names: set[str]) -> dict[str, Entry]:
+async def all_told(server: PostgresStandIn, names: set[str]) -> dict[str, MessageRecord]:
     async with asyncio.timeout(HANG):
         while True:
             found = await asyncio.to_thread(entries, server)
-            if all(name in found and found[name].state is State.TOLD for name in names):
+            if all(name in found and found[name].state is RecordState.REPORTED for name in names):
                 return found
             await asyncio.sleep(0.05)
 
@@ -94,10 +94,10 @@
             assert len(found) == ORDERS
             assert max(partner.effects.values()) == 1
             told = {notice["id"]: notice["status"] for notice in w.notices}
-            ends = {Answer.FAILED: "undeliverable", Answer.REFUSED: "deferred"}
+            ends = {StoredAnswer.FAILED: "undeliverable", StoredAnswer.REJECTED: "deferred"}
             for name, entry in found.items():
-                assert (entry.answer is Answer.DELIVERED) == (partner.effects[name] == 1), name
-                if entry.answer is not Answer.DELIVERED and name in account.taken:
+                assert (entry.answer is StoredAnswer.DELIVERED) == (partner.effects[name] == 1), name
+                if entry.answer is not StoredAnswer.DELIVERED and name in account.taken:
                     assert entry.answer is not None
                     assert told[name] == ends[entry.answer]
             assert set(partner.effects) <= set(found)
@@ -156,7 +156,7 @@
         await asyncio.gather(*(again(name) for name in names))
         found = await all_told(server, {*names, "during"})
         assert sorted(i for i in host.ids if i in names) == sorted(names)
-        assert all(found[name].answer is Answer.DELIVERED for name in names)
+        assert all(found[name].answer is StoredAnswer.DELIVERED for name in names)
 
     run(scenario, tmp_path)
 
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -13,7 +13,7 @@
 import pytest
 
 from loftrelay.relay.fault_points import GIVING_STEPS
-from loftrelay.store.state_machine import Answer, State
+from loftrelay.store.state_machine import StoredAnswer, RecordState
 from tests.program.test_record import until, with_store
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 from tests.standins.platform import HANG, Request, World, deliver, failed, message, reply, run
@@ -92,14 +92,14 @@
         go_on(w)
         status = await handing
         assert host.ids == begun == ([] if step in ("commit take", "committed intend") else ["m"])
-        found = await until(path, ["m"], State.TOLD)
+        found = await until(path, ["m"], RecordState.REPORTED)
         told = [notice["id"] for notice in w.notices]
         if begun:
             assert status == 202
-            assert found["m"].answer is Answer.DELIVERED
+            assert found["m"].answer is StoredAnswer.DELIVERED
             assert not told
         else:
-            assert found["m"].answer in (Answer.REFUSED, Answer.FAILED)
+            assert found["m"].answer in (StoredAnswer.REJECTED, StoredAnswer.FAILED)
             assert status in (500, 503) or told == ["m"]
         assert host.ids == begun
 
@@ -316,11 +316,11 @@
                 while not taken <= {name for name in taken if partner.answered[name]} | set(w.noticed_at):
                     await asyncio.sleep(0.02)
             required = [name for name in taken if account.orders[name].of == "order"]
-            found = await until(path, required, State.TOLD)
+            found = await until(path, required, RecordState.REPORTED)
             seen = find(w, [partner], account, slack=0.3)
             assert seen.messages > 20
             assert (seen.duplicates, seen.misattributed, seen.order_breaks, seen.begun_late) == (0, 0, 0, 0)
             for name in required:
-                assert (found[name].answer is Answer.DELIVERED) == (partner.answered[name] > 0), name
+                assert (found[name].answer is StoredAnswer.DELIVERED) == (partner.answered[name] > 0), name
 
     run(scenario, tmp_path)
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -21,9 +21,9 @@
 from loftrelay.service.override_file import OverrideFile
 from loftrelay.state.hosts_out import HostsOut
 from loftrelay.state.last_config import LastFile
-from loftrelay.store.backend import Query
+from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import Answer, State
+from loftrelay.store.state_machine import StoredAnswer, RecordState
 from tests.standins.recovered import recover
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "state_32c0038"
@@ -155,23 +155,23 @@
     shutil.copy(FIXTURES / "record.sqlite", tmp_path)
     store = SQLiteStore(tmp_path / "record.sqlite")
     assert store.verify() == []
-    found = {entry.message: entry for entry in store.select(Query())}
+    found = {entry.message: entry for entry in store.select(RecordQuery())}
     store.close()
     assert {name: (entry.state, entry.answer, entry.attempts) for name, entry in found.items()} == {
-        "store-untried": (State.TAKEN, None, 0),
-        "store-out": (State.OUT, None, 1),
-        "store-waiting": (State.WAITING, None, 1),
-        "store-ended": (State.ENDED, Answer.FAILED, 1),
-        "store-delivered-unrecorded": (State.ENDED, Answer.DELIVERED, 1),
-        "store-lost": (State.TAKEN, None, 0),
-        "store-lost-out": (State.OUT, None, 1),
-        "store-told-delivered": (State.TOLD, Answer.DELIVERED, 1),
-        "store-told-failed": (State.TOLD, Answer.FAILED, 1),
-        "store-told-refused": (State.TOLD, Answer.REFUSED, 0),
+        "store-untried": (RecordState.ADMITTED, None, 0),
+        "store-out": (RecordState.IN_FLIGHT, None, 1),
+        "store-waiting": (RecordState.WAITING, None, 1),
+        "store-ended": (RecordState.ENDED, StoredAnswer.FAILED, 1),
+        "store-delivered-unrecorded": (RecordState.ENDED, StoredAnswer.DELIVERED, 1),
+        "store-lost": (RecordState.ADMITTED, None, 0),
+        "store-lost-out": (RecordState.IN_FLIGHT, None, 1),
+        "store-told-delivered": (RecordState.REPORTED, StoredAnswer.DELIVERED, 1),
+        "store-told-failed": (RecordState.REPORTED, StoredAnswer.FAILED, 1),
+        "store-told-refused": (RecordState.REPORTED, StoredAnswer.REJECTED, 0),
     }
     waiting = found["store-waiting"]
     assert (waiting.host, waiting.result, waiting.run, waiting.number) == ("h0", "FULL", 1, 3)
-    about = waiting.about
+    about = waiting.facts
     assert (about.instance, about.class_name, about.tenant, about.destination, about.key) == (
         "n1",
         "order",
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -99,9 +99,9 @@
                 held, host = self.out.pop(draw.randrange(len(self.out)))
                 engine.attempts.ended(held, host, draw.choice(ENDINGS))
             case 3:
-                told = [m for m in list(engine.context.status_reporter.waiting) if draw.random() < 0.5]  # type: ignore[attr-defined]
+                told = [m for m in list(engine.context.status_reporter.reports) if draw.random() < 0.5]  # type: ignore[attr-defined]
                 for message in told:
-                    del engine.context.status_reporter.waiting[message]  # type: ignore[attr-defined]
+                    del engine.context.status_reporter.reports[message]  # type: ignore[attr-defined]
                     engine.final_statuses.reported(message)
         engine.context.loop.run_due_batch()
 
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -20,7 +20,7 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.events import submission_of
 from loftrelay.relay.message import Message
-from loftrelay.relay.ports import AttemptResult, CallOptions, StoreDecision
+from loftrelay.relay.ports import AttemptResult, CallOptions, RecoveryAction, StoreDecision
 from loftrelay.server.http.server import HTTPServer
 from loftrelay.service.assembly import build
 from tests.standins.platform import SETTINGS
@@ -272,8 +272,8 @@
     def recorded_answer(self, message: str) -> str | None:
         return None
 
-    def recover(self, held: Message | None, message: str, unsafe: bool) -> str:
-        return "AGREE"
+    def recover(self, held: Message | None, message: str, unsafe: bool) -> RecoveryAction:
+        return RecoveryAction.AGREE
 
     def unfinished_without_journal(self, held: Mapping[str, Message]) -> Sequence[str]:
         return ()
--- a/tests/store/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -9,9 +9,14 @@
 
 psycopg = pytest.importorskip("psycopg", reason="the extra `postgres` is not installed")
 
-from loftrelay.store.backend import Ambiguous, Query, Unavailable, Unusable  # noqa: E402
+from loftrelay.store.backend import (
+    CommitUncertainError,
+    RecordQuery,
+    StoreUnavailableError,
+    StoreUnusableError,
+)  # noqa: E402
 from loftrelay.store.postgres import VERSION, PostgresStore  # noqa: E402
-from loftrelay.store.state_machine import Answer, RuleBroken, State  # noqa: E402
+from loftrelay.store.state_machine import StoredAnswer, RecordRuleError, RecordState  # noqa: E402
 from tests.standins.postgres import PostgresStandIn  # noqa: E402
 from tests.store.test_sqlite import life  # noqa: E402
 
@@ -26,9 +31,9 @@
     store, other = PostgresStore(server.dsn), PostgresStore(server.dsn)
     assert store.commit(life("m")) == {}
     entry = other.read(["m", "never"])["m"]
-    assert (entry.state, entry.answer, entry.attempts, entry.about.instance) == (
-        State.TOLD,
-        Answer.DELIVERED,
+    assert (entry.state, entry.answer, entry.attempts, entry.facts.instance) == (
+        RecordState.REPORTED,
+        StoredAnswer.DELIVERED,
         1,
         "n1",
     )
@@ -40,7 +45,7 @@
 
 def test_a_commit_is_whole_or_not_at_all(server: PostgresStandIn) -> None:
     store = PostgresStore(server.dsn)
-    with pytest.raises(RuleBroken):
+    with pytest.raises(RecordRuleError):
         store.commit([*life("a"), life("b")[1]])
     assert not store.read(["a", "b"])
     store.commit(life("a"))
@@ -52,7 +57,7 @@
     one, two = PostgresStore(server.dsn), PostgresStore(server.dsn)
     one.commit(life("m", end=None))
     kept = two.commit([life("m", at=2000, instance="n2")[0], *life("other", instance="n2")])
-    assert kept[0].about.instance == "n1"
+    assert kept[0].facts.instance == "n1"
     assert set(one.read(["m", "other"])) == {"m", "other"}
     one.close()
     two.close()
@@ -69,7 +74,7 @@
         return seen  # type: ignore[return-value]
 
     store._read = late  # type: ignore[method-assign, assignment]
-    with pytest.raises(Unavailable, match="another instance"):
+    with pytest.raises(StoreUnavailableError, match="another instance"):
         store.commit(life("m")[1:])
     store._read = read  # type: ignore[method-assign]
     assert store.read(["m"])["m"].number == 1  # rolled back as a whole
@@ -81,18 +86,23 @@
     for i in range(10):
         store.commit(life(f"m{i}", at=1000 * (i + 1), tenant="acme" if i % 2 else "dijk"))
     store.commit(life("open", at=1, end=None))
-    names = [entry.message for entry in store.select(Query(tenant="dijk", since=2000, until=9000))]
+    names = [entry.message for entry in store.select(RecordQuery(tenant="dijk", since=2000, until=9000))]
     assert names == ["m2", "m4", "m6"]
-    assert [entry.message for entry in store.select(Query(unfinished=True, limit=3))] == ["open"]
+    assert [entry.message for entry in store.select(RecordQuery(unfinished=True, limit=3))] == ["open"]
     assert [store.prune(5_500, 3), store.prune(5_500, 3), store.prune(5_500, 3)] == [3, 2, 0]
-    assert [entry.message for entry in store.select(Query())] == ["open", *(f"m{i}" for i in range(5, 10))]
+    assert [entry.message for entry in store.select(RecordQuery())] == [
+        "open",
+        *(f"m{i}" for i in range(5, 10)),
+    ]
     store.close()
 
 
 def test_a_password_is_proved_and_never_sent(tmp_path: Path) -> None:
     with PostgresStandIn(tmp_path / "s.sqlite", password="harbour") as server:
         PostgresStore(server.dsn).close()
-        with pytest.raises((Unusable, Unavailable), match="password authentication failed"):
+        with pytest.raises(
+            (StoreUnusableError, StoreUnavailableError), match="password authentication failed"
+        ):
             PostgresStore(server.dsn.replace("harbour", "wrong"))
 
 
@@ -100,7 +110,7 @@
     store = PostgresStore(server.dsn)
     store.database.execute(f"UPDATE record_version SET version = {VERSION + 1}".encode())
     store.close()
-    with pytest.raises(Unusable, match=f"version {VERSION + 1}"):
+    with pytest.raises(StoreUnusableError, match=f"version {VERSION + 1}"):
         PostgresStore(server.dsn)
 
 
@@ -109,7 +119,7 @@
     """A serialization failure, a deadlock, a read-only standby after a failover, a full disk, a lock."""
     store = PostgresStore(server.dsn)
     server.faults.errors.append(state)
-    with pytest.raises(Unavailable):
+    with pytest.raises(StoreUnavailableError):
         store.commit(life("m"))
     assert not store.read(["m"])
     assert store.commit(life("m")) == {}
@@ -121,14 +131,14 @@
 def test_a_commit_that_the_server_left_open_is_ambiguous(server: PostgresStandIn, state: str) -> None:
     store = PostgresStore(server.dsn)
     server.faults.errors.append(state)
-    with pytest.raises(Ambiguous):
+    with pytest.raises(CommitUncertainError):
         store.commit(life("m"))
     store.close()
 
 
 def test_out_of_connections_at_the_start_is_away(server: PostgresStandIn) -> None:
     server.faults.refuse = "53300"
-    with pytest.raises(Unavailable):
+    with pytest.raises(StoreUnavailableError):
         PostgresStore(server.dsn)
     server.faults.refuse = None
     PostgresStore(server.dsn).close()
@@ -137,5 +147,5 @@
 def test_nobody_there_is_away(server: PostgresStandIn) -> None:
     dsn = server.dsn
     server.__exit__()
-    with pytest.raises(Unavailable):
+    with pytest.raises(StoreUnavailableError):
         PostgresStore(dsn)
--- a/tests/store/test_postgres_cuts.py
+++ b/tests/store/test_postgres_cuts.py
@@ -16,9 +16,9 @@
 
 psycopg = pytest.importorskip("psycopg", reason="the extra `postgres` is not installed")
 
-from loftrelay.store.backend import Ambiguous, Query, StoreError, Unavailable  # noqa: E402
+from loftrelay.store.backend import CommitUncertainError, RecordQuery, StoreError, StoreUnavailableError  # noqa: E402
 from loftrelay.store.postgres import PostgresStore  # noqa: E402
-from loftrelay.store.state_machine import Found, State, resolve  # noqa: E402
+from loftrelay.store.state_machine import CommitStatus, RecordState, resolve_commit  # noqa: E402
 from loftrelay.store.writer import Writer  # noqa: E402
 from tests.standins.postgres import Faults, PostgresStandIn, cut  # noqa: E402
 from tests.store.test_sqlite import life  # noqa: E402
@@ -48,11 +48,11 @@
 
 @pytest.mark.parametrize("side", ["heard", "said"])
 def test_cut_at_every_byte_of_a_commit(server: PostgresStandIn, side: str) -> None:
-    """Unavailable: nothing is stored. Ambiguous: it is or is not, and reading back tells which. Either way
+    """StoreUnavailableError: nothing is stored. CommitUncertainError: it is or is not, and reading back tells which. Either way
     the same change stored once more makes one record, with nothing wrong in it. A commit that was heard whole
     before the cut came is done, and raises nothing."""
     size = exchange(server)[side == "said"]
-    outcomes: dict[str, set[bool]] = {"Unavailable": set(), "Ambiguous": set()}
+    outcomes: dict[str, set[bool]] = {"StoreUnavailableError": set(), "CommitUncertainError": set()}
     reader = PostgresStore(server.dsn)
     for byte in range(size):
         change = life(f"m{byte:04}")[0]  # as long as the name of the probe
@@ -62,25 +62,25 @@
         try:
             store.commit([change])
             outcome = ""
-        except (Unavailable, Ambiguous) as error:
+        except (StoreUnavailableError, CommitUncertainError) as error:
             outcome = type(error).__name__
         store.close()
         seen = reader.read([change.message]).get(change.message)
-        found = resolve(change, seen)
-        assert found in (Found.APPLIED, Found.MISSING)
+        found = resolve_commit(change, seen)
+        assert found in (CommitStatus.APPLIED, CommitStatus.MISSING)
         if outcome:
-            outcomes[outcome].add(found is Found.APPLIED)
+            outcomes[outcome].add(found is CommitStatus.APPLIED)
         else:
             assert side == "heard"
             assert byte >= size - FLUSH
-            assert found is Found.APPLIED
+            assert found is CommitStatus.APPLIED
         assert reader.commit([change]) == {}
         assert reader.read([change.message])[change.message].number == 1
     assert not reader.verify()
-    assert len(list(reader.select(Query()))) == size + 1
-    assert outcomes["Unavailable"] == {False}
+    assert len(list(reader.select(RecordQuery()))) == size + 1
+    assert outcomes["StoreUnavailableError"] == {False}
     # Cut while it spoke, the server never had the whole COMMIT; while it answered, it had committed.
-    assert outcomes["Ambiguous"] == {side == "said"}
+    assert outcomes["CommitUncertainError"] == {side == "said"}
     reader.close()
 
 
@@ -94,7 +94,7 @@
             try:
                 PostgresStore(server.dsn).close()
             except StoreError as error:
-                assert isinstance(error, Unavailable)
+                assert isinstance(error, StoreUnavailableError)
     server.faults = Faults()
     store = PostgresStore(server.dsn)
     assert store.commit(life("m")) == {}
@@ -108,7 +108,7 @@
     store = PostgresStore(server.dsn, seconds=0.2)
     line = server.lines[-1]
     line.faults = Faults(hush_said=line.said + after)
-    with pytest.raises(Unavailable):
+    with pytest.raises(StoreUnavailableError):
         store.commit(life("m")[:1])
     with pytest.raises(StoreError):  # this one is of no further use
         store.read(["m"])
@@ -126,11 +126,11 @@
     line = server.lines[-1]
     line.faults = Faults(hush_said=line.said + said - 5)
     change = life("m")[0]
-    with pytest.raises(Ambiguous):
+    with pytest.raises(CommitUncertainError):
         store.commit([change])
     store.close()
     other = PostgresStore(server.dsn)
-    assert resolve(change, other.read(["m"]).get("m")) is Found.APPLIED
+    assert resolve_commit(change, other.read(["m"]).get("m")) is CommitStatus.APPLIED
     other.close()
 
 
@@ -152,8 +152,8 @@
 
     asyncio.run(main())
     store = PostgresStore(server.dsn)
-    entries = list(store.select(Query()))
+    entries = list(store.select(RecordQuery()))
     assert {entry.message for entry in entries} == {f"m{i}" for i in range(300)}
-    assert all(entry.state is State.TOLD and entry.attempts == 1 for entry in entries)
+    assert all(entry.state is RecordState.REPORTED and entry.attempts == 1 for entry in entries)
     assert not store.verify()
     store.close()
--- a/tests/store/test_recorder.py
+++ b/tests/store/test_recorder.py
@@ -10,9 +10,9 @@
 
 from loftrelay.relay.message import Message
 from loftrelay.store import recorder as module
-from loftrelay.store.backend import Query
-from loftrelay.store.recorder import Recorder, Verdict
-from loftrelay.store.state_machine import Answer, Entry, Known, Mode, State
+from loftrelay.store.backend import RecordQuery
+from loftrelay.store.recorder import Recorder, AdmissionDecision
+from loftrelay.store.state_machine import StoredAnswer, MessageRecord, KnownId, DurabilityMode, RecordState
 from loftrelay.store.writer import Writer
 from tests.store.test_writer import Faulty
 
@@ -39,7 +39,7 @@
 
     async def main() -> None:
         store = Faulty(folder / "r.sqlite")
-        modes = {"order": Mode.REQUIRED, "status": Mode.FOLLOWS}
+        modes = {"order": DurabilityMode.WRITE_AHEAD, "status": DurabilityMode.WRITE_BEHIND}
         recorder = Recorder(Writer(store.open), "n1", modes, HOUR, patience=NEVER)
         await scenario(store, recorder)
         store.gate.set()
@@ -53,13 +53,13 @@
     return Recorder(recorder.writer, "n2", recorder.modes, HOUR, patience=NEVER)
 
 
-async def take(recorder: Recorder, held: Message) -> Verdict:
-    told: asyncio.Future[Verdict] = asyncio.get_running_loop().create_future()
+async def take(recorder: Recorder, held: Message) -> AdmissionDecision:
+    told: asyncio.Future[AdmissionDecision] = asyncio.get_running_loop().create_future()
     recorder.admit(held, told.set_result)
     return await told
 
 
-async def live(recorder: Recorder, held: Message, answer: Answer = Answer.DELIVERED) -> None:
+async def live(recorder: Recorder, held: Message, answer: StoredAnswer = StoredAnswer.DELIVERED) -> None:
     """One attempt, and its end, told."""
     loop = asyncio.get_running_loop()
     went: asyncio.Future[bool] = loop.create_future()
@@ -71,8 +71,8 @@
     recorder.final_status_reported(held.id)
 
 
-async def stored(recorder: Recorder) -> dict[str, Entry]:
-    return await recorder.writer.call(lambda store: {e.message: e for e in store.select(Query())})
+async def stored(recorder: Recorder) -> dict[str, MessageRecord]:
+    return await recorder.writer.call(lambda store: {e.message: e for e in store.select(RecordQuery())})
 
 
 def test_a_slow_store_refuses_and_what_it_has_in_the_end_is_recorded_as_refused(
@@ -82,25 +82,28 @@
 
     async def scenario(store: Faulty, recorder: Recorder) -> None:
         store.gate.clear()
-        recorder.patience = 0.01
+        recorder.max_store_wait_s = 0.01
         first = await take(recorder, clock.held("m"))
         assert first.retry_after_ms >= 1000
         again = await take(recorder, clock.held("m"))  # nobody knows yet whether the store will have it
         assert again.retry_after_ms >= 1000
-        assert (await take(recorder, clock.held("follows", "status"))).known is Known.NEW
+        assert (await take(recorder, clock.held("follows", "status"))).known_id is KnownId.NEW
         store.gate.set()
         async with asyncio.timeout(60):
-            while recorder.tracks["m"].state is State.TAKEN:
+            while recorder.positions["m"].state is RecordState.ADMITTED:
                 await asyncio.sleep(0)
             # Its refusal is on its way to the store: an earlier form took the id on anew here, and lost it.
             assert (await take(recorder, clock.held("m"))).retry_after_ms >= 1000
-            while "m" in recorder.tracks or (entry := (await stored(recorder))["m"]).state is not State.TOLD:
+            while (
+                "m" in recorder.positions
+                or (entry := (await stored(recorder))["m"]).state is not RecordState.REPORTED
+            ):
                 await asyncio.sleep(0)
-        assert (entry.answer, entry.attempts) == (Answer.REFUSED, 0)
-        recorder.patience = NEVER
+        assert (entry.answer, entry.attempts) == (StoredAnswer.REJECTED, 0)
+        recorder.max_store_wait_s = NEVER
         clock.now += 1_000_000
         verdict = await take(recorder, clock.held("m"))
-        assert verdict.known is Known.NEW
+        assert verdict.known_id is KnownId.NEW
         assert not verdict.retry_after_ms
         assert (await stored(recorder))["m"].run == 2
 
@@ -114,18 +117,18 @@
 
     async def scenario(store: Faulty, recorder: Recorder) -> None:
         held = clock.held("m")
-        assert (await take(recorder, held)).known is Known.NEW
+        assert (await take(recorder, held)).known_id is KnownId.NEW
         await live(recorder, held)
         await stored(recorder)
-        recorder.patience = 0.01
+        recorder.max_store_wait_s = 0.01
         store.gate.clear()
         assert (await take(recorder, clock.held("m"))).retry_after_ms
         store.gate.set()
         async with asyncio.timeout(60):
-            while "m" in recorder.tracks:
+            while "m" in recorder.positions:
                 await asyncio.sleep(0)
         entry = (await stored(recorder))["m"]
-        assert (entry.run, entry.answer) == (1, Answer.DELIVERED)
+        assert (entry.run, entry.answer) == (1, StoredAnswer.DELIVERED)
 
     run(tmp_path, scenario)
 
@@ -147,7 +150,7 @@
         verdict = await take(other, clock.held("m"))
         assert (verdict.status, verdict.retry_after_ms >= 1000) == (503, True)
         recorder.final_status_reported("m")
-        assert (await take(other, clock.held("m"))).known is Known.NEW
+        assert (await take(other, clock.held("m"))).known_id is KnownId.NEW
 
     run(tmp_path, scenario)
 
@@ -160,14 +163,14 @@
 
     async def scenario(store: Faulty, recorder: Recorder) -> None:
         held = clock.held("m")
-        assert (await take(recorder, held)).known is Known.NEW
+        assert (await take(recorder, held)).known_id is KnownId.NEW
         clock.now += step
         await live(recorder, held)
         other = beside(recorder)  # whose clock is right
         for now in (AT + step, AT):
             clock.now = now
-            assert (await take(other, clock.held("m"))).known is Known.DELIVERED
-        assert (await take(other, clock.held("new"))).known is Known.NEW
+            assert (await take(other, clock.held("m"))).known_id is KnownId.DELIVERED
+        assert (await take(other, clock.held("new"))).known_id is KnownId.NEW
         assert not await recorder.writer.call(lambda store: store.verify())
         assert (await recorder.writer.call(lambda store: store.prune(AT - 2 * HOUR, 9))) == 0
 
@@ -183,13 +186,13 @@
     async def scenario(store: Faulty, recorder: Recorder) -> None:
         held = clock.held("m")
         await take(recorder, held)
-        await live(recorder, held, Answer.REFUSED)
+        await live(recorder, held, StoredAnswer.REJECTED)
         clock.now -= 2 * HOUR
         again = clock.held("m")
-        assert (await take(recorder, again)).known is Known.NEW
-        assert (await take(beside(recorder), clock.held("m"))).known is Known.IN_PROGRESS
+        assert (await take(recorder, again)).known_id is KnownId.NEW
+        assert (await take(beside(recorder), clock.held("m"))).known_id is KnownId.IN_PROGRESS
         await live(recorder, again)
         entry = (await stored(recorder))["m"]
-        assert (entry.run, entry.answer, entry.attempts) == (2, Answer.DELIVERED, 1)
+        assert (entry.run, entry.answer, entry.attempts) == (2, StoredAnswer.DELIVERED, 1)
 
     run(tmp_path, scenario)
--- a/tests/store/test_settings.py
+++ b/tests/store/test_settings.py
@@ -8,8 +8,8 @@
 import pytest
 
 from loftrelay.config.toml_file import SettingsError
-from loftrelay.store.settings import KEYS, load_record
-from loftrelay.store.state_machine import Mode
+from loftrelay.store.settings import KEYS, load_store_settings
+from loftrelay.store.state_machine import DurabilityMode
 from tests.standins.platform import ROOT
 
 SHIPPED = ROOT / "deploy" / "record.toml"
@@ -18,11 +18,15 @@
 def test_defaults_are_the_safe_ones(tmp_path: Path) -> None:
     path = tmp_path / "record.toml"
     path.write_text('file = "r.sqlite"\n')
-    told = load_record(path)
-    assert (told.unsafe, told.repeatable, told.synchronous) == (Mode.REQUIRED, Mode.FOLLOWS, "FULL")
+    told = load_store_settings(path)
+    assert (told.at_most_once_mode, told.repeatable_mode, told.synchronous) == (
+        DurabilityMode.WRITE_AHEAD,
+        DurabilityMode.WRITE_BEHIND,
+        "FULL",
+    )
     assert told.file == Path("r.sqlite")
-    assert told.memory == 3_600_000_000
-    assert told.keep is None
+    assert told.remembered_for == 3_600_000_000
+    assert told.retention is None
 
 
 @pytest.mark.parametrize(
@@ -42,12 +46,12 @@
     path = tmp_path / "record.toml"
     path.write_text(text)
     with pytest.raises(SettingsError) as error:
-        load_record(path)
+        load_store_settings(path)
     assert str(error.value) == f"{path}: {says}"
 
 
 def test_the_shipped_file_tells_each_key() -> None:
-    load_record(SHIPPED)
+    load_store_settings(SHIPPED)
     lines = dict(re.findall(r'^#? ?(\w+) = (?:"[^"]*"|\S+)\s+# (.*)$', SHIPPED.read_text(), re.M))
     assert list(lines) == [key.name for key in KEYS]
     for key in KEYS:
--- a/tests/store/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -10,26 +10,38 @@
 
 import pytest
 
-from loftrelay.store.backend import Query, Unavailable, Unusable
+from loftrelay.store.backend import RecordQuery, StoreUnavailableError, StoreUnusableError
 from loftrelay.store.sqlite import MIGRATIONS, VERSION, SQLiteStore
-from loftrelay.store.state_machine import About, Answer, Change, Entry, Kind, RuleBroken, State
+from loftrelay.store.state_machine import (
+    MessageFacts,
+    StoredAnswer,
+    Change,
+    MessageRecord,
+    ChangeKind,
+    RecordRuleError,
+    RecordState,
+)
 from tests.standins.platform import ROOT
 
 S = 1_000_000
 
 
 def life(
-    name: str, at: int = 1000, end: Answer | None = Answer.DELIVERED, run: int = 1, **about: object
+    name: str,
+    at: int = 1000,
+    end: StoredAnswer | None = StoredAnswer.DELIVERED,
+    run: int = 1,
+    **about: object,
 ) -> list[Change]:
-    what = replace(About("n1", "order", "acme", 1, "k", at + 9 * S, "ab" * 32), **about)  # type: ignore[arg-type]
+    what = replace(MessageFacts("n1", "order", "acme", 1, "k", at + 9 * S, "ab" * 32), **about)  # type: ignore[arg-type]
     changes = [
-        Change(name, run, 1, Kind.TAKE, at, about=what),
-        Change(name, run, 2, Kind.INTEND, at + 1, host="h1"),
+        Change(name, run, 1, ChangeKind.ADMIT, at, facts=what),
+        Change(name, run, 2, ChangeKind.BEGIN_ATTEMPT, at + 1, host="h1"),
     ]
     if end is not None:
         changes += [
-            Change(name, run, 3, Kind.END, at + 2, result="OK", answer=end),
-            Change(name, run, 4, Kind.TOLD, at + 3),
+            Change(name, run, 3, ChangeKind.DECIDE, at + 2, result="OK", answer=end),
+            Change(name, run, 4, ChangeKind.REPORT, at + 3),
         ]
     return changes
 
@@ -40,19 +52,19 @@
     assert store.commit(life("m")) == {}
     other = SQLiteStore(path)
     (entry,) = other.read(["m", "never"]).values()
-    assert entry == Entry(
+    assert entry == MessageRecord(
         "m",
         1,
-        About("n1", "order", "acme", 1, "k", 1000 + 9 * S, "ab" * 32),
+        MessageFacts("n1", "order", "acme", 1, "k", 1000 + 9 * S, "ab" * 32),
         4,
-        State.TOLD,
+        RecordState.REPORTED,
         1000,
         1,
         "h1",
         1001,
         "OK",
         1002,
-        Answer.DELIVERED,
+        StoredAnswer.DELIVERED,
         1002,
         1003,
     )
@@ -65,8 +77,8 @@
 
 def test_a_commit_is_whole_or_not_at_all(tmp_path: Path) -> None:
     store = SQLiteStore(tmp_path / "r.sqlite")
-    bad = [*life("a"), Change("b", 1, 2, Kind.INTEND, 5, host="h")]
-    with pytest.raises(RuleBroken):
+    bad = [*life("a"), Change("b", 1, 2, ChangeKind.BEGIN_ATTEMPT, 5, host="h")]
+    with pytest.raises(RecordRuleError):
         store.commit(bad)
     assert not store.read(["a", "b"])
     assert not store.database.in_transaction
@@ -93,8 +105,8 @@
     assert one.commit(life("m", end=None)) == {}
     (kept,) = two.commit([life("m", at=2000, instance="n2")[0], *life("other", instance="n2")]).items()
     assert kept[0] == 0
-    assert kept[1].about.instance == "n1"
-    assert kept[1].state is State.OUT
+    assert kept[1].facts.instance == "n1"
+    assert kept[1].state is RecordState.IN_FLIGHT
     assert set(one.read(["m", "other"])) == {"m", "other"}  # the rest of the group is stored
     one.close()
     two.close()
@@ -102,9 +114,9 @@
 
 def test_an_id_comes_back_after_a_refusal(tmp_path: Path) -> None:
     store = SQLiteStore(tmp_path / "r.sqlite")
-    store.commit([*life("m", end=Answer.REFUSED), *life("m", at=5000, run=2)])
+    store.commit([*life("m", end=StoredAnswer.REJECTED), *life("m", at=5000, run=2)])
     entry = store.read(["m"])["m"]
-    assert (entry.run, entry.answer, entry.taken_at) == (2, Answer.DELIVERED, 5000)
+    assert (entry.run, entry.answer, entry.admitted_at) == (2, StoredAnswer.DELIVERED, 5000)
     assert not store.verify()
     store.close()
 
@@ -114,7 +126,7 @@
     store = SQLiteStore(path, busy_ms=1)
     other = sqlite3.connect(path, isolation_level=None)
     other.execute("BEGIN EXCLUSIVE")
-    with pytest.raises(Unavailable, match="locked"):
+    with pytest.raises(StoreUnavailableError, match="locked"):
         store.commit(life("m"))
     other.execute("ROLLBACK")
     assert not store.read(["m"])
@@ -128,7 +140,7 @@
     store.commit(life("first"))
     (pages,) = store.database.execute("PRAGMA page_count").fetchone()
     store.database.execute(f"PRAGMA max_page_count={pages}")  # as a full disk: SQLITE_FULL
-    with pytest.raises(Unavailable, match="full"):
+    with pytest.raises(StoreUnavailableError, match="full"):
         store.commit([change for i in range(500) for change in life(f"m{i}")])
     assert not store.read(["m0"])
     assert store.read(["first"])
@@ -145,7 +157,9 @@
     database.execute(f"PRAGMA user_version={VERSION + 1}")
     database.close()
     before = path.read_bytes()
-    with pytest.raises(Unusable, match=f"version {VERSION + 1}, this program knows up to {VERSION}"):
+    with pytest.raises(
+        StoreUnusableError, match=f"version {VERSION + 1}, this program knows up to {VERSION}"
+    ):
         SQLiteStore(path)
     assert path.read_bytes() == before
 
@@ -168,14 +182,14 @@
 def test_a_file_that_is_no_database_is_refused_and_left(tmp_path: Path, data: bytes) -> None:
     path = tmp_path / "r.sqlite"
     path.write_bytes(data)
-    with pytest.raises(Unusable):
+    with pytest.raises(StoreUnusableError):
         SQLiteStore(path)
     assert path.read_bytes() == data
 
 
 def test_a_folder_that_can_not_be_made_is_refused(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    with pytest.raises(Unusable, match="can't be opened"):
+    with pytest.raises(StoreUnusableError, match="can't be opened"):
         SQLiteStore(tmp_path / "file" / "r.sqlite")
 
 
@@ -195,7 +209,7 @@
         copy.write_bytes(main)
         copy.with_name("r.sqlite-wal").write_bytes(wal[:size])
         torn = SQLiteStore(copy)
-        names = [entry.message for entry in torn.select(Query())]
+        names = [entry.message for entry in torn.select(RecordQuery())]
         assert names == [f"m{i:02d}" for i in range(len(names))]
         assert not torn.verify()
         counts.append(len(names))
@@ -229,7 +243,7 @@
         store = SQLiteStore(path)
         entries = store.read([f"m{i}" for i in range(last + 1)])
         assert len(entries) == last + 1
-        assert all(e.state is State.TOLD for e in entries.values())
+        assert all(e.state is RecordState.REPORTED for e in entries.values())
         assert not store.verify()
         store.close()
 
@@ -243,7 +257,7 @@
     while count := store.prune(20_500, 8):
         steps.append(count)
     assert steps == [8, 8, 4]
-    left = [entry.message for entry in store.select(Query())]
+    left = [entry.message for entry in store.select(RecordQuery())]
     assert left == ["open", *(f"m{i}" for i in range(20, 30))]
     assert store.database.execute("SELECT count(*) FROM attempts").fetchone() == (11,)
     store.close()
@@ -251,16 +265,16 @@
 
 def test_what_the_back_office_asks_is_found_by_an_index(tmp_path: Path) -> None:
     store = SQLiteStore(tmp_path / "r.sqlite")
-    store.commit(life("a", tenant="acme") + life("b", at=2000, tenant="dijk", end=Answer.FAILED))
+    store.commit(life("a", tenant="acme") + life("b", at=2000, tenant="dijk", end=StoredAnswer.FAILED))
     store.commit(life("c", at=3000, tenant="dijk", end=None, class_name="status"))
 
     def names(**asked: object) -> list[str]:
-        return [entry.message for entry in store.select(Query(**asked))]  # type: ignore[arg-type]
+        return [entry.message for entry in store.select(RecordQuery(**asked))]  # type: ignore[arg-type]
 
     assert names() == ["a", "b", "c"]
     assert names(tenant="dijk") == ["b", "c"]
     assert names(class_name="status") == ["c"]
-    assert names(answer=Answer.FAILED) == ["b"]
+    assert names(answer=StoredAnswer.FAILED) == ["b"]
     assert names(unfinished=True) == ["c"]
     assert names(since=2000, until=3000) == ["b"]
     assert names(limit=2) == ["a", "b"]
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -10,10 +10,10 @@
 import pytest
 
 from loftrelay.store import writer as module
-from loftrelay.store.backend import Ambiguous, Query, Unavailable
+from loftrelay.store.backend import CommitUncertainError, RecordQuery, StoreUnavailableError
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import Change, Entry, RuleBroken, State
-from loftrelay.store.writer import Away, Elsewhere, Writer
+from loftrelay.store.state_machine import Change, MessageRecord, RecordRuleError, RecordState
+from loftrelay.store.writer import StoreAwayError, IdInUseError, Writer
 from tests.store.test_sqlite import life
 
 
@@ -33,23 +33,23 @@
         self.store = SQLiteStore(self.path)
         return self
 
-    def commit(self, changes: Sequence[Change]) -> dict[int, Entry]:
+    def commit(self, changes: Sequence[Change]) -> dict[int, MessageRecord]:
         self.gate.wait(60)
         fault = self.faults.pop(0) if self.faults else ""
         if fault == "away":
-            raise Unavailable("away")
+            raise StoreUnavailableError("away")
         if fault == "cut before":
-            raise Ambiguous("cut")
+            raise CommitUncertainError("cut")
         kept = self.store.commit(changes)
         self.groups.append(len(changes))
         if fault == "cut after":
-            raise Ambiguous("cut")
+            raise CommitUncertainError("cut")
         return kept
 
-    def read(self, messages: Sequence[str]) -> dict[str, Entry]:
+    def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
         return self.store.read(messages)
 
-    def select(self, query: Query) -> Iterator[Entry]:
+    def select(self, query: RecordQuery) -> Iterator[MessageRecord]:
         return self.store.select(query)
 
     def prune(self, before: int, most: int) -> int:
@@ -88,7 +88,7 @@
         await asyncio.gather(*writes)
         assert sum(store.groups) == 300
         assert len(store.groups) <= 3
-        entries = await writer.call(lambda s: list(s.select(Query())))
+        entries = await writer.call(lambda s: list(s.select(RecordQuery())))
         assert len(entries) == 300
 
     run(tmp_path, scenario)
@@ -100,18 +100,18 @@
         store.faults = ["away"] * 3
         intend, outcome, told = life("m")[1:]
         kept = [writer.write(intend), writer.write(outcome), writer.write(told)]
-        with pytest.raises(Away) as refusal:
+        with pytest.raises(StoreAwayError) as refusal:
             await writer.write(life("new")[0], optional=True)
-        assert refusal.value.retry_ms > 0
-        assert writer.away
-        with pytest.raises(Away):  # without a try of the store
+        assert refusal.value.retry_after_ms > 0
+        assert writer.is_store_away
+        with pytest.raises(StoreAwayError):  # without a try of the store
             await writer.write(life("newer")[0], optional=True)
         await asyncio.gather(*kept)
-        assert not writer.away
+        assert not writer.is_store_away
         assert store.opened == 4
         found = await writer.call(lambda s: s.read(["m", "new", "newer"]))
         assert set(found) == {"m"}
-        assert found["m"].state is State.TOLD
+        assert found["m"].state is RecordState.REPORTED
 
     run(tmp_path, scenario)
 
@@ -147,8 +147,8 @@
         await asyncio.gather(*(writer.write(change) for change in life("m", instance="n2")))
         writes = [writer.write(life("m", at=9)[0]), writer.write(life("other")[0])]
         results = await asyncio.gather(*writes, return_exceptions=True)
-        assert isinstance(results[0], Elsewhere)
-        assert results[0].entry.about.instance == "n2"
+        assert isinstance(results[0], IdInUseError)
+        assert results[0].record.facts.instance == "n2"
         assert results[1] is None
 
     run(tmp_path, scenario)
@@ -162,7 +162,7 @@
         bad, good = writer.write(life("bad")[1]), writer.write(life("good")[0])
         store.gate.set()
         results = await asyncio.gather(first, bad, good, return_exceptions=True)
-        assert isinstance(results[1], RuleBroken)
+        assert isinstance(results[1], RecordRuleError)
         assert (results[0], results[2]) == (None, None)
 
     run(tmp_path, scenario)
@@ -175,7 +175,7 @@
         await asyncio.sleep(0)  # never told before `write` returns
         refused = [write for write in writes if write.done()]
         assert 9 <= len(refused) <= 10
-        assert all(isinstance(write.exception(), Away) for write in refused)
+        assert all(isinstance(write.exception(), StoreAwayError) for write in refused)
         store.gate.set()
         await asyncio.gather(*writes, return_exceptions=True)
 
@@ -186,7 +186,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(store: Faulty, writer: Writer) -> None:
-        monkeypatch.setattr(module, "LINGER", 3600)
+        monkeypatch.setattr(module, "GATHER_TIME_S", 3600)
         await writer.write(life("first")[0])
         slow = [writer.write(change, urgent=False) for name in "abc" for change in life(name)]
         for _ in range(20):
@@ -195,7 +195,7 @@
         await writer.write(life("urgent")[0])
         assert store.groups == [1, 13]
         assert all(write.done() for write in slow)
-        monkeypatch.setattr(module, "LINGER", 0)
+        monkeypatch.setattr(module, "GATHER_TIME_S", 0)
         await writer.write(life("late")[0], urgent=False)  # and alone, after a while
         assert store.groups == [1, 13, 1]
 
@@ -204,7 +204,7 @@
 
 def test_a_full_group_does_not_wait_for_more(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(store: Faulty, writer: Writer) -> None:
-        monkeypatch.setattr(module, "LINGER", 3600)
+        monkeypatch.setattr(module, "GATHER_TIME_S", 3600)
         await asyncio.gather(*(writer.write(change, urgent=False) for change in life("m")))
         assert store.groups == [4]
 
@@ -216,14 +216,14 @@
         writes = [writer.write(change) for change in life("m")]
         await writer.close()
         assert all(write.done() and write.exception() is None for write in writes)
-        with pytest.raises(Away):
+        with pytest.raises(StoreAwayError):
             await writer.write(life("late")[0], optional=True)
 
     async def main() -> None:
         store = Faulty(tmp_path / "r.sqlite")
         await scenario(store, Writer(store.open))
         check = SQLiteStore(tmp_path / "r.sqlite")
-        assert check.read(["m"])["m"].state is State.TOLD
+        assert check.read(["m"])["m"].state is RecordState.REPORTED
         check.close()
 
     asyncio.run(main())
