--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -23,7 +23,9 @@
 from typing import Any
 
 from benchmarks.process import BEFORE_GROWTH, ROOT, cpu_seconds, earlier_program, run
-from loftrelay.delivery.connection_pool import Limits, Pools, Use
+from loftrelay.delivery.connection_pool.actions import UseConnection
+from loftrelay.delivery.connection_pool.manager import PoolManager
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from tests.program.test_connections import LIMITS, STRICT, plan
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 from tests.standins.platform import SETTINGS, World
@@ -174,26 +176,26 @@
 
 def pool_cost(servers: int, calls: int = 20_000) -> float:
     """Microseconds for a call through the pure pools, with one kept connection for each server."""
-    pools, now, number = Pools(Limits(idle_limit=15_000_000, most_in_all=servers + 10)), 1, 0
+    pools, now, number = PoolManager(PoolSettings(max_idle=15_000_000, max_total=servers + 10)), 1, 0
     names = [f"h{n}" for n in range(servers)]
     for name in names:
-        pools.place(name, name, name, now)
-        pools.want(number, name, False, None, now)
-        for connection in list(pools.servers[name].opening):
-            (first,) = [a for a in pools.up(connection, now) if isinstance(a, Use)]
-            pools.answered(first.connection, True, now)
+        pools.set_host(name, name, name, now)
+        pools.acquire(number, name, False, None, now)
+        for connection in list(pools.hosts[name].opening):
+            (first,) = [a for a in pools.connected(connection, now) if isinstance(a, UseConnection)]
+            pools.response_received(first.connection, True, now)
         number += 1
     chance = random.Random(1)
     began = time.perf_counter()
     for _ in range(calls):
         now += 100
         number += 1
-        actions = pools.want(number, chance.choice(names), False, None, now)
+        actions = pools.acquire(number, chance.choice(names), False, None, now)
         use = actions[-1]
-        assert isinstance(use, Use)
-        pools.answered(use.connection, True, now + 50, 50)
-        if pools.due is not None and pools.due <= now:
-            pools.tick(now)
+        assert isinstance(use, UseConnection)
+        pools.response_received(use.connection, True, now + 50, 50)
+        if pools.next_timer_at is not None and pools.next_timer_at <= now:
+            pools.run_timers(now)
     return (time.perf_counter() - began) / calls * 1e6
 
 
--- a/loftrelay/__main__.py
+++ b/loftrelay/__main__.py
@@ -15,7 +15,7 @@
 
 from loftrelay.config.platform import Config, load_config
 from loftrelay.config.toml_file import SettingsError
-from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.service.lifecycle import Service
 
 if TYPE_CHECKING:  # what an operator's file asks for is loaded with it: a start should cost little
@@ -47,7 +47,7 @@
 
 async def serve(
     config: Config,
-    connections: Limits,
+    connections: PoolSettings,
     record: RecordSettings | None,
     fleet: FleetSettings | None,
     subscription: SubscriptionSettings | None,
@@ -125,13 +125,13 @@
         return registry.main(given[1:])
     asked = parser().parse_args(given)
     start_log()
-    connections, record, fleet, subscription = Limits(), None, None, None
+    connections, record, fleet, subscription = PoolSettings(), None, None, None
     try:
         config = load_config(os.environ, fleet=asked.fleet is not None)
         if asked.connections:
-            from loftrelay.delivery.settings import load_limits
+            from loftrelay.delivery.settings import load_pool_settings
 
-            connections = load_limits(asked.connections)
+            connections = load_pool_settings(asked.connections)
         if asked.record:
             from loftrelay.store.settings import load_record
 
--- a/loftrelay/delivery/host_client.py
+++ b/loftrelay/delivery/host_client.py
@@ -13,8 +13,19 @@
 from functools import partial
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.delivery import connection_pool
 from loftrelay.delivery.call_outcome import read_batch, read_single, tells_of_others, told_wait
+from loftrelay.delivery.connection_pool.actions import (
+    Action,
+    CloseConnection,
+    ConnectFailure,
+    FailCall,
+    LogLine,
+    OpenConnection,
+    PoolErrorKind,
+    UseConnection,
+)
+from loftrelay.delivery.connection_pool.manager import PoolManager
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.net.address import Address
 from loftrelay.net.http import Answer, AnswerSpoilt, Connection, ConnectionBroken, Headers, Unasked, Unusable
 from loftrelay.relay.clock import wall_clock
@@ -49,7 +60,7 @@
 class Denied(Exception):
     """No connection carries the call."""
 
-    def __init__(self, why: connection_pool.Denied) -> None:
+    def __init__(self, why: PoolErrorKind) -> None:
         super().__init__(why.name)
         self.why = why
 
@@ -75,7 +86,7 @@
     at: float  # when it was decided (the loop's seconds)
     asked: bool = False
     idle: int | None = None
-    granted: asyncio.Future[connection_pool.Use] | None = None
+    granted: asyncio.Future[UseConnection] | None = None
     line: Line | None = None  # that carries it, from its first byte on
     wait: int = 0  # told in the head of its answer, microseconds
     recalled: bool = False
@@ -114,7 +125,7 @@
         connect_timeout: int | None,
         idle_limit: int | None,
         most_connections: int,
-        limits: connection_pool.Limits,
+        limits: PoolSettings,
         seed: int,
         tried: Callable[[Message, str], None],
         ended: Callable[[Message, str, AttemptResult], None],
@@ -130,10 +141,10 @@
         most_idle = (idle_limit or NO_IDLE) - IDLE_MARGIN
         limits = replace(
             limits,
-            idle_limit=min(limits.idle_limit or most_idle, most_idle),
-            most_in_all=min(limits.most_in_all or most_connections, most_connections),
+            max_idle=min(limits.max_idle or most_idle, most_idle),
+            max_total=min(limits.max_total or most_connections, most_connections),
         )
-        self.pools = connection_pool.Pools(limits, seed)
+        self.pools = PoolManager(limits, seed)
         self.connect_timeout = connect_timeout / 1e6 if connect_timeout else NO_CONNECT
         self.tried = tried
         self.ended = ended
@@ -159,7 +170,7 @@
         """Connections to where it was lead to someone else from now on."""
         self.addresses[host] = address
         self.draining.discard(host)
-        self._do(self.pools.place(host, address, destination, self._now()))
+        self._do(self.pools.set_host(host, address, destination, self._now()))
 
     def drain_host(self, host: str) -> None:
         """Calls of which nothing is written come back. Trouble: one that waited for its connection went out
@@ -169,10 +180,10 @@
         for call in self.waiting.values():
             if call.host == host and call.granted is not None and not call.granted.done():
                 call.granted.set_exception(Stale())
-        self._do(self.pools.drain(host, self._now()))
+        self._do(self.pools.drain_host(host, self._now()))
 
     def remove_host(self, host: str) -> None:
-        self._do(self.pools.forget(host, self._now()))
+        self._do(self.pools.remove_host(host, self._now()))
         self.addresses.pop(host, None)
         self.draining.discard(host)
 
@@ -262,23 +273,23 @@
                     call.asked, call.line = False, None
                     await self._find_why(number)
                     if call.idle == 0:
-                        raise Denied(connection_pool.Denied.NO_CONNECTION) from None
+                        raise Denied(PoolErrorKind.NO_CONNECTION) from None
             return self._answered(call, number, answer, ids)
         except JournalFullError:
-            self._do(self.pools.unused(number, self._now()))
+            self._do(self.pools.release_unused(number, self._now()))
             return dict.fromkeys(ids, AttemptResult(AttemptStatus.NOT_SENT))
         except (Bound, Stale) as why:
             if call.line is not None:  # a part of it is written
                 self._forget(number)
-                self._do(self.pools.broken(number, False, self._now()))
+                self._do(self.pools.connection_lost(number, False, self._now()))
             else:
-                self._do(self.pools.unused(number, self._now()))
+                self._do(self.pools.release_unused(number, self._now()))
             bound = isinstance(why, Bound)
             return dict.fromkeys(
                 ids, AttemptResult(AttemptStatus.NOT_SENT, is_stale=not bound, is_blocked=bound)
             )
         except Denied as denied:
-            no_room = denied.why is connection_pool.Denied.NO_ROOM
+            no_room = denied.why is PoolErrorKind.NO_ROOM
             return dict.fromkeys(
                 ids, AttemptResult(AttemptStatus.NOT_SENT if no_room else AttemptStatus.CONNECT_FAILED)
             )
@@ -287,7 +298,7 @@
             if not call.asked and (self.pulse.since(call.at) or now >= call.begin_by):
                 return dict.fromkeys(ids, AttemptResult(AttemptStatus.NOT_SENT, is_stale=True))
             if not call.asked:
-                waited = call.number in self.waiting and self.pools.waits_for_room(call.number)
+                waited = call.number in self.waiting and self.pools.is_waiting_for_release(call.number)
                 return dict.fromkeys(
                     ids, AttemptResult(AttemptStatus.NOT_SENT if waited else AttemptStatus.CONNECT_FAILED)
                 )
@@ -301,7 +312,7 @@
             result, dead = AttemptStatus.CONNECTION_LOST, True
         finally:
             if self.waiting.pop(call.number, None) is not None and not self.closing:
-                self._do(self.pools.withdraw(call.number, self._now()))
+                self._do(self.pools.cancel(call.number, self._now()))
         return self._broken(call, number, ids, result, dead)
 
     async def _connection(self, call: Call) -> int:
@@ -311,18 +322,18 @@
             self.waiting[call.number] = call
             most_idle = call.terms.max_connection_idle
             self._do(
-                self.pools.want(call.number, call.host, call.terms.is_at_most_once, most_idle, self._now())
+                self.pools.acquire(call.number, call.host, call.terms.is_at_most_once, most_idle, self._now())
             )
-            use: connection_pool.Use | None = None
+            use: UseConnection | None = None
             try:
                 use = await call.granted
-                if use.after:
-                    await asyncio.sleep(use.after / 1e6)
+                if use.delay:
+                    await asyncio.sleep(use.delay / 1e6)
             except asyncio.CancelledError:
                 if use is None and call.granted.done() and not call.granted.cancelled():
                     use = call.granted.result()
                 if use is not None:
-                    self._do(self.pools.unused(use.connection, self._now()))
+                    self._do(self.pools.release_unused(use.connection, self._now()))
                 raise
             line = self.lines.get(use.connection)
             if line is not None and line.connection.usable():
@@ -330,7 +341,7 @@
                 return use.connection
             await self._find_why(use.connection)
             if use.idle == 0:  # it came up and ended at once: as good as refused
-                raise Denied(connection_pool.Denied.NO_CONNECTION)
+                raise Denied(PoolErrorKind.NO_CONNECTION)
 
     async def _find_why(self, number: int) -> None:
         """A kept connection turned out to be of no use: what has come there is read, to know what it was."""
@@ -366,12 +377,16 @@
                 clock.cancel()
         fault_point("heard")
         took = line.connection.heard_at - line.connection.written_at
-        least = self.pools.earliest(number) if call.terms.is_at_most_once and answer.status == 200 else 0
+        least = (
+            self.pools.min_response_time(number) if call.terms.is_at_most_once and answer.status == 200 else 0
+        )
         if took * 1e6 < least:
             # Not believed yet: if it is a late copy, the true answer follows when the host is done. Refusals
             # come quickly by nature, their waits bind at once, and a false one can still be doubted.
             hold = min(
-                HOLD * least / (self.pools.limits.early * 1e6), MOST_HOLD, 0.9 * (deadline - loop.time())
+                HOLD * least / (self.pools.settings.early_response_fraction * 1e6),
+                MOST_HOLD,
+                0.9 * (deadline - loop.time()),
             )
             log.info(
                 "%s: an answer after %.1f ms, sooner than ever: waits for another", call.host, took * 1e3
@@ -423,10 +438,10 @@
         results = {ending.status for ending in endings.values()}
         well = results == {AttemptStatus.OK}
         now = self._now()
-        self.pools.fared(call.host, well, call.wait, now)
+        self.pools.record_outcome(call.host, well, call.wait, now)
         line = self.lines[number]
         line.asked, connection = False, line.connection
-        if not self.pools.first_use(number):
+        if not self.pools.is_first_use(number):
             sent = wall_clock() - int((asyncio.get_running_loop().time() - connection.written_at) * 1e6)
             line.answers.extend(Answered(name, ending.status, sent) for name, ending in endings.items())
         others = call.terms.is_batch and tells_of_others(answer, ids)
@@ -437,10 +452,10 @@
             self._gone(number, connection.surplus, behind=not others)
         elif AttemptStatus.MALFORMED_RESPONSE in results or not connection.usable():
             self._forget(number)
-            self._do(self.pools.broken(number, False, now))
+            self._do(self.pools.connection_lost(number, False, now))
         else:
             took = int((connection.heard_at - connection.written_at) * 1e6) if well else None
-            self._do(self.pools.answered(number, True, now, took))
+            self._do(self.pools.response_received(number, True, now, took))
         return endings
 
     def _broken(
@@ -450,12 +465,12 @@
         now = self._now()
         line = self.lines[number]
         line.asked, connection = False, line.connection
-        self.pools.fared(call.host, False, call.wait, now)
+        self.pools.record_outcome(call.host, False, call.wait, now)
         if connection.surplus is not None:
             self._gone(number, connection.surplus)
         else:
             self._forget(number)
-            self._do(self.pools.broken(number, dead and connection.written, now))
+            self._do(self.pools.connection_lost(number, dead and connection.written, now))
         if not call.terms.is_batch and connection.says_delivered and connection.surplus is None:
             return {ids[0]: AttemptResult(AttemptStatus.OK, is_final=True)}
         return dict.fromkeys(
@@ -467,34 +482,34 @@
     def _now(self) -> int:
         return int(asyncio.get_running_loop().time() * 1e6)
 
-    def _do(self, actions: list[connection_pool.Action]) -> None:
+    def _do(self, actions: list[Action]) -> None:
         """In order. The pools are asked again only when all is done: `actions` is theirs."""
         given_back = []
         for action in actions:
             match action:
-                case connection_pool.Use(number, connection):
+                case UseConnection(number, connection):
                     call = self.waiting.pop(number)
                     assert call.granted is not None
                     if not call.granted.done():
                         call.granted.set_result(action)
                     else:  # its time ran out a moment ago, and its task has not run since
                         given_back.append(connection)
-                case connection_pool.Deny(number, why):
+                case FailCall(number, why):
                     call = self.waiting.pop(number)
                     assert call.granted is not None
                     if not call.granted.done():
                         call.granted.set_exception(Denied(why))
-                case connection_pool.Open(host, number):
+                case OpenConnection(host, number):
                     self.opening[number] = asyncio.create_task(self._open(host, number))
-                case connection_pool.Close(number):
+                case CloseConnection(number):
                     self._forget(number)
                     if task := self.opening.pop(number, None):
                         task.cancel()
-                case connection_pool.Say(text):
+                case LogLine(text):
                     log.warning("%s", text)
         for connection in given_back:
-            self._do(self.pools.unused(connection, self._now()))
-        due = self.pools.due
+            self._do(self.pools.release_unused(connection, self._now()))
+        due = self.pools.next_timer_at
         if due is not None and (self.clock is None or due < self.clock_due) and not self.closing:
             if self.clock is not None:
                 self.clock.cancel()
@@ -503,25 +518,25 @@
 
     def _tick(self) -> None:
         self.clock = None
-        self._do(self.pools.tick(max(self._now(), self.clock_due)))
+        self._do(self.pools.run_timers(max(self._now(), self.clock_due)))
 
     async def _open(self, host: str, number: int) -> None:
-        why = connection_pool.Lost.REFUSED
+        why = ConnectFailure.REFUSED
         try:
             connection = await self._connected(host)
         except TimeoutError:
-            why = connection_pool.Lost.SILENT
+            why = ConnectFailure.SILENT
         except OSError as error:
             if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                why = connection_pool.Lost.DESCRIPTORS
+                why = ConnectFailure.DESCRIPTORS
         else:
             self.opening.pop(number, None)
             self.lines[number] = Line(host, connection)
             connection.unasked = partial(self._gone, number)
-            self._do(self.pools.up(number, self._now()))
+            self._do(self.pools.connected(number, self._now()))
             return
         self.opening.pop(number, None)
-        self._do(self.pools.failed(number, why, self._now()))
+        self._do(self.pools.connect_failed(number, why, self._now()))
 
     async def _connected(self, host: str) -> Connection:
         """Raises OSError (TimeoutError among them). Time in which the process stood still tells nothing."""
@@ -549,10 +564,10 @@
             return
         self._forget(number)
         if what is Unasked.END:
-            self._do(self.pools.closed(number, self._now()))
+            self._do(self.pools.closed_by_peer(number, self._now()))
             return
         line.connection.surplus = what
-        self._do(self.pools.surplus(number, what is Unasked.ANSWER, self._now(), behind))
+        self._do(self.pools.unsolicited_data(number, what is Unasked.ANSWER, self._now(), behind))
         if what is Unasked.ANSWER and line.answers:
             names = ", ".join(f"{a.message} ({a.result.value})" for a in line.answers)
             log.error(
--- a/loftrelay/delivery/settings.py
+++ b/loftrelay/delivery/settings.py
@@ -1,11 +1,13 @@
-"""The operator's file on connections (deploy/connections.toml): its keys, and the limits that they make."""
+"""The operators' file on connections (deploy/connections.toml), mapped to the settings of the pool."""
 
 from __future__ import annotations
 
+from collections.abc import Callable, Mapping
 from pathlib import Path
+from typing import Any
 
 from loftrelay.config.toml_file import Key, SettingsError, read_toml
-from loftrelay.delivery.connection_pool import MS, SECOND, Distrust, Limits, Order
+from loftrelay.delivery.connection_pool.settings import MS, SECOND, DistrustScope, PoolSettings, ReuseOrder
 
 DAY = 86_400.0
 KEYS = (
@@ -37,43 +39,63 @@
 )
 
 
-def load_limits(path: Path) -> Limits:
-    """Raises SettingsError, which names the file, the key and the value."""
-    told = read_toml(path, KEYS)
-
-    def micro(name: str, unit: int) -> int:
-        value: float = told[name]
-        return round(value * unit)
-
-    limits = Limits(
-        strict=told["strict"],
-        distrust=Distrust(told["distrust"]),
-        trust_after=micro("trust_after_s", SECOND),
-        rest=micro("rest_ms", MS),
-        most_rest=micro("most_rest_ms", MS),
-        unsafe_rest=micro("unsafe_rest_ms", MS),
-        early=told["early_percent"] / 100,
-        order=Order(told["order"]),
-        most_per_server=told["most_per_server"],
-        most_in_all=told["most_in_all"],
-        most_connecting=told["most_connecting"],
-        backoff=micro("backoff_ms", MS),
-        most_backoff=micro("most_backoff_ms", MS),
-        learn_bound=told["learn_bound"],
-        forget_bound=micro("forget_bound_s", SECOND),
-        ahead=told["open_ahead"],
-        calm=micro("calm_s", SECOND),
-        idle_limit=micro("idle_limit_s", SECOND),
-        age_limit=micro("age_limit_s", SECOND),
-        learn_limits=told["learn_limits"],
-        evidence=told["evidence"],
-        forget_limits=micro("forget_limits_s", SECOND),
-        spread=told["spread_percent"] / 100,
-    )
-    for low, high in (("rest_ms", "most_rest_ms"), ("backoff_ms", "most_backoff_ms")):
-        if told[low] > told[high]:
-            raise SettingsError(f"{path}: {low} = {told[low]!r}: is over {high} = {told[high]!r}")
-    if told["most_in_all"] and told["most_per_server"] > told["most_in_all"]:
-        each, total = told["most_per_server"], told["most_in_all"]
-        raise SettingsError(f"{path}: most_per_server = {each!r}: is over most_in_all = {total!r}")
-    return limits
+def _milliseconds(value: float) -> int:
+    return round(value * MS)
+
+
+def _seconds(value: float) -> int:
+    return round(value * SECOND)
+
+
+def _percent(value: float) -> float:
+    return value / 100
+
+
+FIELDS: dict[str, tuple[str, Callable[[Any], Any]]] = {
+    "strict": ("is_strict", bool),
+    "distrust": ("distrust_scope", DistrustScope),
+    "trust_after_s": ("trust_restored_after", _seconds),
+    "rest_ms": ("reuse_delay", _milliseconds),
+    "most_rest_ms": ("max_reuse_delay", _milliseconds),
+    "unsafe_rest_ms": ("at_most_once_reuse_delay", _milliseconds),
+    "early_percent": ("early_response_fraction", _percent),
+    "order": ("reuse_order", ReuseOrder),
+    "most_per_server": ("max_per_host", int),
+    "most_in_all": ("max_total", int),
+    "most_connecting": ("max_connecting", int),
+    "backoff_ms": ("connect_backoff", _milliseconds),
+    "most_backoff_ms": ("max_connect_backoff", _milliseconds),
+    "learn_bound": ("is_capacity_learned", bool),
+    "forget_bound_s": ("capacity_memory", _seconds),
+    "open_ahead": ("max_prewarmed", int),
+    "calm_s": ("warm_up_after", _seconds),
+    "idle_limit_s": ("max_idle", _seconds),
+    "age_limit_s": ("max_age", _seconds),
+    "learn_limits": ("is_age_limit_learned", bool),
+    "evidence": ("min_resets", int),
+    "forget_limits_s": ("reset_memory", _seconds),
+    "spread_percent": ("limit_jitter", _percent),
+}  # key -> field of PoolSettings, and the conversion from the key's unit
+ORDERED_KEYS = (
+    ("rest_ms", "most_rest_ms"),
+    ("backoff_ms", "most_backoff_ms"),
+)  # the first is not over the second
+
+
+def load_pool_settings(path: Path) -> PoolSettings:
+    """Reads the file.
+
+    Raises:
+        SettingsError: Names the file, the key and the value.
+    """
+    values = read_toml(path, KEYS)
+    for low, high in ORDERED_KEYS:
+        _check_order(path, values, low, high)
+    if values["most_in_all"]:
+        _check_order(path, values, "most_per_server", "most_in_all")
+    return PoolSettings(**{field: convert(values[key]) for key, (field, convert) in FIELDS.items()})
+
+
+def _check_order(path: Path, values: Mapping[str, Any], low: str, high: str) -> None:
+    if values[low] > values[high]:
+        raise SettingsError(f"{path}: {low} = {values[low]!r}: is over {high} = {values[high]!r}")
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from loftrelay.config.platform import Config
-from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.delivery.host_client import HostClient
 from loftrelay.discovery.client import DiscoveryClient
 from loftrelay.discovery.status_reporter import FinalStatusReporter
@@ -18,12 +18,12 @@
 if TYPE_CHECKING:
     from loftrelay.discovery.settings import SubscriptionSettings
 
-DEFAULT_LIMITS = Limits()
+DEFAULT_POOL_SETTINGS = PoolSettings()
 
 
 def build(
     config: Config,
-    connections: Limits = DEFAULT_LIMITS,
+    connections: PoolSettings = DEFAULT_POOL_SETTINGS,
     journal: Journal | None = None,
     record: MessageStore | None = None,
     handed: HandoverState | None = None,
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from loftrelay.config.platform import Config, ConfigError, reload
-from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.fault_points import fault_point
@@ -47,7 +47,7 @@
     def __init__(
         self,
         config: Config,
-        connections: Limits,
+        connections: PoolSettings,
         record: RecordSettings | None = None,
         fleet: FleetSettings | None = None,
         subscription: SubscriptionSettings | None = None,
--- a/tests/delivery/sender.py
+++ b/tests/delivery/sender.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.delivery.host_client import HostClient
 from loftrelay.net.address import Address
 from loftrelay.relay.clock import wall_clock
@@ -27,7 +27,7 @@
             200_000,
             15_000_000,
             most,
-            Limits(**limits),
+            PoolSettings(**limits),
             1,
             lambda held, host: self.tried.append(held.id),
             self._ended,
--- a/tests/delivery/test_decided_and_not_begun.py
+++ b/tests/delivery/test_decided_and_not_begun.py
@@ -63,7 +63,7 @@
         assert partner.ids == ["a"]
         assert sender.tried == ["a"]
 
-    run(scenario, rest=300_000, most_rest=300_000, most_per_server=1)
+    run(scenario, reuse_delay=300_000, max_reuse_delay=300_000, max_per_host=1)
 
 
 @pytest.mark.parametrize("why", TOLD)
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -44,7 +44,7 @@
         assert 3 <= lost <= 4  # then no connection is kept so long
         assert all(count == 1 for count in partner.effects.values())
 
-    run(Behaviour(silent_after=(0.15, 0.28)), scenario, evidence=3)
+    run(Behaviour(silent_after=(0.15, 0.28)), scenario, min_resets=3)
 
 
 def test_resets_at_random_ages_are_learned() -> None:
@@ -56,7 +56,7 @@
         assert AttemptStatus.CONNECTION_LOST in results
         assert set(results[-6:]) == {AttemptStatus.OK}
 
-    run(Behaviour(reset_after=(0.15, 0.28)), scenario, evidence=3)
+    run(Behaviour(reset_after=(0.15, 0.28)), scenario, min_resets=3)
 
 
 def test_one_that_closes_half_is_not_asked_again_there() -> None:
@@ -95,9 +95,9 @@
         }
         assert len(set(waves[0])) > 1
         assert set(waves[-1]) == {AttemptStatus.OK}
-        assert sender.hosts.pools.servers["h"].bound in (2, 3)
+        assert sender.hosts.pools.hosts["h"].capacity.limit in (2, 3)
 
-    run(Behaviour(lambda call: Doing(delay=0.01), most=2), scenario, learn_bound=True)
+    run(Behaviour(lambda call: Doing(delay=0.01), most=2), scenario, is_capacity_learned=True)
 
 
 def test_a_full_listen_queue_is_no_connection() -> None:
@@ -199,13 +199,19 @@
         await partner.__aenter__(port)
         for i in range(20):
             assert (await sender.send(f"back{i}")).status is AttemptStatus.OK
-            well_since = sender.hosts.pools.servers["h"].group.well_since
+            well_since = sender.hosts.pools.hosts["h"].destination.healthy_since
             if well_since is not None and sender.hosts._now() - well_since < 100_000:
                 assert partner.accepted - accepted == 1
             else:
                 assert i  # the first call itself is well, and not for long
 
-    run(Behaviour(lambda call: Doing(delay=0.005)), scenario, ahead=6, calm=100_000, rest=0)
+    run(
+        Behaviour(lambda call: Doing(delay=0.005)),
+        scenario,
+        max_prewarmed=6,
+        warm_up_after=100_000,
+        reuse_delay=0,
+    )
 
 
 def test_one_that_is_gone_while_a_call_waits() -> None:
@@ -216,7 +222,7 @@
         assert (await second).status is AttemptStatus.CONNECT_FAILED
         assert (await first).status is AttemptStatus.OK
 
-    run(Behaviour(lambda call: Doing(delay=0.1)), scenario, most_per_server=1)
+    run(Behaviour(lambda call: Doing(delay=0.1)), scenario, max_per_host=1)
 
 
 def test_a_call_that_ran_out_of_time_waiting_for_room_says_nothing_of_its_server() -> None:
@@ -226,7 +232,7 @@
         assert (await sender.send("m2", timeout=0.05)).status is AttemptStatus.NOT_SENT
         assert (await first).status is AttemptStatus.OK
 
-    run(Behaviour(lambda call: Doing(delay=0.3)), scenario, most_per_server=1)
+    run(Behaviour(lambda call: Doing(delay=0.3)), scenario, max_per_host=1)
 
 
 def test_a_connection_given_to_a_call_that_has_just_run_out_of_time_is_given_back() -> None:
@@ -237,11 +243,11 @@
         call = hosts.waiting[99] = HostsCall(99, "h", [], CallOptions(1.0, False, False, None), 0.0)
         call.granted = asyncio.get_running_loop().create_future()
         call.granted.cancel()
-        hosts._do(hosts.pools.want(99, "h", False, None, hosts._now()))
+        hosts._do(hosts.pools.acquire(99, "h", False, None, hosts._now()))
         assert (await sender.send("m")).status is AttemptStatus.OK
-        server = hosts.pools.servers["h"]
+        server = hosts.pools.hosts["h"]
         assert server.busy == 0
-        assert server.up == partner.accepted
+        assert server.established == partner.accepted
         assert not hosts.waiting
 
     run(Behaviour(), scenario)
@@ -283,7 +289,7 @@
             return Doing(429, wait_ms=70)
         return Doing(delay=0.0 if call.ids == ["quick"] else 0.03)
 
-    run(Behaviour(script), scenario, unsafe_rest=0)
+    run(Behaviour(script), scenario, at_most_once_reuse_delay=0)
 
 
 def test_descriptors_run_out(monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
@@ -335,7 +341,7 @@
             partners.append(partner)
             places[f"h{n}"] = partner.address
         said: dict[str, AttemptStatus] = {}
-        async with Sender(places, learn_bound=True, backoff=1000, most_per_server=5) as sender:
+        async with Sender(places, is_capacity_learned=True, connect_backoff=1000, max_per_host=5) as sender:
 
             async def client(n: int) -> None:
                 for i in range(20):
--- a/tests/delivery/test_misattribution.py
+++ b/tests/delivery/test_misattribution.py
@@ -53,14 +53,17 @@
             return Doing(503 if status == 200 else 200, stale=True, delay=0.05)
         return Doing(status)
 
-    async with Partner(Behaviour(script)) as partner, Sender({"h": partner.address}, unsafe_rest=0) as sender:
+    async with (
+        Partner(Behaviour(script)) as partner,
+        Sender({"h": partner.address}, at_most_once_reuse_delay=0) as sender,
+    ):
         await sender.send("first", batch=batch)
         await sender.send("second", batch=batch)
         ending = await sender.send("order", unsafe=True, batch=batch)
         await partner.until(lambda: partner.answered["order"] > 0)
         await settle()
         false = Case(0, status, 1, batch, True).false(partner, "order", ending)
-        return false, sender.hosts.pools.surplus_at is not None, sender, ending
+        return false, sender.hosts.pools.trust.unsolicited_at is not None, sender, ending
 
 
 class Case:
@@ -101,10 +104,10 @@
     async def play(self, rounds: int, strict: bool) -> tuple[list[bool], bool, Sender]:
         async with (
             Partner(Behaviour(self.script)) as partner,
-            Sender({"h": partner.address}, strict=strict) as sender,
+            Sender({"h": partner.address}, is_strict=strict) as sender,
         ):
             falsified = [await self.round(partner, sender, n) for n in range(rounds)]
-            known = sender.hosts.pools.surpluses > 0
+            known = sender.hosts.pools.trust.unsolicited_count > 0
             return falsified, known, sender
 
 
@@ -128,14 +131,14 @@
 
     async def main() -> None:
         partner = Partner(Behaviour(lambda call: Doing(503 if call.ids == ["last"] else 200, behind=1)))
-        async with partner, Sender({"h": partner.address}, strict=strict) as sender:
+        async with partner, Sender({"h": partner.address}, is_strict=strict) as sender:
             for i in range(5):
                 ending = await sender.send(f"order{i}", unsafe=True)
                 assert ending.status is AttemptStatus.OK
                 assert partner.effects[f"order{i}"] == 1
-            assert sender.hosts.pools.surpluses == 5
+            assert sender.hosts.pools.trust.unsolicited_count == 5
             assert partner.accepted == 5
-            assert sender.hosts.pools.needs_new("h") == strict
+            assert sender.hosts.pools.requires_unused("h") == strict
             assert (await sender.send("last", unsafe=True)).status is AttemptStatus.REJECTED
 
     asyncio.run(main())
@@ -149,7 +152,7 @@
     on a busy machine both passed for an ordinary end of the connection."""
 
     async def main() -> None:
-        async with Partner() as partner, Sender({"h": partner.address}, unsafe_rest=0) as sender:
+        async with Partner() as partner, Sender({"h": partner.address}, at_most_once_reuse_delay=0) as sender:
             await sender.send("first")
 
             def listen(at: str) -> None:
@@ -165,7 +168,7 @@
 
             monkeypatch.setattr(fault_points, "listener", listen)
             assert (await sender.send("second", unsafe=True)).status is AttemptStatus.OK
-            assert sender.hosts.pools.surpluses == 1
+            assert sender.hosts.pools.trust.unsolicited_count == 1
             assert partner.effects["second"] == 1
 
     asyncio.run(main())
@@ -218,7 +221,7 @@
     async def main() -> None:
         async with (
             Partner(Behaviour(script)) as partner,
-            Sender({"h": partner.address}, unsafe_rest=0) as sender,
+            Sender({"h": partner.address}, at_most_once_reuse_delay=0) as sender,
         ):
             for i in range(36):
                 await sender.send(f"plain{i}")
@@ -226,7 +229,7 @@
             assert partner.calls[-1].connection == partner.calls[-2].connection
             assert ending.status is AttemptStatus.MALFORMED_RESPONSE
             assert not ending.is_final
-            assert sender.hosts.pools.surplus_at is not None
+            assert sender.hosts.pools.trust.unsolicited_at is not None
 
     asyncio.run(main())
 
@@ -238,7 +241,7 @@
 
         async with (
             Partner(Behaviour(script)) as partner,
-            Sender({"h": partner.address}, unsafe_rest=0) as sender,
+            Sender({"h": partner.address}, at_most_once_reuse_delay=0) as sender,
         ):
             for i in range(36):
                 await sender.send(f"plain{i}")
@@ -288,10 +291,10 @@
         address = server.sockets[0].getsockname()[:2]
         async with Sender({"h": address}) as sender:
             hosts = sender.hosts
-            hosts._do(hosts.pools.want(-1, "h", False, None, hosts._now()))  # opens one ...
-            hosts._do(hosts.pools.withdraw(-1, hosts._now()))  # ... that stays idle
+            hosts._do(hosts.pools.acquire(-1, "h", False, None, hosts._now()))  # opens one ...
+            hosts._do(hosts.pools.cancel(-1, hosts._now()))  # ... that stays idle
             async with asyncio.timeout(60):
-                while hosts.pools.surplus_at is None:
+                while hosts.pools.trust.unsolicited_at is None:
                     await asyncio.sleep(0.001)
             assert (await sender.send("order", unsafe=True)).status is AttemptStatus.REJECTED
         server.close()
--- a/tests/delivery/test_pools.py
+++ b/tests/delivery/test_pools.py
@@ -7,7 +7,9 @@
 
 import pytest
 
-from loftrelay.delivery.connection_pool import MS, SECOND, Denied, Distrust, Lost, Order, Wear
+from loftrelay.delivery.connection_pool.actions import ConnectFailure, PoolErrorKind
+from loftrelay.delivery.connection_pool.idle_reset import IdleResetEstimator
+from loftrelay.delivery.connection_pool.settings import MS, SECOND, DistrustScope, ReuseOrder
 from tests.delivery.driver import Driver
 
 
@@ -34,7 +36,7 @@
 
 
 def test_the_newest_is_used_first_so_that_the_surplus_ages() -> None:
-    d = driver(idle_limit=2 * SECOND, spread=0.0)
+    d = driver(max_idle=2 * SECOND, limit_jitter=0.0)
     calls = [d.want() for _ in range(3)]
     d.come_up()
     for call in calls:
@@ -49,7 +51,7 @@
 
 
 def test_rotation_keeps_all_in_use() -> None:
-    d = driver(order=Order.ROTATE, idle_limit=2 * SECOND)
+    d = driver(reuse_order=ReuseOrder.ROTATE, max_idle=2 * SECOND)
     calls = [d.want() for _ in range(3)]
     d.come_up()
     for call in calls:
@@ -96,7 +98,7 @@
 
 
 def test_at_the_bound_an_unsafe_message_takes_what_has_rested_at_all() -> None:
-    d = driver(most_per_server=1)
+    d = driver(max_per_host=1)
     kept = d.serve()
     d.pass_time(20 * MS)
     call = d.want(unsafe=True)
@@ -126,7 +128,7 @@
     d.pass_time(late)
     del d.up[connection]
     d.up[connection] = "h"
-    d.do(d.pools.surplus(connection, True, d.now))
+    d.do(d.pools.unsolicited_data(connection, True, d.now))
     assert connection not in d.up  # never used again
 
 
@@ -148,7 +150,7 @@
     """No request was given its connection yet."""
     d = driver()
     copy(d, late)
-    assert d.pools.needs_new("h") == costs
+    assert d.pools.requires_unused("h") == costs
     assert bool(d.said) == costs
     first = d.serve(unsafe=True)
     d.pass_time(150 * MS)
@@ -161,26 +163,26 @@
     d = driver()
     call = d.want()
     d.come_up()
-    d.do(d.pools.surplus(d.calls.pop(call), True, d.now, behind))
+    d.do(d.pools.unsolicited_data(d.calls.pop(call), True, d.now, behind))
     assert not d.up
-    assert d.pools.needs_new("h") != behind
+    assert d.pools.requires_unused("h") != behind
 
 
 def test_an_answer_on_a_connection_that_carried_nothing_costs_trust() -> None:
     """It would be taken for the first request's."""
     d = driver()
     call = d.want()
-    d.do(d.pools.withdraw(call, d.now))
+    d.do(d.pools.cancel(call, d.now))
     d.waiting.remove(call)
     d.come_up()
     (connection,) = d.up
-    d.do(d.pools.surplus(connection, True, d.now))
-    assert d.pools.needs_new("h")
+    d.do(d.pools.unsolicited_data(connection, True, d.now))
+    assert d.pools.requires_unused("h")
 
 
-@pytest.mark.parametrize(("distrust", "opened"), [(Distrust.ALL, 3), (Distrust.SERVER, 2)])
-def test_whom_a_surplus_answer_counts_against(distrust: Distrust, opened: int) -> None:
-    d = driver(distrust=distrust)
+@pytest.mark.parametrize(("distrust", "opened"), [(DistrustScope.ALL_HOSTS, 3), (DistrustScope.HOST, 2)])
+def test_whom_a_surplus_answer_counts_against(distrust: DistrustScope, opened: int) -> None:
+    d = driver(distrust_scope=distrust)
     d.place("other", 2)
     d.serve("other")
     copy(d, 50 * MS)
@@ -190,7 +192,7 @@
 
 
 def test_trust_comes_back_after_a_time() -> None:
-    d = driver(trust_after=10 * SECOND)
+    d = driver(trust_restored_after=10 * SECOND)
     copy(d, 50 * MS)
     d.serve(unsafe=True)
     d.pass_time(11 * SECOND)
@@ -215,7 +217,7 @@
 
 
 def test_strict_lets_no_unsafe_message_travel_where_anything_did() -> None:
-    d = driver(strict=True)
+    d = driver(is_strict=True)
     assert len({d.serve(unsafe=True) for _ in range(4)}) == 4
 
 
@@ -223,7 +225,7 @@
     """It can't be taken for an answer."""
     d = driver()
     connection = d.serve()
-    d.do(d.pools.surplus(connection, False, d.now))
+    d.do(d.pools.unsolicited_data(connection, False, d.now))
     assert not d.up
     assert not d.said
     d.serve(unsafe=True)
@@ -238,18 +240,21 @@
         d.serve(time=100 * MS)
         d.pass_time(150 * MS)
     call = d.want(unsafe=True)
-    assert d.pools.earliest(d.calls[call]) == 25 * MS
+    assert d.pools.min_response_time(d.calls[call]) == 25 * MS
     d.answer(call)
     calls = [d.want(), d.want()]
     d.come_up()
-    assert sorted(d.pools.earliest(d.calls[c]) for c in calls) == [0, 25 * MS]  # a new one can't have a copy
+    assert sorted(d.pools.min_response_time(d.calls[c]) for c in calls) == [
+        0,
+        25 * MS,
+    ]  # a new one can't have a copy
 
 
 # Bounds
 
 
 def test_a_server_gets_so_many_and_the_rest_wait_their_turn() -> None:
-    d = driver(most_per_server=2)
+    d = driver(max_per_host=2)
     calls = [d.want() for _ in range(5)]
     d.come_up()
     assert len(d.up) == 2
@@ -263,7 +268,7 @@
 
 
 def test_an_unsafe_message_that_needs_a_new_one_is_not_starved_at_the_bound() -> None:
-    d = driver(most_per_server=1, strict=True)
+    d = driver(max_per_host=1, is_strict=True)
     first = d.want()
     d.come_up()
     unsafe, plain = d.want(unsafe=True), d.want()
@@ -282,7 +287,7 @@
 
 
 def test_a_bound_on_all_closes_the_longest_idle_of_any_server() -> None:
-    d = driver(most_in_all=2)
+    d = driver(max_total=2)
     d.place("a", 2)
     d.place("b", 3)
     oldest = d.serve("a")
@@ -295,7 +300,7 @@
 
 
 def test_what_waits_for_room_among_all_goes_in_turn_over_servers() -> None:
-    d = driver(most_in_all=1)
+    d = driver(max_total=1)
     d.place("a", 2)
     d.place("b", 3)
     first = d.want("h")
@@ -313,7 +318,7 @@
 
 
 def test_few_connects_at_once() -> None:
-    d = driver(most_connecting=2)
+    d = driver(max_connecting=2)
     calls = [d.want() for _ in range(5)]
     assert len(d.opening) == 2
     for _ in range(3):
@@ -323,11 +328,11 @@
 
 
 def test_failed_connects_are_told_and_followed_by_growing_pauses() -> None:
-    d = driver(backoff=100 * MS, most_backoff=400 * MS, spread=0.0)
+    d = driver(connect_backoff=100 * MS, max_connect_backoff=400 * MS, limit_jitter=0.0)
     calls = [d.want(), d.want()]
     d.fail_opening()
-    assert d.denied == dict.fromkeys(calls, Denied.NO_CONNECTION)
-    assert d.denied[d.want()] is Denied.NO_CONNECTION
+    assert d.denied == dict.fromkeys(calls, PoolErrorKind.NO_CONNECTION)
+    assert d.denied[d.want()] is PoolErrorKind.NO_CONNECTION
     assert not d.opening
     pauses = []
     for _ in range(5):
@@ -353,20 +358,20 @@
     calls = [d.want() for _ in range(3)]
     (first, *_) = d.opening
     del d.opening[first]
-    d.do(d.pools.failed(first, Lost.REFUSED, d.now))
+    d.do(d.pools.connect_failed(first, ConnectFailure.REFUSED, d.now))
     assert list(d.denied) == calls[:1]
     d.come_up()
     assert set(d.calls) == set(calls[1:])
 
 
 def test_how_many_a_server_takes_is_learned_and_forgotten() -> None:
-    d = driver(learn_bound=True, forget_bound=30 * SECOND)
+    d = driver(is_capacity_learned=True, capacity_memory=30 * SECOND)
     two = [d.want(), d.want()]
     d.come_up()
     third = d.want()
     d.fail_opening()
     assert third in d.waiting
-    assert "takes 2 connections" in d.said[0]
+    assert "h: accepts 2 connections" in d.said[0]
     fourth = d.want()
     assert not d.opening
     d.answer(two[0])
@@ -379,7 +384,7 @@
 
 
 def test_resets_of_new_connections_beside_sound_ones_show_the_bound_too() -> None:
-    d = driver(learn_bound=True)
+    d = driver(is_capacity_learned=True)
     two = [d.want(), d.want()]
     d.come_up()
     for _ in range(3):
@@ -399,7 +404,7 @@
     held = [d.want() for _ in range(3)]
     d.come_up()
     waits = [d.want(), d.want("a")]
-    d.fail_opening(Lost.DESCRIPTORS)
+    d.fail_opening(ConnectFailure.DESCRIPTORS)
     assert not d.denied
     assert set(waits) <= d.waiting
     assert len(d.said) == 1
@@ -412,15 +417,15 @@
     for _ in range(100):
         d.pass_time(6 * SECOND)
         d.serve()
-    said = [line for line in d.said if "descriptors" in line]
-    assert said[1:] == ["descriptors: as many connections as before"]
+    said = [line for line in d.said if "descriptor" in line]
+    assert said[1:] == ["connection pool: limit after descriptor shortage lifted"]
 
 
 def test_with_no_descriptor_at_all_a_call_is_told_so() -> None:
     d = driver()
     call = d.want()
-    d.fail_opening(Lost.DESCRIPTORS)
-    assert d.denied == {call: Denied.NO_ROOM}
+    d.fail_opening(ConnectFailure.DESCRIPTORS)
+    assert d.denied == {call: PoolErrorKind.NO_ROOM}
 
 
 # Servers that come, move, drain and go
@@ -447,8 +452,8 @@
     d.serve()
     call = d.want()
     other = d.want()
-    d.do(d.pools.drain("h", d.now))
-    d.do(d.pools.withdraw(other, d.now))
+    d.do(d.pools.drain_host("h", d.now))
+    d.do(d.pools.cancel(other, d.now))
     d.waiting.remove(other)
     d.come_up()
     d.answer(call)
@@ -460,21 +465,21 @@
     out = d.want()
     d.come_up()
     call = d.want()
-    d.do(d.pools.forget("h", d.now))
-    assert d.denied == {call: Denied.GONE}
+    d.do(d.pools.remove_host("h", d.now))
+    assert d.denied == {call: PoolErrorKind.GONE}
     assert not d.opening
     d.answer(out)
     assert not d.up
-    assert not d.pools.servers
-    assert not d.pools.groups
+    assert not d.pools.hosts
+    assert not d.pools.destinations
     late = d.want()
-    assert d.denied[late] is Denied.GONE
+    assert d.denied[late] is PoolErrorKind.GONE
 
 
 def test_a_withdrawn_call_leaves_its_connection_to_the_next() -> None:
     d = driver()
     call = d.want()
-    d.do(d.pools.withdraw(call, d.now))
+    d.do(d.pools.cancel(call, d.now))
     d.waiting.remove(call)
     d.come_up()
     assert d.serve(unsafe=True) in d.up
@@ -490,14 +495,14 @@
         call = d.want()
         if call in d.waiting:
             d.come_up(40 * MS)
-        d.pools.fared("h", True, 0, d.now)
+        d.pools.record_outcome("h", True, 0, d.now)
         d.pass_time(5 * MS)
         d.answer(call)
         d.pass_time(10 * MS)
 
 
 def test_connections_are_opened_ahead_of_need_where_it_is_calm() -> None:
-    d = driver(ahead=8, calm=SECOND)
+    d = driver(max_prewarmed=8, warm_up_after=SECOND)
     steady(d)
     d.come_up()
     assert 2 <= len(d.up) <= 6  # about 70 calls a second times 40 ms
@@ -508,18 +513,18 @@
 @pytest.mark.parametrize("trouble", ["never seen", "failed", "told to wait", "drains", "refuses"])
 def test_nothing_is_opened_ahead_toward(trouble: str) -> None:
     """Cold, shut, told to wait, draining: connections beyond those that calls need are load there, too."""
-    d = driver(ahead=8, calm=100 * SECOND if trouble == "never seen" else SECOND)
+    d = driver(max_prewarmed=8, warm_up_after=100 * SECOND if trouble == "never seen" else SECOND)
     if trouble == "never seen":
         steady(d)
         assert d.opened == 1
         return
     steady(d, 60)
     if trouble == "failed":
-        d.pools.fared("h", False, 0, d.now)
+        d.pools.record_outcome("h", False, 0, d.now)
     if trouble == "told to wait":
-        d.pools.fared("h", True, 60 * SECOND, d.now)
+        d.pools.record_outcome("h", True, 60 * SECOND, d.now)
     if trouble == "drains":
-        d.do(d.pools.drain("h", d.now))
+        d.do(d.pools.drain_host("h", d.now))
     d.fail_opening()
     d.do(d.pools.close_idle("h", d.now))
     before = d.opened
@@ -537,7 +542,7 @@
 
 
 def test_what_most_resets_show_is_learned_as_a_limit_and_forgotten() -> None:
-    d = driver(forget_limits=60 * SECOND, spread=0.5)
+    d = driver(reset_memory=60 * SECOND, limit_jitter=0.5)
     for _ in range(3):
         d.serve()
         d.pass_time(3 * SECOND)
@@ -573,7 +578,7 @@
 
 
 def test_too_few_resets_teach_nothing() -> None:
-    d = driver(evidence=3)
+    d = driver(min_resets=3)
     for _ in range(2):
         d.serve()
         d.pass_time(3 * SECOND)
@@ -595,7 +600,7 @@
 
 
 def test_a_limit_of_age_ends_a_connection_between_calls_and_not_all_at_once() -> None:
-    d = driver(age_limit=10 * SECOND, spread=0.5, learn_limits=False)
+    d = driver(max_age=10 * SECOND, limit_jitter=0.5, is_age_limit_learned=False)
     calls = [d.want() for _ in range(50)]
     d.come_up()
     d.pass_time(SECOND)
@@ -614,22 +619,22 @@
     assert not d.up
 
 
-def test_wear_tells_a_limit_only_where_most_are_dead() -> None:
-    wear = Wear(60 * SECOND)
+def test_the_estimator_gives_a_limit_only_where_most_are_reset() -> None:
+    estimator = IdleResetEstimator(60 * SECOND)
     for i in range(30):
-        wear.add(i, 3 * SECOND, dead=i % 3 == 0)
-    assert wear.limit(40, 3) is None
+        estimator.add(i, 3 * SECOND, is_reset=i % 3 == 0)
+    assert estimator.limit(40, 3) is None
     for i in range(30):
-        wear.add(40 + i, 3 * SECOND, dead=True)
-    limit = wear.limit(80, 3)
+        estimator.add(40 + i, 3 * SECOND, is_reset=True)
+    limit = estimator.limit(80, 3)
     assert limit is not None
     assert 2 * SECOND <= limit < 3 * SECOND
-    assert wear.limit(200 * SECOND, 3) is None
+    assert estimator.limit(200 * SECOND, 3) is None
 
 
 def test_a_server_that_starts_again_teaches_no_limit() -> None:
     """It ends all its connections at once, whatever their age."""
-    d = driver(evidence=3)
+    d = driver(min_resets=3)
     calls = [d.want() for _ in range(8)]
     d.come_up()
     for call in calls:
@@ -650,6 +655,6 @@
     call = d.want(unsafe=True)
     assert call in d.waiting
     d.pass_time(20 * MS)
-    d.fail_opening(Lost.SILENT)
+    d.fail_opening(ConnectFailure.SILENT)
     assert d.calls[call] == kept
     assert not d.denied
--- a/tests/delivery/test_pools_properties.py
+++ b/tests/delivery/test_pools_properties.py
@@ -6,7 +6,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from loftrelay.delivery.connection_pool import MS, SECOND, Denied, Lost, Order, Phase
+from loftrelay.delivery.connection_pool.actions import ConnectFailure, PoolErrorKind
+from loftrelay.delivery.connection_pool.connection import ConnectionState
+from loftrelay.delivery.connection_pool.settings import MS, SECOND, ReuseOrder
 from tests.delivery.driver import Driver
 
 SERVERS = st.sampled_from(["a", "b", "c"])
@@ -25,7 +27,7 @@
         learn=st.booleans(),
         ahead=st.integers(0, 3),
         strict=st.booleans(),
-        order=st.sampled_from(Order),
+        order=st.sampled_from(ReuseOrder),
         age=st.sampled_from([0, 3 * SECOND]),
         seed=st.integers(0, 9),
     )
@@ -38,23 +40,23 @@
         learn: bool,
         ahead: int,
         strict: bool,
-        order: Order,
+        order: ReuseOrder,
         age: int,
         seed: int,
     ) -> None:
         self.d = Driver(
             seed,
-            most_per_server=per_server,
-            most_in_all=in_all,
-            most_connecting=connecting,
-            backoff=backoff,
-            learn_bound=learn,
-            ahead=ahead,
-            calm=SECOND,
-            strict=strict,
-            order=order,
-            age_limit=age,
-            idle_limit=10 * SECOND,
+            max_per_host=per_server,
+            max_total=in_all,
+            max_connecting=connecting,
+            connect_backoff=backoff,
+            is_capacity_learned=learn,
+            max_prewarmed=ahead,
+            warm_up_after=SECOND,
+            is_strict=strict,
+            reuse_order=order,
+            max_age=age,
+            max_idle=10 * SECOND,
         )
         self.carried: set[int] = set()
         self.unsafe: set[int] = set()
@@ -76,14 +78,14 @@
     def comes_up(self, n: int) -> None:
         connection = self.pick(self.d.opening, n)
         self.d.up[connection] = self.d.opening.pop(connection)
-        self.d.do(self.d.pools.up(connection, self.d.now))
+        self.d.do(self.d.pools.connected(connection, self.d.now))
 
     @precondition(lambda self: self.d.opening)
-    @rule(n=PICK, why=st.sampled_from(Lost))
-    def fails(self, n: int, why: Lost) -> None:
+    @rule(n=PICK, why=st.sampled_from(ConnectFailure))
+    def fails(self, n: int, why: ConnectFailure) -> None:
         connection = self.pick(self.d.opening, n)
         del self.d.opening[connection]
-        self.d.do(self.d.pools.failed(connection, why, self.d.now))
+        self.d.do(self.d.pools.connect_failed(connection, why, self.d.now))
 
     @precondition(lambda self: self.d.calls)
     @rule(n=PICK, reusable=st.booleans())
@@ -101,14 +103,14 @@
     @rule(n=PICK)
     def given_up_before_a_byte(self, n: int) -> None:
         connection = self.d.calls.pop(self.pick(self.d.calls, n))
-        self.d.do(self.d.pools.unused(connection, self.d.now))
+        self.d.do(self.d.pools.release_unused(connection, self.d.now))
 
     @precondition(lambda self: self.d.waiting)
     @rule(n=PICK)
     def withdrawn(self, n: int) -> None:
         call = self.pick(self.d.waiting, n)
         self.d.waiting.remove(call)
-        self.d.do(self.d.pools.withdraw(call, self.d.now))
+        self.d.do(self.d.pools.cancel(call, self.d.now))
 
     @precondition(lambda self: bool(set(self.d.up) - set(self.d.calls.values())))
     @rule(n=PICK, how=st.sampled_from(["closed", "answer", "noise"]))
@@ -117,19 +119,19 @@
         if how == "closed":
             self.d.peer_closes(connection)
         else:
-            self.d.do(self.d.pools.surplus(connection, how == "answer", self.d.now))
+            self.d.do(self.d.pools.unsolicited_data(connection, how == "answer", self.d.now))
 
     @rule(server=SERVERS, where=st.integers(0, 1))
     def place(self, server: str, where: int) -> None:
         self.d.place(server, where)
 
-    @rule(server=SERVERS, how=st.sampled_from(["drain", "forget", "close_idle"]))
+    @rule(server=SERVERS, how=st.sampled_from(["drain_host", "remove_host", "close_idle"]))
     def leaves(self, server: str, how: str) -> None:
         self.d.do(getattr(self.d.pools, how)(server, self.d.now))
 
     @rule(server=SERVERS, well=st.booleans(), wait=TIMES)
     def fared(self, server: str, well: bool, wait: int) -> None:
-        self.d.pools.fared(server, well, wait, self.d.now)
+        self.d.pools.record_outcome(server, well, wait, self.d.now)
 
     @rule(time=TIMES)
     def passes(self, time: int) -> None:
@@ -141,16 +143,16 @@
     def the_bounds_hold(self) -> None:
         if not hasattr(self, "d"):
             return
-        limits, pools = self.d.pools.limits, self.d.pools
-        if limits.most_in_all:
-            assert len(self.d.up) + len(self.d.opening) <= limits.most_in_all
-        for name, server in pools.servers.items():
-            mine = [c for c in pools.connections.values() if c.server is server]
-            assert server.all == len(mine)
-            if limits.most_per_server:
-                assert server.all <= limits.most_per_server
-            if limits.most_connecting:
-                assert len(server.opening) <= limits.most_connecting
+        limits, pools = self.d.pools.settings, self.d.pools
+        if limits.max_total:
+            assert len(self.d.up) + len(self.d.opening) <= limits.max_total
+        for name, server in pools.hosts.items():
+            mine = [c for c in pools.table.connections.values() if c.host is server]
+            assert server.total == len(mine)
+            if limits.max_per_host:
+                assert server.total <= limits.max_per_host
+            if limits.max_connecting:
+                assert len(server.opening) <= limits.max_connecting
             assert all(name == self.d.up.get(c.number, self.d.opening.get(c.number)) for c in mine)
 
     @invariant()
@@ -158,17 +160,17 @@
         if not hasattr(self, "d"):
             return
         pools = self.d.pools
-        assert set(pools.connections) == set(self.d.up) | set(self.d.opening)
-        idle = {n for n, c in pools.connections.items() if c.phase is Phase.IDLE}
-        assert set(pools.resting) == idle == set(self.d.up) - set(self.d.calls.values())
-        assert set(pools.calls) == self.d.waiting
-        assert len(pools.clocks) <= 400
+        assert set(pools.table.connections) == set(self.d.up) | set(self.d.opening)
+        idle = {n for n, c in pools.table.connections.items() if c.state is ConnectionState.IDLE}
+        assert set(pools.table.idle) == idle == set(self.d.up) - set(self.d.calls.values())
+        assert set(pools.allocator.calls) == self.d.waiting
+        assert len(pools.table.timers) <= 400
 
     @invariant()
     def no_unsafe_call_travels_where_a_copy_may_come(self) -> None:
         if not hasattr(self, "d"):
             return
-        if self.d.pools.limits.strict:
+        if self.d.pools.settings.is_strict:
             for call in self.unsafe & set(self.d.calls):
                 assert self.d.calls[call] not in self.carried
 
@@ -177,21 +179,21 @@
         """A call waits only while something opens for it, a bound binds, or a pause after failures runs."""
         if not hasattr(self, "d"):
             return
-        pools, limits = self.d.pools, self.d.pools.limits
-        for server in pools.servers.values():
+        pools, limits = self.d.pools, self.d.pools.settings
+        for server in pools.hosts.values():
             if len(server.waiting) <= len(server.opening):
                 continue
             at_bound = (
-                (limits.most_per_server and server.all >= limits.most_per_server)
-                or (limits.most_connecting and len(server.opening) >= limits.most_connecting)
-                or len(pools.connections) >= pools.most
-                or (server.bound and server.all >= server.bound)
-                or pools.now < server.open_after
+                (limits.max_per_host and server.total >= limits.max_per_host)
+                or (limits.max_connecting and len(server.opening) >= limits.max_connecting)
+                or len(pools.table.connections) >= pools.allocator.total_limit.limit
+                or (server.capacity.limit and server.total >= server.capacity.limit)
+                or pools.table.now < server.backoff.next_connect_at
             )
             assert at_bound
-            if not pools.now < server.open_after and not server.opening:
+            if not pools.table.now < server.backoff.next_connect_at and not server.opening:
                 assert not server.idle
-                assert not server.fresh
+                assert not server.unused
 
     def teardown(self) -> None:
         """All that was wanted ends once connections come up and calls are answered."""
@@ -206,7 +208,7 @@
             self.d.pass_time(SECOND)
         assert not self.d.waiting
         assert not self.d.calls
-        assert all(isinstance(why, Denied) for why in self.d.denied.values())
+        assert all(isinstance(why, PoolErrorKind) for why in self.d.denied.values())
         self.d.pass_time(60 * SECOND)
         assert not self.d.up  # all went by their idle limit
 
--- a/tests/delivery/test_settings.py
+++ b/tests/delivery/test_settings.py
@@ -5,26 +5,32 @@
 import re
 import subprocess
 import sys
+from dataclasses import fields
 from pathlib import Path
 
 import pytest
 
 from loftrelay.config.toml_file import SettingsError
-from loftrelay.delivery.connection_pool import MS, SECOND, Distrust, Limits, Order
-from loftrelay.delivery.settings import KEYS, load_limits
+from loftrelay.delivery.connection_pool.settings import MS, SECOND, DistrustScope, PoolSettings, ReuseOrder
+from loftrelay.delivery.settings import FIELDS, KEYS, load_pool_settings
 from tests.standins.platform import ROOT
 
 SHIPPED = ROOT / "deploy" / "connections.toml"
 
 
-def load(folder: Path, text: str) -> Limits:
+def load(folder: Path, text: str) -> PoolSettings:
     path = folder / "connections.toml"
     path.write_text(text)
-    return load_limits(path)
+    return load_pool_settings(path)
 
 
 def test_an_empty_file_changes_nothing(tmp_path: Path) -> None:
-    assert load(tmp_path, "") == Limits()
+    assert load(tmp_path, "") == PoolSettings()
+
+
+def test_each_key_is_mapped_to_one_field_of_its_own() -> None:
+    assert list(FIELDS) == [key.name for key in KEYS]
+    assert [field for field, _ in FIELDS.values()] == [field.name for field in fields(PoolSettings)]
 
 
 def test_units_are_those_of_the_keys(tmp_path: Path) -> None:
@@ -33,14 +39,15 @@
         'strict = true\ndistrust = "server"\nrest_ms = 2.5\nage_limit_s = 60\norder = "rotate"\n'
         "early_percent = 50\ntrust_after_s = 0\nmost_per_server = 3\nopen_ahead = 2\nspread_percent = 10.0\n",
     )
-    assert limits.strict
-    assert limits.distrust is Distrust.SERVER
-    assert limits.order is Order.ROTATE
-    assert limits.rest == 2_500
-    assert limits.age_limit == 60 * SECOND
-    assert limits.trust_after == 0
-    assert (limits.early, limits.most_per_server, limits.ahead, limits.spread) == (0.5, 3, 2, 0.1)
-    assert limits.most_rest == 500 * MS  # as it is by default
+    assert limits.is_strict
+    assert limits.distrust_scope is DistrustScope.HOST
+    assert limits.reuse_order is ReuseOrder.ROTATE
+    assert limits.reuse_delay == 2_500
+    assert limits.max_age == 60 * SECOND
+    assert limits.trust_restored_after == 0
+    assert (limits.early_response_fraction, limits.max_per_host) == (0.5, 3)
+    assert (limits.max_prewarmed, limits.limit_jitter) == (2, 0.1)
+    assert limits.max_reuse_delay == 500 * MS  # as it is by default
 
 
 @pytest.mark.parametrize(
@@ -75,11 +82,11 @@
     (tmp_path / "connections.toml").write_bytes(b"\xff\xfe")
     for path in (tmp_path / "connections.toml", tmp_path / "nowhere.toml"):
         with pytest.raises(SettingsError, match="can't be read"):
-            load_limits(path)
+            load_pool_settings(path)
 
 
 def test_the_shipped_file_tells_each_key_with_its_unit_default_and_bounds() -> None:
-    load_limits(SHIPPED)
+    load_pool_settings(SHIPPED)
     lines = dict(re.findall(r"^(\w+) = \S+\s+# (.*)$", SHIPPED.read_text(), re.M))
     assert list(lines) == [key.name for key in KEYS]
     units = {"s": "seconds", "ms": "milliseconds", "": ""}
--- a/tests/delivery/test_waits.py
+++ b/tests/delivery/test_waits.py
@@ -99,7 +99,7 @@
         assert (await sender.send("o")).status is AttemptStatus.OK
         assert partner.accepted == 1
 
-    run(scenario, most_per_server=1)
+    run(scenario, max_per_host=1)
 
 
 @pytest.mark.parametrize("why", ["held", "denied"])
@@ -135,7 +135,7 @@
         assert outcome(await ending) == HELD
         assert partner.ids == ["a", "full"]
 
-    run(scenario, rest=300_000, most_rest=300_000, most_per_server=1)
+    run(scenario, reuse_delay=300_000, max_reuse_delay=300_000, max_per_host=1)
 
 
 def test_while_its_journal_record_is_written() -> None:
@@ -196,7 +196,7 @@
             assert outcome(await ending) == (HELD if bound else (AttemptStatus.OK, False))
             await ended.wait()
             assert (len(came) < len(body)) is bound
-            assert not sender.hosts.pools.connections or not bound
+            assert not sender.hosts.pools.table.connections or not bound
         server.close()
 
     asyncio.run(main())
--- a/tests/delivery/test_waits_properties.py
+++ b/tests/delivery/test_waits_properties.py
@@ -19,7 +19,7 @@
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.delivery import host_client as hosts_module
-from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.delivery.host_client import HostClient
 from loftrelay.journal.journal import Journal
 from loftrelay.net.address import Address
@@ -90,7 +90,9 @@
         self.settings = replace(read_settings(TOLD), awaits_final_status=True)
         self.journal = Journal(folder, 3_000_000)
         self.engine = engine = Engine(seed, self.settings, self.journal)
-        limits = Limits(rest=self.random.choice([0, 50_000]), most_per_server=self.random.choice([0, 1, 2]))
+        limits = PoolSettings(
+            reuse_delay=self.random.choice([0, 50_000]), max_per_host=self.random.choice([0, 1, 2])
+        )
         self.hosts = HostClient(
             600_000,
             15_000_000,
--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -19,7 +19,8 @@
     EndpointState,
 )
 from loftrelay.decisions.scheduler import Destination, Endpoint
-from loftrelay.delivery.connection_pool import Group, Server
+from loftrelay.delivery.connection_pool.host import HostPool
+from loftrelay.delivery.connection_pool.prewarm import DestinationHealth
 from loftrelay.discovery.client import read_rows
 from loftrelay.net.address import Address
 from loftrelay.relay.engine import Engine
@@ -74,7 +75,7 @@
     """No cycle leads there: the collector does not look at what a long list brought."""
 
     async def scenario() -> None:
-        kinds = (Endpoint, Destination, Server, Group)
+        kinds = (Endpoint, Destination, HostPool, DestinationHealth)
         gc.collect()
         gc.disable()
         before = [count(kind) for kind in kinds]  # what other tests have left
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -21,7 +21,7 @@
     MessageSubmitted,
 )
 from loftrelay.decisions.simulator import read_settings
-from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.delivery.host_client import HostClient
 from loftrelay.discovery.status_reporter import FinalStatusReporter
 from loftrelay.journal.journal import Journal
@@ -96,7 +96,7 @@
         None,
         None,
         10,
-        Limits(),
+        PoolSettings(),
         1,
         journal.record_attempt,
         engine.attempt_ended,
