--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -31,7 +31,7 @@
 from benchmarks.process import cpu_seconds, run
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import MessageFacts, StoredAnswer, Change, MessageRecord, ChangeKind
+from loftrelay.store.state_machine import Change, ChangeKind, MessageFacts, MessageRecord, StoredAnswer
 from tests.program.test_connections import LIMITS
 from tests.standins.partner import Partner
 from tests.standins.platform import SETTINGS, World
--- a/loftrelay/cli/demo.py
+++ b/loftrelay/cli/demo.py
@@ -16,7 +16,7 @@
 from loftrelay.demo.result import DemoResult
 from loftrelay.demo.run import DemoRun
 from loftrelay.store.backend import StoreError
-from loftrelay.store.state_machine import StoredAnswer, MessageRecord
+from loftrelay.store.state_machine import MessageRecord, StoredAnswer
 
 AGREEMENT = 0
 DISAGREEMENT = 1
@@ -55,7 +55,8 @@
     answers = Counter(entry.answer for entry in result.entries)
     print(
         f"taken {len(result.entries)} delivered {answers[StoredAnswer.DELIVERED]} "
-        f"refused {answers[StoredAnswer.REJECTED]} failed {answers[StoredAnswer.FAILED]} duplicates {result.duplicates}",
+        f"refused {answers[StoredAnswer.REJECTED]} failed {answers[StoredAnswer.FAILED]} "
+        f"duplicates {result.duplicates}",
         file=out,
         flush=True,
     )
--- a/loftrelay/cli/record.py
+++ b/loftrelay/cli/record.py
@@ -16,7 +16,7 @@
 from loftrelay.store.factory import store_opener
 from loftrelay.store.settings import load_store_settings
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import StoredAnswer, MessageRecord
+from loftrelay.store.state_machine import MessageRecord, StoredAnswer
 
 COLUMNS = ("taken on", "message", "class", "tenant", "to", "state", "answer", "attempts", "answered")
 
@@ -38,12 +38,30 @@
     )
 
 
-def plain(entry: MessageRecord) -> dict[str, Any]:
-    """One record as JSON holds it, times in microseconds since 1970."""
-    told = asdict(entry)
-    told |= told.pop("about")
-    told["state"], told["answer"] = entry.state.value, entry.answer and entry.answer.value
-    return told
+# Names of the fields of a record in the output, in their order there.
+OUTPUT_NAMES = {
+    "message": "message",
+    "run": "run",
+    "number": "number",
+    "state": "state",
+    "admitted_at": "taken_at",
+    "attempts": "attempts",
+    "host": "host",
+    "attempt_started_at": "intended_at",
+    "result": "result",
+    "result_at": "result_at",
+    "answer": "answer",
+    "decided_at": "answered_at",
+    "reported_at": "told_at",
+}
+
+
+def plain(record: MessageRecord) -> dict[str, Any]:
+    """Returns a record as JSON values, times in microseconds since 1970."""
+    values: dict[str, Any] = {name: getattr(record, field) for field, name in OUTPUT_NAMES.items()}
+    values["state"] = record.state.value
+    values["answer"] = record.answer and record.answer.value
+    return values | asdict(record.facts)
 
 
 def parser() -> argparse.ArgumentParser:
--- a/loftrelay/demo/result.py
+++ b/loftrelay/demo/result.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from loftrelay.demo.scenario import AT_MOST_ONCE_CLASSES
-from loftrelay.store.state_machine import StoredAnswer, MessageRecord
+from loftrelay.store.state_machine import MessageRecord, StoredAnswer
 
 
 @dataclass
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from loftrelay.config.platform import Config
-from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.fault_points import fault_point
@@ -68,7 +68,7 @@
     def __init__(
         self,
         config: Config,
-        connections: Limits,
+        connections: PoolSettings,
         record: StoreSettings | None = None,
         fleet: GossipSettings | None = None,
         subscription: SubscriptionSettings | None = None,
--- a/loftrelay/store/backend.py
+++ b/loftrelay/store/backend.py
@@ -1,4 +1,4 @@
-"""What a back end of the store of record does, and how it fails. Its calls block, in a thread of their own."""
+"""What a back end of the store of record does, and how it fails. Its calls block."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from loftrelay.store.state_machine import StoredAnswer, Change, MessageRecord
+from loftrelay.store.state_machine import Change, MessageRecord, StoredAnswer
 
 
 class StoreError(Exception):
@@ -45,7 +45,7 @@
         """Stores changes in one transaction.
 
         Returns:
-            By position, the record that has the id of an admission that could not be applied; the rest is
+            By position, the record that has the id of an admission not applied; the rest is
             stored all the same.
         """
 
@@ -56,7 +56,7 @@
         """Yields the records that a query asks for."""
 
     def prune(self, before: int, most: int) -> int:
-        """Deletes at most so many records that were reported before a time, oldest first; returns how many."""
+        """Deletes so many records at most that were reported before a time; returns how many."""
 
     def verify(self) -> list[str]:
         """Returns what is inconsistent in the database, a line each."""
--- a/loftrelay/store/group_commit.py
+++ b/loftrelay/store/group_commit.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from loftrelay.store import state_machine
-from loftrelay.store.state_machine import Change, MessageRecord, ChangeKind
+from loftrelay.store.state_machine import Change, ChangeKind, MessageRecord
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class CommitGroup:
-    """Rows to write in one transaction. `before` has the records as they were read, to detect other writers."""
+    """Rows to write in one transaction; `before` has the records as read, to detect other writers."""
 
     before: dict[str, MessageRecord | None] = field(default_factory=dict)
     after: dict[str, MessageRecord] = field(default_factory=dict)
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -19,20 +19,22 @@
 from loftrelay.store import state_machine
 from loftrelay.store.backend import RecordQuery, StoreBackend, StoreError
 from loftrelay.store.state_machine import (
-    MessageFacts,
-    StoredAnswer,
     Change,
-    MessageRecord,
     ChangeKind,
-    KnownId,
     DurabilityMode,
+    KnownId,
+    MessageFacts,
+    MessageRecord,
     RecordState,
+    StoredAnswer,
 )
-from loftrelay.store.writer import StoreAwayError, IdInUseError, Writer
+from loftrelay.store.writer import IdInUseError, StoreAwayError, Writer
 
 log = logging.getLogger(__name__)
 
-PRUNE_EVERY, PRUNE_ROWS = 60.0, 500  # seconds, and records deleted in one step
+PRUNE_INTERVAL_S = 60.0
+PRUNE_PAUSE_S = 0.1  # between steps
+PRUNE_ROWS = 500  # records deleted in one step
 MIN_RETRY_AFTER_MS = 1_000  # when to come back, at the least, while the store is slow
 
 
@@ -395,17 +397,20 @@
 
     # Retention, and the end
 
+    async def _prune_step(self, before: int) -> int:
+        return await self.writer.call(lambda store: store.prune(before, PRUNE_ROWS))
+
     async def _prune(self) -> None:
+        """Deletes records beyond their retention, in small steps."""
         assert self.retention is not None
         while True:
             try:
                 before = wall_clock() - self.retention
-                # Noqa: B023.
-                while await self.writer.call(lambda store: store.prune(before, PRUNE_ROWS)) == PRUNE_ROWS:
-                    await asyncio.sleep(0.1)
+                while await self._prune_step(before) == PRUNE_ROWS:
+                    await asyncio.sleep(PRUNE_PAUSE_S)
             except StoreError as error:
                 log.warning("old records were not deleted: %s", error)
-            await asyncio.sleep(PRUNE_EVERY)
+            await asyncio.sleep(PRUNE_INTERVAL_S)
 
     async def close(self) -> None:
         if self.pruning is not None:
--- a/loftrelay/store/rows.py
+++ b/loftrelay/store/rows.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from loftrelay.store.backend import RecordQuery
-from loftrelay.store.state_machine import MessageFacts, StoredAnswer, MessageRecord, RecordState
+from loftrelay.store.state_machine import MessageFacts, MessageRecord, RecordState, StoredAnswer
 
 COLUMNS = (
     "id, run, number, state, instance, class, tenant, destination, key, sha256, deadline, taken_at, "
--- a/loftrelay/store/sqlite.py
+++ b/loftrelay/store/sqlite.py
@@ -19,13 +19,13 @@
 )
 from loftrelay.store.group_commit import build_group
 from loftrelay.store.rows import (
-    COLUMNS,
     ATTEMPT_COUNT_MISMATCHES,
+    COLUMNS,
+    attempt_count_mismatch,
     conditions,
+    inconsistencies,
     record_of,
-    attempt_count_mismatch,
     row_of,
-    inconsistencies,
 )
 from loftrelay.store.state_machine import Change, MessageRecord
 
--- a/loftrelay/store/state_machine.py
+++ b/loftrelay/store/state_machine.py
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change of one record. `run` counts how often its id was admitted: after a rejection it is reusable."""
+    """One change of one record. `run` counts the admissions of its id, reusable after a rejection."""
 
     message: str
     run: int
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -13,7 +13,7 @@
 
 from loftrelay.cli.demo import main, report
 from loftrelay.demo.result import DemoResult
-from loftrelay.store.state_machine import StoredAnswer, MessageRecord, apply
+from loftrelay.store.state_machine import MessageRecord, StoredAnswer, apply
 from tests.standins.platform import ROOT
 from tests.store.test_sqlite import life
 
--- a/tests/program/test_fault_points.py
+++ b/tests/program/test_fault_points.py
@@ -13,7 +13,7 @@
 import pytest
 
 from loftrelay.relay.fault_points import NOTICE_STEPS, STEPS, TAKING_STEPS
-from loftrelay.store.state_machine import StoredAnswer, RecordState
+from loftrelay.store.state_machine import RecordState, StoredAnswer
 from tests.program.test_record import entries, until, with_store
 from tests.standins.platform import HANG, SETTINGS, Request, World, reply, run
 
--- a/tests/program/test_record.py
+++ b/tests/program/test_record.py
@@ -13,7 +13,7 @@
 
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import VERSION, SQLiteStore
-from loftrelay.store.state_machine import StoredAnswer, MessageRecord, RecordState
+from loftrelay.store.state_machine import MessageRecord, RecordState, StoredAnswer
 from tests.standins.platform import HANG, SETTINGS, Request, World, deliver, message, never, reply, run
 
 FAST = {**SETTINGS["policy_limits"], "most_held": 2000}
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -14,7 +14,7 @@
 
 from loftrelay.store.backend import RecordQuery  # noqa: E402
 from loftrelay.store.postgres import PostgresStore  # noqa: E402
-from loftrelay.store.state_machine import StoredAnswer, MessageRecord, RecordState  # noqa: E402
+from loftrelay.store.state_machine import MessageRecord, RecordState, StoredAnswer  # noqa: E402
 from tests.program.test_connections import LIMITS  # noqa: E402
 from tests.program.test_record import given_to_two  # noqa: E402
 from tests.standins.partner import Partner  # noqa: E402
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from loftrelay.store.state_machine import StoredAnswer, RecordState
+from loftrelay.store.state_machine import RecordState, StoredAnswer
 from tests.program.test_record import until, with_store
 from tests.standins.platform import HANG, Peer, Request, World, deliver, failed, message, reply, run
 from tests.standins.registries import Registries
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -13,7 +13,7 @@
 import pytest
 
 from loftrelay.relay.fault_points import GIVING_STEPS
-from loftrelay.store.state_machine import StoredAnswer, RecordState
+from loftrelay.store.state_machine import RecordState, StoredAnswer
 from tests.program.test_record import until, with_store
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 from tests.standins.platform import HANG, Request, World, deliver, failed, message, reply, run
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -23,7 +23,7 @@
 from loftrelay.state.last_config import LastFile
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import StoredAnswer, RecordState
+from loftrelay.store.state_machine import RecordState, StoredAnswer
 from tests.standins.recovered import recover
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "state_32c0038"
--- a/tests/store/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -9,14 +9,14 @@
 
 psycopg = pytest.importorskip("psycopg", reason="the extra `postgres` is not installed")
 
-from loftrelay.store.backend import (
+from loftrelay.store.backend import (  # noqa: E402
     CommitUncertainError,
     RecordQuery,
     StoreUnavailableError,
     StoreUnusableError,
-)  # noqa: E402
+)
 from loftrelay.store.postgres import VERSION, PostgresStore  # noqa: E402
-from loftrelay.store.state_machine import StoredAnswer, RecordRuleError, RecordState  # noqa: E402
+from loftrelay.store.state_machine import RecordRuleError, RecordState, StoredAnswer  # noqa: E402
 from tests.standins.postgres import PostgresStandIn  # noqa: E402
 from tests.store.test_sqlite import life  # noqa: E402
 
--- a/tests/store/test_postgres_cuts.py
+++ b/tests/store/test_postgres_cuts.py
@@ -48,9 +48,9 @@
 
 @pytest.mark.parametrize("side", ["heard", "said"])
 def test_cut_at_every_byte_of_a_commit(server: PostgresStandIn, side: str) -> None:
-    """StoreUnavailableError: nothing is stored. CommitUncertainError: it is or is not, and reading back tells which. Either way
-    the same change stored once more makes one record, with nothing wrong in it. A commit that was heard whole
-    before the cut came is done, and raises nothing."""
+    """StoreUnavailableError: nothing is stored. CommitUncertainError: it is or is not, and reading back tells
+    which. Either way the same change stored once more makes one record, with nothing wrong in it. A commit that
+    was heard whole before the cut came is done, and raises nothing."""
     size = exchange(server)[side == "said"]
     outcomes: dict[str, set[bool]] = {"StoreUnavailableError": set(), "CommitUncertainError": set()}
     reader = PostgresStore(server.dsn)
--- a/tests/store/test_recorder.py
+++ b/tests/store/test_recorder.py
@@ -11,8 +11,8 @@
 from loftrelay.relay.message import Message
 from loftrelay.store import recorder as module
 from loftrelay.store.backend import RecordQuery
-from loftrelay.store.recorder import Recorder, AdmissionDecision
-from loftrelay.store.state_machine import StoredAnswer, MessageRecord, KnownId, DurabilityMode, RecordState
+from loftrelay.store.recorder import AdmissionDecision, Recorder
+from loftrelay.store.state_machine import DurabilityMode, KnownId, MessageRecord, RecordState, StoredAnswer
 from loftrelay.store.writer import Writer
 from tests.store.test_writer import Faulty
 
--- a/tests/store/test_rules.py
+++ b/tests/store/test_rules.py
@@ -9,23 +9,23 @@
 
 from loftrelay.relay.ports import RecoveryAction
 from loftrelay.store.state_machine import (
-    MessageFacts,
-    StoredAnswer,
     Change,
-    MessageRecord,
+    ChangeKind,
     CommitStatus,
+    DurabilityMode,
     JournalStanding,
-    ChangeKind,
     KnownId,
-    DurabilityMode,
+    MessageFacts,
+    MessageRecord,
     RecordRuleError,
     RecordState,
     Step,
+    StoredAnswer,
     apply,
-    status_of_id,
-    required_before,
     reconcile,
+    required_before,
     resolve_commit,
+    status_of_id,
 )
 
 ABOUT = MessageFacts("n1", "order", "acme", 1, "k", 9_000, "00" * 32)
--- a/tests/store/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -13,13 +13,13 @@
 from loftrelay.store.backend import RecordQuery, StoreUnavailableError, StoreUnusableError
 from loftrelay.store.sqlite import MIGRATIONS, VERSION, SQLiteStore
 from loftrelay.store.state_machine import (
-    MessageFacts,
-    StoredAnswer,
     Change,
-    MessageRecord,
     ChangeKind,
+    MessageFacts,
+    MessageRecord,
     RecordRuleError,
     RecordState,
+    StoredAnswer,
 )
 from tests.standins.platform import ROOT
 
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -13,7 +13,7 @@
 from loftrelay.store.backend import CommitUncertainError, RecordQuery, StoreUnavailableError
 from loftrelay.store.sqlite import SQLiteStore
 from loftrelay.store.state_machine import Change, MessageRecord, RecordRuleError, RecordState
-from loftrelay.store.writer import StoreAwayError, IdInUseError, Writer
+from loftrelay.store.writer import IdInUseError, StoreAwayError, Writer
 from tests.store.test_sqlite import life
 
 
