--- a/loftrelay/delivery/call_outcome.py
+++ b/loftrelay/delivery/call_outcome.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.net.http import Answer, Headers
+from loftrelay.net.response_parser import Headers, HttpResponse
 from loftrelay.relay.ports import AttemptResult
 
 log = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
     return longest * 1000
 
 
-def read_single(answer: Answer) -> AttemptResult:
+def read_single(answer: HttpResponse) -> AttemptResult:
     """A status that the protocol does not know may mean anything: it may have run.
 
     410 does not end what the relay owes: a host's clock runs some milliseconds before the relay's, which
@@ -62,7 +62,7 @@
     )
 
 
-def tells_of_others(answer: Answer, ids: Sequence[str]) -> bool:
+def tells_of_others(answer: HttpResponse, ids: Sequence[str]) -> bool:
     """Whether a batch answer names messages that were not asked about: then it answers another call."""
     try:
         return answer.status == 200 and any(row["id"] not in ids for row in json.loads(answer.body))
@@ -70,7 +70,7 @@
         return False
 
 
-def read_batch(answer: Answer, ids: Sequence[str]) -> dict[str, AttemptResult]:
+def read_batch(answer: HttpResponse, ids: Sequence[str]) -> dict[str, AttemptResult]:
     """One ending for each message. In one that is not sound in all its rows none is believed."""
     if answer.status != 200:
         return dict.fromkeys(ids, read_single(answer))
--- a/loftrelay/delivery/host_client.py
+++ b/loftrelay/delivery/host_client.py
@@ -16,7 +16,15 @@
 from loftrelay.delivery import connection_pool
 from loftrelay.delivery.call_outcome import read_batch, read_single, tells_of_others, told_wait
 from loftrelay.net.address import Address
-from loftrelay.net.http import Answer, AnswerSpoilt, Connection, ConnectionBroken, Headers, Unasked, Unusable
+from loftrelay.net.http import Connection
+from loftrelay.net.response_parser import (
+    ConnectionBrokenError,
+    ConnectionUnusableError,
+    Headers,
+    HttpResponse,
+    MalformedResponseError,
+)
+from loftrelay.net.unsolicited import UnsolicitedData
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.fault_points import fault_point
 from loftrelay.relay.message import Message
@@ -204,7 +212,7 @@
                 call.granted.set_exception(Bound())
         for call in self.calls.values():
             if call.line is not None and self.bound(call.host):
-                call.line.connection.take_back(Bound())
+                call.line.connection.withdraw(Bound())
 
     def close_all_idle_connections(self) -> None:
         """Nothing more will be sent: what stands idle goes."""
@@ -219,7 +227,7 @@
         if self.clock is not None:
             self.clock.cancel()
         for line in self.lines.values():
-            line.connection.unasked = None
+            line.connection.on_unsolicited = None
             line.connection.close()
 
     # A call
@@ -258,7 +266,7 @@
                 try:
                     answer = await self._ask(call, number, deadline)
                     break
-                except Unusable:
+                except ConnectionUnusableError:
                     call.asked, call.line = False, None
                     await self._find_why(number)
                     if call.idle == 0:
@@ -295,9 +303,9 @@
                 AttemptStatus.TIMEOUT,
                 call.terms.timeout >= TELLING and not self.pulse.since(call.at),
             )
-        except AnswerSpoilt:
+        except MalformedResponseError:
             result, dead = AttemptStatus.MALFORMED_RESPONSE, False
-        except ConnectionBroken:
+        except ConnectionBrokenError:
             result, dead = AttemptStatus.CONNECTION_LOST, True
         finally:
             if self.waiting.pop(call.number, None) is not None and not self.closing:
@@ -325,7 +333,7 @@
                     self._do(self.pools.unused(use.connection, self._now()))
                 raise
             line = self.lines.get(use.connection)
-            if line is not None and line.connection.usable():
+            if line is not None and line.connection.is_usable():
                 call.idle = use.idle
                 return use.connection
             await self._find_why(use.connection)
@@ -342,9 +350,9 @@
                     return
                 await asyncio.sleep(0)
         finally:
-            self._gone(number, Unasked.END)
+            self._gone(number, UnsolicitedData.CLOSED)
 
-    async def _ask(self, call: Call, number: int, deadline: float) -> Answer:
+    async def _ask(self, call: Call, number: int, deadline: float) -> HttpResponse:
         line, loop = self.lines[number], asyncio.get_running_loop()
         if self.pulse.age(loop.time()):
             for _ in range(LOOKS):  # a loop that is late reads what has come first
@@ -358,14 +366,14 @@
         call.line = line
         clock = None
         if call.begin_by < deadline:
-            clock = loop.call_at(call.begin_by, line.connection.take_back, Stale())
+            clock = loop.call_at(call.begin_by, line.connection.withdraw, Stale())
         try:
             answer = await self._request(line.connection, call, deadline)
         finally:
             if clock is not None:
                 clock.cancel()
         fault_point("heard")
-        took = line.connection.heard_at - line.connection.written_at
+        took = line.connection.first_byte_at - line.connection.request_written_at
         least = self.pools.earliest(number) if call.terms.is_at_most_once and answer.status == 200 else 0
         if took * 1e6 < least:
             # Not believed yet: if it is a late copy, the true answer follows when the host is done. Refusals
@@ -377,8 +385,8 @@
                 "%s: an answer after %.1f ms, sooner than ever: waits for another", call.host, took * 1e3
             )
             await asyncio.sleep(hold)
-            if line.connection.surplus is Unasked.ANSWER:
-                raise AnswerSpoilt
+            if line.connection.surplus is UnsolicitedData.RESPONSE:
+                raise MalformedResponseError
         return answer
 
     def _holds(self, call: Call, deadline: float) -> None:
@@ -400,7 +408,7 @@
             call.wait = wait
             self.told(call.host, wait)
 
-    async def _request(self, connection: Connection, call: Call, deadline: float) -> Answer:
+    async def _request(self, connection: Connection, call: Call, deadline: float) -> HttpResponse:
         messages, timeout = call.messages, deadline - asyncio.get_running_loop().time()
         headers = {"Host": "host", "Request-Timeout-Ms": str(max(1, int(timeout * 1000)))}
         if not call.terms.is_batch:
@@ -417,7 +425,9 @@
         head = partial(self._head, call)
         return await connection.request("POST", path, headers, body, STALL, whole, deadline, head)
 
-    def _answered(self, call: Call, number: int, answer: Answer, ids: list[str]) -> dict[str, AttemptResult]:
+    def _answered(
+        self, call: Call, number: int, answer: HttpResponse, ids: list[str]
+    ) -> dict[str, AttemptResult]:
         """The answer is whole."""
         endings = read_batch(answer, ids) if call.terms.is_batch else {ids[0]: read_single(answer)}
         results = {ending.status for ending in endings.values()}
@@ -427,19 +437,21 @@
         line = self.lines[number]
         line.asked, connection = False, line.connection
         if not self.pools.first_use(number):
-            sent = wall_clock() - int((asyncio.get_running_loop().time() - connection.written_at) * 1e6)
+            sent = wall_clock() - int(
+                (asyncio.get_running_loop().time() - connection.request_written_at) * 1e6
+            )
             line.answers.extend(Answered(name, ending.status, sent) for name, ending in endings.items())
         others = call.terms.is_batch and tells_of_others(answer, ids)
-        connection.look_behind()
+        connection.check_surplus()
         if others:
-            connection.surplus = Unasked.ANSWER
+            connection.surplus = UnsolicitedData.RESPONSE
         if connection.surplus is not None:
             self._gone(number, connection.surplus, behind=not others)
-        elif AttemptStatus.MALFORMED_RESPONSE in results or not connection.usable():
+        elif AttemptStatus.MALFORMED_RESPONSE in results or not connection.is_usable():
             self._forget(number)
             self._do(self.pools.broken(number, False, now))
         else:
-            took = int((connection.heard_at - connection.written_at) * 1e6) if well else None
+            took = int((connection.first_byte_at - connection.request_written_at) * 1e6) if well else None
             self._do(self.pools.answered(number, True, now, took))
         return endings
 
@@ -455,11 +467,11 @@
             self._gone(number, connection.surplus)
         else:
             self._forget(number)
-            self._do(self.pools.broken(number, dead and connection.written, now))
-        if not call.terms.is_batch and connection.says_delivered and connection.surplus is None:
+            self._do(self.pools.broken(number, dead and connection.is_request_written, now))
+        if not call.terms.is_batch and connection.is_status_ok and connection.surplus is None:
             return {ids[0]: AttemptResult(AttemptStatus.OK, is_final=True)}
         return dict.fromkeys(
-            ids, AttemptResult(result if connection.written else AttemptStatus.CONNECT_FAILED)
+            ids, AttemptResult(result if connection.is_request_written else AttemptStatus.CONNECT_FAILED)
         )
 
     # Connections
@@ -517,7 +529,7 @@
         else:
             self.opening.pop(number, None)
             self.lines[number] = Line(host, connection)
-            connection.unasked = partial(self._gone, number)
+            connection.on_unsolicited = partial(self._gone, number)
             self._do(self.pools.up(number, self._now()))
             return
         self.opening.pop(number, None)
@@ -536,24 +548,24 @@
 
     def _forget(self, number: int) -> None:
         if line := self.lines.pop(number, None):
-            line.connection.unasked = None
+            line.connection.on_unsolicited = None
             line.connection.close()
 
-    def _gone(self, number: int, what: Unasked, behind: bool = False) -> None:
+    def _gone(self, number: int, what: UnsolicitedData, behind: bool = False) -> None:
         """Something came on a connection that nothing was asked for: it is of no further use."""
         if (line := self.lines.get(number)) is None:
             return
         if line.asked:  # behind an answer that is not judged yet
-            if what is not Unasked.END:
+            if what is not UnsolicitedData.CLOSED:
                 line.connection.surplus = what
             return
         self._forget(number)
-        if what is Unasked.END:
+        if what is UnsolicitedData.CLOSED:
             self._do(self.pools.closed(number, self._now()))
             return
         line.connection.surplus = what
-        self._do(self.pools.surplus(number, what is Unasked.ANSWER, self._now(), behind))
-        if what is Unasked.ANSWER and line.answers:
+        self._do(self.pools.surplus(number, what is UnsolicitedData.RESPONSE, self._now(), behind))
+        if what is UnsolicitedData.RESPONSE and line.answers:
             names = ", ".join(f"{a.message} ({a.result.value})" for a in line.answers)
             log.error(
                 "%s: a surplus answer: those before it may have been other calls': %s", line.host, names
--- a/loftrelay/discovery/client.py
+++ b/loftrelay/discovery/client.py
@@ -22,7 +22,7 @@
 from loftrelay.discovery.http_client import DiscoveryHttpClient
 from loftrelay.discovery.subscription_actions import Row
 from loftrelay.net.address import Address
-from loftrelay.net.http import AnswerTooLong, ConnectionBroken
+from loftrelay.net.response_parser import ConnectionBrokenError, ResponseTooLongError
 from loftrelay.registry.protocol import LIST_PATH
 
 log = logging.getLogger(__name__)
@@ -143,9 +143,9 @@
         try:
             while True:
                 await self._poll()
-        except AnswerTooLong as error:
+        except ResponseTooLongError as error:
             self._reject_oversize(error.size, error.limit)
-        except (OSError, ConnectionBroken, ValueError, RecursionError) as error:
+        except (OSError, ConnectionBrokenError, ValueError, RecursionError) as error:
             log.warning("discovery: the watch failed: %r", error)
         except Exception:
             # A fault of the program; without a further call the relay would never learn of a drain again.
--- a/loftrelay/discovery/http_client.py
+++ b/loftrelay/discovery/http_client.py
@@ -5,13 +5,14 @@
 import asyncio
 
 from loftrelay.net.address import Address
-from loftrelay.net.http import MOST_BODY, Answer, Connection
+from loftrelay.net.http import MAX_BODY_BYTES, Connection
+from loftrelay.net.response_parser import HttpResponse
 
 
 class DiscoveryHttpClient:
     """Keeps one connection, and opens another when that one is no longer usable."""
 
-    def __init__(self, address: Address, max_body_bytes: int = MOST_BODY) -> None:
+    def __init__(self, address: Address, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.address = address
         self.max_body_bytes = max_body_bytes
         self.connection: Connection | None = None
@@ -28,7 +29,7 @@
         timeout: float,
         body: bytes = b"",
         connect_timeout: float | None = None,
-    ) -> Answer:
+    ) -> HttpResponse:
         """Sends one request and returns its response.
 
         Args:
@@ -47,12 +48,12 @@
         deadline = asyncio.get_running_loop().time() + timeout
         headers = {"Host": "discovery", "Content-Length": str(len(body))}
         try:
-            if connection is None or not connection.usable():
+            if connection is None or not connection.is_usable():
                 if connection is not None:
                     connection.close()
                 connect_timeout = min(timeout, connect_timeout or timeout)
                 connection = await Connection.open(self.address, connect_timeout, self.max_body_bytes)
-            response = await connection.request(method, target, headers, body, until=deadline)
+            response = await connection.request(method, target, headers, body, deadline=deadline)
             self.connection = connection
             return response
         finally:
--- a/loftrelay/discovery/status_reporter.py
+++ b/loftrelay/discovery/status_reporter.py
@@ -10,7 +10,7 @@
 
 from loftrelay.discovery.http_client import DiscoveryHttpClient
 from loftrelay.net.address import Address
-from loftrelay.net.http import ConnectionBroken
+from loftrelay.net.response_parser import ConnectionBrokenError
 
 log = logging.getLogger(__name__)
 
@@ -80,7 +80,7 @@
             response = await self.client.request(
                 "POST", REPORTS_PATH, RESPONSE_TIMEOUT_S, "".join(lines).encode()
             )
-        except (OSError, ConnectionBroken) as error:
+        except (OSError, ConnectionBrokenError) as error:
             log.warning("final-status reports were not answered: %r", error)
             return False
         return self._evaluate(messages, response.status)
--- a/loftrelay/discovery/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -31,7 +31,7 @@
     StartCall,
 )
 from loftrelay.net.address import Address
-from loftrelay.net.http import Answer, AnswerTooLong, ConnectionBroken
+from loftrelay.net.response_parser import ConnectionBrokenError, HttpResponse, ResponseTooLongError
 from loftrelay.registry.protocol import decode_response
 from loftrelay.relay.ports import ResolutionStatus
 
@@ -236,10 +236,10 @@
                 "GET", call.target, call.wait + RESPONSE_TIMEOUT_S, connect_timeout=CONNECT_TIMEOUT_S
             )
             self._call_answered(call, response)
-        except AnswerTooLong as error:
+        except ResponseTooLongError as error:
             reason = f"response exceeds {error.limit} bytes"
             self.subscription.call_failed(self._now(), call.number, reason, is_too_long=True)
-        except (OSError, ConnectionBroken) as error:
+        except (OSError, ConnectionBrokenError) as error:
             self.subscription.call_failed(self._now(), call.number, f"does not answer: {error!r}")
         except (ValueError, RecursionError) as error:
             self.subscription.call_failed(self._now(), call.number, f"sent a malformed response: {error}")
@@ -257,7 +257,7 @@
             client = self.clients[call.channel] = DiscoveryHttpClient(call.registry, MAX_PARSED_BYTES)
         return client
 
-    def _call_answered(self, call: StartCall, response: Answer) -> None:
+    def _call_answered(self, call: StartCall, response: HttpResponse) -> None:
         self.counts["bytes_in"] += _response_bytes(response)
         if response.status != 200:
             text = response.body[:MAX_LOGGED_ERROR_BYTES].decode(errors="replace").strip()
@@ -269,7 +269,7 @@
         self._process_actions()
 
 
-def _response_bytes(response: Answer) -> int:
+def _response_bytes(response: HttpResponse) -> int:
     """Approximate size of a response on the wire."""
     headers = sum(len(name) + len(value) + 4 for name, value in response.headers.items())
     return STATUS_LINE_BYTES + headers + len(response.body)
--- /dev/null
+++ b/loftrelay/net/unsolicited.py
@@ -0,0 +1,84 @@
+"""Data on a connection that the event loop has not read, or that nobody asked for."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import select
+import socket
+from collections.abc import Callable
+from enum import Enum, auto
+
+STATUS_LINE_PREFIX = b"HTTP/1."
+MAX_UNREAD_CHECKS = 3  # passes of the event loop in which bytes that a stall left unread are still read
+
+
+class UnsolicitedData(Enum):
+    """What came on a connection that waits for no response."""
+
+    RESPONSE = auto()  # it may be the start of one, which could have been taken for another request's
+    NOISE = auto()
+    CLOSED = auto()  # the peer closed or reset the connection
+
+
+def classify_unsolicited(data: bytes) -> UnsolicitedData:
+    """Returns what unsolicited bytes are; no bytes stand for the end of the connection."""
+    if not data:
+        return UnsolicitedData.CLOSED
+    is_response = data[: len(STATUS_LINE_PREFIX)] == STATUS_LINE_PREFIX[: len(data)]
+    return UnsolicitedData.RESPONSE if is_response else UnsolicitedData.NOISE
+
+
+def peek_unread(transport: asyncio.Transport) -> UnsolicitedData | None:
+    """Returns what has come that the event loop has not read yet, and leaves it there; None: nothing."""
+    if transport.is_closing():
+        return None
+    descriptor = transport.get_extra_info("socket").fileno()
+    poll = select.poll()
+    poll.register(descriptor, select.POLLIN)
+    if not poll.poll(0):
+        return None
+    try:
+        with socket.socket(fileno=os.dup(descriptor)) as duplicate:
+            peeked = duplicate.recv(len(STATUS_LINE_PREFIX), socket.MSG_PEEK | socket.MSG_DONTWAIT)
+    except OSError:  # also where no descriptor is left for the duplicate
+        return UnsolicitedData.CLOSED
+    return classify_unsolicited(peeked)
+
+
+class UnreadAwareTimer:
+    """A timer that lets unread data be read first.
+
+    A late event loop may find the time up before it reads a response that came long since.
+    """
+
+    def __init__(self) -> None:
+        self.handle: asyncio.TimerHandle | None = None
+
+    def start_at(self, when: float, transport: asyncio.Transport, on_timeout: Callable[[], None]) -> None:
+        """Starts the timer.
+
+        Args:
+            when: Its end, in the event loop's seconds.
+            transport: Where unread data is looked for.
+            on_timeout: Called when the time is up and nothing is left to read.
+        """
+        loop = asyncio.get_running_loop()
+        self.handle = loop.call_at(when, self._check, MAX_UNREAD_CHECKS, transport, on_timeout)
+
+    def cancel(self) -> None:
+        """Stops the timer."""
+        if self.handle is not None:
+            self.handle.cancel()
+
+    def reset(self) -> None:
+        """Stops the timer and forgets that it was started."""
+        self.cancel()
+        self.handle = None
+
+    def _check(self, checks: int, transport: asyncio.Transport, on_timeout: Callable[[], None]) -> None:
+        if checks and peek_unread(transport) is not None:
+            loop = asyncio.get_running_loop()
+            self.handle = loop.call_later(0, self._check, checks - 1, transport, on_timeout)
+        else:
+            on_timeout()
--- a/loftrelay/server/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -20,7 +20,7 @@
 import h11
 
 from loftrelay.net.address import Address
-from loftrelay.net.http import unread
+from loftrelay.net.unsolicited import peek_unread
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.intake import OVERLOAD_RETRY_AFTER_MS
@@ -196,7 +196,7 @@
     @property
     def may_go(self) -> bool:
         """Idle, and no request has come that is not read yet: closing that unread would lose it."""
-        return self.idle and self.transport is not None and not unread(self.transport)
+        return self.idle and self.transport is not None and not peek_unread(self.transport)
 
     @property
     def may_be_given(self) -> bool:
@@ -239,7 +239,7 @@
         not read is not waited for.
         """
         transport = self.transport
-        if transport is not None and not unread(transport) and not transport.get_write_buffer_size():
+        if transport is not None and not peek_unread(transport) and not transport.get_write_buffer_size():
             transport.close()
         else:
             self.abort()
--- a/tests/delivery/test_waits.py
+++ b/tests/delivery/test_waits.py
@@ -153,7 +153,7 @@
 def test_while_it_is_begun_anew_on_a_second_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(partner: Partner, sender: Sender) -> None:
         assert (await sender.send("a")).status is AttemptStatus.OK
-        usable, looks = Connection.usable, [True, False]  # it ends between the look and the first byte
+        usable, looks = Connection.is_usable, [True, False]  # it ends between the look and the first byte
 
         def ended(connection: Connection) -> bool:
             sound = looks.pop(0) if looks else usable(connection)
@@ -161,7 +161,7 @@
                 sender.tell("g", LONG * 1000)
             return sound
 
-        monkeypatch.setattr(Connection, "usable", ended)
+        monkeypatch.setattr(Connection, "is_usable", ended)
         assert outcome(await sender.send("m")) == HELD
         assert partner.ids == ["a"]
 
@@ -247,7 +247,10 @@
             await asyncio.sleep(0)
         (call,) = sender.hosts.calls.values()
         assert call.line is not None
-        call.line.connection._expire(3)  # in the pass in which the answer is written
+        connection = call.line.connection
+        assert connection.transport is not None
+        # In the pass in which the answer is written.
+        connection._deadline_timer._check(3, connection.transport, connection._deadline_passed)
         assert (await ending).retry_after == LONG * 1000
         assert sender._bound("g")
 
--- a/tests/delivery/test_waits_properties.py
+++ b/tests/delivery/test_waits_properties.py
@@ -23,7 +23,13 @@
 from loftrelay.delivery.host_client import HostClient
 from loftrelay.journal.journal import Journal
 from loftrelay.net.address import Address
-from loftrelay.net.http import Answer, AnswerSpoilt, ConnectionBroken, Headers, Unusable
+from loftrelay.net.response_parser import (
+    ConnectionBrokenError,
+    ConnectionUnusableError,
+    Headers,
+    HttpResponse,
+    MalformedResponseError,
+)
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult
@@ -198,9 +204,9 @@
     def __init__(self, host: str) -> None:
         self.host = host
         self.sound = True
-        self.written, self.written_at, self.heard_at = True, 0.0, 0.0
-        self.says_delivered = False
-        self.surplus = self.unasked = None
+        self.is_request_written, self.request_written_at, self.first_byte_at = True, 0.0, 0.0
+        self.is_status_ok = False
+        self.surplus = self.on_unsolicited = None
         self.taken_back: asyncio.Future[None] | None = None
 
     @classmethod
@@ -214,17 +220,17 @@
             raise ConnectionRefusedError
         return cls(address[0])
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return self.sound
 
-    def look_behind(self) -> None:
+    def check_surplus(self) -> None:
         pass
 
     def close(self) -> None:
         self.sound = False
 
-    def take_back(self, why: Exception) -> bool:
-        if self.written or self.taken_back is None or self.taken_back.done():
+    def withdraw(self, why: Exception) -> bool:
+        if self.is_request_written or self.taken_back is None or self.taken_back.done():
             return False
         self.taken_back.set_exception(why)
         return True
@@ -235,53 +241,53 @@
         path: str,
         headers: dict[str, str],
         body: bytes,
-        stall: float,
-        whole: Callable[[], None],
-        until: float,
-        heard: Callable[[Headers], None],
-    ) -> Answer:
+        completion_timeout: float,
+        on_request_written: Callable[[], None],
+        deadline: float,
+        on_response_head: Callable[[Headers], None],
+    ) -> HttpResponse:
         day, loop, draw = self.day, asyncio.get_running_loop(), self.day.random
         if draw.random() < 0.05:
             self.sound = False
-            raise Unusable
+            raise ConnectionUnusableError
         batch = path.endswith(":batch")
         ids = [row["id"] for row in json.loads(body)] if batch else [headers["Request-Id"]]
         day.first_byte(self.host, ids)
         try:
             if draw.random() < 0.1:  # its last byte goes out slowly
-                self.written = False
+                self.is_request_written = False
                 self.taken_back = loop.create_future()
                 await asyncio.wait([self.taken_back], timeout=draw.uniform(0, 0.5))
                 if self.taken_back.done():
                     self.taken_back.result()
-                self.written = True
-            self.written_at = loop.time()
-            whole()
+                self.is_request_written = True
+            self.request_written_at = loop.time()
+            on_request_written()
             answer = self.answer(ids, draw)
             delay = draw.choice([draw.uniform(0, 0.2), draw.uniform(0, 0.2), draw.uniform(0, 2.0)])
             if answer is None or answer.status in (200, 500):
                 day.ran.update(ids)
-            await asyncio.sleep(min(delay, until - loop.time()))
-            if loop.time() >= until:
+            await asyncio.sleep(min(delay, deadline - loop.time()))
+            if loop.time() >= deadline:
                 raise TimeoutError
-            self.heard_at = loop.time()
+            self.first_byte_at = loop.time()
             if answer is None:
-                raise ConnectionBroken
-            heard(answer.headers.items())
+                raise ConnectionBrokenError
+            on_response_head(answer.headers.items())
             if draw.random() < 0.1:
                 await asyncio.sleep(draw.uniform(0, 0.3))
-                raise AnswerSpoilt
+                raise MalformedResponseError
             return answer
         finally:
             day.out.difference_update(ids)
 
-    def answer(self, ids: list[str], draw: random.Random) -> Answer | None:
+    def answer(self, ids: list[str], draw: random.Random) -> HttpResponse | None:
         status = draw.choice([200] * 12 + [429] * 5 + [500, 503, 0])
         told = draw.choice([0, 0, draw.randrange(50, 900), draw.randrange(50, 900)])
         told = 12_000 if draw.random() < 0.02 else told
         headers = {b"x-come-back-ms": b"%d" % told} if status not in (0, 200) or draw.random() < 0.1 else {}
         rows = ",".join(f'{{"id":"{name}","state":"delivered"}}' for name in ids)
-        return Answer(status, headers, f"[{rows}]".encode()) if status else None
+        return HttpResponse(status, headers, f"[{rows}]".encode()) if status else None
 
 
 def play(folder: Path, seed: int, monkeypatch: pytest.MonkeyPatch, asks: bool = True) -> Day:
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -19,7 +19,8 @@
 from loftrelay.discovery.endpoint_list import MAX_LIST_BYTES, SEGMENT_ROWS
 from loftrelay.net import http
 from loftrelay.net.address import Address
-from loftrelay.net.http import MOST_BODY, AnswerTooLong, Connection
+from loftrelay.net.http import MAX_BODY_BYTES, Connection
+from loftrelay.net.response_parser import ResponseTooLongError
 from tests.standins.platform import Request, World, deliver, never, reply, run
 
 LONG = 5 * SEGMENT_ROWS + 7
@@ -450,15 +451,15 @@
 @pytest.mark.parametrize("over", [0, 1])
 def test_responses_to_messages_keep_their_limit(tmp_path: Path, over: int) -> None:
     async def scenario(w: World) -> None:
-        w.list_answer = answers(b"x" * (MOST_BODY + over), b"x" * (MOST_BODY + over))
-        for most in (None, MOST_BODY):
+        w.list_answer = answers(b"x" * (MAX_BODY_BYTES + over), b"x" * (MAX_BODY_BYTES + over))
+        for most in (None, MAX_BODY_BYTES):
             connection = await opened(w, most)
             if over:
-                with pytest.raises(AnswerTooLong) as raised:
+                with pytest.raises(ResponseTooLongError) as raised:
                     await connection.request("GET", "/", {"Host": "x"})
-                assert (raised.value.size, raised.value.limit) == (MOST_BODY + 1, MOST_BODY)
+                assert (raised.value.size, raised.value.limit) == (MAX_BODY_BYTES + 1, MAX_BODY_BYTES)
             else:
-                assert len((await connection.request("GET", "/", {"Host": "x"})).body) == MOST_BODY
+                assert len((await connection.request("GET", "/", {"Host": "x"})).body) == MAX_BODY_BYTES
             connection.close()
 
     run(scenario, tmp_path)
@@ -468,12 +469,14 @@
 def test_long_response_in_progress_has_more_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, more: int
 ) -> None:
-    monkeypatch.setattr(http, "SLOWEST", 0.1)  # bytes a second: 9 bytes more have 90 seconds
+    monkeypatch.setattr(
+        http, "MIN_TRANSFER_RATE_BYTES_PER_S", 0.1
+    )  # bytes a second: 9 bytes more have 90 seconds
 
     async def scenario(w: World) -> None:
         loop = asyncio.get_running_loop()
         until = loop.time() + 0.5
-        size = MOST_BODY + more
+        size = MAX_BODY_BYTES + more
 
         async def slow(request: Request) -> bytes:
             w.discovery.connections[0].transport.write(head(size))
@@ -482,14 +485,14 @@
             return b"x" * size
 
         w.list_answer = answers(slow)
-        connection = await opened(w, 2 * MOST_BODY)
+        connection = await opened(w, 2 * MAX_BODY_BYTES)
         if more:
-            answer = await connection.request("GET", "/", {"Host": "x"}, until=until)
+            answer = await connection.request("GET", "/", {"Host": "x"}, deadline=until)
             assert len(answer.body) == size
             assert loop.time() > until
         else:
             with pytest.raises(TimeoutError):
-                await connection.request("GET", "/", {"Host": "x"}, until=until)
+                await connection.request("GET", "/", {"Host": "x"}, deadline=until)
         connection.close()
 
     run(scenario, tmp_path)
