--- a/loftrelay/cli/run.py
+++ b/loftrelay/cli/run.py
@@ -16,11 +16,11 @@
 from loftrelay.config.platform import Config, load_config
 from loftrelay.config.toml_file import SettingsError
 from loftrelay.delivery.connection_pool import Limits
-from loftrelay.service.lifecycle import Service
+from loftrelay.service.lifecycle import RelayProcess
 
 if TYPE_CHECKING:  # each is loaded with its operator's file, which keeps other starts quick
     from loftrelay.discovery.settings import SubscriptionSettings
-    from loftrelay.gossip.settings import FleetSettings
+    from loftrelay.gossip.settings import GossipSettings
     from loftrelay.store.settings import RecordSettings
 
 OK = 0
@@ -34,7 +34,7 @@
 
     connections: Limits
     record: RecordSettings | None
-    fleet: FleetSettings | None
+    fleet: GossipSettings | None
     subscription: SubscriptionSettings | None
 
 
@@ -60,11 +60,11 @@
     Raises:
         OSError: The relay can't serve.
     """
-    service = Service(config, files.connections, files.record, files.fleet, files.subscription)
+    service = RelayProcess(config, files.connections, files.record, files.fleet, files.subscription)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, service.terminate)
-    loop.add_signal_handler(signal.SIGHUP, service.read_again)
+    loop.add_signal_handler(signal.SIGHUP, service.reload)
     await service.run()
 
 
@@ -84,9 +84,9 @@
 
         record = load_record(options.record)
     if options.fleet:
-        from loftrelay.gossip.settings import load_fleet
+        from loftrelay.gossip.settings import load_gossip_settings
 
-        fleet = load_fleet(options.fleet, os.environ)
+        fleet = load_gossip_settings(options.fleet, os.environ)
     if options.subscription:
         from loftrelay.discovery.settings import load_subscription
 
--- a/loftrelay/discovery/http_client.py
+++ b/loftrelay/discovery/http_client.py
@@ -35,14 +35,14 @@
         Args:
             method: HTTP method.
             target: Target of the request.
-            timeout: Seconds for all of it. A response over `MOST_BODY` has more time (net/http.py).
+            timeout: Seconds for all of it. A response over `MAX_BODY_BYTES` has more time (net/http.py).
             body: Body of the request.
             connect_timeout: Seconds out of `timeout` for a new connection.
 
         Raises:
             OSError: The connection failed, or the time is up (TimeoutError).
-            ConnectionBroken: No whole response came.
-            AnswerTooLong: The response exceeds `max_body_bytes`.
+            ConnectionBrokenError: No whole response came.
+            ResponseTooLongError: The response exceeds `max_body_bytes`.
         """
         connection, self.connection = self.connection, None
         deadline = asyncio.get_running_loop().time() + timeout
--- a/loftrelay/registry/server.py
+++ b/loftrelay/registry/server.py
@@ -110,7 +110,7 @@
             self._end_client(client)
         loop = asyncio.get_running_loop()
         deadline = loop.time() + SHUTDOWN_TIMEOUT_S
-        while self.clients and loop.time() < deadline:  # noqa: ASYNC110 - the deadline bounds it
+        while self.clients and loop.time() < deadline:
             await asyncio.sleep(SHUTDOWN_POLL_S)
         for client in list(self.clients):
             client.abort()
