--- a/loftrelay/discovery/__init__.py
+++ b/loftrelay/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's side: the list of hosts, the watch on it, and notices of how messages ended."""
+"""The platform's discovery: the endpoint list, subscriptions at registries, and final-status reports."""
--- a/loftrelay/discovery/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -57,7 +57,7 @@
 class Subscriber:
     """An EndpointDirectory and a SubscribedDirectory (relay/ports.py).
 
-    The watch continues by itself, with waits of its own: the decisions are never told that it failed.
+    The watch continues by itself, with waits of its own: no failure of it is reported to the decisions.
     """
 
     def __init__(
--- a/loftrelay/discovery/subscription_actions.py
+++ b/loftrelay/discovery/subscription_actions.py
@@ -63,7 +63,7 @@
 class ReleaseDestinations:
     """Release idle or surplus destinations, where no message needs them.
 
-    `SubscriptionState.release` is then told which of them were released.
+    `SubscriptionState.release` then receives which of them were released.
     """
 
     destinations: tuple[int, ...]
--- a/loftrelay/net/__init__.py
+++ b/loftrelay/net/__init__.py
@@ -1,1 +1,1 @@
-"""Addresses, and one outgoing HTTP/1.1 connection: shared by all that call out."""
+"""Addresses and the HTTP/1.1 client connection, shared by all outgoing calls."""
--- a/loftrelay/net/http.py
+++ b/loftrelay/net/http.py
@@ -114,8 +114,7 @@
             body: Body of the request.
             completion_timeout: Seconds in which a response that has begun must be whole.
             on_request_written: Called once the system has the last byte of the request.
-            deadline: Until when a response must have come, in the event loop's seconds. One over
-                MAX_BODY_BYTES has more time.
+            deadline: For the response, in the event loop's seconds; over MAX_BODY_BYTES there is more time.
             on_response_head: Called with the headers of the response, whatever comes of its body.
 
         Raises:
--- a/loftrelay/registry/__init__.py
+++ b/loftrelay/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The control role: holds discovery's whole list and tells each relay its slice of it."""
+"""The registry: holds discovery's full list and sends each relay the destinations that it serves."""
--- a/loftrelay/registry/server.py
+++ b/loftrelay/registry/server.py
@@ -233,7 +233,7 @@
             update.full_destinations,
             (),
         )
-        self.counts["told"] += 1
+        self.counts["answers_200"] += 1
         client.respond(HTTPStatus.OK, protocol.encode_response(response, update.rows))
 
     def _send_error(self, client: ClientConnection, status: int, reason: str) -> None:
@@ -332,7 +332,7 @@
             "age_ms": int(self.age() * 1000) if catalog.is_loaded else -1,
             "changes": catalog.changes,
             "woken": subscriptions.ended_by_change,
-            "answers_200": counts["told"],
+            "answers_200": counts["answers_200"],
             "answers_400": counts["answers_400"],
             "answers_403": counts["answers_403"],
             "answers_410": counts["answers_410"],
--- a/loftrelay/registry/upstream.py
+++ b/loftrelay/registry/upstream.py
@@ -59,7 +59,7 @@
 
     Attributes:
         staged: The entries received.
-        parser: The list's parser; `finish` tells its revision.
+        parser: The list's parser; `finish` returns its revision.
     """
 
     def __init__(self, catalog: Catalog, max_list_bytes: int) -> None:
