--- a/loftrelay/delivery/host_client.py
+++ b/loftrelay/delivery/host_client.py
@@ -27,7 +27,15 @@
 from loftrelay.delivery.connection_pool.manager import PoolManager
 from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.net.address import Address
-from loftrelay.net.http import Answer, AnswerSpoilt, Connection, ConnectionBroken, Headers, Unasked, Unusable
+from loftrelay.net.http import Connection
+from loftrelay.net.response_parser import (
+    ConnectionBrokenError,
+    ConnectionUnusableError,
+    Headers,
+    HttpResponse,
+    MalformedResponseError,
+)
+from loftrelay.net.unsolicited import UnsolicitedData
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.fault_points import fault_point
 from loftrelay.relay.message import Message
@@ -215,7 +223,7 @@
                 call.granted.set_exception(Bound())
         for call in self.calls.values():
             if call.line is not None and self.bound(call.host):
-                call.line.connection.take_back(Bound())
+                call.line.connection.withdraw(Bound())
 
     def close_all_idle_connections(self) -> None:
         """Nothing more will be sent: what stands idle goes."""
@@ -230,7 +238,7 @@
         if self.clock is not None:
             self.clock.cancel()
         for line in self.lines.values():
-            line.connection.unasked = None
+            line.connection.on_unsolicited = None
             line.connection.close()
 
     # A call
@@ -269,7 +277,7 @@
                 try:
                     answer = await self._ask(call, number, deadline)
                     break
-                except Unusable:
+                except ConnectionUnusableError:
                     call.asked, call.line = False, None
                     await self._find_why(number)
                     if call.idle == 0:
@@ -306,9 +314,9 @@
                 AttemptStatus.TIMEOUT,
                 call.terms.timeout >= TELLING and not self.pulse.since(call.at),
             )
-        except AnswerSpoilt:
+        except MalformedResponseError:
             result, dead = AttemptStatus.MALFORMED_RESPONSE, False
-        except ConnectionBroken:
+        except ConnectionBrokenError:
             result, dead = AttemptStatus.CONNECTION_LOST, True
         finally:
             if self.waiting.pop(call.number, None) is not None and not self.closing:
@@ -336,7 +344,7 @@
                     self._do(self.pools.release_unused(use.connection, self._now()))
                 raise
             line = self.lines.get(use.connection)
-            if line is not None and line.connection.usable():
+            if line is not None and line.connection.is_usable():
                 call.idle = use.idle
                 return use.connection
             await self._find_why(use.connection)
@@ -353,9 +361,9 @@
                     return
                 await asyncio.sleep(0)
         finally:
-            self._gone(number, Unasked.END)
+            self._gone(number, UnsolicitedData.CLOSED)
 
-    async def _ask(self, call: Call, number: int, deadline: float) -> Answer:
+    async def _ask(self, call: Call, number: int, deadline: float) -> HttpResponse:
         line, loop = self.lines[number], asyncio.get_running_loop()
         if self.pulse.age(loop.time()):
             for _ in range(LOOKS):  # a loop that is late reads what has come first
@@ -369,7 +377,7 @@
         call.line = line
         clock = None
         if call.begin_by < deadline:
-            clock = loop.call_at(call.begin_by, line.connection.take_back, Stale())
+            clock = loop.call_at(call.begin_by, line.connection.withdraw, Stale())
         try:
             answer = await self._request(line.connection, call, deadline)
         finally:
@@ -380,6 +388,8 @@
         least = (
             self.pools.min_response_time(number) if call.terms.is_at_most_once and answer.status == 200 else 0
         )
+        took = line.connection.first_byte_at - line.connection.request_written_at
+        least = self.pools.earliest(number) if call.terms.is_at_most_once and answer.status == 200 else 0
         if took * 1e6 < least:
             # Not believed yet: if it is a late copy, the true answer follows when the host is done. Refusals
             # come quickly by nature, their waits bind at once, and a false one can still be doubted.
@@ -392,8 +402,8 @@
                 "%s: an answer after %.1f ms, sooner than ever: waits for another", call.host, took * 1e3
             )
             await asyncio.sleep(hold)
-            if line.connection.surplus is Unasked.ANSWER:
-                raise AnswerSpoilt
+            if line.connection.surplus is UnsolicitedData.RESPONSE:
+                raise MalformedResponseError
         return answer
 
     def _holds(self, call: Call, deadline: float) -> None:
@@ -415,7 +425,7 @@
             call.wait = wait
             self.told(call.host, wait)
 
-    async def _request(self, connection: Connection, call: Call, deadline: float) -> Answer:
+    async def _request(self, connection: Connection, call: Call, deadline: float) -> HttpResponse:
         messages, timeout = call.messages, deadline - asyncio.get_running_loop().time()
         headers = {"Host": "host", "Request-Timeout-Ms": str(max(1, int(timeout * 1000)))}
         if not call.terms.is_batch:
@@ -432,7 +442,9 @@
         head = partial(self._head, call)
         return await connection.request("POST", path, headers, body, STALL, whole, deadline, head)
 
-    def _answered(self, call: Call, number: int, answer: Answer, ids: list[str]) -> dict[str, AttemptResult]:
+    def _answered(
+        self, call: Call, number: int, answer: HttpResponse, ids: list[str]
+    ) -> dict[str, AttemptResult]:
         """The answer is whole."""
         endings = read_batch(answer, ids) if call.terms.is_batch else {ids[0]: read_single(answer)}
         results = {ending.status for ending in endings.values()}
@@ -442,19 +454,21 @@
         line = self.lines[number]
         line.asked, connection = False, line.connection
         if not self.pools.is_first_use(number):
-            sent = wall_clock() - int((asyncio.get_running_loop().time() - connection.written_at) * 1e6)
+            sent = wall_clock() - int(
+                (asyncio.get_running_loop().time() - connection.request_written_at) * 1e6
+            )
             line.answers.extend(Answered(name, ending.status, sent) for name, ending in endings.items())
         others = call.terms.is_batch and tells_of_others(answer, ids)
-        connection.look_behind()
+        connection.check_surplus()
         if others:
-            connection.surplus = Unasked.ANSWER
+            connection.surplus = UnsolicitedData.RESPONSE
         if connection.surplus is not None:
             self._gone(number, connection.surplus, behind=not others)
-        elif AttemptStatus.MALFORMED_RESPONSE in results or not connection.usable():
+        elif AttemptStatus.MALFORMED_RESPONSE in results or not connection.is_usable():
             self._forget(number)
             self._do(self.pools.connection_lost(number, False, now))
         else:
-            took = int((connection.heard_at - connection.written_at) * 1e6) if well else None
+            took = int((connection.first_byte_at - connection.request_written_at) * 1e6) if well else None
             self._do(self.pools.response_received(number, True, now, took))
         return endings
 
@@ -474,7 +488,7 @@
         if not call.terms.is_batch and connection.says_delivered and connection.surplus is None:
             return {ids[0]: AttemptResult(AttemptStatus.OK, is_final=True)}
         return dict.fromkeys(
-            ids, AttemptResult(result if connection.written else AttemptStatus.CONNECT_FAILED)
+            ids, AttemptResult(result if connection.is_request_written else AttemptStatus.CONNECT_FAILED)
         )
 
     # Connections
@@ -551,15 +565,15 @@
 
     def _forget(self, number: int) -> None:
         if line := self.lines.pop(number, None):
-            line.connection.unasked = None
+            line.connection.on_unsolicited = None
             line.connection.close()
 
-    def _gone(self, number: int, what: Unasked, behind: bool = False) -> None:
+    def _gone(self, number: int, what: UnsolicitedData, behind: bool = False) -> None:
         """Something came on a connection that nothing was asked for: it is of no further use."""
         if (line := self.lines.get(number)) is None:
             return
         if line.asked:  # behind an answer that is not judged yet
-            if what is not Unasked.END:
+            if what is not UnsolicitedData.CLOSED:
                 line.connection.surplus = what
             return
         self._forget(number)
