--- a/loftrelay/delivery/call_outcome.py
+++ b/loftrelay/delivery/call_outcome.py
@@ -1,4 +1,4 @@
-"""What an answer of a host means: the outcome of each message of a call."""
+"""What a response of a host means: the result of each message of a call."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import logging
 import re
 from collections.abc import Sequence
+from dataclasses import replace
 
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.net.http import Answer, Headers
@@ -13,79 +14,84 @@
 
 log = logging.getLogger(__name__)
 
-WAIT = re.compile(rb"0*(\d+)(\.?\d*)")  # milliseconds; a part of one counts whole
-MOST_WAIT = 999_999_999
-
-STATUSES = {
-    200: AttemptStatus.OK,
-    500: AttemptStatus.ERROR,
-    429: AttemptStatus.REJECTED,
-    503: AttemptStatus.REJECTED,
-    504: AttemptStatus.NOT_SENT,
-    410: AttemptStatus.NOT_SENT,
-    400: AttemptStatus.REJECTED,
-    413: AttemptStatus.REJECTED,
-}
-STATES = {
-    "delivered": AttemptStatus.OK,
-    "failed": AttemptStatus.ERROR,
-    "refused": AttemptStatus.REJECTED,
-    "over": AttemptStatus.NOT_SENT,
-    "spent": AttemptStatus.NOT_SENT,
-}
-
-
-def told_wait(headers: Headers) -> int:
-    """In microseconds; 0 where none is told, or nothing that is a number. Of several the longest binds, and
-    one too long to be meant counts as eleven days.
+RETRY_AFTER_HEADER = b"x-come-back-ms"  # as Retry-After (RFC 9110 10.2.3), in milliseconds
+RETRY_AFTER_VALUE = re.compile(rb"0*(\d+)(\.?\d*)")  # a part of a millisecond counts whole
+MAX_RETRY_AFTER_DIGITS = 9
+MAX_RETRY_AFTER_MS = 999_999_999
+BUSY_HEADER = b"x-line-busy"  # "1" in a 503: the connection is in use, the message was not read
+
+NOT_SENT = AttemptResult(AttemptStatus.NOT_SENT)
+ERROR = AttemptResult(AttemptStatus.ERROR)
+REJECTED = AttemptResult(AttemptStatus.REJECTED)
+DELIVERED = AttemptResult(AttemptStatus.OK, is_final=True)
+# The host's clock may be ahead of the relay's, so that an expired message is not final here.
+EXPIRED = AttemptResult(AttemptStatus.NOT_SENT, is_expired=True)
+
+STATUS_RESULTS = {
+    200: DELIVERED,
+    500: ERROR,
+    429: REJECTED,
+    503: REJECTED,
+    504: NOT_SENT,
+    410: EXPIRED,
+    400: REJECTED,
+    413: REJECTED,
+}  # a status that is not listed may mean anything, and counts as ERROR: the message may have run
+ROW_RESULTS = {
+    "delivered": DELIVERED,
+    "failed": ERROR,
+    "refused": REJECTED,
+    "over": EXPIRED,
+    "spent": NOT_SENT,
+}  # `state` of a message in the response to a batch
+
+
+def parse_retry_after(headers: Headers) -> int:
+    """The Retry-After of a response in microseconds; 0: none, or no number.
+
+    Of several the longest applies. A value of more than nine digits counts as eleven days.
     """
     longest = 0
     for name, value in headers:
-        if name == b"x-come-back-ms" and (told := WAIT.fullmatch(value)) is not None:
-            whole, part = told.groups()
-            longest = max(longest, MOST_WAIT if len(whole) > 9 else int(whole) + bool(part.strip(b".0")))
+        if name != RETRY_AFTER_HEADER or (match := RETRY_AFTER_VALUE.fullmatch(value)) is None:
+            continue
+        whole, part = match.groups()
+        is_too_long = len(whole) > MAX_RETRY_AFTER_DIGITS
+        delay = MAX_RETRY_AFTER_MS if is_too_long else int(whole) + bool(part.strip(b".0"))
+        longest = max(longest, delay)
     return longest * 1000
 
 
-def read_single(answer: Answer) -> AttemptResult:
-    """A status that the protocol does not know may mean anything: it may have run.
-
-    410 does not end what the relay owes: a host's clock runs some milliseconds before the relay's, which
-    counts from a message's arrival. Trouble: a bundle of 19 whose time ran out there was forgotten.
-    """
-    result = STATUSES.get(answer.status, AttemptStatus.ERROR)
-    if answer.status == 503 and answer.headers.get(b"x-line-busy") == b"1":
-        result = AttemptStatus.NOT_SENT
-    wait = told_wait(answer.headers.items())
-    return AttemptResult(
-        result, is_final=answer.status == 200, retry_after=wait, is_expired=answer.status == 410
-    )
+def parse_response(response: Answer) -> AttemptResult:
+    """The result by the status of a response alone."""
+    result = STATUS_RESULTS.get(response.status, ERROR)
+    if response.status == 503 and response.headers.get(BUSY_HEADER) == b"1":
+        result = NOT_SENT
+    return replace(result, retry_after=parse_retry_after(response.headers.items()))
 
 
-def tells_of_others(answer: Answer, ids: Sequence[str]) -> bool:
-    """Whether a batch answer names messages that were not asked about: then it answers another call."""
+def names_other_messages(response: Answer, ids: Sequence[str]) -> bool:
+    """Whether a batch response names messages that were not sent: it then answers another call."""
     try:
-        return answer.status == 200 and any(row["id"] not in ids for row in json.loads(answer.body))
+        return response.status == 200 and any(row["id"] not in ids for row in json.loads(response.body))
     except (ValueError, TypeError, KeyError, RecursionError):
         return False
 
 
-def read_batch(answer: Answer, ids: Sequence[str]) -> dict[str, AttemptResult]:
-    """One ending for each message. In one that is not sound in all its rows none is believed."""
-    if answer.status != 200:
-        return dict.fromkeys(ids, read_single(answer))
+def parse_batch_response(response: Answer, ids: Sequence[str]) -> dict[str, AttemptResult]:
+    """The result of each message. If a row is malformed, all are MALFORMED_RESPONSE."""
+    if response.status != 200:
+        return dict.fromkeys(ids, parse_response(response))
     try:
-        rows = [(entry["id"], entry["state"]) for entry in json.loads(answer.body)]
-        if sorted(name for name, _ in rows) != sorted(ids):
-            raise ValueError("it tells of other messages than were asked for")
-        wait = told_wait(answer.headers.items())
-        states = {
-            name: AttemptResult(
-                STATES[s], is_final=s == "delivered", retry_after=wait, is_expired=s == "over"
-            )
-            for name, s in rows
-        }
+        return _parse_rows(response, ids)
     except (ValueError, TypeError, KeyError, RecursionError) as error:
-        log.warning("a batch answer can't be read: %r", error)
+        log.warning("Batch response cannot be read: %r", error)
         return dict.fromkeys(ids, AttemptResult(AttemptStatus.MALFORMED_RESPONSE))
-    return states
+
+
+def _parse_rows(response: Answer, ids: Sequence[str]) -> dict[str, AttemptResult]:
+    rows = [(row["id"], row["state"]) for row in json.loads(response.body)]
+    if sorted(name for name, _ in rows) != sorted(ids):
+        raise ValueError("the messages are not those of the call")
+    retry_after = parse_retry_after(response.headers.items())
+    return {name: replace(ROW_RESULTS[state], retry_after=retry_after) for name, state in rows}
--- /dev/null
+++ b/loftrelay/delivery/pool_driver.py
@@ -0,0 +1,271 @@
+"""Carries out over sockets what the connection pool decides."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import logging
+from collections.abc import Callable
+from functools import partial
+
+from loftrelay.decisions.events import AttemptStatus
+from loftrelay.delivery.connection_pool.actions import (
+    Action,
+    CloseConnection,
+    ConnectFailure,
+    FailCall,
+    LogLine,
+    OpenConnection,
+    PoolErrorKind,
+    UseConnection,
+)
+from loftrelay.delivery.connection_pool.manager import PoolManager
+from loftrelay.delivery.connection_pool.settings import PoolSettings
+from loftrelay.delivery.host_call import HostCall, OpenedConnection, PoolError
+from loftrelay.net.address import Address
+from loftrelay.net.http import Connection, Unasked
+from loftrelay.relay.stall_detector import StallDetector
+
+log = logging.getLogger(__name__)
+
+NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+PASSES_TO_READ = 4  # of the event loop: one to see that a connection can be read, and one to read it
+
+
+class PoolDriver:
+    """Owns the sockets, the connects in progress, the pool's timer and the calls that wait.
+
+    Times given to the pool are the event loop's, in microseconds; `connect_timeout` is in seconds.
+    """
+
+    def __init__(
+        self,
+        settings: PoolSettings,
+        seed: int,
+        connect_timeout: float,
+        stall_detector: StallDetector,
+        on_disputed: Callable[[str, str, int], None],
+    ) -> None:
+        self.pools = PoolManager(settings, seed)
+        self.connect_timeout = connect_timeout
+        self.stall_detector = stall_detector
+        self.on_disputed = on_disputed
+        self.addresses: dict[str, Address] = {}
+        self.connections: dict[int, OpenedConnection] = {}
+        self.connecting: dict[int, asyncio.Task[None]] = {}
+        self.waiting: dict[int, HostCall] = {}
+        self.timer: asyncio.TimerHandle | None = None
+        self.timer_at = 0
+        self.is_closing = False
+
+    def now_us(self) -> int:
+        """The event loop's time in microseconds."""
+        return int(asyncio.get_running_loop().time() * 1e6)
+
+    # Actions of the pool
+
+    def run(self, actions: list[Action]) -> None:
+        """Carries out actions in order; the pool gets no event before the last, as `actions` is its own."""
+        unused: list[int] = []
+        for action in actions:
+            match action:
+                case UseConnection(number, connection):
+                    if not self._grant(number, action):
+                        unused.append(connection)
+                case FailCall(number, kind):
+                    self.waiting.pop(number).fail_lease(PoolError(kind))
+                case OpenConnection(host, number):
+                    self.connecting[number] = asyncio.create_task(self._connect(host, number))
+                case CloseConnection(number):
+                    self.forget(number)
+                    if task := self.connecting.pop(number, None):
+                        task.cancel()
+                case LogLine(text):
+                    log.warning("%s", text)
+        for connection in unused:
+            self.release_unused(connection)
+        self._set_timer()
+
+    def _grant(self, number: int, use: UseConnection) -> bool:
+        """Whether the call still waits: its time may have run out before its task has run again."""
+        lease = self.waiting.pop(number).lease
+        assert lease is not None
+        if lease.done():
+            return False
+        lease.set_result(use)
+        return True
+
+    def _set_timer(self) -> None:
+        at = self.pools.next_timer_at
+        if at is None or self.is_closing or (self.timer is not None and at >= self.timer_at):
+            return
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer_at = at
+        self.timer = asyncio.get_running_loop().call_at(at / 1e6, self._run_timers)
+
+    def _run_timers(self) -> None:
+        self.timer = None
+        self.run(self.pools.run_timers(max(self.now_us(), self.timer_at)))
+
+    # Connects
+
+    async def _connect(self, host: str, number: int) -> None:
+        failure = ConnectFailure.REFUSED
+        try:
+            connection = await self._open(host)
+        except TimeoutError:
+            failure = ConnectFailure.SILENT
+        except OSError as error:
+            if error.errno in NO_DESCRIPTOR:
+                failure = ConnectFailure.DESCRIPTORS
+        else:
+            self.connecting.pop(number, None)
+            self.connections[number] = OpenedConnection(host, connection)
+            connection.unasked = partial(self.handle_unsolicited, number)
+            self.run(self.pools.connected(number, self.now_us()))
+            return
+        self.connecting.pop(number, None)
+        self.run(self.pools.connect_failed(number, failure, self.now_us()))
+
+    async def _open(self, host: str) -> Connection:
+        """Connects, once more where the process was suspended during the timeout.
+
+        Raises:
+            OSError: The connect failed (TimeoutError among them).
+        """
+        loop = asyncio.get_running_loop()
+        started_at = loop.time()
+        try:
+            return await Connection.open(self.addresses[host], self.connect_timeout)
+        except TimeoutError:
+            self.stall_detector.look(loop.time())
+            if not self.stall_detector.since(started_at):
+                raise
+        return await Connection.open(self.addresses[host], self.connect_timeout)
+
+    # Connections of calls
+
+    async def acquire(self, call: HostCall) -> int:
+        """The number of a usable connection that is leased to the call.
+
+        Raises:
+            CallError: None is available, or the call's wait was ended.
+        """
+        while True:
+            use = await self._lease(call)
+            opened = self.connections.get(use.connection)
+            if opened is not None and opened.connection.usable():
+                call.connection_idle = use.idle
+                return use.connection
+            await self.drain_unusable(use.connection)
+            if use.idle == 0:  # accepted and closed at once: as good as refused
+                raise PoolError(PoolErrorKind.NO_CONNECTION)
+
+    async def _lease(self, call: HostCall) -> UseConnection:
+        lease = call.lease = asyncio.get_running_loop().create_future()
+        self.waiting[call.number] = call
+        options = call.options
+        self.run(
+            self.pools.acquire(
+                call.number, call.host, options.is_at_most_once, options.max_connection_idle, self.now_us()
+            )
+        )
+        use: UseConnection | None = None
+        try:
+            use = await lease
+            if use.delay:
+                await asyncio.sleep(use.delay / 1e6)
+        except asyncio.CancelledError:
+            if use is None and lease.done() and not lease.cancelled():
+                use = lease.result()
+            if use is not None:
+                self.release_unused(use.connection)
+            raise
+        return use
+
+    def cancel(self, call: HostCall) -> None:
+        """The call waits no more for a connection."""
+        if self.waiting.pop(call.number, None) is not None and not self.is_closing:
+            self.run(self.pools.cancel(call.number, self.now_us()))
+
+    def is_waiting_for_release(self, call: HostCall) -> bool:
+        """Whether the call waits behind calls that use the host's connections."""
+        return call.number in self.waiting and self.pools.is_waiting_for_release(call.number)
+
+    def release_unused(self, number: int) -> None:
+        """No byte of its call was written."""
+        self.run(self.pools.release_unused(number, self.now_us()))
+
+    def discard(self, number: int, is_reset: bool, now: int) -> None:
+        """Closes the connection of a call that ended without a sound response."""
+        self.forget(number)
+        self.run(self.pools.connection_lost(number, is_reset, now))
+
+    async def drain_unusable(self, number: int) -> None:
+        """Reads what has come on a kept connection that cannot be used, to know what it was."""
+        if opened := self.connections.get(number):
+            opened.is_in_call = False
+        try:
+            for _ in range(PASSES_TO_READ):
+                if number not in self.connections:
+                    return
+                await asyncio.sleep(0)
+        finally:
+            self.handle_unsolicited(number, Unasked.END)
+
+    def handle_unsolicited(self, number: int, what: Unasked, is_behind: bool = False) -> None:
+        """Handles what came on a connection that no request asked for: it cannot be used again.
+
+        `is_behind`: it came together with the end of a response.
+        """
+        if (opened := self.connections.get(number)) is None:
+            return
+        if opened.is_in_call:  # behind a response that is not processed yet
+            if what is not Unasked.END:
+                opened.connection.surplus = what
+            return
+        self.forget(number)
+        if what is Unasked.END:
+            self.run(self.pools.closed_by_peer(number, self.now_us()))
+            return
+        opened.connection.surplus = what
+        is_response = what is Unasked.ANSWER
+        self.run(self.pools.unsolicited_data(number, is_response, self.now_us(), is_behind))
+        if is_response and opened.recent_responses:
+            self._dispute(opened)
+
+    def _dispute(self, opened: OpenedConnection) -> None:
+        """Earlier responses on the connection may have been those of other calls."""
+        responses = opened.recent_responses
+        names = ", ".join(f"{response.message} ({response.status.value})" for response in responses)
+        log.error(
+            "%s: unsolicited response, earlier ones may belong to other messages: %s", opened.host, names
+        )
+        for response in responses:
+            if response.status in (AttemptStatus.REJECTED, AttemptStatus.NOT_SENT):
+                self.on_disputed(response.message, opened.host, response.sent_at)
+
+    # Closing
+
+    def forget(self, number: int) -> None:
+        """Closes the socket of a connection."""
+        if opened := self.connections.pop(number, None):
+            opened.connection.unasked = None
+            opened.connection.close()
+
+    def close_unused(self) -> None:
+        """Closes the sockets of all connections that are in no call."""
+        for number, opened in list(self.connections.items()):
+            if not opened.is_in_call:
+                self.forget(number)
+
+    def close(self) -> None:
+        """Cancels all connects and closes all sockets."""
+        for task in self.connecting.values():
+            task.cancel()
+        if self.timer is not None:
+            self.timer.cancel()
+        for opened in self.connections.values():
+            opened.connection.unasked = None
+            opened.connection.close()
--- a/tests/delivery/sender.py
+++ b/tests/delivery/sender.py
@@ -32,8 +32,8 @@
             lambda held, host: self.tried.append(held.id),
             self._ended,
             lambda name, host, at: self.doubted.append(name),
-            told=self.tell,
-            bound=self._bound,
+            on_retry_after=self.tell,
+            is_blocked=self._bound,
         )
         for name, address in places.items():
             self.hosts.add_host(name, address, 1)
@@ -47,7 +47,7 @@
 
     def tell(self, host: str, wait: int) -> None:
         until = asyncio.get_running_loop().time() + wait / 1e6
-        for name in self.hosts.addresses if self.shared else (host,):
+        for name in self.hosts.driver.addresses if self.shared else (host,):
             self.waits[name] = max(self.waits.get(name, 0.0), until)
         self.hosts.withdraw_blocked_calls()
         self.told.set()
--- a/tests/delivery/test_decided_and_not_begun.py
+++ b/tests/delivery/test_decided_and_not_begun.py
@@ -56,7 +56,7 @@
     async def scenario(partner: Partner, sender: Sender) -> None:
         assert (await sender.send("a")).status is AttemptStatus.OK
         ending = sender.send("m", begin_within=within(why))
-        while sender.hosts.waiting or not sender.hosts.calls:
+        while sender.hosts.driver.waiting or not sender.hosts.calls:
             await asyncio.sleep(0)
         TOLD[why](sender)
         assert (await ending).status in (AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED)
@@ -76,7 +76,7 @@
                 while asyncio.get_running_loop().time() < until:
                     pass
 
-        sender.hosts.tried = tried
+        sender.hosts.on_attempt = tried
         ending = await sender.send("m", begin_within=within(why))
         assert (ending.status, ending.is_stale) == (AttemptStatus.NOT_SENT, True)
         assert not partner.calls
--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_hard_cases.py
@@ -12,7 +12,7 @@
 
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.delivery import host_client as hosts_module
-from loftrelay.delivery.host_client import Call as HostsCall
+from loftrelay.delivery.host_call import HostCall
 from loftrelay.net.address import Address
 from loftrelay.net.http import Connection
 from loftrelay.relay.ports import CallOptions
@@ -95,7 +95,7 @@
         }
         assert len(set(waves[0])) > 1
         assert set(waves[-1]) == {AttemptStatus.OK}
-        assert sender.hosts.pools.hosts["h"].capacity.limit in (2, 3)
+        assert sender.hosts.driver.pools.hosts["h"].capacity.limit in (2, 3)
 
     run(Behaviour(lambda call: Doing(delay=0.01), most=2), scenario, is_capacity_learned=True)
 
@@ -199,8 +199,8 @@
         await partner.__aenter__(port)
         for i in range(20):
             assert (await sender.send(f"back{i}")).status is AttemptStatus.OK
-            well_since = sender.hosts.pools.hosts["h"].destination.healthy_since
-            if well_since is not None and sender.hosts._now() - well_since < 100_000:
+            well_since = sender.hosts.driver.pools.hosts["h"].destination.healthy_since
+            if well_since is not None and sender.hosts.driver.now_us() - well_since < 100_000:
                 assert partner.accepted - accepted == 1
             else:
                 assert i  # the first call itself is well, and not for long
@@ -240,15 +240,15 @@
 
     async def scenario(partner: Partner, sender: Sender) -> None:
         hosts = sender.hosts
-        call = hosts.waiting[99] = HostsCall(99, "h", [], CallOptions(1.0, False, False, None), 0.0)
-        call.granted = asyncio.get_running_loop().create_future()
-        call.granted.cancel()
-        hosts._do(hosts.pools.acquire(99, "h", False, None, hosts._now()))
+        call = hosts.driver.waiting[99] = HostCall(99, "h", [], CallOptions(1.0, False, False, None), 0.0)
+        call.lease = asyncio.get_running_loop().create_future()
+        call.lease.cancel()
+        hosts.driver.run(hosts.driver.pools.acquire(99, "h", False, None, hosts.driver.now_us()))
         assert (await sender.send("m")).status is AttemptStatus.OK
-        server = hosts.pools.hosts["h"]
+        server = hosts.driver.pools.hosts["h"]
         assert server.busy == 0
         assert server.established == partner.accepted
-        assert not hosts.waiting
+        assert not hosts.driver.waiting
 
     run(Behaviour(), scenario)
 
@@ -260,7 +260,7 @@
         for i in range(36):
             await sender.send(f"plain{i}")
         held: list[float] = []
-        monkeypatch.setattr(hosts_module, "HOLD", Spy(held))
+        monkeypatch.setattr(hosts_module, "HOLD_FACTOR", Spy(held))
         ending = await sender.send("order", unsafe=True)
         assert ending.status is AttemptStatus.REJECTED
         assert ending.retry_after == 70_000
@@ -301,7 +301,7 @@
 
         async def short(address: Address, timeout: float) -> Connection:
             nonlocal under_way
-            if len(sender.hosts.lines) + under_way >= 4:
+            if len(sender.hosts.driver.connections) + under_way >= 4:
                 raise OSError(errno.EMFILE, "Too many open files")
             under_way += 1
             try:
--- /dev/null
+++ b/tests/delivery/test_host_call.py
@@ -0,0 +1,47 @@
+"""The requests of calls, as bytes on the wire name them."""
+
+from __future__ import annotations
+
+import pytest
+
+from loftrelay.delivery.host_call import HostCall, encode_request
+from loftrelay.relay.message import Message
+from loftrelay.relay.ports import CallOptions
+
+
+def message(name: str, idempotency_key: str | None, ordering_key: str | None) -> Message:
+    return Message(name, 0, "x", None, 1, ordering_key, 0, 1, b"hello", idempotency_key=idempotency_key)
+
+
+def call(*messages: Message, batch: bool = False) -> HostCall:
+    return HostCall(1, "h", list(messages), CallOptions(5.0, batch, False, None), 0.0)
+
+
+@pytest.mark.parametrize(("key", "header"), [(None, {}), ("k", {"Idempotency-Key": "k"})])
+def test_a_single_request(key: str | None, header: dict[str, str]) -> None:
+    request = encode_request(call(message("m", key, "o")), 1.5)
+    assert request.path == "/v1/messages"
+    assert list(request.headers.items()) == [
+        ("Host", "host"),
+        ("Request-Timeout-Ms", "1500"),
+        ("Request-Id", "m"),
+        *header.items(),
+        ("Content-Length", "5"),
+    ]
+    assert request.body == b"hello"
+
+
+def test_a_batch_request() -> None:
+    messages = message("a", "k", "o"), message("b", None, "o"), message("c", None, None)
+    request = encode_request(call(*messages, batch=True), 0.0)
+    assert request.path == "/v1/messages:batch"
+    assert request.body == (
+        b'[{"id":"a","key":"k","body":"aGVsbG8="},{"id":"b","key":"o","body":"aGVsbG8="},'
+        b'{"id":"c","body":"aGVsbG8="}]'
+    )
+    assert list(request.headers.items()) == [
+        ("Host", "host"),
+        ("Request-Timeout-Ms", "1"),
+        ("Content-Type", "application/json"),
+        ("Content-Length", str(len(request.body))),
+    ]
--- a/tests/delivery/test_misattribution.py
+++ b/tests/delivery/test_misattribution.py
@@ -63,7 +63,7 @@
         await partner.until(lambda: partner.answered["order"] > 0)
         await settle()
         false = Case(0, status, 1, batch, True).false(partner, "order", ending)
-        return false, sender.hosts.pools.trust.unsolicited_at is not None, sender, ending
+        return false, sender.hosts.driver.pools.trust.unsolicited_at is not None, sender, ending
 
 
 class Case:
@@ -107,7 +107,7 @@
             Sender({"h": partner.address}, is_strict=strict) as sender,
         ):
             falsified = [await self.round(partner, sender, n) for n in range(rounds)]
-            known = sender.hosts.pools.trust.unsolicited_count > 0
+            known = sender.hosts.driver.pools.trust.unsolicited_count > 0
             return falsified, known, sender
 
 
@@ -136,9 +136,9 @@
                 ending = await sender.send(f"order{i}", unsafe=True)
                 assert ending.status is AttemptStatus.OK
                 assert partner.effects[f"order{i}"] == 1
-            assert sender.hosts.pools.trust.unsolicited_count == 5
+            assert sender.hosts.driver.pools.trust.unsolicited_count == 5
             assert partner.accepted == 5
-            assert sender.hosts.pools.requires_unused("h") == strict
+            assert sender.hosts.driver.pools.requires_unused("h") == strict
             assert (await sender.send("last", unsafe=True)).status is AttemptStatus.REJECTED
 
     asyncio.run(main())
@@ -160,7 +160,7 @@
                     monkeypatch.setattr(fault_points, "listener", None)
                     transport = partner.open[0].transport
                     transport.write(partner.open[0].last)
-                    (line,) = sender.hosts.lines.values()
+                    (line,) = sender.hosts.driver.connections.values()
                     assert line.connection.transport is not None
                     poll = select.poll()
                     poll.register(line.connection.transport.get_extra_info("socket"), select.POLLIN)
@@ -168,7 +168,7 @@
 
             monkeypatch.setattr(fault_points, "listener", listen)
             assert (await sender.send("second", unsafe=True)).status is AttemptStatus.OK
-            assert sender.hosts.pools.trust.unsolicited_count == 1
+            assert sender.hosts.driver.pools.trust.unsolicited_count == 1
             assert partner.effects["second"] == 1
 
     asyncio.run(main())
@@ -191,7 +191,7 @@
 def test_a_surplus_answer_says_in_the_log_which_may_be_false(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.ERROR):
         asyncio.run(stale(200))
-    assert any("order (OK)" in line and "surplus" in line for line in caplog.messages)
+    assert any("order (OK)" in line and "unsolicited" in line for line in caplog.messages)
 
 
 def test_a_refusal_that_may_have_been_anothers_is_doubted_before_the_message_goes_again() -> None:
@@ -229,7 +229,7 @@
             assert partner.calls[-1].connection == partner.calls[-2].connection
             assert ending.status is AttemptStatus.MALFORMED_RESPONSE
             assert not ending.is_final
-            assert sender.hosts.pools.trust.unsolicited_at is not None
+            assert sender.hosts.driver.pools.trust.unsolicited_at is not None
 
     asyncio.run(main())
 
@@ -291,10 +291,11 @@
         address = server.sockets[0].getsockname()[:2]
         async with Sender({"h": address}) as sender:
             hosts = sender.hosts
-            hosts._do(hosts.pools.acquire(-1, "h", False, None, hosts._now()))  # opens one ...
-            hosts._do(hosts.pools.cancel(-1, hosts._now()))  # ... that stays idle
+            driver = hosts.driver
+            driver.run(driver.pools.acquire(-1, "h", False, None, driver.now_us()))  # opens one ...
+            driver.run(driver.pools.cancel(-1, driver.now_us()))  # ... that stays idle
             async with asyncio.timeout(60):
-                while hosts.pools.trust.unsolicited_at is None:
+                while hosts.driver.pools.trust.unsolicited_at is None:
                     await asyncio.sleep(0.001)
             assert (await sender.send("order", unsafe=True)).status is AttemptStatus.REJECTED
         server.close()
--- a/tests/delivery/test_waits.py
+++ b/tests/delivery/test_waits.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.delivery.call_outcome import told_wait
+from loftrelay.delivery.call_outcome import parse_retry_after
 from loftrelay.net.address import Address
 from loftrelay.net.http import Connection
 from loftrelay.relay.message import Message
@@ -129,7 +129,7 @@
     async def scenario(partner: Partner, sender: Sender) -> None:
         assert (await sender.send("a")).status is AttemptStatus.OK
         ending = sender.send("m")
-        while sender.hosts.waiting or not sender.hosts.calls:  # it has its connection, which rests
+        while sender.hosts.driver.waiting or not sender.hosts.calls:  # it has its connection, which rests
             await asyncio.sleep(0)
         assert (await sender.send("full", host="g")).status is AttemptStatus.REJECTED
         assert outcome(await ending) == HELD
@@ -143,7 +143,7 @@
         def tried(held: Message, host: str) -> None:
             sender.tell("g", LONG * 1000)
 
-        sender.hosts.tried = tried
+        sender.hosts.on_attempt = tried
         assert outcome(await sender.send("m")) == HELD
         assert not partner.calls
 
@@ -196,7 +196,7 @@
             assert outcome(await ending) == (HELD if bound else (AttemptStatus.OK, False))
             await ended.wait()
             assert (len(came) < len(body)) is bound
-            assert not sender.hosts.pools.table.connections or not bound
+            assert not sender.hosts.driver.pools.table.connections or not bound
         server.close()
 
     asyncio.run(main())
@@ -246,8 +246,8 @@
         while not partner.calls:
             await asyncio.sleep(0)
         (call,) = sender.hosts.calls.values()
-        assert call.line is not None
-        call.line.connection._expire(3)  # in the pass in which the answer is written
+        assert call.sent_on is not None
+        call.sent_on.connection._expire(3)  # in the pass in which the answer is written
         assert (await ending).retry_after == LONG * 1000
         assert sender._bound("g")
 
@@ -277,4 +277,4 @@
     ],
 )
 def test_what_a_told_wait_says(values: list[bytes], wait: int) -> None:
-    assert told_wait([(b"x", b"7"), *((b"x-come-back-ms", value) for value in values)]) == wait
+    assert parse_retry_after([(b"x", b"7"), *((b"x-come-back-ms", value) for value in values)]) == wait
--- a/tests/delivery/test_waits_properties.py
+++ b/tests/delivery/test_waits_properties.py
@@ -18,7 +18,7 @@
 
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from loftrelay.decisions.simulator import read_settings
-from loftrelay.delivery import host_client as hosts_module
+from loftrelay.delivery import pool_driver
 from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.delivery.host_client import HostClient
 from loftrelay.journal.journal import Journal
@@ -102,9 +102,9 @@
             self.journal.record_attempt,
             self.ended,
             engine.outcome_disputed,
-            pulse=engine.stall_detector,
-            told=self.told,
-            bound=engine.is_blocked if asks else lambda host: False,
+            stall_detector=engine.stall_detector,
+            on_retry_after=self.told,
+            is_blocked=engine.is_blocked if asks else lambda host: False,
         )
         self.board = Still(engine)
         engine.delivery, engine.discovery, engine.status_reporter = self.hosts, Still(engine), self.board  # type: ignore[assignment]
@@ -289,7 +289,7 @@
     for name, module in list(sys.modules.items()):
         if name.startswith("loftrelay.") and hasattr(module, "wall_clock"):
             monkeypatch.setattr(module, "wall_clock", lambda: int(loop.now * 1e6))
-    monkeypatch.setattr(hosts_module, "Connection", Host)
+    monkeypatch.setattr(pool_driver, "Connection", Host)
     days: list[Day] = []
 
     async def main() -> None:
