--- a/loftrelay/cli/record.py
+++ b/loftrelay/cli/record.py
@@ -31,6 +31,7 @@
 
 
 def shown(at: int | None) -> str:
+    """Returns a time as people read it; '-' for none."""
     if at is None:
         return "-"
     return (
@@ -65,6 +66,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
+    """Returns the parser of the command line."""
     about = argparse.ArgumentParser(
         prog="python -m loftrelay record",
         description="Reads the store of record: a relay may be running beside it.",
@@ -100,6 +102,7 @@
 
 
 def table(entries: Iterable[MessageRecord], out: TextIO) -> int:
+    """Prints records as a table; returns how many."""
     rows = [
         (
             shown(e.admitted_at),
@@ -119,7 +122,7 @@
 
 
 def print_table(head: Sequence[str], rows: Sequence[Sequence[str]], out: TextIO) -> None:
-    """Columns as wide as what stands in them."""
+    """Prints rows in columns that fit their values."""
     widths = [max(map(len, column)) for column in zip(head, *rows, strict=True)]
     for row in (head, *rows):
         print(
@@ -128,7 +131,12 @@
 
 
 def open_store(asked: argparse.Namespace) -> StoreBackend:
-    """Raises StoreError or SettingsError. A file that isn't there is not made."""
+    """Opens the store that the command names; a file that does not exist is not created.
+
+    Raises:
+        StoreError: it can't be opened.
+        SettingsError: the operator's file is wrong.
+    """
     told = load_store_settings(asked.settings) if asked.settings is not None else None
     file: Path | None = told.file if told is not None else asked.store
     if file is not None and not file.exists():
@@ -140,6 +148,7 @@
 
 
 def run(asked: argparse.Namespace, out: TextIO) -> int:
+    """Carries out the command; returns the exit status."""
     store = open_store(asked)
     try:
         if asked.command == "verify":
@@ -172,6 +181,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs the command `record`; returns the exit status."""
     asked = parser().parse_args(arguments)
     try:
         return run(asked, sys.stdout)
