--- a/loftrelay/config/platform.py
+++ b/loftrelay/config/platform.py
@@ -17,8 +17,8 @@
 from loftrelay.decisions.settings import RelaySettings
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.net.address import Address, parse_address
-from loftrelay.state.atomic_file import ROOM, ROOM_FOR_CALLS
-from loftrelay.state.last_config import LastFile
+from loftrelay.state.atomic_file import RESERVED_BYTES, RESERVED_WITH_OVERRIDES_BYTES
+from loftrelay.state.last_config import LastConfigFile
 
 log = logging.getLogger(__name__)
 
@@ -110,7 +110,7 @@
     try:
         return _config(environ, read_file(environ), environ["RELAY_CONFIG"], fleet)
     except ConfigError as error:
-        kept = LastFile(Path(environ["RELAY_STATE"])) if environ.get("RELAY_STATE") else None
+        kept = LastConfigFile(Path(environ["RELAY_STATE"])) if environ.get("RELAY_STATE") else None
         told = kept.load() if kept is not None else None
         if kept is None or told is None:
             raise
@@ -161,7 +161,10 @@
 def _journal_room(disk_mb: float, calls: bool) -> int:
     """`calls`: hosts may be taken out by hand."""
     disk = int(disk_mb * 1_000_000)
-    return max(disk - (ROOM_FOR_CALLS if calls else ROOM), disk * 8 // 10 if calls else disk * 9 // 10)
+    return max(
+        disk - (RESERVED_WITH_OVERRIDES_BYTES if calls else RESERVED_BYTES),
+        disk * 8 // 10 if calls else disk * 9 // 10,
+    )
 
 
 def _descriptor(text: str | None) -> int | None:
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -13,7 +13,7 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.handover import HandoverState
 from loftrelay.relay.ports import EndpointDirectory, MessageStore, SubscribedDirectory
-from loftrelay.state.hosts_out import HostsOut
+from loftrelay.state.disabled_hosts import DisabledHostsFile
 
 if TYPE_CHECKING:
     from loftrelay.discovery.settings import SubscriptionSettings
@@ -78,5 +78,7 @@
     if handed is not None:
         engine.take_over(delivery, discovery, notices, handed, slices)
     else:
-        engine.connect(delivery, discovery, notices, config.known, HostsOut(config.state).load(), slices)
+        engine.connect(
+            delivery, discovery, notices, config.known, DisabledHostsFile(config.state).load(), slices
+        )
     return engine, journal
--- a/loftrelay/service/gossip_member.py
+++ b/loftrelay/service/gossip_member.py
@@ -17,7 +17,7 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult
-from loftrelay.state.atomic_file import write_whole
+from loftrelay.state.atomic_file import write_atomically
 
 log = logging.getLogger(__name__)
 
@@ -141,6 +141,6 @@
         """Best effort: without it, this relay goes by what the others tell."""
         rows = [[call.host, call.out, call.stamp, call.origin] for call in self.calls.known.values()]
         try:
-            write_whole(self.path, json.dumps(rows, separators=(",", ":")).encode(), MOST)
+            write_atomically(self.path, json.dumps(rows, separators=(",", ":")).encode(), MOST)
         except OSError as error:
             log.error("what operators said at other relays can't be written: %s", error)
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -19,8 +19,8 @@
 from loftrelay.server.admin.server import Door
 from loftrelay.server.http.server import Server
 from loftrelay.service.assembly import build
-from loftrelay.state.hosts_out import HostsOut
-from loftrelay.state.last_config import LastFile
+from loftrelay.state.disabled_hosts import DisabledHostsFile
+from loftrelay.state.last_config import LastConfigFile
 from loftrelay.upgrade.lock import Lock
 from loftrelay.upgrade.receiver import HandoverReceiver
 from loftrelay.upgrade.sender import HandoverSender, ServiceCallbacks
@@ -55,8 +55,8 @@
         self.config, self.connections, self.record, self.fleet = config, connections, record, fleet
         self.subscription = subscription
         self.joined: GossipMember | None = None
-        self.relay = Relay(HostsOut(config.state))
-        self.last = LastFile(config.state)
+        self.relay = Relay(DisabledHostsFile(config.state))
+        self.last = LastConfigFile(config.state)
         self.told: Mapping[str, Any] = config.told  # the file in force
         self.ending = asyncio.Event()
         self.owns = True  # of what it ends with
--- a/loftrelay/state/__init__.py
+++ b/loftrelay/state/__init__.py
@@ -1,1 +1,1 @@
-"""Small files beside the journal, in the folder that lasts: each is there whole, or as it was before."""
+"""Small files beside the journal, in the state folder. Each is replaced whole, or stays as it was."""
--- a/loftrelay/state/atomic_file.py
+++ b/loftrelay/state/atomic_file.py
@@ -1,4 +1,4 @@
-"""Writes a small file whole, or not at all."""
+"""Replaces a small file as a whole."""
 
 from __future__ import annotations
 
@@ -6,21 +6,31 @@
 import os
 from pathlib import Path
 
-# What all of them, and the lock, may take together, in bytes, while the largest is replaced: the journal does
-# without as much. The larger one where operators can take hosts out, at this relay's door or at others'.
-ROOM, ROOM_FOR_CALLS = 100_000, 360_000
+# Of the state folder's budget, what all small files and the lock may take together while the largest of them
+# is replaced. The journal has the rest.
+RESERVED_BYTES = 100_000
+RESERVED_WITH_OVERRIDES_BYTES = 360_000  # where operators can disable hosts, here or at another relay
 
 
-def write_whole(path: Path, data: bytes, most: int) -> None:
-    """The new content, or what stood there before. Raises OSError, also where it is too long."""
-    if len(data) > most:
-        raise OSError(f"{path.name} would hold {len(data)} bytes, {most} at most")
-    beside = path.with_suffix(f".{os.getpid()}")
+def write_atomically(path: Path, data: bytes, max_bytes: int) -> None:
+    """Replaces the content of a file; its folder is made if it is not there.
+
+    Args:
+        path: The file.
+        data: Its new content.
+        max_bytes: The most that it may hold.
+
+    Raises:
+        OSError: The content is too long or can't be written; the file is as it was.
+    """
+    if len(data) > max_bytes:
+        raise OSError(f"{path.name} would hold {len(data)} bytes, {max_bytes} at most")
+    temporary = path.with_suffix(f".{os.getpid()}")
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
-        beside.write_bytes(data)
-        beside.replace(path)
+        temporary.write_bytes(data)
+        temporary.replace(path)
     except OSError:
         with contextlib.suppress(OSError):
-            beside.unlink()
+            temporary.unlink()
         raise
--- a/loftrelay/upgrade/forwarder.py
+++ b/loftrelay/upgrade/forwarder.py
@@ -79,16 +79,16 @@
             is_journal_only: Whether the owner knows nothing of attempts in flight and counts them as broken:
                 their outcomes are dropped.
         """
-        for message in self.take_postponed():
+        for message in self.drain_postponed():
             if not is_journal_only or isinstance(message, OverrideRequested | ConfigurationReplaced):
                 self._forward(message)
 
-    def take_postponed(self) -> list[HandoverMessage]:
+    def drain_postponed(self) -> list[HandoverMessage]:
         """Removes and returns what was postponed."""
         postponed, self._postponed = self._postponed, []
         return postponed
 
-    def take_overrides(self) -> list[tuple[OverrideRequested, OnAnswer]]:
+    def drain_overrides(self) -> list[tuple[OverrideRequested, OnAnswer]]:
         """Removes and returns the overrides that are not answered."""
         overrides, self._overrides = self._overrides, {}
         return list(overrides.values())
--- a/loftrelay/upgrade/sender.py
+++ b/loftrelay/upgrade/sender.py
@@ -58,7 +58,7 @@
     on_moved: Callable[[bool], None]  # whether operators' overrides go through `HandoverSender.forwarder`
     apply_override: Callable[[str, bool, OnAnswer], None]  # a host, whether it is disabled
     stop: Callable[[bool], None]  # the process is to end, as the owner of all or not
-    take_back: Callable[[], None]  # the process is to start again from the journal
+    restart: Callable[[], None]  # the process is to start again from the journal
 
 
 class HandoverSender:
@@ -96,7 +96,7 @@
             PredecessorAction.TRANSFER: self._transfer,
             PredecessorAction.STOP: partial(callbacks.stop, True),
             PredecessorAction.EXIT: partial(callbacks.stop, False),
-            PredecessorAction.TAKE_BACK: self._take_back,
+            PredecessorAction.RESTART: self._restart,
         }
 
     @property
@@ -190,9 +190,9 @@
         self._cancel_timer()
         self._engine.resume()
         self._callbacks.on_moved(False)
-        for message in self.forwarder.take_postponed():
+        for message in self.forwarder.drain_postponed():
             self._apply_here(message)
-        for request, on_answer in self.forwarder.take_overrides():
+        for request, on_answer in self.forwarder.drain_overrides():
             self._callbacks.apply_override(request.host, request.is_disabled, on_answer)
         self._resuming = asyncio.get_running_loop().create_task(self._front.thaw())
 
@@ -232,9 +232,9 @@
         self._engine.delivery.close_all_idle_connections()
         fault_point("handed over")
 
-    def _take_back(self) -> None:
+    def _restart(self) -> None:
         log.error("handover: the process that took over is lost, this one starts again from the journal")
-        self._callbacks.take_back()
+        self._callbacks.restart()
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
--- a/loftrelay/upgrade/state_machine.py
+++ b/loftrelay/upgrade/state_machine.py
@@ -53,7 +53,7 @@
     TRANSFER = auto()  # clients, and outcomes of attempts in flight
     STOP = auto()  # in order, as the owner of all
     EXIT = auto()  # once no attempt of its own is in flight
-    TAKE_BACK = auto()  # start again from the journal, in this process
+    RESTART = auto()  # start again from the journal, in this process
 
 
 _PREDECESSOR_TRANSITIONS: dict[
@@ -93,7 +93,7 @@
             PredecessorState.STOPPING,
             (PredecessorAction.RESUME, PredecessorAction.STOP),
         ),
-        PredecessorState.HANDED_OVER: (PredecessorState.HANDED_OVER, (PredecessorAction.TAKE_BACK,)),
+        PredecessorState.HANDED_OVER: (PredecessorState.HANDED_OVER, (PredecessorAction.RESTART,)),
     },
     PredecessorEvent.STOP_REQUESTED: {
         PredecessorState.SERVING: (PredecessorState.STOPPING, (PredecessorAction.STOP,)),
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -19,8 +19,8 @@
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.message import Message
 from loftrelay.service.gossip_member import GossipMember
-from loftrelay.state.hosts_out import HostsOut
-from loftrelay.state.last_config import LastFile
+from loftrelay.state.disabled_hosts import DisabledHostsFile
+from loftrelay.state.last_config import LastConfigFile
 from loftrelay.store.backend import Query
 from loftrelay.store.sqlite import SQLiteStore
 from loftrelay.store.state_machine import Answer, State
@@ -109,16 +109,16 @@
 
 
 def test_disabled_hosts_are_read() -> None:
-    assert HostsOut(FIXTURES).load() == {"h1", "host with spaces", "höst"}
+    assert DisabledHostsFile(FIXTURES).load() == {"h1", "host with spaces", "höst"}
 
 
 def test_disabled_hosts_are_written_as_before(tmp_path: Path) -> None:
-    HostsOut(tmp_path).save({"höst", "h1", "host with spaces"})
+    DisabledHostsFile(tmp_path).save({"höst", "h1", "host with spaces"})
     assert (tmp_path / "hosts-out.json").read_bytes() == (FIXTURES / "hosts-out.json").read_bytes()
 
 
 def test_the_last_configuration_is_read_and_written_as_before(tmp_path: Path) -> None:
-    config = LastFile(FIXTURES).load()
+    config = LastConfigFile(FIXTURES).load()
     assert config == {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -126,7 +126,7 @@
         "seed": "8c1f30d2",
         "settings": {"classes": [], "tick": 5000},
     }
-    LastFile(tmp_path).save({**config, "known": {"revision": 1}})
+    LastConfigFile(tmp_path).save({**config, "known": {"revision": 1}})
     assert (tmp_path / "last-config.json").read_bytes() == (FIXTURES / "last-config.json").read_bytes()
 
 
--- a/tests/upgrade/test_state_machine.py
+++ b/tests/upgrade/test_state_machine.py
@@ -161,7 +161,7 @@
                     self.old.ends = True
                     if step is PredecessorAction.STOP:
                         self.kill(self.old)
-                case PredecessorAction.TAKE_BACK:
+                case PredecessorAction.RESTART:
                     self.old.predecessor = None
                     self.breaks()
                     if not self.holders:
@@ -260,7 +260,7 @@
         predecessor.on_loaded(1)
         if stopping:
             assert predecessor.on_stop_requested() == (PredecessorAction.EXIT,)
-        assert predecessor.on_channel_lost() == (() if stopping else (PredecessorAction.TAKE_BACK,))
+        assert predecessor.on_channel_lost() == (() if stopping else (PredecessorAction.RESTART,))
 
 
 def test_a_successor_discards_what_it_does_not_own() -> None:
