--- a/loftrelay/journal/index.py
+++ b/loftrelay/journal/index.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.decisions.scheduler import UNCERTAIN_STATUSES
+from loftrelay.decisions.idempotency import UNCERTAIN_STATUSES
 from loftrelay.journal.records import (
     AttemptEnded,
     AttemptStarted,
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -36,21 +36,21 @@
 
     Raises OSError where the folder of the journal can't be used.
     """
-    journal = journal or Journal(config.state, config.disk_bytes)
+    journal = journal or Journal(config.state_dir, config.journal_bytes)
     engine = Engine(config.seed, config.settings, journal, record)
     delivery = HostClient(
         config.settings.connect_timeout,
         config.settings.connection_idle_timeout,
-        config.most_to_hosts,
+        config.max_host_connections,
         connections,
         config.seed,
         journal.record_attempt,
-        engine.attempt_ended,
-        engine.outcome_disputed,
-        engine.metrics.forwarded,
-        engine.stall_detector,
-        engine.retry_after_received,
-        engine.is_blocked,
+        engine.attempts.ended,
+        engine.attempts.outcome_disputed,
+        engine.context.metrics.count_forwarded,
+        engine.context.stall_detector,
+        engine.attempts.retry_after_received,
+        engine.attempts.is_blocked,
     )
     where = config.discovery if handed is None else handed.discovery
     discovery: EndpointDirectory
@@ -59,9 +59,9 @@
         discovery = DiscoveryClient(
             where,
             config.settings.poll_interval,
-            engine.endpoints_listed,
-            lambda: engine.endpoint_entries,
-            engine.list_rejected,
+            engine.endpoints.listed,
+            lambda: engine.endpoints.entries,
+            engine.endpoints.list_rejected,
         )
     else:
         from loftrelay.discovery.subscriber import Subscriber  # only where it is used
@@ -70,15 +70,20 @@
             subscription,
             config.name,
             where,
-            engine.endpoints_listed,
+            engine.endpoints.listed,
             engine.destination_resolved,
             engine.release_destinations,
         )
-    notices = FinalStatusReporter(where, engine.final_status_reported)
+    notices = FinalStatusReporter(where, engine.final_statuses.reported)
     if handed is not None:
         engine.take_over(delivery, discovery, notices, handed, slices)
     else:
         engine.connect(
-            delivery, discovery, notices, config.known, DisabledHostsFile(config.state).load(), slices
+            delivery,
+            discovery,
+            notices,
+            config.cached_endpoint_list,
+            DisabledHostsFile(config.state_dir).load(),
+            slices,
         )
     return engine, journal
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -9,12 +9,12 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from loftrelay.config.platform import Config, ConfigError, reload
+from loftrelay.config.platform import Config, ConfigError, reload_config
 from loftrelay.delivery.connection_pool import Limits
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.fault_points import fault_point
-from loftrelay.relay.shutdown_schedule import last_phase
+from loftrelay.relay.shutdown_schedule import shutdown_schedule
 from loftrelay.server.admin.commands import Relay
 from loftrelay.server.admin.server import Door
 from loftrelay.server.http.server import Server
@@ -55,9 +55,9 @@
         self.config, self.connections, self.record, self.fleet = config, connections, record, fleet
         self.subscription = subscription
         self.joined: GossipMember | None = None
-        self.relay = Relay(DisabledHostsFile(config.state))
-        self.last = LastConfigFile(config.state)
-        self.told: Mapping[str, Any] = config.told  # the file in force
+        self.relay = Relay(DisabledHostsFile(config.state_dir))
+        self.last = LastConfigFile(config.state_dir)
+        self.told: Mapping[str, Any] = config.document  # the file in force
         self.ending = asyncio.Event()
         self.owns = True  # of what it ends with
         self.to_read = False  # SIGHUP came before anything could be read again
@@ -73,25 +73,25 @@
 
     def read_again(self) -> None:
         engine = self.relay.engine
-        if engine is None or engine.outcome_forwarder is not None:
+        if engine is None or engine.context.outcome_forwarder is not None:
             self.to_read = True  # once it serves, or serves again
             if self.giver is not None and not self.giver.is_owner:
                 self.giver.forwarder.configuration_replaced()
             return
         try:
-            change = reload(os.environ, self.told)
+            change = reload_config(os.environ, self.told)
         except ConfigError as error:
-            engine.metrics.sighup_rejected += 1
+            engine.context.metrics.sighup_rejected += 1
             log.error("the configuration stays as it was: %s", error)
             return
-        self.told = change.told
-        self.last.save(change.told)
+        self.told = change.document
+        self.last.save(change.document)
         if self.record is not None:
             from loftrelay.service.store_setup import modes
 
             self.recorder.modes = {**self.recorder.modes, **modes(change.settings, self.record)}
         engine.apply_settings(change.settings, change.discovery)
-        engine.metrics.sighup_applied += 1
+        engine.context.metrics.sighup_applied += 1
 
     # From start to end
 
@@ -101,12 +101,12 @@
         door = await self._open_door()
         taker: HandoverReceiver | None = None
         lock: Lock | None
-        if config.accept is None:
-            if (lock := Lock.acquire(config.state)) is None:
-                raise OSError(f"another process of this relay holds {config.state}")
-            journal = Journal(config.state, config.disk_bytes)
+        if config.listen_fd is None:
+            if (lock := Lock.acquire(config.state_dir)) is None:
+                raise OSError(f"another process of this relay holds {config.state_dir}")
+            journal = Journal(config.state_dir, config.journal_bytes)
         else:
-            taker = HandoverReceiver(config.state, config.disk_bytes, config.seed)
+            taker = HandoverReceiver(config.state_dir, config.journal_bytes, config.seed)
             try:
                 journal = await self._unless_stopped(taker)
             except Stopped:
@@ -130,13 +130,13 @@
             await self._subscribe(engine, handed is not None)
         if taker is None:
             await self._catch_up(engine)
-        server = Server(engine, config.most_clients)
-        address = await server.listen(config.listen, config.accept)
+        server = Server(engine, config.max_client_connections)
+        address = await server.listen(config.listen, config.listen_fd)
         if taker is not None:
             taker.attach(engine, server.adopt, self.relay.change, self.read_again)
             if recorder is None:  # what the store has not said yet can't be handed over
                 self.giver = HandoverSender(
-                    config.state,
+                    config.state_dir,
                     lock,
                     engine,
                     server,
@@ -162,16 +162,16 @@
             await self._end_in_order(server, began)
         else:
             assert self.giver is not None
-            end = began + last_phase(engine.settings.classes.values()).end
-            while engine.delivery.is_busy or self.giver.has_unfinished_work:
+            end = began + shutdown_schedule(engine.context.settings.classes.values()).exit
+            while engine.context.delivery.is_busy or self.giver.has_unfinished_work:
                 if asyncio.get_running_loop().time() >= end:
                     break
                 await asyncio.sleep(LOOK)
         held = f"{len(journal.messages)} messages in its journal" if self.owns else "nothing of its own"
         log.info("%s ends with %s", config.name, held)
-        engine.status_reporter.close()
-        engine.discovery.close()
-        engine.delivery.close()
+        engine.context.status_reporter.close()
+        engine.context.discovery.close()
+        engine.context.delivery.close()
         if self.giver is not None:
             self.giver.close()
         if door is not None:
@@ -190,14 +190,14 @@
         """
         end = asyncio.get_running_loop().time() + CATCH_UP
         await asyncio.sleep(
-            engine.batch_interval
+            engine.context.loop.interval
         )  # the first turn: a wait, so that it runs when the process does
         while (
-            engine.status_reporter.pending
+            engine.context.status_reporter.pending
             and asyncio.get_running_loop().time() < end
             and not self.ending.is_set()
         ):
-            await asyncio.sleep(engine.batch_interval)
+            await asyncio.sleep(engine.context.loop.interval)
 
     async def _subscribe(self, engine: Engine, handed: bool) -> None:
         """It serves once a registry has answered. With none that does it serves all the same after a while:
@@ -205,31 +205,31 @@
         """
         from loftrelay.discovery.subscriber import Subscriber
 
-        subscriber = engine.subscription
+        subscriber = engine.context.subscription
         assert isinstance(subscriber, Subscriber)
         self.relay.more.append(subscriber.figure_lines)
-        self.relay.more.append(lambda: [f"app.slices_parked={len(engine.pending_submissions)}"])
+        self.relay.more.append(lambda: [f"app.slices_parked={len(engine.intake.pending)}"])
         if handed:
             return
         loop = asyncio.get_running_loop()
         began = loop.time()
         while not self.ending.is_set() and loop.time() < began + REGISTRY:
-            if engine.recovering and loop.time() >= began + RECOVER:
-                engine.replay_recovered()
-            if subscriber.answered.is_set() and not engine.recovering:
+            if engine.recovery.unresolved and loop.time() >= began + RECOVER:
+                engine.recovery.replay()
+            if subscriber.answered.is_set() and not engine.recovery.unresolved:
                 break
             await asyncio.sleep(LOOK)
-        engine.replay_recovered()
+        engine.recovery.replay()
 
     def _read_what_was_missed(self, engine: Engine) -> None:
         """The file may have been replaced, and SIGHUP sent to the process before, since this one read it."""
         try:
-            change = reload(os.environ, self.told)
+            change = reload_config(os.environ, self.told)
         except ConfigError:
             return  # what is in force stays
-        if change.told != self.told:
-            self.told = change.told
-            self.last.save(change.told)
+        if change.document != self.told:
+            self.told = change.document
+            self.last.save(change.document)
             engine.apply_settings(change.settings, change.discovery)
 
     async def _join(self, engine: Engine) -> asyncio.Task[None]:
@@ -237,8 +237,10 @@
         from loftrelay.service.gossip_member import GossipMember  # with its encoding, only where it is used
 
         assert self.fleet is not None
-        config, beside = self.config, self.config.accept is not None
-        self.joined = GossipMember(self.fleet, config.name, config.state, engine, self.relay.change_for_fleet)
+        config, beside = self.config, self.config.listen_fd is not None
+        self.joined = GossipMember(
+            self.fleet, config.name, config.state_dir, engine, self.relay.change_for_fleet
+        )
         self.relay.more.append(self.joined.figure_lines)
         starting = asyncio.create_task(self.joined.start(wait=beside))
         if not beside:
@@ -246,10 +248,10 @@
         return starting
 
     async def _open_door(self) -> Door | None:
-        if self.config.control is None:
+        if self.config.admin_address is None:
             return None
         door = Door(self.relay)
-        address = await door.listen(self.config.control)
+        address = await door.listen(self.config.admin_address)
         log.info("%s is open to operators on %s:%d", self.config.name, *address)
         return door
 
@@ -265,17 +267,19 @@
 
     async def _end_in_order(self, server: Server, began: float) -> None:
         loop, engine = asyncio.get_running_loop(), server.engine
-        phase = last_phase(engine.settings.classes.values())
+        schedule = shutdown_schedule(engine.context.settings.classes.values())
         server.stopping = True
-        await asyncio.sleep(began + phase.begin - loop.time())
-        engine.stop_admitting()
+        await asyncio.sleep(began + schedule.last_call - loop.time())
+        engine.intake.stop()
         log.info("%s begins no more calls", self.config.name)
-        await asyncio.sleep(began + phase.take - loop.time())
+        await asyncio.sleep(began + schedule.last_admission - loop.time())
         await server.close()
-        while loop.time() < began + phase.answer and (engine.has_unfinished_work or server.unfinished):
+        while loop.time() < began + schedule.last_answer and (
+            engine.has_unfinished_work or server.unfinished
+        ):
             await asyncio.sleep(LOOK)
         server.end()
-        while loop.time() < began + phase.end and (engine.has_unfinished_work or server.unfinished):
+        while loop.time() < began + schedule.exit and (engine.has_unfinished_work or server.unfinished):
             await asyncio.sleep(LOOK)
 
     # What the handover asks
--- a/loftrelay/upgrade/receiver.py
+++ b/loftrelay/upgrade/receiver.py
@@ -109,7 +109,7 @@
         for message, descriptors in backlog:
             self._apply_and_close(message, descriptors)
         if self._channel is None:
-            engine.predecessor_lost()
+            engine.handover.predecessor_lost()
 
     async def _acquire(self) -> Journal:
         while not self._state.is_owner:
@@ -171,11 +171,11 @@
         engine = self._parts.engine
         match message:
             case AttemptOutcome() if self.received_state is not None:
-                engine.predecessor_attempt_ended(message.message_id, message.host, message.result)
+                engine.handover.predecessor_attempt_ended(message.message_id, message.host, message.result)
             case RetryAfterReceived():
-                engine.retry_after_received(message.host, message.wait)
+                engine.attempts.retry_after_received(message.host, message.wait)
             case OutcomeDisputed() if self.received_state is not None:
-                engine.outcome_disputed(message.message_id, message.host, message.started_at)
+                engine.attempts.outcome_disputed(message.message_id, message.host, message.started_at)
             case ClientTransferred() if descriptors:
                 task = asyncio.get_running_loop().create_task(self._adopt(message, descriptors.pop()))
                 self._tasks.add(task)
@@ -212,7 +212,7 @@
         actions = self._state.on_channel_lost()
         self._run(actions)
         if not actions and self._parts is not None:
-            self._parts.engine.predecessor_lost()
+            self._parts.engine.handover.predecessor_lost()
 
     # Actions of the state machine
 
--- a/loftrelay/upgrade/sender.py
+++ b/loftrelay/upgrade/sender.py
@@ -175,20 +175,20 @@
         self._paused_at = self._now()
         self._callbacks.on_moved(True)
         self._front.freeze()
-        self._engine.pause(self.forwarder)
+        self._engine.handover.pause(self.forwarder)
         fault_point("frozen")
         delay_s = MAX_PAUSE_US / 1e6 + TIMER_SLACK_S
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
     def _export_state(self) -> None:
         if self._channel is not None:
-            self._channel.send(write_message(StateExported(self._engine.export_state())))
+            self._channel.send(write_message(StateExported(self._engine.handover.export_state())))
             fault_point("told state")
 
     def _resume(self) -> None:
         log.warning("handover cancelled: no other process has taken over, this one continues")
         self._cancel_timer()
-        self._engine.resume()
+        self._engine.handover.resume()
         self._callbacks.on_moved(False)
         for message in self.forwarder.drain_postponed():
             self._apply_here(message)
@@ -199,17 +199,19 @@
     def _apply_here(self, message: HandoverMessage) -> None:
         match message:
             case AttemptOutcome():
-                self._engine.predecessor_attempt_ended(message.message_id, message.host, message.result)
+                self._engine.handover.predecessor_attempt_ended(
+                    message.message_id, message.host, message.result
+                )
             case RetryAfterReceived():
-                self._engine.retry_after_received(message.host, message.wait)
+                self._engine.attempts.retry_after_received(message.host, message.wait)
             case OutcomeDisputed():
-                self._engine.outcome_disputed(message.message_id, message.host, message.started_at)
+                self._engine.attempts.outcome_disputed(message.message_id, message.host, message.started_at)
 
     def _release(self) -> None:
         self._cancel_timer()
         assert self._channel is not None
-        self._engine.journal.close()
-        self._engine.is_handed_over = True
+        self._engine.context.journal.close()
+        self._engine.context.is_handed_over = True
         self._listener.close()
         fault_point("giving")
         self.forwarder.connect(self._channel)
@@ -224,12 +226,12 @@
         if channel is None:
             return  # lost during the release
         if self._is_journal_only:
-            self._engine.delivery.close()  # the successor counts these calls as broken
+            self._engine.context.delivery.close()  # the successor counts these calls as broken
         self.forwarder.flush(self._is_journal_only)
         self._front.hand(
             lambda row, descriptor: channel.send(write_message(ClientTransferred(row)), [descriptor])
         )
-        self._engine.delivery.close_all_idle_connections()
+        self._engine.context.delivery.close_all_idle_connections()
         fault_point("handed over")
 
     def _restart(self) -> None:
