--- a/tests/standins/wire.py
+++ b/tests/standins/wire.py
@@ -9,6 +9,7 @@
 import asyncio
 import contextlib
 import re
+import shutil
 import sys
 import tempfile
 from collections.abc import Awaitable, Callable
@@ -29,6 +30,7 @@
 from tests.standins.recovered import CLASSES
 from tests.standins.registries import Registries
 
+JOURNAL = Path(__file__).parents[1] / "fixtures" / "state_32c0038" / "journal"
 VARYING = (
     (rb"127\.0\.0\.1:\d+", b"<address>"),
     (rb"\r\nRequest-Timeout-Ms: \d+", b"\r\nRequest-Timeout-Ms: <ms>"),
@@ -221,6 +223,33 @@
     return [raw for raw in raw_of(world.discovery) if "/reports" in raw.partition("\r\n")[0]]
 
 
+async def recovered_status_reports(world: RawWorld) -> list[str]:
+    """Reports of the final statuses that a journal of 32c0038 holds, one of them deferred."""
+    shutil.copytree(JOURNAL, world.folder / "state")
+    world.name()
+    await world.start()
+    await world.until(lambda: any(notice["id"] == "deferred" for notice in world.notices))
+    reports = [raw for raw in raw_of(world.discovery) if "/reports" in raw.partition("\r\n")[0]]
+    return [raw for raw in reports if '"deferred"' in raw]
+
+
+async def retry_after_responses(world: RawWorld) -> list[str]:
+    """The only host has asked to wait for longer than the next message may take."""
+
+    async def reject(request: Request) -> bytes:
+        return reply(429, X_Come_Back_Ms="3600000")
+
+    host = await world.host(reject)
+    await world.start()
+    await world.hand_in("m1")
+    await world.until(lambda: host.answered == 1)
+    async with asyncio.timeout(HANG):
+        while await world.hand_in("first", Request_Timeout_Ms="1500") != 503:
+            await asyncio.sleep(0.02)
+    answers = [await response(world.address, message(f"m{n}", Request_Timeout_Ms="1500")) for n in (2, 3)]
+    return [*answers, await response(world.address, message("m4", "order", Request_Timeout_Ms="1500"))]
+
+
 async def discovery_calls(world: RawWorld) -> list[str]:
     await world.host(deliver)
     await world.start()
@@ -372,6 +401,8 @@
         overload_responses,
         host_calls,
         status_reports,
+        recovered_status_reports,
+        retry_after_responses,
         discovery_calls,
         admin_replies,
         admin_figures_with_fleet_and_store,
@@ -393,7 +424,13 @@
     return "".join(f"{line.encode('unicode_escape').decode()}\n" for line in lines)
 
 
-LIMITS = {"conn_idle": 15_000_000, "connect_timeout": 1_000_000, "most_tries": 12}
+LIMITS = {
+    "conn_idle": 15_000_000,
+    "connect_timeout": 1_000_000,
+    "most_tries": 12,
+    "retry_after": True,
+    "max_retry_after": 2_500_000,
+}
 
 
 def main(root: Path, fixtures: Path, names: list[str]) -> None:
