--- a/loftrelay/journal/index.py
+++ b/loftrelay/journal/index.py
@@ -90,9 +90,8 @@
 
     def __init__(self) -> None:
         self.messages: dict[str, Message] = {}
-        self.uncertain_keys: dict[
-            str, int
-        ] = {}  # key -> when an attempt ended that may still run, in that order
+        # Ordering key -> when an attempt ended that may still run (wall-clock microseconds), oldest first.
+        self.uncertain_keys: dict[str, int] = {}
         self.locations: dict[str, Location] = {}
         self.by_segment: dict[int, dict[str, None]] = {}  # in the order of their records
         self.record_bytes = 0
@@ -124,9 +123,7 @@
         message.attempt_started_at = message.attempt_host = None
 
     def _mark_uncertain(self, ordering_key: str, ended_at: int) -> None:
-        self.uncertain_keys.pop(
-            ordering_key, None
-        )  # in the order of time, so that the oldest is dropped first
+        self.uncertain_keys.pop(ordering_key, None)  # it moves to the end: the oldest is dropped first
         self.uncertain_keys[ordering_key] = ended_at
         if len(self.uncertain_keys) > MAX_UNCERTAIN_KEYS:
             del self.uncertain_keys[next(iter(self.uncertain_keys))]
@@ -166,7 +163,7 @@
             self.completed.add(record.message_id, record.answer, Location(segment, size))
         message = self.open.messages.get(record.message_id)
         if message is None:
-            return  # completed in the same segment, which was dropped
+            return  # it is completed, and its admission went with a dropped segment
         match record:
             case AttemptStarted():
                 message.attempts = record.attempts
--- a/tests/upgrade/test_channel.py
+++ b/tests/upgrade/test_channel.py
@@ -52,7 +52,7 @@
     asyncio.run(main())
 
 
-def test_messages_and_descriptors_come_together_and_in_order() -> None:
+def test_messages_arrive_in_order_with_their_descriptors() -> None:
     async def scenario(left: End, right: End) -> None:
         pipes = [os.pipe() for _ in range(3)]
         left.channel.send({"n": 1})
@@ -106,7 +106,7 @@
         b"GET / HTTP/1.1\r\n\r\n",
     ],
 )
-def test_what_is_no_message_ends_the_channel_once(data: bytes) -> None:
+def test_malformed_data_ends_the_channel_once(data: bytes) -> None:
     async def main() -> None:
         sock, other = socket.socketpair()
         end = End(sock)
@@ -122,7 +122,7 @@
     asyncio.run(main())
 
 
-def test_an_end_in_the_midst_of_a_message_is_a_loss() -> None:
+def test_an_end_within_a_message_is_a_loss() -> None:
     async def main() -> None:
         sock, other = socket.socketpair()
         end = End(sock)
@@ -134,7 +134,7 @@
     asyncio.run(main())
 
 
-def test_a_name_left_over_is_replaced(tmp_path: Path) -> None:
+def test_a_socket_left_by_an_earlier_process_is_replaced(tmp_path: Path) -> None:
     async def main() -> None:
         deep = tmp_path / ("d" * 100) / ("e" * 100)  # longer than the name of a socket may be
         deep.mkdir(parents=True)
@@ -155,7 +155,7 @@
     asyncio.run(main())
 
 
-def test_the_lock_has_one_holder_and_goes_with_a_killed_one(tmp_path: Path) -> None:
+def test_the_lock_has_one_holder_and_is_released_when_that_is_killed(tmp_path: Path) -> None:
     code = (
         "import sys; from pathlib import Path; from loftrelay.upgrade.lock import Lock\n"
         "held = Lock.acquire(Path(sys.argv[1])); print(held is not None, flush=True); sys.stdin.read()"
@@ -176,7 +176,7 @@
     lock.release()
 
 
-def test_the_lock_stays_held_on_its_way(tmp_path: Path) -> None:
+def test_the_lock_stays_held_while_its_descriptor_is_in_flight(tmp_path: Path) -> None:
     async def scenario(left: End, right: End) -> None:
         lock = Lock.acquire(tmp_path)
         assert lock is not None
--- a/tests/upgrade/test_receiver.py
+++ b/tests/upgrade/test_receiver.py
@@ -1,4 +1,4 @@
-"""The process that takes over, where its predecessor changes things under it."""
+"""The receiver of a handover, where its predecessor changes the state meanwhile."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.relay.test_engine import make_engine
 
 
-def test_a_segment_dropped_while_it_is_read_ahead_stops_nothing(
+def test_a_segment_dropped_during_the_read_ahead_is_no_error(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its owner serves, and may drop one between the look into the folder and the read."""
@@ -35,7 +35,7 @@
         monkeypatch.setattr(SegmentFiles, "paths_on_disk", lambda self: {**dropped, **on_disk(self)})
         receiver._journal = receiver._read_ahead()
         assert receiver._journal is None
-        monkeypatch.setattr(SegmentFiles, "paths_on_disk", on_disk)  # all stand still by now
+        monkeypatch.setattr(SegmentFiles, "paths_on_disk", on_disk)  # the predecessor has paused by now
         receiver._load()
         assert receiver._journal is not None
         assert list(receiver._journal.messages) == list(owner.messages)
@@ -44,7 +44,7 @@
     asyncio.run(main())
 
 
-def test_a_client_that_comes_over_while_all_stand_still_again_goes_on_with_what_was_read(
+def test_a_client_transferred_during_the_next_pause_is_passed_on_with_its_half_request(
     tmp_path: Path,
 ) -> None:
     """One handover right after another: the half request that the first one brought is passed on, too."""
