--- a/loftrelay/journal/index.py
+++ b/loftrelay/journal/index.py
@@ -27,6 +27,8 @@
 STATE_BYTES = 512  # what the later records of one message may add to its copy
 MAX_UNCERTAIN_KEYS = 1_000  # the cooldown of a key takes parts of a second: far fewer are in one at once
 
+_WITH_ANSWER = (MessageCompleted, CompletionCopied)
+
 
 class Location(NamedTuple):
     """The segment that holds an entry, and the bytes that a copy of it may take."""
@@ -159,7 +161,7 @@
         if isinstance(record, MessageAdmitted):
             self.open.add(record.message, Location(segment, size + STATE_BYTES))
             return
-        if isinstance(record, MessageCompleted | CompletionCopied) and record.answer is not None:
+        if isinstance(record, _WITH_ANSWER) and record.answer is not None:
             self.completed.add(record.message_id, record.answer, Location(segment, size))
         message = self.open.messages.get(record.message_id)
         if message is None:
