--- a/loftrelay/discovery/destination_table.py
+++ b/loftrelay/discovery/destination_table.py
@@ -9,7 +9,7 @@
 
 from loftrelay.decisions.events import EndpointState
 from loftrelay.discovery.subscription_actions import Row
-from loftrelay.registry.protocol import MOST_CELLS
+from loftrelay.registry.protocol import MAX_DESTINATIONS_PER_CALL
 
 SWEEP_INTERVAL_S = 1.0
 
@@ -112,7 +112,7 @@
         self.last_used[number] = now
         self.last_used.move_to_end(number)
 
-    def mark_used_if_held(self, now: float, number: int) -> None:
+    def touch(self, now: float, number: int) -> None:
         """Records a message for a destination that is held; does nothing for another."""
         if number in self.last_used:
             self.mark_used(now, number)
@@ -162,7 +162,7 @@
         found: list[int] = []
         for number, used in self.last_used.items():
             is_idle = used + self.idle_after <= now
-            if len(found) == MOST_CELLS or (not is_idle and len(found) >= surplus):
+            if len(found) == MAX_DESTINATIONS_PER_CALL or (not is_idle and len(found) >= surplus):
                 break
             found.append(number)
         return tuple(found)
@@ -205,8 +205,8 @@
         self.counts["cells"] += 1
         if destination.rows is None:
             destination.rows = {}
-        listed = {row[0].endpoint for row in received}
-        for endpoint in [endpoint for endpoint in destination.rows if endpoint not in listed]:
+        present = {row[0].endpoint for row in received}
+        for endpoint in [endpoint for endpoint in destination.rows if endpoint not in present]:
             self._remove(number, destination.rows, endpoint, update)
         for row in received:
             self._apply_row(number, destination.rows, row, update)
--- a/loftrelay/service/store_setup.py
+++ b/loftrelay/service/store_setup.py
@@ -38,10 +38,11 @@
     while True:
         try:
             await recorder.load(list(journal.messages))
-            return recorder
         except Unavailable as error:
             log.warning("the relay waits for its store of record: %s", error)
             await asyncio.sleep(RETRY)
         except BaseException:
             await recorder.close()
             raise
+        else:
+            return recorder
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -127,7 +127,7 @@
         await w.end(signal.SIGTERM)  # whatever it owes is told before it ends
         assert host.ids == ["m", "after"]
         assert not w.notices
-        assert any("ends with 0 messages" in line for line in w.log)
+        assert any("exits, keeping 0 messages" in line for line in w.log)
 
     run(scenario, tmp_path)
 
@@ -174,7 +174,7 @@
         go_on(w)
         await w.end(signal.SIGTERM)
         assert w.notices == [failed("m")]
-        assert any("ends with 0 messages" in line for line in w.log)
+        assert any("exits, keeping 0 messages" in line for line in w.log)
 
     run(scenario, tmp_path)
 
@@ -282,7 +282,7 @@
                     await w.end(signal.SIGTERM)  # what it owes is told before it ends
                     found = find(w, [partner], account, slack=0.3)  # those begun late would be so by a second
                     assert found.messages > 20
-                    assert any("ends with 0 messages" in line for line in w.log)
+                    assert any("exits, keeping 0 messages" in line for line in w.log)
                     assert (found.duplicates, found.misattributed, found.order_breaks) == (0, 0, 0)
                     assert found.begun_late == 0
             finally:
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -11,14 +11,14 @@
 import shutil
 from dataclasses import asdict
 from pathlib import Path
-from typing import Any, cast
+from typing import Any
 
 import pytest
 
-from loftrelay.gossip.operator_overrides import Calls
+from loftrelay.gossip.operator_overrides import Overrides
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.message import Message
-from loftrelay.service.gossip_member import GossipMember
+from loftrelay.service.override_file import OverrideFile
 from loftrelay.state.disabled_hosts import DisabledHostsFile
 from loftrelay.state.last_config import LastConfigFile
 from loftrelay.store.backend import Query
@@ -133,23 +133,22 @@
 def test_operator_overrides_are_read_and_written_as_before(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    member = cast(Any, object.__new__(GossipMember))
     shutil.copy(FIXTURES / "fleet-calls.json", tmp_path)
-    member.path = tmp_path / "fleet-calls.json"
+    file = OverrideFile(tmp_path)
     with caplog.at_level(logging.ERROR):
-        loaded = member._load()
+        loaded = file.load()
     assert not caplog.records
-    assert [(call.host, call.out, call.stamp, call.origin) for call in loaded] == [
+    assert [(item.host, item.is_disabled, item.stamp, item.origin) for item in loaded] == [
         ("h1", True, 1_790_000_000_000, "n1"),
         ("h2", False, 1_790_000_000_006, "n1"),
     ]
-    member.calls = Calls("n1", 1)
-    member.calls.load(loaded, ["h3"])
-    assert member.calls.known["h3"].stamp == 0
-    del member.calls.known["h3"]
-    member.path.unlink()
-    member._save()
-    assert member.path.read_bytes() == (FIXTURES / "fleet-calls.json").read_bytes()
+    overrides = Overrides("n1", 1)
+    overrides.restore(loaded, ["h3"])
+    assert overrides.by_host["h3"].stamp == 0
+    del overrides.by_host["h3"]
+    file.path.unlink()
+    file.save(overrides.by_host.values())
+    assert (tmp_path / "fleet-calls.json").read_bytes() == (FIXTURES / "fleet-calls.json").read_bytes()
 
 
 def test_every_row_of_a_store_is_read(tmp_path: Path) -> None:
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -99,9 +99,9 @@
                 held, host = self.out.pop(draw.randrange(len(self.out)))
                 engine.attempts.ended(held, host, draw.choice(ENDINGS))
             case 3:
-                told = [m for m in list(engine.context.status_reporter.waiting) if draw.random() < 0.5]  # type: ignore[attr-defined]
+                told = [m for m in list(engine.context.status_reporter.reports) if draw.random() < 0.5]  # type: ignore[attr-defined]
                 for message in told:
-                    del engine.context.status_reporter.waiting[message]  # type: ignore[attr-defined]
+                    del engine.context.status_reporter.reports[message]  # type: ignore[attr-defined]
                     engine.final_statuses.reported(message)
         engine.context.loop.run_due_batch()
 
@@ -168,7 +168,7 @@
         journal.close()
         second_journal.take_ownership()
         ended_before = sum(first.context.metrics.final_statuses.values())
-        second, _ = build(config(tmp_path), journal=second_journal, handed=handed)
+        second, _ = build(config(tmp_path), journal=second_journal, received=handed)
         assert set(second.context.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)) == {
             held.id for held, _ in steps.out
         }
--- a/tests/server/http/test_endings.py
+++ b/tests/server/http/test_connection_close.py
@@ -1,4 +1,4 @@
-"""Every way in which a client's connection ends, in the instant in which something is still owed on it."""
+"""Closing of client connections while a request or a response is in transit."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 import pytest
 
 from loftrelay.relay.engine import Engine
-from loftrelay.server.http import server as front
-from loftrelay.server.http.server import Client, Server
+from loftrelay.server.http import connection, connection_table
+from loftrelay.server.http.connection import ClientConnection
+from loftrelay.server.http.server import HTTPServer
 from tests.relay.test_engine import make_engine
 from tests.standins.platform import (
     HANG,
@@ -31,16 +32,16 @@
 
 
 def serve(
-    scenario: Callable[[Server, Callable[[], Awaitable[Streams]]], Awaitable[None]],
+    scenario: Callable[[HTTPServer, Callable[[], Awaitable[Streams]]], Awaitable[None]],
     folder: Path,
     places: int = 10,
 ) -> None:
-    """A front in this process: what crosses what is then up to the test. `come` connects and asks once."""
+    """Runs a server in this process. `come` connects and sends one request."""
 
     async def main() -> None:
         engine: Engine = make_engine(folder)
-        server = Server(engine, places)
-        address = await server.listen(("127.0.0.1", 0))
+        server = HTTPServer(engine, places)
+        address = await server.startup(("127.0.0.1", 0))
 
         async def come() -> Streams:
             reader, writer = await asyncio.open_connection(*address)
@@ -51,7 +52,7 @@
         async with asyncio.timeout(HANG):
             await scenario(server, come)
         assert not engine.context.journal.messages
-        await server.close()
+        await server.shutdown()
         engine.context.status_reporter.close()
         engine.context.discovery.close()
         engine.context.delivery.close()
@@ -59,48 +60,48 @@
     asyncio.run(main())
 
 
-async def ends_without_a_reset(reader: asyncio.StreamReader) -> None:
-    """Raises ConnectionResetError where it does not."""
+async def expect_close_without_reset(reader: asyncio.StreamReader) -> None:
+    """Raises ConnectionResetError otherwise."""
     assert await reader.read() == b""
 
 
 @pytest.mark.parametrize("written", [message("m"), message("m")[:-3], b"P"], ids=["whole", "half", "a byte"])
 @pytest.mark.parametrize("why", ["idle", "eviction", "last phase"])
-def test_what_crosses_an_end(
+def test_request_that_crosses_the_close(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, written: bytes, why: str
 ) -> None:
-    """Written after the relay has looked, and before its close: nothing of it is taken on, and the client
-    hears an end, not a reset."""
+    """Sent after the relay has checked for unread bytes, before it closes: nothing of it is admitted, and the
+    client sees the end of the connection, not a reset."""
 
-    async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await come()
-        (client,) = server.clients()
-        assert client.may_go  # the look
+        (client,) = server.connections.active()
+        assert client.is_evictable  # the look
         if why == "eviction":
 
-            def look(newcomer: Client) -> Client:
+            def look(newcomer: ClientConnection, now_s: float) -> ClientConnection:
                 writer.write(written)
                 return client
 
-            monkeypatch.setattr(server, "_least_missed", look)
-            server.most_clients = 1
+            monkeypatch.setattr(server.connections, "choose_eviction", look)
+            server.connections.limit = 1
             await come()
         else:
             writer.write(written)  # the loop does not run before the end
             client.close()
             if why == "last phase":
-                await server.close()
-        await ends_without_a_reset(reader)
+                await server.shutdown()
+        await expect_close_without_reset(reader)
         writer.close()
-        while server.lingering:
+        while server.connections.lingering:
             await asyncio.sleep(0)
 
     serve(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("raw", [b"no HTTP\r\n\r\n", message("m", Tenant="nobody"), ASK + ASK])
-def test_an_answer_is_read_though_bytes_are_unread_behind_it(tmp_path: Path, raw: bytes) -> None:
-    async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
+def test_response_reaches_a_client_that_still_sends(tmp_path: Path, raw: bytes) -> None:
+    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await come()
         writer.write(raw)
         writer.write(b"x" * (300 << 10))  # more than the relay reads at once, and more comes later
@@ -114,36 +115,38 @@
     serve(scenario, tmp_path)
 
 
-def test_lingering_is_bounded_in_time_and_number(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients that rest until the relay ends them hold no place for longer."""
+def test_lingering_closes_are_bounded_in_time_and_number(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Clients that never close their side occupy no connection for longer."""
 
-    async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
         streams = [await come() for _ in range(20)]
-        assert server.places_taken == 4
-        assert len(server.lingering) <= 3
-        for client in server.clients():
+        assert server.connections.active_count == 4
+        assert len(server.connections.lingering) <= 3
+        for client in server.connections.active():
             client.close()
-        assert len(server.lingering) <= 4 + 3
-        while server.unfinished:
+        assert len(server.connections.lingering) <= 4 + 3
+        while server.has_clients:
             await asyncio.sleep(0.01)  # nobody ends but the relay
         for reader, writer in streams:
-            await ends_without_a_reset(reader)
+            await expect_close_without_reset(reader)
             writer.close()
 
-    monkeypatch.setattr(front, "LINGER", 0.05)
-    monkeypatch.setattr(front, "LINGERING", 3)
+    monkeypatch.setattr(connection, "LINGER_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(connection_table, "MAX_LINGERING", 3)
     serve(scenario, tmp_path, places=4)
 
 
-def test_with_all_places_taken_a_new_client_is_told_so(tmp_path: Path) -> None:
-    async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
-        streams = [await come() for _ in range(server.most_clients)]
+def test_new_client_is_rejected_if_no_connection_can_be_evicted(tmp_path: Path) -> None:
+    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
+        streams = [await come() for _ in range(server.connections.limit)]
         for _, writer in streams:
             writer.write(b"POST /sta")
-        while not all(client.reading for client in server.clients()):
+        while not all(client.is_receiving for client in server.connections.active()):
             await asyncio.sleep(0)
-        assert server.listening is not None
-        reader, writer = await asyncio.open_connection(*server.listening.getsockname())
+        assert server.listener.socket is not None
+        reader, writer = await asyncio.open_connection(*server.listener.socket.getsockname())
         answer = await reader.readuntil(b"\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 503 ")
         assert b"Retry-After: 1\r\n" in answer
@@ -153,16 +156,16 @@
     serve(scenario, tmp_path)
 
 
-def test_the_last_phase_takes_who_waits_to_be_accepted(tmp_path: Path) -> None:
-    """What the system has taken already would be reset where it stops listening."""
+def test_shutdown_accepts_queued_connections(tmp_path: Path) -> None:
+    """The system would reset them once the relay stops listening."""
 
-    async def scenario(server: Server, come: Callable[[], Awaitable[Streams]]) -> None:
-        assert server.listening is not None
+    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
+        assert server.listener.socket is not None
         queued = []
         for _ in range(20):  # the loop does not run meanwhile
-            queued.append(socket.create_connection(server.listening.getsockname()))
+            queued.append(socket.create_connection(server.listener.socket.getsockname()))
             queued[-1].sendall(ASK)
-        await server.close()
+        await server.shutdown()
         for sock in queued:
             sock.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=sock)
@@ -172,9 +175,9 @@
     serve(scenario, tmp_path, places=100)
 
 
-def test_the_end_of_the_process(tmp_path: Path) -> None:
-    """Who rests is told the end, who is in the midst of a request gets an answer; nobody sees a reset, and
-    what is written after the end was told is not taken on."""
+def test_shutdown_of_the_process(tmp_path: Path) -> None:
+    """Idle connections are closed, an incomplete request is answered, no connection is reset, and nothing
+    that is sent after the close is admitted."""
 
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
@@ -192,7 +195,7 @@
         half[1].write(message("half")[:-3])
         async with asyncio.timeout(HANG):
             for reader, writer in resting:
-                await ends_without_a_reset(reader)
+                await expect_close_without_reset(reader)
                 writer.write(message("late"))  # half-closed: it may still write
             answer = await half[0].read()
             assert answer.startswith(b"HTTP/1.1 503 ")
@@ -209,8 +212,8 @@
     run(scenario, tmp_path)
 
 
-def test_leavers_floods_and_the_slow_harm_nobody(tmp_path: Path) -> None:
-    """Bursts of clients that go at once, that send much and go, that write or read a byte now and then."""
+def test_disconnects_floods_and_slow_clients_harm_nobody(tmp_path: Path) -> None:
+    """Bursts of clients that disconnect at once, that send much, or that send a byte now and then."""
 
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
