--- a/loftrelay/config/platform.py
+++ b/loftrelay/config/platform.py
@@ -21,7 +21,7 @@
 from loftrelay.decisions.settings import RelaySettings
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.net.address import Address, parse_address
-from loftrelay.state.last_config import LastFile
+from loftrelay.state.last_config import LastConfigFile
 
 log = logging.getLogger(__name__)
 
@@ -172,7 +172,7 @@
     """Returns the configuration last in force, or None where none is saved or it can't be used."""
     if not environ.get("RELAY_STATE"):
         return None
-    last_file = LastFile(Path(environ["RELAY_STATE"]))
+    last_file = LastConfigFile(Path(environ["RELAY_STATE"]))
     document = last_file.load()
     if document is None:
         return None
--- a/loftrelay/config/resource_limits.py
+++ b/loftrelay/config/resource_limits.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from loftrelay.state.atomic_file import ROOM, ROOM_FOR_CALLS
+from loftrelay.state.atomic_file import RESERVED_BYTES, RESERVED_WITH_OVERRIDES_BYTES
 
 # Descriptors for the journal, discovery, the event loop, and connections accepted before others are closed.
 RESERVED_DESCRIPTORS = 40
@@ -70,6 +70,6 @@
 def _journal_bytes(disk_mb: float, has_overrides: bool) -> int:
     """Leaves space to the files beside the journal, which are larger where operators can disable hosts."""
     disk_bytes = int(disk_mb * 1_000_000)
-    reserved = ROOM_FOR_CALLS if has_overrides else ROOM
+    reserved = RESERVED_WITH_OVERRIDES_BYTES if has_overrides else RESERVED_BYTES
     tenths = MIN_JOURNAL_TENTHS_WITH_OVERRIDES if has_overrides else MIN_JOURNAL_TENTHS
     return max(disk_bytes - reserved, disk_bytes * tenths // 10)
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -14,7 +14,7 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.handover import HandoverState
 from loftrelay.relay.ports import EndpointDirectory, MessageStore, SubscribedDirectory
-from loftrelay.state.hosts_out import HostsOut
+from loftrelay.state.disabled_hosts import DisabledHostsFile
 
 if TYPE_CHECKING:
     from loftrelay.discovery.settings import SubscriptionSettings
@@ -61,7 +61,7 @@
     if received is not None:
         engine.take_over(delivery, discovery, status_reporter, received, subscribed)
     else:
-        disabled_hosts = HostsOut(config.state_dir).load()
+        disabled_hosts = DisabledHostsFile(config.state_dir).load()
         cached_list = config.cached_endpoint_list
         engine.connect(delivery, discovery, status_reporter, cached_list, disabled_hosts, subscribed)
     return engine, journal
--- a/loftrelay/service/configuration.py
+++ b/loftrelay/service/configuration.py
@@ -9,7 +9,7 @@
 
 from loftrelay.config.platform import Config, ConfigChange, ConfigError, reload_config
 from loftrelay.relay.engine import Engine
-from loftrelay.state.last_config import LastFile
+from loftrelay.state.last_config import LastConfigFile
 
 if TYPE_CHECKING:
     from loftrelay.decisions.settings import RelaySettings
@@ -27,7 +27,7 @@
 
     def __init__(self, config: Config, apply_to_store: Callable[[RelaySettings], None]) -> None:
         self.document = config.document  # in force
-        self.last_config = LastFile(config.state_dir)
+        self.last_config = LastConfigFile(config.state_dir)
         self.apply_to_store = apply_to_store
 
     def save(self) -> None:
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -20,7 +20,7 @@
 from loftrelay.server.http.server import HTTPServer
 from loftrelay.service.assembly import build
 from loftrelay.service.configuration import ConfigurationReloader
-from loftrelay.state.hosts_out import HostsOut
+from loftrelay.state.disabled_hosts import DisabledHostsFile
 from loftrelay.upgrade.lock import Lock
 from loftrelay.upgrade.receiver import HandoverReceiver
 from loftrelay.upgrade.sender import HandoverSender, ServiceCallbacks
@@ -78,7 +78,7 @@
         self.record = record
         self.fleet = fleet
         self.subscription = subscription
-        self.admin = RelayAdmin(HostsOut(config.state_dir))
+        self.admin = RelayAdmin(DisabledHostsFile(config.state_dir))
         self.configuration = ConfigurationReloader(config, self._apply_to_store)
         self.should_exit = asyncio.Event()
         self.owns_state = True  # at its end
--- a/loftrelay/service/override_file.py
+++ b/loftrelay/service/override_file.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from loftrelay.gossip.operator_overrides import MAX_STAMP_MS, OperatorOverride
-from loftrelay.state.atomic_file import write_whole
+from loftrelay.state.atomic_file import write_atomically
 
 log = logging.getLogger(__name__)
 
@@ -37,7 +37,7 @@
         """Replaces the file; an error is only logged, since other relays hold the overrides, too."""
         rows = [[item.host, item.is_disabled, item.stamp, item.origin] for item in overrides]
         try:
-            write_whole(self.path, json.dumps(rows, separators=(",", ":")).encode(), MAX_FILE_BYTES)
+            write_atomically(self.path, json.dumps(rows, separators=(",", ":")).encode(), MAX_FILE_BYTES)
         except OSError as error:
             log.error("Overrides of the fleet can't be written: %s", error)
 
