--- a/loftrelay/gossip/broadcast_queue.py
+++ b/loftrelay/gossip/broadcast_queue.py
@@ -61,6 +61,8 @@
             cluster_size: Number of other relays.
             first: Key whose update precedes all others, whatever its count.
         """
+        if not self._payloads:
+            return {}
         keys = sorted(self._payloads, key=lambda key: (key != first, self._transmissions[key]))[:limit]
         batch = {key: self._payloads[key] for key in keys}
         max_transmissions = retransmit_limit(cluster_size)
--- a/loftrelay/gossip/codec.py
+++ b/loftrelay/gossip/codec.py
@@ -119,9 +119,10 @@
     space = MAX_DATAGRAM_BYTES - len(HEADER) - len(_encoder.encode(row)) - LIST_LENGTH_BYTES
     if space < 0:
         raise DatagramError("the names in the datagram are too long")
-    # Recipients would refuse the whole datagram for one name that is too long.
-    valid = (override for override in overrides if len(override.host) <= MAX_NAME_CHARS)
-    row.overrides, space = _fitting_rows(map(OverrideRow.from_override, valid), space)
+    if overrides:
+        # Recipients would refuse the whole datagram for one name that is too long.
+        valid = (override for override in overrides if len(override.host) <= MAX_NAME_CHARS)
+        row.overrides, space = _fitting_rows(map(OverrideRow.from_override, valid), space)
     row.updates, _ = _fitting_rows(map(PeerRow.from_peer, datagram.updates), space)
     return HEADER + _encoder.encode(row)
 
--- a/loftrelay/gossip/lifeguard.py
+++ b/loftrelay/gossip/lifeguard.py
@@ -16,17 +16,13 @@
 class LocalHealth:
     """Score of this relay's own health: 0 is healthy, MAX_HEALTH_SCORE the least healthy.
 
-    The local health multiplier slows probing down while this relay may itself be the one that is late.
+    The probe interval is multiplied by one more than the score, so that a relay that may itself be late
+    probes more slowly.
     """
 
     def __init__(self) -> None:
         self.score = 0
 
-    @property
-    def multiplier(self) -> int:
-        """Factor of the probe interval."""
-        return 1 + self.score
-
     def degrade(self) -> None:
         """A probe went unanswered, a suspicion had to be refuted, or this process was paused."""
         self.score = min(MAX_HEALTH_SCORE, self.score + 1)
--- a/loftrelay/gossip/member_table.py
+++ b/loftrelay/gossip/member_table.py
@@ -74,6 +74,14 @@
     suspicion_ends_us: int = 0
 
 
+def _prior(entry: MemberEntry | None, update: Peer) -> Prior:
+    if entry is None:
+        return Prior.UNKNOWN
+    if entry.peer.has_same_incarnation(update):
+        return Prior[entry.peer.state.name]
+    return Prior.OLDER if entry.peer.precedence < update.precedence else Prior.NEWER
+
+
 class MemberTable:
     """Entries of the other members, and the updates about them that are to be disseminated."""
 
@@ -94,11 +102,16 @@
 
     def suspects(self) -> list[MemberEntry]:
         """Entries of suspected members."""
-        return [entry for entry in self._unhealthy() if entry.peer.state is State.SUSPECT]
+        return [
+            entry
+            for name in self._unhealthy_names
+            if (entry := self.entries[name]).peer.state is State.SUSPECT
+        ]
 
     def dead_addresses(self) -> list[Address]:
         """Addresses of members that are declared dead and not yet removed."""
-        return [entry.peer.address for entry in self._unhealthy() if entry.peer.state is State.DEAD]
+        peers = [self.entries[name].peer for name in self._unhealthy_names]
+        return [peer.address for peer in peers if peer.state is State.DEAD]
 
     def name_at(self, address: Address) -> str:
         """Name of the member at an address; empty if there is none."""
@@ -110,13 +123,21 @@
         Returns:
             The change of state, if there is one.
         """
-        match TRANSITIONS.get((self._prior(update), update.state), Transition.IGNORE):
+        entry = self.entries.get(update.name)
+        if (
+            entry is not None
+            and update.state is not State.SUSPECT
+            and update.precedence <= entry.peer.precedence
+        ):
+            return ()  # a shortcut for most updates: TRANSITIONS ignores these, too
+        match TRANSITIONS.get((_prior(entry, update), update.state), Transition.IGNORE):
             case Transition.SET_STATE:
                 return self._set(update, now_us)
             case Transition.START_SUSPICION:
                 return self._start_suspicion(update, reporter, now_us)
             case Transition.CONFIRM_SUSPICION:
-                self._confirm_suspicion(self.entries[update.name], reporter, now_us)
+                assert entry is not None
+                self._confirm_suspicion(entry, reporter, now_us)
         return ()
 
     def expire(self, now_us: int, is_isolated: bool) -> list[StateChanged]:
@@ -161,17 +182,6 @@
     def _dead_retention_us(self) -> int:
         return DEAD_RETENTION_INTERVALS * self._config.probe_interval_us
 
-    def _unhealthy(self) -> list[MemberEntry]:
-        return [self.entries[name] for name in self._unhealthy_names]
-
-    def _prior(self, update: Peer) -> Prior:
-        entry = self.entries.get(update.name)
-        if entry is None:
-            return Prior.UNKNOWN
-        if entry.peer.has_same_incarnation(update):
-            return Prior[entry.peer.state.name]
-        return Prior.OLDER if entry.peer.precedence < update.precedence else Prior.NEWER
-
     def _start_suspicion(self, update: Peer, reporter: str, now_us: int) -> Iterable[StateChanged]:
         changes = self._set(update, now_us)
         entry = self.entries[update.name]
--- a/loftrelay/gossip/swim.py
+++ b/loftrelay/gossip/swim.py
@@ -89,20 +89,23 @@
     @property
     def next_tick_us(self) -> int:
         """When `tick` is to be called at the latest."""
-        times = [self.next_probe_us, *(entry.suspicion_ends_us for entry in self.table.suspects())]
-        times += [
-            probe.ends_us if probe.is_indirect else self._indirect_probe_us(probe)
+        lead_us = self._indirect_probe_lead_us
+        times = [
+            probe.ends_us if probe.is_indirect else probe.ends_us - lead_us
             for probe in self._pending_probes.values()
         ]
-        return min(times)
+        times += [entry.suspicion_ends_us for entry in self.table.suspects()]
+        return min(self.next_probe_us, *times) if times else self.next_probe_us
 
     @property
     def _probe_interval_us(self) -> int:
-        """Interval scaled by the local health multiplier."""
-        return self.config.probe_interval_us * self.health.multiplier
+        """Interval scaled by Lifeguard's local health multiplier."""
+        return self.config.probe_interval_us * (1 + self.health.score)
 
-    def _indirect_probe_us(self, probe: PendingProbe) -> int:
-        return probe.ends_us - self._probe_interval_us // 2
+    @property
+    def _indirect_probe_lead_us(self) -> int:
+        """How long before its end a probe is also made through other members."""
+        return self._probe_interval_us // 2
 
     # Inputs
 
@@ -131,9 +134,10 @@
             return self._actions
         self._check_pending_probes(now_us)
         self._actions += self.table.expire(now_us, self.is_isolated(now_us))
-        self._forwarded_probes = {
-            number: probe for number, probe in self._forwarded_probes.items() if probe.expires_us > now_us
-        }
+        if self._forwarded_probes:
+            self._forwarded_probes = {
+                number: probe for number, probe in self._forwarded_probes.items() if probe.expires_us > now_us
+            }
         if now_us >= self.next_probe_us:
             self._start_probe_round(now_us)
         return self._actions
@@ -143,12 +147,12 @@
         self._actions = []
         if self.local.has_name_conflict:
             return self._actions
-        sender = datagram.sender
-        if sender.name == self.local.peer.name:
+        sender, local_name = datagram.sender, self.local.peer.name
+        if sender.name == local_name:
             self._actions += self.local.check_name_conflict(sender, now_us)
             return self._actions
         for update in (sender, *datagram.updates):
-            if update.name == self.local.peer.name:
+            if update.name == local_name:
                 self._actions += self.local.refute(update, now_us)
             else:
                 self._actions += self.table.apply(update, sender.name, now_us)
@@ -180,7 +184,7 @@
             if now_us >= probe.ends_us:
                 del self._pending_probes[number]
                 self._handle_probe_timeout(probe, now_us)
-            elif not probe.is_indirect and now_us >= self._indirect_probe_us(probe):
+            elif not probe.is_indirect and now_us >= probe.ends_us - self._indirect_probe_lead_us:
                 probe.is_indirect = True
                 self._send_ping_requests(number, probe.peer)
 
