--- a/loftrelay/server/admin/commands.py
+++ b/loftrelay/server/admin/commands.py
@@ -89,17 +89,18 @@
         engine = self.engine
         if engine is None:
             return "not ready"
-        if must_exist and not engine.knows_host(host):
+        if must_exist and not engine.endpoints.is_known(host):
             return f"no host has the id {host}"
-        if (host in engine.disabled_hosts) == is_disabled:
+        if (host in engine.endpoints.disabled) == is_disabled:
             return None
+        disabled = engine.endpoints.disabled
         try:
-            self.store.save(engine.disabled_hosts | {host} if is_disabled else engine.disabled_hosts - {host})
+            self.store.save(disabled | {host} if is_disabled else disabled - {host})
         except OSError as error:
             log.error("Disabled hosts can't be written: %s", error)
             return f"it can't be written down: {error}"
         if is_disabled:
-            engine.disable_host(host)
+            engine.endpoints.disable(host)
         else:
-            engine.enable_host(host)
+            engine.endpoints.enable(host)
         return None
--- a/loftrelay/server/http/connection.py
+++ b/loftrelay/server/http/connection.py
@@ -11,7 +11,7 @@
 
 from loftrelay.net.http import unread
 from loftrelay.relay.clock import wall_clock
-from loftrelay.relay.engine import REFUSED_HERE_MS
+from loftrelay.relay.intake import OVERLOAD_RETRY_AFTER_MS
 from loftrelay.server.http.connection_state import ClientKind, ConnectionState
 from loftrelay.server.http.exchange import Exchange, ReadResult
 from loftrelay.server.http.lingering_close import LINGER_TIMEOUT_S, LingeringClose
@@ -190,27 +190,27 @@
             return
         if request.method not in (b"GET", b"HEAD"):
             raise RequestError(405, "only GET and HEAD")
-        self._answer(503 if self.server.engine.has_no_list else 200)
+        self._answer(503 if self.server.engine.endpoints.has_no_list else 200)
 
     def _submit(self, request: h11.Request) -> None:
         engine = self.server.engine
         # The timeout counts from when the client sent the request, which was earlier if the loop is late.
-        age_s = engine.stall_detector.age(asyncio.get_running_loop().time())
+        age_s = engine.context.stall_detector.age(asyncio.get_running_loop().time())
         received_at_us = wall_clock() - int(age_s * 1e6)
         body = bytes(self._exchange.body)
-        message = parse_message(engine.accepted_classes, request, received_at_us, body)
-        if engine.is_client_waiting(message.id):
+        message = parse_message(engine.context.accepted_classes, request, received_at_us, body)
+        if engine.intake.is_client_waiting(message.id):
             raise RequestError(409, "a request with this id is open")
-        if (known := engine.known_answer(message.id)) is not None:
+        if (known := engine.intake.known_answer(message.id)) is not None:
             self._answer(*known)
         else:
             self._pending_id = message.id
             self.deadline = math.inf
-            engine.submit(message, self._answer)
+            engine.intake.submit(message, self._answer)
 
     def _cancel_pending(self) -> None:
         if self._pending_id is not None:
-            self.server.engine.cancel(self._pending_id)
+            self.server.engine.intake.cancel(self._pending_id)
             self._pending_id = None
 
     # Responses
@@ -238,7 +238,7 @@
             return
         headers = [("Connection", "close")]
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
-            headers += _retry_after(REFUSED_HERE_MS)
+            headers += _retry_after(OVERLOAD_RETRY_AFTER_MS)
         if status == HTTPStatus.METHOD_NOT_ALLOWED and self._exchange.request is not None:
             headers.append(("Allow", self._exchange.allowed_methods))
         self._write(self._exchange.response(status, headers, reason))
--- a/loftrelay/service/gossip_member.py
+++ b/loftrelay/service/gossip_member.py
@@ -72,9 +72,9 @@
         Raises:
             OSError: The socket can't be opened, and `wait` is false.
         """
-        self.overrides.restore(self.file.load(), self.engine.disabled_hosts)
+        self.overrides.restore(self.file.load(), self.engine.endpoints.disabled)
         self._apply_all()
-        self.engine.observers.append(self)
+        self.engine.context.observers.append(self)
         while True:
             try:
                 host, port = await self.transport.open(wall_clock() // 1000)
@@ -88,8 +88,8 @@
 
     def close(self) -> None:
         """Leaves the fleet without notice."""
-        if self in self.engine.observers:
-            self.engine.observers.remove(self)
+        if self in self.engine.context.observers:
+            self.engine.context.observers.remove(self)
         if self._retry_timer is not None:
             self._retry_timer.cancel()
         self.transport.close()
@@ -139,7 +139,7 @@
     def _apply(self, overrides: Iterable[OperatorOverride]) -> None:
         """Applies overrides; one that can't be applied, as during a handover, is retried."""
         for override in overrides:
-            if (override.host in self.engine.disabled_hosts) == override.is_disabled:
+            if (override.host in self.engine.endpoints.disabled) == override.is_disabled:
                 continue
             reason = self.apply_override(override.host, override.is_disabled)
             if reason is None:
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -14,7 +14,7 @@
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.fault_points import fault_point
-from loftrelay.relay.shutdown_schedule import last_phase
+from loftrelay.relay.shutdown_schedule import shutdown_schedule
 from loftrelay.server.admin.commands import RelayAdmin
 from loftrelay.server.admin.server import AdminServer
 from loftrelay.server.http.server import HTTPServer
@@ -22,8 +22,8 @@
 from loftrelay.state.hosts_out import HostsOut
 from loftrelay.state.last_config import LastFile
 from loftrelay.upgrade.lock import Lock
-from loftrelay.upgrade.predecessor import HandoverSender
-from loftrelay.upgrade.successor import HandoverReceiver
+from loftrelay.upgrade.receiver import HandoverReceiver
+from loftrelay.upgrade.sender import HandoverSender, ServiceCallbacks
 
 if TYPE_CHECKING:
     from loftrelay.discovery.settings import SubscriptionSettings
@@ -67,21 +67,21 @@
 
     def terminate(self) -> None:
         if self.giver is not None:
-            self.giver.told_to_stop()
+            self.giver.request_stop()
         else:
             self.ending.set()
 
     def read_again(self) -> None:
         engine = self.relay.engine
-        if engine is None or engine.outcome_forwarder is not None:
+        if engine is None or engine.context.outcome_forwarder is not None:
             self.to_read = True  # once it serves, or serves again
-            if self.giver is not None and not self.giver.owns:
-                self.giver.have_file_read()
+            if self.giver is not None and not self.giver.is_owner:
+                self.giver.forwarder.configuration_replaced()
             return
         try:
             change = reload_config(os.environ, self.told)
         except ConfigError as error:
-            engine.metrics.sighup_rejected += 1
+            engine.context.metrics.sighup_rejected += 1
             log.error("the configuration stays as it was: %s", error)
             return
         self.told = change.document
@@ -91,7 +91,7 @@
 
             self.recorder.modes = {**self.recorder.modes, **modes(change.settings, self.record)}
         engine.apply_settings(change.settings, change.discovery)
-        engine.metrics.sighup_applied += 1
+        engine.context.metrics.sighup_applied += 1
 
     # From start to end
 
@@ -102,7 +102,7 @@
         taker: HandoverReceiver | None = None
         lock: Lock | None
         if config.listen_fd is None:
-            if (lock := Lock.take(config.state_dir)) is None:
+            if (lock := Lock.acquire(config.state_dir)) is None:
                 raise OSError(f"another process of this relay holds {config.state_dir}")
             journal = Journal(config.state_dir, config.journal_bytes)
         else:
@@ -122,7 +122,7 @@
                 recorder = self.recorder = await open_record(config, self.record, journal)
             except StoreError as error:
                 raise OSError(str(error)) from error
-        handed = taker.handed if taker is not None else None
+        handed = taker.received_state if taker is not None else None
         engine, journal = build(config, self.connections, journal, recorder, handed, self.subscription)
         self.relay.engine = engine
         self.last.save(self.told)
@@ -140,10 +140,7 @@
                     lock,
                     engine,
                     server,
-                    self._moved,
-                    self.relay.set_disabled,
-                    self._stop,
-                    self._take_back,
+                    ServiceCallbacks(self._moved, self.relay.set_disabled, self._stop, self._take_back),
                 )
         joining = await self._join(engine) if self.fleet is not None else None
         log.info("%s listens on %s:%d", config.name, *address)
@@ -165,16 +162,16 @@
             await self._end_in_order(server, began)
         else:
             assert self.giver is not None
-            end = began + last_phase(engine.settings.classes.values()).end
-            while engine.delivery.is_busy or self.giver.unfinished:
+            end = began + shutdown_schedule(engine.context.settings.classes.values()).exit
+            while engine.context.delivery.is_busy or self.giver.has_unfinished_work:
                 if asyncio.get_running_loop().time() >= end:
                     break
                 await asyncio.sleep(LOOK)
         held = f"{len(journal.messages)} messages in its journal" if self.owns else "nothing of its own"
         log.info("%s ends with %s", config.name, held)
-        engine.status_reporter.close()
-        engine.discovery.close()
-        engine.delivery.close()
+        engine.context.status_reporter.close()
+        engine.context.discovery.close()
+        engine.context.delivery.close()
         if self.giver is not None:
             self.giver.close()
         if door is not None:
@@ -193,14 +190,14 @@
         """
         end = asyncio.get_running_loop().time() + CATCH_UP
         await asyncio.sleep(
-            engine.batch_interval
+            engine.context.loop.interval
         )  # the first turn: a wait, so that it runs when the process does
         while (
-            engine.status_reporter.pending
+            engine.context.status_reporter.pending
             and asyncio.get_running_loop().time() < end
             and not self.ending.is_set()
         ):
-            await asyncio.sleep(engine.batch_interval)
+            await asyncio.sleep(engine.context.loop.interval)
 
     async def _subscribe(self, engine: Engine, handed: bool) -> None:
         """It serves once a registry has answered. With none that does it serves all the same after a while:
@@ -208,21 +205,21 @@
         """
         from loftrelay.discovery.subscriber import Subscriber
 
-        subscriber = engine.subscription
+        subscriber = engine.context.subscription
         assert isinstance(subscriber, Subscriber)
         self.relay.metric_sources.append(subscriber.figure_lines)
-        self.relay.metric_sources.append(lambda: [f"app.slices_parked={len(engine.pending_submissions)}"])
+        self.relay.metric_sources.append(lambda: [f"app.slices_parked={len(engine.intake.pending)}"])
         if handed:
             return
         loop = asyncio.get_running_loop()
         began = loop.time()
         while not self.ending.is_set() and loop.time() < began + REGISTRY:
-            if engine.recovering and loop.time() >= began + RECOVER:
-                engine.replay_recovered()
-            if subscriber.answered.is_set() and not engine.recovering:
+            if engine.recovery.unresolved and loop.time() >= began + RECOVER:
+                engine.recovery.replay()
+            if subscriber.answered.is_set() and not engine.recovery.unresolved:
                 break
             await asyncio.sleep(LOOK)
-        engine.replay_recovered()
+        engine.recovery.replay()
 
     def _read_what_was_missed(self, engine: Engine) -> None:
         """The file may have been replaced, and SIGHUP sent to the process before, since this one read it."""
@@ -259,7 +256,7 @@
         return door
 
     async def _unless_stopped(self, taker: HandoverReceiver) -> Journal:
-        own = asyncio.ensure_future(taker.own())
+        own = asyncio.ensure_future(taker.acquire())
         stopped = asyncio.ensure_future(self.ending.wait())
         await asyncio.wait((own, stopped), return_when=asyncio.FIRST_COMPLETED)
         stopped.cancel()
@@ -270,23 +267,25 @@
 
     async def _end_in_order(self, server: HTTPServer, began: float) -> None:
         loop, engine = asyncio.get_running_loop(), server.engine
-        phase = last_phase(engine.settings.classes.values())
+        schedule = shutdown_schedule(engine.context.settings.classes.values())
         server.keeps_idle_connections = True
-        await asyncio.sleep(began + phase.begin - loop.time())
-        engine.stop_admitting()
+        await asyncio.sleep(began + schedule.last_call - loop.time())
+        engine.intake.stop()
         log.info("%s begins no more calls", self.config.name)
-        await asyncio.sleep(began + phase.take - loop.time())
+        await asyncio.sleep(began + schedule.last_admission - loop.time())
         await server.shutdown()
-        while loop.time() < began + phase.answer and (engine.has_unfinished_work or server.has_clients):
+        while loop.time() < began + schedule.last_answer and (
+            engine.has_unfinished_work or server.has_clients
+        ):
             await asyncio.sleep(LOOK)
         server.reject_remaining()
-        while loop.time() < began + phase.end and (engine.has_unfinished_work or server.has_clients):
+        while loop.time() < began + schedule.exit and (engine.has_unfinished_work or server.has_clients):
             await asyncio.sleep(LOOK)
 
     # What the handover asks
 
     def _moved(self, away: bool) -> None:
-        self.relay.owner = self.giver if away else None
+        self.relay.owner = self.giver.forwarder if away and self.giver is not None else None
         self.relay.is_serving = not away
         if not away and self.to_read:
             self.to_read = False
--- a/tests/gossip/test_gossip_member.py
+++ b/tests/gossip/test_gossip_member.py
@@ -23,6 +23,11 @@
         self.disabled_hosts: set[str] = set()
         self.observers: list[Any] = []
         self.refusals = 2
+        self.context = self.endpoints = self
+
+    @property
+    def disabled(self) -> set[str]:
+        return self.disabled_hosts
 
     def change(self, host: str, out: bool) -> str | None:
         if self.refusals:
@@ -45,9 +50,9 @@
         await member.start(wait=False)
         override = OperatorOverride("h", True, 7, "b")
         member._on_remote_overrides(member.overrides.merge([override]))
-        assert not engine.disabled_hosts
+        assert not engine.endpoints.disabled
         async with asyncio.timeout(10):
-            while not engine.disabled_hosts:
+            while not engine.endpoints.disabled:
                 await asyncio.sleep(0.001)
         assert member.overrides.by_host == {"h": override}  # with the other relay as its origin
         member.close()
@@ -55,7 +60,7 @@
         engine.refusals = 0
         restarted = gossip_member.GossipMember(SETTINGS, "a", tmp_path, cast(Any, engine), engine.change)
         await restarted.start(wait=False)
-        assert engine.disabled_hosts == {"h"}
+        assert engine.endpoints.disabled == {"h"}
         assert restarted.overrides.by_host == {"h": override}
         restarted.close()
         (tmp_path / override_file.FILE_NAME).write_text('[["h", true, -1, "b"]]')
--- a/tests/upgrade/test_successor.py
+++ b/tests/upgrade/test_receiver.py
@@ -11,11 +11,12 @@
 import pytest
 
 from loftrelay.journal.journal import Journal
+from loftrelay.journal.segments import SegmentFiles
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import Message
 from loftrelay.server.http.connection_state import ClientKind, ConnectionState
 from loftrelay.server.http.server import HTTPServer
-from loftrelay.upgrade.successor import HandoverReceiver
+from loftrelay.upgrade.receiver import HandoverReceiver
 from tests.relay.test_engine import make_engine
 
 
@@ -29,15 +30,16 @@
         now = wall_clock()
         for n in range(5):
             owner.admit(Message(f"m{n}", 0, "status", "acme", 1, None, now, now + 9_000_000, b"body"))
-        taker = HandoverReceiver(tmp_path, 1_000_000, 1)
-        there = Journal._paths
-        monkeypatch.setattr(Journal, "_paths", lambda self: [tmp_path / "0000000000.log", *there(self)])
-        taker.journal = taker._read_ahead()
-        assert taker.journal is None
-        monkeypatch.setattr(Journal, "_paths", there)  # all stand still by now
-        taker._load()
-        assert taker.journal is not None
-        assert list(taker.journal.messages) == list(owner.messages)
+        receiver = HandoverReceiver(tmp_path, 1_000_000, 1)
+        on_disk = SegmentFiles.paths_on_disk
+        dropped = {0: tmp_path / "0000000000.log"}
+        monkeypatch.setattr(SegmentFiles, "paths_on_disk", lambda self: {**dropped, **on_disk(self)})
+        receiver._journal = receiver._read_ahead()
+        assert receiver._journal is None
+        monkeypatch.setattr(SegmentFiles, "paths_on_disk", on_disk)  # all stand still by now
+        receiver._load()
+        assert receiver._journal is not None
+        assert list(receiver._journal.messages) == list(owner.messages)
         owner.close()
 
     asyncio.run(main())
@@ -73,6 +75,6 @@
         os.close(files[0])
         assert server.sweep_timer is not None
         server.sweep_timer.cancel()
-        engine.status_reporter.close()
+        engine.context.status_reporter.close()
 
     asyncio.run(main())
