--- a/loftrelay/gossip/transport.py
+++ b/loftrelay/gossip/transport.py
@@ -129,7 +129,7 @@
         if applied:
             self.on_overrides(applied)
 
-    def error_received(self, exc: Exception) -> None:  # noqa: ARG002 - declared by DatagramProtocol
+    def error_received(self, _exc: Exception) -> None:
         """Counts an error of the socket, such as a closed port on loopback."""
         self.counters["errors"] += 1
 
--- a/loftrelay/server/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -16,8 +16,8 @@
 
 TIMEOUT_CHECK_INTERVAL_S = 0.2
 
-# Hands a connection over: its state as JSON, and its descriptor, which is duplicated.
-HandOver = Callable[[dict[str, Any], int], None]
+# Transfers a connection: its state as JSON, and its descriptor, which is duplicated.
+TransferConnection = Callable[[dict[str, Any], int], None]
 
 
 class HTTPServer:
@@ -42,7 +42,7 @@
         self.is_shutting_down = False
         self.is_paused = False
         self.sweep_timer: asyncio.TimerHandle | None = None
-        self._hand_over: HandOver | None = None  # set once connections are handed over
+        self._transfer: TransferConnection | None = None  # set once connections are handed over
 
     # Startup and shutdown
 
@@ -87,7 +87,7 @@
 
     # Handover between processes
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Accepts and reads nothing; what clients send waits in their sockets."""
         self.is_paused = True
         self.listener.close()
@@ -95,23 +95,23 @@
             if client.transport is not None and not client.is_closing:
                 client.transport.pause_reading()
 
-    async def thaw(self) -> None:
-        """Continues after `freeze`."""
+    async def resume(self) -> None:
+        """Continues after `pause`."""
         self.is_paused = False
         for client in self.connections.active():
             if client.transport is not None and not client.is_closing:
                 client.transport.resume_reading()
         self.listener.reopen()
 
-    def hand(self, hand_over: HandOver) -> None:
+    def hand_over(self, transfer: TransferConnection) -> None:
         """Hands over each connection that another process can continue, and closes the others.
 
         A connection that is accepted later is handed over, too.
         """
-        self._hand_over = hand_over
+        self._transfer = transfer
         for kind in ClientKind:
             for client in self.connections.of_kind(kind):
-                self._hand_over_connection(client, kind, hand_over)
+                self._transfer_connection(client, kind, transfer)
 
     async def adopt(self, row: Mapping[str, Any], fd: int) -> None:
         """Continues a connection of another process; the descriptor is owned by the server from now on.
@@ -129,11 +129,13 @@
         except OSError:  # the client has disconnected
             sock.close()
 
-    def _hand_over_connection(self, client: ClientConnection, kind: ClientKind, hand_over: HandOver) -> None:
+    def _transfer_connection(
+        self, client: ClientConnection, kind: ClientKind, transfer: TransferConnection
+    ) -> None:
         transport = client.transport
         if transport is not None and client.can_be_handed_over:
             fd = transport.get_extra_info("socket").fileno()
-            hand_over(ConnectionState(kind, bytes(client.partial_request), fd).row(), fd)
+            transfer(ConnectionState(kind, bytes(client.partial_request), fd).row(), fd)
             self.connections.remove(client)
             client.is_closing = True  # in this process
             transport.abort()
@@ -155,8 +157,8 @@
 
     def on_connected_while_paused(self, client: ClientConnection, kind: ClientKind) -> None:
         """Hands over a connection that was accepted or adopted just before the others were."""
-        if self._hand_over is not None:
-            self._hand_over_connection(client, kind, self._hand_over)
+        if self._transfer is not None:
+            self._transfer_connection(client, kind, self._transfer)
 
     def on_response(self, client: ClientConnection) -> None:
         """A client had the response to its request, and may send another one."""
--- a/loftrelay/upgrade/sender.py
+++ b/loftrelay/upgrade/sender.py
@@ -41,14 +41,14 @@
 class Front(Protocol):
     """The clients' side, as a handover needs it."""
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Accepts and reads nothing; what clients write waits in their sockets."""
 
-    async def thaw(self) -> None:
+    async def resume(self) -> None:
         """Accepts and reads again."""
 
-    def hand(self, give: Callable[[dict[str, Any], int], None]) -> None:
-        """Calls `give` with the row and the descriptor of each connection, now or once it can be given."""
+    def hand_over(self, transfer: Callable[[dict[str, Any], int], None]) -> None:
+        """Calls `transfer` with the row and descriptor of each connection, now or once it can be given."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -174,7 +174,7 @@
     def _pause(self) -> None:
         self._paused_at = self._now()
         self._callbacks.on_moved(True)
-        self._front.freeze()
+        self._front.pause()
         self._engine.handover.pause(self.forwarder)
         fault_point("frozen")
         delay_s = MAX_PAUSE_US / 1e6 + TIMER_SLACK_S
@@ -194,7 +194,7 @@
             self._apply_here(message)
         for request, on_answer in self.forwarder.take_overrides():
             self._callbacks.apply_override(request.host, request.is_disabled, on_answer)
-        self._resuming = asyncio.get_running_loop().create_task(self._front.thaw())
+        self._resuming = asyncio.get_running_loop().create_task(self._front.resume())
 
     def _apply_here(self, message: HandoverMessage) -> None:
         match message:
@@ -228,7 +228,7 @@
         if self._is_journal_only:
             self._engine.context.delivery.close()  # the successor counts these calls as broken
         self.forwarder.flush(self._is_journal_only)
-        self._front.hand(
+        self._front.hand_over(
             lambda row, descriptor: channel.send(write_message(ClientTransferred(row)), [descriptor])
         )
         self._engine.context.delivery.close_all_idle_connections()
--- a/tests/upgrade/test_receiver.py
+++ b/tests/upgrade/test_receiver.py
@@ -54,7 +54,7 @@
         engine = make_engine(tmp_path)
         server = HTTPServer(engine, 10)
         await server.startup(("127.0.0.1", 0))
-        server.freeze()
+        server.pause()
         rows: list[dict[str, Any]] = []
         files: list[int] = []
 
@@ -62,7 +62,7 @@
             rows.append(row)
             files.append(os.dup(file))
 
-        server.hand(give)
+        server.hand_over(give)
         assert rows == []
         here, there = socket.socketpair()
         half = b"POST /status HTTP/1.1\r\nHost: x\r\nRequest-Id: m\r\n"
