--- a/loftrelay/gossip/actions.py
+++ b/loftrelay/gossip/actions.py
@@ -1,4 +1,4 @@
-"""What the membership protocol asks its transport to do."""
+"""Actions of the membership protocol that its transport executes."""
 
 from __future__ import annotations
 
--- a/loftrelay/gossip/local_member.py
+++ b/loftrelay/gossip/local_member.py
@@ -14,8 +14,8 @@
 from loftrelay.gossip.messages import Peer, State
 from loftrelay.gossip.swim_config import SwimConfig
 
-CONFLICT_THRESHOLD = 8  # updates from another run, in a row; an earlier run is heard of less often
-CONFLICT_RESET_TIMEOUTS = 3  # suspicion timeouts without one, after which counting starts anew
+CONFLICT_THRESHOLD = 8  # updates from another run, in a row; updates of an earlier run are fewer
+CONFLICT_RESET_TIMEOUTS = 3  # suspicion timeouts without one, after which the count is reset
 
 
 class LocalMember:
--- a/loftrelay/gossip/member_table.py
+++ b/loftrelay/gossip/member_table.py
@@ -102,11 +102,8 @@
 
     def suspects(self) -> list[MemberEntry]:
         """Entries of suspected members."""
-        return [
-            entry
-            for name in self._unhealthy_names
-            if (entry := self.entries[name]).peer.state is State.SUSPECT
-        ]
+        entries = [self.entries[name] for name in self._unhealthy_names]
+        return [entry for entry in entries if entry.peer.state is State.SUSPECT]
 
     def dead_addresses(self) -> list[Address]:
         """Addresses of members that are declared dead and not yet removed."""
--- a/loftrelay/gossip/swim.py
+++ b/loftrelay/gossip/swim.py
@@ -62,9 +62,7 @@
         self._probe_order = ProbeOrder(self.random)
         self._pending_probes: dict[int, PendingProbe] = {}  # by sequence number
         self._forwarded_probes: dict[int, ForwardedProbe] = {}  # by sequence number
-        self._last_indirect_path: dict[
-            str, str
-        ] = {}  # member -> the one whose indirect probe reached it last
+        self._last_indirect_path: dict[str, str] = {}  # member -> who forwarded its last indirect Ack
         self._last_ack_us: int | None = None
         self._probe_rounds = 0
         self._actions: list[Action] = []
