--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -32,8 +32,9 @@
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.simulator import read_settings
-from loftrelay.discovery.client import DiscoveryClient, read_list
-from loftrelay.discovery.http_client import Caller
+from loftrelay.discovery.client import DiscoveryClient
+from loftrelay.discovery.endpoint_list import decode_list
+from loftrelay.discovery.http_client import DiscoveryHttpClient
 from loftrelay.gossip.codec import decode, encode
 from loftrelay.gossip.messages import Datagram, Peer, Ping, State
 from loftrelay.gossip.swim import Membership
@@ -71,8 +72,8 @@
         for number in range(size)
     ]
     before = uss()
-    brain = Scheduler(1, read_settings(SETTINGS))
-    brain.handle_batch(SECOND, [EndpointListReceived(EndpointListKind.FULL, tuple(entries))])
+    scheduler = Scheduler(1, read_settings(SETTINGS))
+    scheduler.handle_batch(SECOND, [EndpointListReceived(EndpointListKind.FULL, tuple(entries))])
     grown = uss() - before
     spent = []
     for time_ in range(times):
@@ -82,7 +83,7 @@
         ]
         event = EndpointListReceived(EndpointListKind.DELTA, (replace(entry, state=state),))
         began = time.process_time()
-        brain.handle_batch(2 * SECOND + time_ * SECOND, [event])
+        scheduler.handle_batch(2 * SECOND + time_ * SECOND, [event])
         spent.append(time.process_time() - began)
     return {"change_us": sorted(spent)[len(spent) // 2] * 1e6, "module_bytes": grown}
 
@@ -134,10 +135,10 @@
             engine = made(Path(folder))
 
             def take(told: bytes) -> None:
-                _, complete, entries = read_list(json.loads(told))
-                form = EndpointListKind.FULL if complete else EndpointListKind.DELTA
-                listing = EndpointListReceived(form, tuple(entry for entry, _ in entries))
-                engine.endpoints.listed(listing, {entry.endpoint: address for entry, address in entries})
+                received = decode_list(json.loads(told))
+                form = EndpointListKind.FULL if received.is_complete else EndpointListKind.DELTA
+                listing = EndpointListReceived(form, tuple(entry for entry, _ in received.rows))
+                engine.endpoints.listed(listing, {entry.endpoint: place for entry, place in received.rows})
 
             async def taken(told: bytes, count: int) -> float:
                 began = time.process_time()
@@ -336,7 +337,7 @@
 # A watch on the socket
 
 
-HELD_MS = 60  # a watch that is answered sooner is followed by a rest (membership/discovery.py, LEAST_GAP)
+HELD_MS = 60  # a watch that is answered sooner is followed by a pause (discovery/client.py)
 
 
 async def _watch(entries: int, watches: int) -> Figures:
@@ -364,10 +365,10 @@
             if seen >= wanted:
                 enough.set()
 
-        counter = Caller(address)
+        counter = DiscoveryHttpClient(address)
 
         async def counts() -> dict[str, float]:
-            told: dict[str, float] = json.loads((await counter.ask("GET", "/counts", 10)).body)
+            told: dict[str, float] = json.loads((await counter.request("GET", "/counts", 10)).body)
             return told
 
         discovery = DiscoveryClient(address, None, tell)
--- a/loftrelay/cli/run.py
+++ b/loftrelay/cli/run.py
@@ -16,7 +16,7 @@
 from loftrelay.config.platform import Config, load_config
 from loftrelay.config.toml_file import SettingsError
 from loftrelay.delivery.connection_pool import Limits
-from loftrelay.service.lifecycle import Service
+from loftrelay.service.lifecycle import RelayProcess
 
 if TYPE_CHECKING:  # each is loaded with its operator's file, which keeps other starts quick
     from loftrelay.discovery.settings import SubscriptionSettings
@@ -60,11 +60,11 @@
     Raises:
         OSError: The relay can't serve.
     """
-    service = Service(config, files.connections, files.record, files.fleet, files.subscription)
+    service = RelayProcess(config, files.connections, files.record, files.fleet, files.subscription)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, service.terminate)
-    loop.add_signal_handler(signal.SIGHUP, service.read_again)
+    loop.add_signal_handler(signal.SIGHUP, service.reload)
     await service.run()
 
 
--- a/tests/gossip/test_gossip_member.py
+++ b/tests/gossip/test_gossip_member.py
@@ -20,20 +20,16 @@
     """The part of the engine that a member observes; refuses the first changes."""
 
     def __init__(self) -> None:
-        self.disabled_hosts: set[str] = set()
+        self.disabled: set[str] = set()
         self.observers: list[Any] = []
         self.refusals = 2
         self.context = self.endpoints = self
 
-    @property
-    def disabled(self) -> set[str]:
-        return self.disabled_hosts
-
     def change(self, host: str, out: bool) -> str | None:
         if self.refusals:
             self.refusals -= 1
             return "another process of this relay is about to decide"
-        (self.disabled_hosts.add if out else self.disabled_hosts.discard)(host)
+        (self.disabled.add if out else self.disabled.discard)(host)
         for observer in self.observers:
             (observer.endpoint_disabled if out else observer.endpoint_enabled)(host)
         return None
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -168,7 +168,7 @@
         journal.close()
         second_journal.take_ownership()
         ended_before = sum(first.context.metrics.final_statuses.values())
-        second, _ = build(config(tmp_path), journal=second_journal, handed=handed)
+        second, _ = build(config(tmp_path), journal=second_journal, received=handed)
         assert set(second.context.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)) == {
             held.id for held, _ in steps.out
         }
