--- a/loftrelay/cli/run.py
+++ b/loftrelay/cli/run.py
@@ -15,13 +15,13 @@
 from loftrelay.cli.log import configure_logging
 from loftrelay.config.platform import Config, load_config
 from loftrelay.config.toml_file import SettingsError
-from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.service.lifecycle import RelayProcess
 
 if TYPE_CHECKING:  # each is loaded with its operator's file, which keeps other starts quick
     from loftrelay.discovery.settings import SubscriptionSettings
     from loftrelay.gossip.settings import GossipSettings
-    from loftrelay.store.settings import RecordSettings
+    from loftrelay.store.settings import StoreSettings
 
 OK = 0
 CANNOT_START = 1
@@ -32,8 +32,8 @@
 class OperatorFiles:
     """The operators' files, read and checked; None for one that was not given."""
 
-    connections: Limits
-    record: RecordSettings | None
+    connections: PoolSettings
+    record: StoreSettings | None
     fleet: GossipSettings | None
     subscription: SubscriptionSettings | None
 
@@ -74,15 +74,15 @@
     Raises:
         SettingsError: One of them can't be used.
     """
-    connections, record, fleet, subscription = Limits(), None, None, None
+    connections, record, fleet, subscription = PoolSettings(), None, None, None
     if options.connections:
-        from loftrelay.delivery.settings import load_limits
+        from loftrelay.delivery.settings import load_pool_settings
 
-        connections = load_limits(options.connections)
+        connections = load_pool_settings(options.connections)
     if options.record:
-        from loftrelay.store.settings import load_record
+        from loftrelay.store.settings import load_store_settings
 
-        record = load_record(options.record)
+        record = load_store_settings(options.record)
     if options.fleet:
         from loftrelay.gossip.settings import load_gossip_settings
 
--- a/loftrelay/delivery/host_client.py
+++ b/loftrelay/delivery/host_client.py
@@ -13,10 +13,29 @@
 from functools import partial
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.delivery import connection_pool
 from loftrelay.delivery.call_outcome import read_batch, read_single, tells_of_others, told_wait
+from loftrelay.delivery.connection_pool.actions import (
+    Action,
+    CloseConnection,
+    ConnectFailure,
+    FailCall,
+    LogLine,
+    OpenConnection,
+    PoolErrorKind,
+    UseConnection,
+)
+from loftrelay.delivery.connection_pool.manager import PoolManager
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.net.address import Address
-from loftrelay.net.http import Answer, AnswerSpoilt, Connection, ConnectionBroken, Headers, Unasked, Unusable
+from loftrelay.net.http import Connection
+from loftrelay.net.response_parser import (
+    ConnectionBrokenError,
+    ConnectionUnusableError,
+    Headers,
+    HttpResponse,
+    MalformedResponseError,
+)
+from loftrelay.net.unsolicited import UnsolicitedData
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.fault_points import fault_point
 from loftrelay.relay.message import Message
@@ -49,7 +68,7 @@
 class Denied(Exception):
     """No connection carries the call."""
 
-    def __init__(self, why: connection_pool.Denied) -> None:
+    def __init__(self, why: PoolErrorKind) -> None:
         super().__init__(why.name)
         self.why = why
 
@@ -75,7 +94,7 @@
     at: float  # when it was decided (the loop's seconds)
     asked: bool = False
     idle: int | None = None
-    granted: asyncio.Future[connection_pool.Use] | None = None
+    granted: asyncio.Future[UseConnection] | None = None
     line: Line | None = None  # that carries it, from its first byte on
     wait: int = 0  # told in the head of its answer, microseconds
     recalled: bool = False
@@ -114,7 +133,7 @@
         connect_timeout: int | None,
         idle_limit: int | None,
         most_connections: int,
-        limits: connection_pool.Limits,
+        limits: PoolSettings,
         seed: int,
         tried: Callable[[Message, str], None],
         ended: Callable[[Message, str, AttemptResult], None],
@@ -130,10 +149,10 @@
         most_idle = (idle_limit or NO_IDLE) - IDLE_MARGIN
         limits = replace(
             limits,
-            idle_limit=min(limits.idle_limit or most_idle, most_idle),
-            most_in_all=min(limits.most_in_all or most_connections, most_connections),
+            max_idle=min(limits.max_idle or most_idle, most_idle),
+            max_total=min(limits.max_total or most_connections, most_connections),
         )
-        self.pools = connection_pool.Pools(limits, seed)
+        self.pools = PoolManager(limits, seed)
         self.connect_timeout = connect_timeout / 1e6 if connect_timeout else NO_CONNECT
         self.tried = tried
         self.ended = ended
@@ -159,7 +178,7 @@
         """Connections to where it was lead to someone else from now on."""
         self.addresses[host] = address
         self.draining.discard(host)
-        self._do(self.pools.place(host, address, destination, self._now()))
+        self._do(self.pools.set_host(host, address, destination, self._now()))
 
     def drain_host(self, host: str) -> None:
         """Calls of which nothing is written come back. Trouble: one that waited for its connection went out
@@ -169,10 +188,10 @@
         for call in self.waiting.values():
             if call.host == host and call.granted is not None and not call.granted.done():
                 call.granted.set_exception(Stale())
-        self._do(self.pools.drain(host, self._now()))
+        self._do(self.pools.drain_host(host, self._now()))
 
     def remove_host(self, host: str) -> None:
-        self._do(self.pools.forget(host, self._now()))
+        self._do(self.pools.remove_host(host, self._now()))
         self.addresses.pop(host, None)
         self.draining.discard(host)
 
@@ -204,7 +223,7 @@
                 call.granted.set_exception(Bound())
         for call in self.calls.values():
             if call.line is not None and self.bound(call.host):
-                call.line.connection.take_back(Bound())
+                call.line.connection.withdraw(Bound())
 
     def close_all_idle_connections(self) -> None:
         """Nothing more will be sent: what stands idle goes."""
@@ -219,7 +238,7 @@
         if self.clock is not None:
             self.clock.cancel()
         for line in self.lines.values():
-            line.connection.unasked = None
+            line.connection.on_unsolicited = None
             line.connection.close()
 
     # A call
@@ -258,27 +277,27 @@
                 try:
                     answer = await self._ask(call, number, deadline)
                     break
-                except Unusable:
+                except ConnectionUnusableError:
                     call.asked, call.line = False, None
                     await self._find_why(number)
                     if call.idle == 0:
-                        raise Denied(connection_pool.Denied.NO_CONNECTION) from None
+                        raise Denied(PoolErrorKind.NO_CONNECTION) from None
             return self._answered(call, number, answer, ids)
         except JournalFullError:
-            self._do(self.pools.unused(number, self._now()))
+            self._do(self.pools.release_unused(number, self._now()))
             return dict.fromkeys(ids, AttemptResult(AttemptStatus.NOT_SENT))
         except (Bound, Stale) as why:
             if call.line is not None:  # a part of it is written
                 self._forget(number)
-                self._do(self.pools.broken(number, False, self._now()))
+                self._do(self.pools.connection_lost(number, False, self._now()))
             else:
-                self._do(self.pools.unused(number, self._now()))
+                self._do(self.pools.release_unused(number, self._now()))
             bound = isinstance(why, Bound)
             return dict.fromkeys(
                 ids, AttemptResult(AttemptStatus.NOT_SENT, is_stale=not bound, is_blocked=bound)
             )
         except Denied as denied:
-            no_room = denied.why is connection_pool.Denied.NO_ROOM
+            no_room = denied.why is PoolErrorKind.NO_ROOM
             return dict.fromkeys(
                 ids, AttemptResult(AttemptStatus.NOT_SENT if no_room else AttemptStatus.CONNECT_FAILED)
             )
@@ -287,7 +306,7 @@
             if not call.asked and (self.pulse.since(call.at) or now >= call.begin_by):
                 return dict.fromkeys(ids, AttemptResult(AttemptStatus.NOT_SENT, is_stale=True))
             if not call.asked:
-                waited = call.number in self.waiting and self.pools.waits_for_room(call.number)
+                waited = call.number in self.waiting and self.pools.is_waiting_for_release(call.number)
                 return dict.fromkeys(
                     ids, AttemptResult(AttemptStatus.NOT_SENT if waited else AttemptStatus.CONNECT_FAILED)
                 )
@@ -295,13 +314,13 @@
                 AttemptStatus.TIMEOUT,
                 call.terms.timeout >= TELLING and not self.pulse.since(call.at),
             )
-        except AnswerSpoilt:
+        except MalformedResponseError:
             result, dead = AttemptStatus.MALFORMED_RESPONSE, False
-        except ConnectionBroken:
+        except ConnectionBrokenError:
             result, dead = AttemptStatus.CONNECTION_LOST, True
         finally:
             if self.waiting.pop(call.number, None) is not None and not self.closing:
-                self._do(self.pools.withdraw(call.number, self._now()))
+                self._do(self.pools.cancel(call.number, self._now()))
         return self._broken(call, number, ids, result, dead)
 
     async def _connection(self, call: Call) -> int:
@@ -311,26 +330,26 @@
             self.waiting[call.number] = call
             most_idle = call.terms.max_connection_idle
             self._do(
-                self.pools.want(call.number, call.host, call.terms.is_at_most_once, most_idle, self._now())
+                self.pools.acquire(call.number, call.host, call.terms.is_at_most_once, most_idle, self._now())
             )
-            use: connection_pool.Use | None = None
+            use: UseConnection | None = None
             try:
                 use = await call.granted
-                if use.after:
-                    await asyncio.sleep(use.after / 1e6)
+                if use.delay:
+                    await asyncio.sleep(use.delay / 1e6)
             except asyncio.CancelledError:
                 if use is None and call.granted.done() and not call.granted.cancelled():
                     use = call.granted.result()
                 if use is not None:
-                    self._do(self.pools.unused(use.connection, self._now()))
+                    self._do(self.pools.release_unused(use.connection, self._now()))
                 raise
             line = self.lines.get(use.connection)
-            if line is not None and line.connection.usable():
+            if line is not None and line.connection.is_usable():
                 call.idle = use.idle
                 return use.connection
             await self._find_why(use.connection)
             if use.idle == 0:  # it came up and ended at once: as good as refused
-                raise Denied(connection_pool.Denied.NO_CONNECTION)
+                raise Denied(PoolErrorKind.NO_CONNECTION)
 
     async def _find_why(self, number: int) -> None:
         """A kept connection turned out to be of no use: what has come there is read, to know what it was."""
@@ -342,9 +361,9 @@
                     return
                 await asyncio.sleep(0)
         finally:
-            self._gone(number, Unasked.END)
+            self._gone(number, UnsolicitedData.CLOSED)
 
-    async def _ask(self, call: Call, number: int, deadline: float) -> Answer:
+    async def _ask(self, call: Call, number: int, deadline: float) -> HttpResponse:
         line, loop = self.lines[number], asyncio.get_running_loop()
         if self.pulse.age(loop.time()):
             for _ in range(LOOKS):  # a loop that is late reads what has come first
@@ -358,7 +377,7 @@
         call.line = line
         clock = None
         if call.begin_by < deadline:
-            clock = loop.call_at(call.begin_by, line.connection.take_back, Stale())
+            clock = loop.call_at(call.begin_by, line.connection.withdraw, Stale())
         try:
             answer = await self._request(line.connection, call, deadline)
         finally:
@@ -366,19 +385,25 @@
                 clock.cancel()
         fault_point("heard")
         took = line.connection.heard_at - line.connection.written_at
+        least = (
+            self.pools.min_response_time(number) if call.terms.is_at_most_once and answer.status == 200 else 0
+        )
+        took = line.connection.first_byte_at - line.connection.request_written_at
         least = self.pools.earliest(number) if call.terms.is_at_most_once and answer.status == 200 else 0
         if took * 1e6 < least:
             # Not believed yet: if it is a late copy, the true answer follows when the host is done. Refusals
             # come quickly by nature, their waits bind at once, and a false one can still be doubted.
             hold = min(
-                HOLD * least / (self.pools.limits.early * 1e6), MOST_HOLD, 0.9 * (deadline - loop.time())
+                HOLD * least / (self.pools.settings.early_response_fraction * 1e6),
+                MOST_HOLD,
+                0.9 * (deadline - loop.time()),
             )
             log.info(
                 "%s: an answer after %.1f ms, sooner than ever: waits for another", call.host, took * 1e3
             )
             await asyncio.sleep(hold)
-            if line.connection.surplus is Unasked.ANSWER:
-                raise AnswerSpoilt
+            if line.connection.surplus is UnsolicitedData.RESPONSE:
+                raise MalformedResponseError
         return answer
 
     def _holds(self, call: Call, deadline: float) -> None:
@@ -400,7 +425,7 @@
             call.wait = wait
             self.told(call.host, wait)
 
-    async def _request(self, connection: Connection, call: Call, deadline: float) -> Answer:
+    async def _request(self, connection: Connection, call: Call, deadline: float) -> HttpResponse:
         messages, timeout = call.messages, deadline - asyncio.get_running_loop().time()
         headers = {"Host": "host", "Request-Timeout-Ms": str(max(1, int(timeout * 1000)))}
         if not call.terms.is_batch:
@@ -417,30 +442,34 @@
         head = partial(self._head, call)
         return await connection.request("POST", path, headers, body, STALL, whole, deadline, head)
 
-    def _answered(self, call: Call, number: int, answer: Answer, ids: list[str]) -> dict[str, AttemptResult]:
+    def _answered(
+        self, call: Call, number: int, answer: HttpResponse, ids: list[str]
+    ) -> dict[str, AttemptResult]:
         """The answer is whole."""
         endings = read_batch(answer, ids) if call.terms.is_batch else {ids[0]: read_single(answer)}
         results = {ending.status for ending in endings.values()}
         well = results == {AttemptStatus.OK}
         now = self._now()
-        self.pools.fared(call.host, well, call.wait, now)
+        self.pools.record_outcome(call.host, well, call.wait, now)
         line = self.lines[number]
         line.asked, connection = False, line.connection
-        if not self.pools.first_use(number):
-            sent = wall_clock() - int((asyncio.get_running_loop().time() - connection.written_at) * 1e6)
+        if not self.pools.is_first_use(number):
+            sent = wall_clock() - int(
+                (asyncio.get_running_loop().time() - connection.request_written_at) * 1e6
+            )
             line.answers.extend(Answered(name, ending.status, sent) for name, ending in endings.items())
         others = call.terms.is_batch and tells_of_others(answer, ids)
-        connection.look_behind()
+        connection.check_surplus()
         if others:
-            connection.surplus = Unasked.ANSWER
+            connection.surplus = UnsolicitedData.RESPONSE
         if connection.surplus is not None:
             self._gone(number, connection.surplus, behind=not others)
-        elif AttemptStatus.MALFORMED_RESPONSE in results or not connection.usable():
+        elif AttemptStatus.MALFORMED_RESPONSE in results or not connection.is_usable():
             self._forget(number)
-            self._do(self.pools.broken(number, False, now))
+            self._do(self.pools.connection_lost(number, False, now))
         else:
-            took = int((connection.heard_at - connection.written_at) * 1e6) if well else None
-            self._do(self.pools.answered(number, True, now, took))
+            took = int((connection.first_byte_at - connection.request_written_at) * 1e6) if well else None
+            self._do(self.pools.response_received(number, True, now, took))
         return endings
 
     def _broken(
@@ -450,16 +479,16 @@
         now = self._now()
         line = self.lines[number]
         line.asked, connection = False, line.connection
-        self.pools.fared(call.host, False, call.wait, now)
+        self.pools.record_outcome(call.host, False, call.wait, now)
         if connection.surplus is not None:
             self._gone(number, connection.surplus)
         else:
             self._forget(number)
-            self._do(self.pools.broken(number, dead and connection.written, now))
+            self._do(self.pools.connection_lost(number, dead and connection.written, now))
         if not call.terms.is_batch and connection.says_delivered and connection.surplus is None:
             return {ids[0]: AttemptResult(AttemptStatus.OK, is_final=True)}
         return dict.fromkeys(
-            ids, AttemptResult(result if connection.written else AttemptStatus.CONNECT_FAILED)
+            ids, AttemptResult(result if connection.is_request_written else AttemptStatus.CONNECT_FAILED)
         )
 
     # Connections
@@ -467,34 +496,34 @@
     def _now(self) -> int:
         return int(asyncio.get_running_loop().time() * 1e6)
 
-    def _do(self, actions: list[connection_pool.Action]) -> None:
+    def _do(self, actions: list[Action]) -> None:
         """In order. The pools are asked again only when all is done: `actions` is theirs."""
         given_back = []
         for action in actions:
             match action:
-                case connection_pool.Use(number, connection):
+                case UseConnection(number, connection):
                     call = self.waiting.pop(number)
                     assert call.granted is not None
                     if not call.granted.done():
                         call.granted.set_result(action)
                     else:  # its time ran out a moment ago, and its task has not run since
                         given_back.append(connection)
-                case connection_pool.Deny(number, why):
+                case FailCall(number, why):
                     call = self.waiting.pop(number)
                     assert call.granted is not None
                     if not call.granted.done():
                         call.granted.set_exception(Denied(why))
-                case connection_pool.Open(host, number):
+                case OpenConnection(host, number):
                     self.opening[number] = asyncio.create_task(self._open(host, number))
-                case connection_pool.Close(number):
+                case CloseConnection(number):
                     self._forget(number)
                     if task := self.opening.pop(number, None):
                         task.cancel()
-                case connection_pool.Say(text):
+                case LogLine(text):
                     log.warning("%s", text)
         for connection in given_back:
-            self._do(self.pools.unused(connection, self._now()))
-        due = self.pools.due
+            self._do(self.pools.release_unused(connection, self._now()))
+        due = self.pools.next_timer_at
         if due is not None and (self.clock is None or due < self.clock_due) and not self.closing:
             if self.clock is not None:
                 self.clock.cancel()
@@ -503,25 +532,25 @@
 
     def _tick(self) -> None:
         self.clock = None
-        self._do(self.pools.tick(max(self._now(), self.clock_due)))
+        self._do(self.pools.run_timers(max(self._now(), self.clock_due)))
 
     async def _open(self, host: str, number: int) -> None:
-        why = connection_pool.Lost.REFUSED
+        why = ConnectFailure.REFUSED
         try:
             connection = await self._connected(host)
         except TimeoutError:
-            why = connection_pool.Lost.SILENT
+            why = ConnectFailure.SILENT
         except OSError as error:
             if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                why = connection_pool.Lost.DESCRIPTORS
+                why = ConnectFailure.DESCRIPTORS
         else:
             self.opening.pop(number, None)
             self.lines[number] = Line(host, connection)
             connection.unasked = partial(self._gone, number)
-            self._do(self.pools.up(number, self._now()))
+            self._do(self.pools.connected(number, self._now()))
             return
         self.opening.pop(number, None)
-        self._do(self.pools.failed(number, why, self._now()))
+        self._do(self.pools.connect_failed(number, why, self._now()))
 
     async def _connected(self, host: str) -> Connection:
         """Raises OSError (TimeoutError among them). Time in which the process stood still tells nothing."""
@@ -536,23 +565,23 @@
 
     def _forget(self, number: int) -> None:
         if line := self.lines.pop(number, None):
-            line.connection.unasked = None
+            line.connection.on_unsolicited = None
             line.connection.close()
 
-    def _gone(self, number: int, what: Unasked, behind: bool = False) -> None:
+    def _gone(self, number: int, what: UnsolicitedData, behind: bool = False) -> None:
         """Something came on a connection that nothing was asked for: it is of no further use."""
         if (line := self.lines.get(number)) is None:
             return
         if line.asked:  # behind an answer that is not judged yet
-            if what is not Unasked.END:
+            if what is not UnsolicitedData.CLOSED:
                 line.connection.surplus = what
             return
         self._forget(number)
         if what is Unasked.END:
-            self._do(self.pools.closed(number, self._now()))
+            self._do(self.pools.closed_by_peer(number, self._now()))
             return
         line.connection.surplus = what
-        self._do(self.pools.surplus(number, what is Unasked.ANSWER, self._now(), behind))
+        self._do(self.pools.unsolicited_data(number, what is Unasked.ANSWER, self._now(), behind))
         if what is Unasked.ANSWER and line.answers:
             names = ", ".join(f"{a.message} ({a.result.value})" for a in line.answers)
             log.error(
--- a/loftrelay/server/http/lingering_close.py
+++ b/loftrelay/server/http/lingering_close.py
@@ -9,7 +9,7 @@
 
 import asyncio
 
-from loftrelay.net.http import unread
+from loftrelay.net.unsolicited import peek_unread
 
 LINGER_TIMEOUT_S = 0.5
 MAX_DISCARDED_BYTES = 1 << 20
@@ -34,7 +34,7 @@
 
     def end(self, transport: asyncio.Transport) -> None:
         """Closes the connection, without a reset unless bytes are unread or unsent."""
-        if not unread(transport) and not transport.get_write_buffer_size():
+        if not peek_unread(transport) and not transport.get_write_buffer_size():
             transport.close()
         else:
             transport.abort()
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from loftrelay.config.platform import Config
-from loftrelay.delivery.connection_pool import Limits
+from loftrelay.delivery.connection_pool.settings import PoolSettings
 from loftrelay.delivery.host_client import HostClient
 from loftrelay.discovery.client import DiscoveryClient
 from loftrelay.discovery.status_reporter import FinalStatusReporter
@@ -20,12 +20,12 @@
     from loftrelay.discovery.settings import SubscriptionSettings
     from loftrelay.discovery.subscriber import Subscriber
 
-DEFAULT_LIMITS = Limits()
+DEFAULT_POOL_SETTINGS = PoolSettings()
 
 
 def build(
     config: Config,
-    connections: Limits = DEFAULT_LIMITS,
+    connections: PoolSettings = DEFAULT_POOL_SETTINGS,
     journal: Journal | None = None,
     store: MessageStore | None = None,
     received: HandoverState | None = None,
@@ -67,7 +67,7 @@
     return engine, journal
 
 
-def _host_client(config: Config, connections: Limits, journal: Journal, engine: Engine) -> HostClient:
+def _host_client(config: Config, connections: PoolSettings, journal: Journal, engine: Engine) -> HostClient:
     return HostClient(
         config.settings.connect_timeout,
         config.settings.connection_idle_timeout,
--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -19,7 +19,8 @@
     EndpointListReceived,
     EndpointState,
 )
-from loftrelay.delivery.connection_pool import Group, Server
+from loftrelay.delivery.connection_pool.host import HostPool
+from loftrelay.delivery.connection_pool.prewarm import DestinationHealth
 from loftrelay.discovery.endpoint_list import decode_rows
 from loftrelay.net.address import Address
 from loftrelay.relay.engine import Engine
@@ -82,7 +83,7 @@
     """No cycle leads there: the collector does not look at what a long list brought."""
 
     async def scenario() -> None:
-        kinds = (Endpoint, Destination, Server, Group)
+        kinds = (Endpoint, Destination, HostPool, DestinationHealth)
         gc.collect()
         gc.disable()
         before = [count(kind) for kind in kinds]  # what other tests have left
