--- a/loftrelay/server/admin/commands.py
+++ b/loftrelay/server/admin/commands.py
@@ -93,10 +93,9 @@
             return f"no host has the id {host}"
         if (host in engine.endpoints.disabled) == is_disabled:
             return None
+        disabled = engine.endpoints.disabled
         try:
-            self.store.save(
-                engine.endpoints.disabled | {host} if is_disabled else engine.endpoints.disabled - {host}
-            )
+            self.store.save(disabled | {host} if is_disabled else disabled - {host})
         except OSError as error:
             log.error("Disabled hosts can't be written: %s", error)
             return f"it can't be written down: {error}"
