--- a/loftrelay/server/http/connection.py
+++ b/loftrelay/server/http/connection.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from loftrelay.net.http import unread
+from loftrelay.net.unsolicited import peek_unread
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.intake import OVERLOAD_RETRY_AFTER_MS
 from loftrelay.server.http.connection_state import ClientKind, ConnectionState
@@ -123,7 +123,7 @@
     @property
     def is_evictable(self) -> bool:
         """Idle, with no unread bytes: closing over a request that has arrived would lose it."""
-        return self.is_idle and self.transport is not None and not unread(self.transport)
+        return self.is_idle and self.transport is not None and not peek_unread(self.transport)
 
     @property
     def can_be_handed_over(self) -> bool:
