--- a/loftrelay/decisions/gate.py
+++ b/loftrelay/decisions/gate.py
@@ -56,7 +56,9 @@
         self.next_attempt_at = source.next_attempt_at
         self.breaker = replace(source.breaker)
         self.rate_limiter = replace(source.rate_limiter)
-        self.slow_start = SlowStart(source.slow_start.started_at, list(source.slow_start.recent_calls))
+        self.slow_start = SlowStart(
+            source.slow_start.started_at, list(source.slow_start.recent_calls) or None
+        )
 
 
 @dataclass(slots=True)
@@ -127,7 +129,7 @@
             jitter=self.jitter,
             last_call_at=self.last_call_at,
         )
-        gate.slow_start = SlowStart(self.slow_start_at, list(self.recent_calls))
+        gate.slow_start = SlowStart(self.slow_start_at, list(self.recent_calls) or None)
 
     def heed_retry_after(self, until: int) -> None:
         """Allows no call before a time; an earlier one does not shorten a later one."""
--- a/loftrelay/decisions/slow_start.py
+++ b/loftrelay/decisions/slow_start.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass, field
+from collections.abc import Sequence
+from dataclasses import dataclass
 
 from loftrelay.decisions.limits import Limits
 from loftrelay.decisions.units import SECOND_US
@@ -15,33 +16,44 @@
 EXTRA_MESSAGE_WEIGHT = 0.25  # of each further message in a batch call, against the budget
 
 
+RecentCall = tuple[int, float]  # when it was sent, and its weight
+
+
 @dataclass(slots=True)
 class SlowStart:
     """Recovery of one destination, and its recent calls."""
 
     started_at: int | None = None  # None: the destination is at its full rate
-    recent_calls: list[tuple[int, float]] = field(
-        default_factory=list
-    )  # when sent, weight; an overload window
+    calls: list[RecentCall] | None = None  # of an overload window; None keeps an idle destination small
 
     @property
     def is_active(self) -> bool:
         """Whether the destination is recovering, as far as known at the last look."""
         return self.started_at is not None
 
+    @property
+    def recent_calls(self) -> Sequence[RecentCall]:
+        """The calls of the last overload window, and maybe earlier ones; oldest first."""
+        return self.calls or ()
+
     @property
     def spent(self) -> float:
-        """Weight of the calls in the last overload window."""
+        """Weight of the recent calls."""
         return sum(weight for _, weight in self.recent_calls)
 
     def drop_old_calls(self, now: int, limits: Limits) -> None:
         """Forgets calls that have left the overload window."""
-        while self.recent_calls and self.recent_calls[0][0] <= now - limits.overload_window:
-            del self.recent_calls[0]
+        calls = self.calls
+        while calls and calls[0][0] <= now - limits.overload_window:
+            del calls[0]
 
     def record_call(self, now: int, messages: int, limits: Limits) -> None:
         """Counts a call of so many messages."""
-        self.recent_calls.append((now, 1 + EXTRA_MESSAGE_WEIGHT * (messages - 1)))
+        call = (now, 1 + EXTRA_MESSAGE_WEIGHT * (messages - 1))
+        if self.calls is None:
+            self.calls = [call]
+        else:
+            self.calls.append(call)
         self.drop_old_calls(now, limits)
 
     def budget(self, now: int, limits: Limits, demand: float) -> float:
--- a/loftrelay/delivery/host_client.py
+++ b/loftrelay/delivery/host_client.py
@@ -192,8 +192,8 @@
             results = call.all_results(AttemptResult(status))
         if call.is_withdrawn:
             return  # in the pass in which its lease failed
-        self.stall_detector.look(asyncio.get_running_loop().time())
-        is_late = self.stall_detector.since(call.decided_at)
+        self.stall_detector.check(asyncio.get_running_loop().time())
+        is_late = self.stall_detector.has_stalled_since(call.decided_at)
         for message in call.messages:
             result = results[message.id]
             retry_after = max(result.retry_after, call.retry_after)
@@ -219,7 +219,7 @@
             if not call.is_started:
                 return call.all_results(self._unsent_timeout(call))
             is_telling = call.options.timeout >= MIN_TELLING_TIMEOUT_S
-            is_dead = is_telling and not self.stall_detector.since(call.decided_at)
+            is_dead = is_telling and not self.stall_detector.has_stalled_since(call.decided_at)
             return self._handle_loss(call, AttemptStatus.TIMEOUT, is_dead)
         except MalformedResponseError:
             return self._handle_loss(call, AttemptStatus.MALFORMED_RESPONSE, False)
@@ -246,7 +246,7 @@
     async def _request(self, call: HostCall) -> HttpResponse:
         """Records the attempt and makes the request on the call's connection."""
         loop, opened = asyncio.get_running_loop(), self.driver.connections[call.connection]
-        if self.stall_detector.age(loop.time()):
+        if self.stall_detector.input_age(loop.time()):
             for _ in range(PASSES_WHEN_LATE):
                 await asyncio.sleep(0)
         self._check_decision(call)
@@ -317,8 +317,8 @@
             BlockedCallError: A Retry-After applies to the host.
         """
         now = asyncio.get_running_loop().time()
-        self.stall_detector.look(now)
-        if self.stall_detector.since(call.decided_at) or now >= min(call.deadline, call.send_by):
+        self.stall_detector.check(now)
+        if self.stall_detector.has_stalled_since(call.decided_at) or now >= min(call.deadline, call.send_by):
             raise StaleCallError
         if call.host in self.draining or call.host not in self.driver.addresses:
             raise StaleCallError
@@ -383,7 +383,7 @@
     def _unsent_timeout(self, call: HostCall) -> AttemptResult:
         """The result of a call that got no connection in time."""
         is_overdue = asyncio.get_running_loop().time() >= call.send_by
-        if self.stall_detector.since(call.decided_at) or is_overdue:
+        if self.stall_detector.has_stalled_since(call.decided_at) or is_overdue:
             return AttemptResult(AttemptStatus.NOT_SENT, is_stale=True)
         is_local = self.driver.is_waiting_for_release(call)
         return AttemptResult(AttemptStatus.NOT_SENT if is_local else AttemptStatus.CONNECT_FAILED)
--- a/loftrelay/delivery/pool_driver.py
+++ b/loftrelay/delivery/pool_driver.py
@@ -140,8 +140,8 @@
         try:
             return await Connection.open(self.addresses[host], self.connect_timeout)
         except TimeoutError:
-            self.stall_detector.look(loop.time())
-            if not self.stall_detector.since(started_at):
+            self.stall_detector.check(loop.time())
+            if not self.stall_detector.has_stalled_since(started_at):
                 raise
         return await Connection.open(self.addresses[host], self.connect_timeout)
 
--- a/loftrelay/relay/batch_loop.py
+++ b/loftrelay/relay/batch_loop.py
@@ -54,8 +54,8 @@
     def is_lagging(self) -> bool:
         """Whether input may be old: a due batch has not run, or input from during a stall is not read."""
         now = asyncio.get_running_loop().time()
-        self.stall_detector.look(now)
-        if self.stall_detector.woke > self.settled_at:
+        self.stall_detector.check(now)
+        if self.stall_detector.last_stall_at > self.settled_at:
             return True
         return self.is_batch_due and now - self.due_at >= STALL_THRESHOLD_S
 
@@ -77,7 +77,7 @@
         if 0 <= now - self.last_batch_at < self.interval:
             self.due_at = self.last_batch_at + self.interval
             loop.call_at(self.due_at, self.run_due_batch)
-        elif self.stall_detector.age(now):
+        elif self.stall_detector.input_age(now):
             # Input read on waking may be old: whether its client has left is read in the next pass.
             self.due_at = now + self.interval
             loop.call_at(self.due_at, self.run_due_batch)
@@ -89,9 +89,11 @@
     def run_due_batch(self) -> None:
         """Runs the batch that is due, or has all input read first if the process was stalled."""
         loop = asyncio.get_running_loop()
-        self.stall_detector.ran(self.due_at, loop.time())
-        if self.stall_detector.woke > self.settled_at:
-            log.warning("process stalled for %.2f s, reading pending input first", self.stall_detector.stood)
+        self.stall_detector.check_run(self.due_at, loop.time())
+        if self.stall_detector.last_stall_at > self.settled_at:
+            log.warning(
+                "process stalled for %.2f s, reading pending input first", self.stall_detector.last_stall_s
+            )
             self._settle(PASSES_AFTER_STALL)
             return
         self.is_batch_due = False
@@ -109,12 +111,12 @@
             asyncio.get_running_loop().call_soon(self._settle, passes - 1)
             return
         # Also stalls noticed while it settled: batches go on where a machine is starved all along.
-        self.settled_at = self.stall_detector.woke
+        self.settled_at = self.stall_detector.last_stall_at
         self.due_at = asyncio.get_running_loop().time()
         if not self.is_enabled():
             self.is_batch_due = False
             return
-        self.after_stall(self.stall_detector.stood)
+        self.after_stall(self.stall_detector.last_stall_s)
         self.run_due_batch()
 
     def _with_remaining_times(self) -> list[Event]:
--- a/loftrelay/server/http/connection.py
+++ b/loftrelay/server/http/connection.py
@@ -195,7 +195,7 @@
     def _submit(self, request: h11.Request) -> None:
         engine = self.server.engine
         # The timeout counts from when the client sent the request, which was earlier if the loop is late.
-        age_s = engine.context.stall_detector.age(asyncio.get_running_loop().time())
+        age_s = engine.context.stall_detector.input_age(asyncio.get_running_loop().time())
         received_at_us = wall_clock() - int(age_s * 1e6)
         body = bytes(self._exchange.body)
         message = parse_message(engine.context.accepted_classes, request, received_at_us, body)
--- a/loftrelay/server/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -179,8 +179,8 @@
     def _check_timeouts(self) -> None:
         loop = asyncio.get_running_loop()
         self.sweep_timer = loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
-        self.engine.context.stall_detector.look(loop.time())
-        self.engine.context.stall_detector.expect(self.sweep_timer.when())
+        self.engine.context.stall_detector.check(loop.time())
+        self.engine.context.stall_detector.expect_run_at(self.sweep_timer.when())
         for client in (*self.connections.active(), *self.connections.lingering):
             if client.deadline <= loop.time() and (client.is_closing or not self.is_paused):
                 client.on_timeout()
--- a/tests/decisions/test_let_go.py
+++ b/tests/decisions/test_let_go.py
@@ -398,7 +398,7 @@
     assert gate.rate_limiter.calls_per_second == 7.5
     assert gate.window.size == 0.25
     assert gate.slow_start.started_at == d.now
-    gate.slow_start.recent_calls.extend([(d.now - 3 * S, 1.0), (d.now - S, 1.25), (d.now - 1, 1.0)])
+    gate.slow_start.calls = [(d.now - 3 * S, 1.0), (d.now - S, 1.25), (d.now - 1, 1.0)]
     let_go(d)
     listed(d, entry("a", kind=kind))
     other = d.brain.state.endpoints["a"].gate
--- a/tests/program/test_fault_points.py
+++ b/tests/program/test_fault_points.py
@@ -12,18 +12,18 @@
 
 import pytest
 
-from loftrelay.relay.fault_points import NOTICE_STEPS, STEPS, TAKING_STEPS
+from loftrelay.relay.fault_points import DELIVERY_POINTS, FINAL_STATUS_POINTS, SUCCESSOR_POINTS
 from loftrelay.store.state_machine import RecordState, StoredAnswer
 from tests.program.test_record import entries, until, with_store
 from tests.standins.platform import HANG, SETTINGS, Request, World, reply, run
 
 LIMITS = {**SETTINGS["policy_limits"], "most_tries": 1}
 # Host's answer, the message's end, and the steps on the way there.
-COMMON = [step for step in STEPS if step not in ("journal end", "journal over")]
+COMMON = [step for step in DELIVERY_POINTS if step not in ("journal end", "journal over")]
 WAYS = [
-    *((200, step) for step in STEPS),
-    *((500, step) for step in (*COMMON, *NOTICE_STEPS)),
-    *((503, step) for step in NOTICE_STEPS),
+    *((200, step) for step in DELIVERY_POINTS),
+    *((500, step) for step in (*COMMON, *FINAL_STATUS_POINTS)),
+    *((503, step) for step in FINAL_STATUS_POINTS),
 ]
 
 
@@ -89,7 +89,7 @@
         await until(path, ["m"], RecordState.REPORTED)
         await w.until(lambda: "step journal over" in w.log)
         passed = [line[5:] for line in w.log if line.startswith("step ")]
-        assert [step for step in passed if step not in TAKING_STEPS] == list(STEPS)
+        assert [step for step in passed if step not in SUCCESSOR_POINTS] == list(DELIVERY_POINTS)
         assert entries(path)["m"].answer is StoredAnswer.DELIVERED
 
     run(scenario, tmp_path)
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from loftrelay.relay.fault_points import GIVING_STEPS
+from loftrelay.relay.fault_points import PREDECESSOR_POINTS
 from loftrelay.store.state_machine import RecordState, StoredAnswer
 from tests.program.test_record import until, with_store
 from tests.standins.partner import Behaviour, Call, Doing, Partner
@@ -213,16 +213,16 @@
         w.name(2)
         w.share_listener()
         stalled, plain = ["-m", "tests.standins.stalled", step, "0"], w.program
-        w.program = stalled if step in GIVING_STEPS else plain
+        w.program = stalled if step in PREDECESSOR_POINTS else plain
         await w.start()
         for i in range(5):
             assert await w.hand_in(f"m{i}", dest=2, **SHORT) == 202  # no host of it serves
-        w.program = plain if step in GIVING_STEPS else stalled
+        w.program = plain if step in PREDECESSOR_POINTS else stalled
         assert w.process is not None
         old = w.process
         await w.start_beside()
         new = w.process
-        w.process = old if step in GIVING_STEPS else new
+        w.process = old if step in PREDECESSOR_POINTS else new
         await stopped(w)
         await asyncio.sleep(TIME + 0.2)
         go_on(w)
--- a/tests/program/test_upgrade.py
+++ b/tests/program/test_upgrade.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from loftrelay.relay.fault_points import GIVING_STEPS, TAKING_STEPS
+from loftrelay.relay.fault_points import PREDECESSOR_POINTS, SUCCESSOR_POINTS
 from tests.standins.platform import (
     HANG,
     Request,
@@ -226,7 +226,7 @@
     play(scenario, tmp_path)
 
 
-@pytest.mark.parametrize("step", GIVING_STEPS)
+@pytest.mark.parametrize("step", PREDECESSOR_POINTS)
 def test_the_process_that_serves_is_killed_at_each_step(tmp_path: Path, step: str) -> None:
     """The other one goes on: what may have run and must not run twice fails, the rest is delivered."""
 
@@ -253,7 +253,7 @@
     play(scenario, tmp_path)
 
 
-@pytest.mark.parametrize("step", TAKING_STEPS)
+@pytest.mark.parametrize("step", SUCCESSOR_POINTS)
 def test_the_process_that_takes_over_is_killed_at_each_step(tmp_path: Path, step: str) -> None:
     """The one before it serves, as it did or anew from the journal, and a third can take over from it."""
 
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -116,7 +116,7 @@
             await asyncio.sleep(0)
         if engine.context.loop.timer is not None:
             engine.context.loop.timer.cancel()
-        engine.context.stall_detector.woke = asyncio.get_running_loop().time()
+        engine.context.stall_detector.last_stall_at = asyncio.get_running_loop().time()
         statuses: list[int] = []
         now = wall_clock()
         held = Message("m", 0, "status", "acme", 1, None, now, now + 9_000_000)
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -278,7 +278,7 @@
             await asyncio.sleep(0)
         engine.endpoints.listed(*listing("h1"))
         engine.context.loop.run_due_batch()
-        engine.context.stall_detector.woke = asyncio.get_running_loop().time()  # it stood still
+        engine.context.stall_detector.last_stall_at = asyncio.get_running_loop().time()  # it stood still
         engine.destination_resolved(1, ResolutionStatus.RESOLVED)
         assert answers == {"a": (503, 1000)}
         assert engine.context.loop.is_batch_due
--- a/tests/standins/killed.py
+++ b/tests/standins/killed.py
@@ -13,7 +13,7 @@
 
 def kill_at(step: str) -> None:
     """Raises SystemExit for a step that isn't there: nothing would ever be killed."""
-    if step not in fault_points.ALL_STEPS:
+    if step not in fault_points.ALL_POINTS:
         raise SystemExit(f"there is no step {step!r}")
 
     def listen(reached: str) -> None:
--- a/tests/standins/stalled.py
+++ b/tests/standins/stalled.py
@@ -14,7 +14,7 @@
 
 def stop_at(step: str, shift: float) -> None:
     """Raises SystemExit for a step that isn't there: nothing would ever stop."""
-    if step not in fault_points.ALL_STEPS:
+    if step not in fault_points.ALL_POINTS:
         raise SystemExit(f"there is no step {step!r}")
     true = time.time_ns
 
