--- a/loftrelay/store/postgres.py
+++ b/loftrelay/store/postgres.py
@@ -77,8 +77,8 @@
 )
 
 
-class Raced(Exception):
-    """Another wrote a row that was read here."""
+class ConcurrentWriteError(Exception):
+    """Another writer has changed a row since it was read here."""
 
 
 class PostgresStore:
@@ -158,6 +158,7 @@
         return StoreUnusableError(text)
 
     def close(self) -> None:
+        """Closes the database."""
         with contextlib.suppress(psycopg.Error):
             self.database.close()
 
@@ -174,7 +175,7 @@
                     self.database.execute("COMMIT")
                 except psycopg.Error as error:
                     raise self._told(error, committing=True) from error
-        except Raced as error:
+        except ConcurrentWriteError as error:
             self._roll_back()
             raise StoreUnavailableError(f"{error}: another instance wrote them meanwhile") from error
         except BaseException:
@@ -204,7 +205,7 @@
                 if rows:
                     cursor.executemany(text.encode(), rows)
                     if cursor.rowcount != len(rows):
-                        raise Raced(f"{len(rows) - cursor.rowcount} of {len(rows)} rows")
+                        raise ConcurrentWriteError(f"{len(rows) - cursor.rowcount} of {len(rows)} rows")
             if group.attempts:
                 cursor.executemany(ATTEMPT.encode(), [attempt.row for attempt in group.attempts.values()])
 
@@ -217,10 +218,12 @@
         return {entry.message: entry for entry in map(record_of, rows)}
 
     def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
+        """Returns the records of these messages, where there are any."""
         with self._call():
             return self._read(messages)
 
     def select(self, query: RecordQuery) -> Iterator[MessageRecord]:
+        """Yields the records that a query asks for."""
         terms, given = conditions(query, "%s")
         text = f"SELECT {COLUMNS} FROM messages WHERE {terms} ORDER BY taken_at, id"
         if query.limit is not None:
@@ -231,6 +234,7 @@
         yield from map(record_of, rows)
 
     def prune(self, before: int, most: int) -> int:
+        """Deletes so many records at most that were reported before a time; returns how many."""
         with self._call():
             self.database.execute("BEGIN")
             rows = self.database.execute(
@@ -243,6 +247,7 @@
         return len(rows)
 
     def verify(self) -> list[str]:
+        """Returns what is inconsistent in the database, a line each."""
         said = [line for entry in self.select(RecordQuery()) for line in inconsistencies(entry)]
         with self._call():
             rows = self.database.execute(ATTEMPT_COUNT_MISMATCHES).fetchall()
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -1,7 +1,7 @@
-"""Tells the store of record what happens to each message, in the order of its life, through the writer.
+"""Records what happens to each message in the store of record, in order, through the writer.
 
-It keeps for each open message where its record stands, counted with what is queued, so that each change has
-its number.
+It keeps for each open message where its record stands, with what is queued, so that each change has its
+number.
 """
 
 from __future__ import annotations
@@ -49,18 +49,19 @@
 
 @dataclass(slots=True)
 class AdmissionDecision:
-    """What became of a TAKE. `known`: NEW when the store has it now; `retry_ms`: refused, come back then."""
+    """What the store says of an admission: `known_id` is NEW once it has the message."""
 
     known_id: KnownId = KnownId.NEW
     retry_after_ms: int = 0
 
     @property
     def status(self) -> int:
+        """Of the answer to its client, where the id is known; 0 for a new one."""
         return STATUSES[self.known_id]
 
 
 def journal_standing(held: Message) -> state_machine.JournalStanding:
-    """What the journal tells of a message at a start."""
+    """Returns what the journal has of a message at a start."""
     if held.final_status is not None:
         return (
             state_machine.JournalStanding.DELIVERED
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True)
 class RecordPosition:
-    """Where a message's record stands once all that is queued is written."""
+    """Where the record of a message stands once all that is queued is written."""
 
     mode: DurabilityMode
     run: int = 1
@@ -84,9 +85,21 @@
     state: RecordState | None = None  # None: nothing of it is recorded yet
 
 
+def _ignore(decision: AdmissionDecision) -> None:
+    """For a message whose admission nobody waits for."""
+    del decision
+
+
 class Recorder:
-    """`memory`: for how long after its end an id is answered as before (microseconds). `patience`: how long
-    the store may take for a message before its client is refused (seconds).
+    """Records what happens to the messages of one relay.
+
+    Args:
+        writer: writes the changes.
+        instance: the name of this relay.
+        modes: how each class is recorded.
+        memory: microseconds after its end for which an id is answered as before.
+        keep: microseconds for which records are kept; None: for good.
+        patience: seconds that the store may take for a message before its client is rejected.
     """
 
     def __init__(
@@ -130,7 +143,7 @@
         return [e for e in store.select(RecordQuery(unfinished=True)) if e.facts.instance == self.instance]
 
     def unfinished_without_journal(self, held: Mapping[str, Message]) -> list[str]:
-        """Those that the store holds unfinished, and the journal does not know."""
+        """Returns the messages that are unfinished in the store and not in the journal."""
         return [
             name
             for name, entry in self.records_at_start.items()
@@ -138,7 +151,7 @@
         ]
 
     def recover(self, held: Message | None, message: str, unsafe: bool) -> RecoveryAction:
-        """What is to be done with a message at a start (`Mend`, by name). Its record goes on then."""
+        """Returns what a start does about a message, and goes on with its record."""
         entry = self.records_at_start.pop(message, None)
         class_name = (
             held.class_name if held is not None else entry.facts.class_name if entry is not None else ""
@@ -152,7 +165,7 @@
         if entry is not None:
             track.run, track.number, track.state = entry.run, entry.number, entry.state
         elif held is not None:
-            self._take(held, track, 1, lambda verdict: None, optional=False)
+            self._take(held, track, 1, _ignore, optional=False)
             if held.attempts:  # as far as the journal tells
                 self._post(
                     message,
@@ -172,20 +185,21 @@
         return mend
 
     def recorded_answer(self, message: str) -> str | None:
-        """The final answer that the store had at the start."""
+        """Returns how a message ended, as the store had it at the start."""
         entry = self.records_at_start.get(message)
         return entry.answer.value if entry is not None and entry.answer is not None else None
 
     def drop(self, message: str) -> None:
-        """Nothing more is recorded of it."""
+        """Records nothing more of a message."""
         self.positions.pop(message, None)
 
     # A message's life
 
     def admit(self, held: Message, done: Callable[[AdmissionDecision], None]) -> None:
-        """Calls back when the store has it, or why not; at once where the class only follows. A store that is
-        slow refuses, too: what it has in the end is recorded as refused. An id whose earlier life is not yet
-        recorded to its end, of a client that was refused so or went before its answer, is refused as well.
+        """Stores a new message; `done` is told when it has it, or why not, at once for WRITE_BEHIND classes.
+
+        A slow store rejects, too: what it has in the end is recorded as rejected. An id whose earlier record
+        not complete yet is rejected as well.
         """
         if held.id in self.positions:
             done(self._refusal())
@@ -198,7 +212,7 @@
                 self.drop(held.id)
                 done(AdmissionDecision(retry_after_ms=self.writer.retry_after_ms))
                 return
-            self._take(held, track, 1, lambda verdict: None)
+            self._take(held, track, 1, _ignore)
             done(AdmissionDecision())
             return
         late = False
@@ -279,8 +293,9 @@
             )
 
     def request_attempt(self, messages: Sequence[Message], host: str, done: Callable[[bool], None]) -> None:
-        """Calls back once the intent of all that are required is committed (True), or is not (False): then
-        none of them may go out.
+        """Records the begin of an attempt; `done` is told whether all WRITE_AHEAD messages are committed.
+
+        If not, none of them may be sent.
         """
         waiting, failed = 0, False
 
@@ -309,7 +324,7 @@
             done(True)
 
     def attempt_ended(self, message: str, result: str) -> None:
-        """An attempt ended otherwise than by a delivery."""
+        """Records that an attempt ended other than by a delivery."""
         track = self.positions.get(message)
         if track is not None and track.state is RecordState.IN_FLIGHT:
             self._post(message, track, ChangeKind.END_ATTEMPT, result=result)
@@ -317,9 +332,10 @@
     def record_final_status(
         self, message: str, answer: str, result: str | None, done: Callable[[], None]
     ) -> None:
-        """Calls back when the store has the final answer; at once where the class only follows, or nothing is
-        recorded of the message. A delivery is always waited for: the journal keeps it until then, and nobody
-        else waits.
+        """Records how a message ends; `done` is called once that is committed.
+
+        It is called at once for WRITE_BEHIND classes, deliveries aside, and where nothing is recorded of the
+        message. A delivery is always waited for: the journal keeps it until then, and nobody else waits.
         """
         track, final = self.positions.get(message), StoredAnswer(answer)
         if track is None:
@@ -345,7 +361,7 @@
             self._write(message, track, ChangeKind.DECIDE, done, answer=final, result=result)
 
     def final_status_reported(self, message: str) -> None:
-        """Whoever was owed the end has heard it."""
+        """Records that whoever waits for the end of a message has it."""
         track = self.positions.pop(message, None)
         if track is not None and track.state is RecordState.ENDED:
             self._post(message, track, ChangeKind.REPORT)
@@ -372,7 +388,7 @@
         result: str | None = None,
         answer: StoredAnswer | None = None,
     ) -> None:
-        """Nobody waits for it."""
+        """Queues a change that nobody waits for."""
         urgent = track.mode is DurabilityMode.WRITE_AHEAD and kind is not ChangeKind.REPORT
         self.writer.put(self._change(message, track, kind, host, result, answer), urgent=urgent)
 
@@ -386,7 +402,7 @@
         answer: StoredAnswer | None = None,
         urgent: bool = True,
     ) -> None:
-        """Calls back when it is committed, or never will be: then the log says so."""
+        """Queues a change; `done` is called when it is committed, or never will be: then the log says so."""
 
         def written(error: Exception | None) -> None:
             if error is not None:
@@ -413,6 +429,7 @@
             await asyncio.sleep(PRUNE_INTERVAL_S)
 
     async def close(self) -> None:
+        """Stops pruning, and writes what is queued."""
         if self.pruning is not None:
             self.pruning.cancel()
         await self.writer.close()
--- a/loftrelay/store/sqlite.py
+++ b/loftrelay/store/sqlite.py
@@ -125,6 +125,7 @@
         return code & 0xFF
 
     def close(self) -> None:
+        """Closes the database."""
         self.database.close()
 
     def commit(self, changes: Sequence[Change]) -> dict[int, MessageRecord]:
@@ -176,12 +177,14 @@
         return found
 
     def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
+        """Returns the records of these messages, where there are any."""
         try:
             return self._read(messages)
         except sqlite3.Error as error:
             raise StoreUnavailableError(f"{self.path}: {error}") from error
 
     def select(self, query: RecordQuery) -> Iterator[MessageRecord]:
+        """Yields the records that a query asks for."""
         terms, given = conditions(query, "?")
         text = f"SELECT {COLUMNS} FROM messages WHERE {terms} ORDER BY taken_at, id LIMIT ?"
         try:
@@ -191,6 +194,7 @@
             raise StoreUnavailableError(f"{self.path}: {error}") from error
 
     def prune(self, before: int, most: int) -> int:
+        """Deletes so many records at most that were reported before a time; returns how many."""
         try:
             self.database.execute("BEGIN IMMEDIATE")
             rows = self.database.execute(
@@ -205,6 +209,7 @@
         return len(rows)
 
     def verify(self) -> list[str]:
+        """Returns what is inconsistent in the database, a line each."""
         try:
             said = [row[0] for row in self.database.execute("PRAGMA integrity_check") if row[0] != "ok"]
             for entry in self.select(RecordQuery()):
