--- a/loftrelay/decisions/availability.py
+++ b/loftrelay/decisions/availability.py
@@ -11,7 +11,7 @@
 from loftrelay.decisions.demand import demand_rate
 from loftrelay.decisions.entities import Destination
 from loftrelay.decisions.gate import Gate
-from loftrelay.decisions.retry import MAX_PAUSE_US
+from loftrelay.decisions.retry import MAX_PROBE_INTERVAL_US
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import NEVER
 
@@ -38,7 +38,7 @@
     budget = slow_start_budget(state, gate, destination)
     if budget < 1:
         return max(allowed_at, limiter.last_call_at + int(limiter.jitter * _probe_interval(state, budget)))
-    return slow_start.next_call_at(budget, state.limits, allowed_at)
+    return slow_start.next_fit_at(budget, state.limits, allowed_at)
 
 
 def slow_start_budget(state: DecisionState, gate: Gate, destination: Destination) -> float:
@@ -51,5 +51,5 @@
 
     The probes of all relays together must not overload what comes back, however small the part of each is.
     """
-    longest = MAX_PAUSE_US * max(1.0, state.limits.relay_count / PROBING_RELAYS)
+    longest = MAX_PROBE_INTERVAL_US * max(1.0, state.limits.relay_count / PROBING_RELAYS)
     return min(state.limits.overload_window / max(budget, MIN_BUDGET), longest)
--- a/loftrelay/decisions/circuit_breaker.py
+++ b/loftrelay/decisions/circuit_breaker.py
@@ -1,7 +1,7 @@
 """Circuit breaker: when a destination counts as failing, and is called by single probes alone.
 
-The circuit opens (`should_open`) while calls are paused and either failures have lasted, most calls fail, or
-this relay's part of the traffic is so small that one failure is all it can see. It closes with the first
+The circuit opens (`open_if_failing`) while calls are paused and either failures have lasted, most calls fail,
+or this relay's part of the traffic is so small that one failure is all it can see. It closes with the first
 success, and slow start begins (`slow_start.py`).
 """
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class CircuitBreaker:
-    """Failures of one destination. Times are in microseconds."""
+    """Failures behind one gate. Times are in microseconds."""
 
     consecutive_failures: int = 0
     failing_since: int = 0
@@ -53,14 +53,15 @@
         self.connection_failures = self.connection_failures + 1 if is_connection_failure else 0
         return 0 < self.connection_failures < MIN_CONNECTION_FAILURES
 
-    def should_open(self, now: int, limits: Limits, recovery_rate: float, *, is_rejection: bool) -> bool:
-        """Returns whether the last failure, recorded before, opens the circuit.
+    def open_if_failing(
+        self, now: int, limits: Limits, recovery_rate: float, *, is_rejection: bool, is_paused: bool
+    ) -> bool:
+        """Opens the circuit if the last failure, recorded before, calls for it; returns whether it did.
 
-        Args:
-            now: the time of the batch.
-            limits: the limits in force.
-            recovery_rate: calls a second that this relay may send to the destination as it recovers.
-            is_rejection: whether the last failure was a rejection.
+        Args: now: the time of the batch. limits: the limits in force. recovery_rate: calls a second that this
+        relay may send to the destination as it recovers. is_rejection: whether the last failure was a
+        rejection. is_paused: whether the window allows less than one call: a destination that still takes
+        calls is not failing as a whole.
         """
         self.has_only_rejections = is_rejection and (
             self.has_only_rejections or self.consecutive_failures == 1
@@ -70,7 +71,11 @@
         sees_few_calls = (
             not is_rejection and limits.is_large_fleet and recovery_rate * limits.overload_window < SECOND_US
         )
-        return not self.is_open and (is_streak or sees_few_calls or self.error_rate > OPEN_ERROR_RATE)
+        is_failing = is_streak or sees_few_calls or self.error_rate > OPEN_ERROR_RATE
+        if self.is_open or not is_paused or not is_failing:
+            return False
+        self.is_open = True
+        return True
 
     def reset(self) -> None:
         """Closes the circuit and forgets the failures, after the operator has restarted the endpoint."""
--- a/loftrelay/decisions/concurrency.py
+++ b/loftrelay/decisions/concurrency.py
@@ -30,7 +30,7 @@
         return self.in_flight >= max(1, int(self.size))
 
     @property
-    def is_paused(self) -> bool:
+    def is_below_one_call(self) -> bool:
         """Whether less than one call is allowed, so that calls are spaced by pauses."""
         return self.size < 1
 
@@ -53,6 +53,6 @@
         """A rejected call always leads to a pause."""
         self.size = min(self.size, REJECTED_WINDOW_SIZE)
 
-    def keep_open(self) -> None:
+    def allow_one_call(self) -> None:
         """At least one call stays allowed."""
         self.size = max(1.0, self.size)
--- a/loftrelay/decisions/dispatch.py
+++ b/loftrelay/decisions/dispatch.py
@@ -18,14 +18,14 @@
 from loftrelay.decisions.units import NEVER, SECOND_US
 
 MIN_SLOT_TIME_US = SECOND_US / 20
-MIN_TELLING_SHARE = 2  # a call given less than its timeout over this tells nothing of its endpoint
+CONCLUSIVE_TIMEOUT_DIVISOR = 2  # a call with less than its timeout over this tells nothing
 
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
     """The best call to one destination now."""
 
-    value: float  # priority by slot time
+    value: float  # priority over slot time
     message: OpenMessage
     endpoint: Endpoint
 
@@ -38,7 +38,7 @@
     best: dict[int, Candidate] = {}
     while state.calls_in_flight < state.limits.max_concurrent_calls:
         for destination in destinations:
-            candidate = choose(state, destination)
+            candidate = choose_call(state, destination)
             if candidate is not None:
                 best[destination.number] = candidate
         if not best:
@@ -49,7 +49,7 @@
         destinations = [state.destinations[number]]
 
 
-def choose(state: DecisionState, destination: Destination) -> Candidate | None:
+def choose_call(state: DecisionState, destination: Destination) -> Candidate | None:
     """Returns the message of a destination that should go first, and where; None if none may go."""
     endpoints = available_endpoints(state, destination)
     if not endpoints:
@@ -58,7 +58,7 @@
     first: tuple[float, OpenMessage, Endpoint] | None = None
     priorities: list[float] = []
     for message in destination.waiting.values():
-        if not _may_go_now(state, message):
+        if not _is_due(state, message):
             continue
         priorities.append(priority(state, message))
         # A probe is made with the message that can wait longest for its outcome.
@@ -69,7 +69,7 @@
         if endpoint is not None:
             first = (rank, message, endpoint)
         else:
-            state.wake_no_later_than(state.now + BACKOFF_BASE_US)
+            state.run_batch_no_later_than(state.now + BACKOFF_BASE_US)
     if first is None:
         return None
     _, message, endpoint = first
@@ -77,16 +77,16 @@
     return Candidate(value / max(MIN_SLOT_TIME_US, endpoint.call_times.smoothed), message, endpoint)
 
 
-def _may_go_now(state: DecisionState, message: OpenMessage) -> bool:
+def _is_due(state: DecisionState, message: OpenMessage) -> bool:
     """Returns whether backoff and order let a message go; has a later batch look again if not."""
     if message.not_before > state.now:
-        state.wake_no_later_than(message.not_before)
+        state.run_batch_no_later_than(message.not_before)
         return False
     if ordering.is_next(state, message):
         return True
     key = message.ordering_key
     if key is not None and ordering.is_first(message):
-        state.wake_no_later_than(key.cooldown_until)
+        state.run_batch_no_later_than(key.cooldown_until)
     return False
 
 
@@ -94,7 +94,7 @@
     """Sends a message, with all others that may share its call."""
     messages = batch_for(state, first, endpoint)
     idle = 0 if endpoint.in_flight else max(0, state.now - endpoint.last_used_at)
-    call = Call(endpoint, state.now, connection_idle=idle, in_flight=len(messages))
+    call = Call(endpoint, state.now, connection_idle=idle, pending_messages=len(messages))
     max_idle = _close_stale_connection(state, call, messages)
     endpoint.last_used_at = state.now
     endpoint.call_rate.add(state.now)
@@ -122,7 +122,7 @@
     """Returns whether deadlines leave a call too little time to tell anything of its endpoint."""
     shortest = min(messages, key=lambda message: message.deadline)
     timeout = max(attempt_timeout(state, message, endpoint) for message in messages)
-    if shortest.deadline - state.now < min(timeout, MIN_TIMEOUT_US) // MIN_TELLING_SHARE:
+    if shortest.deadline - state.now < min(timeout, MIN_TIMEOUT_US) // CONCLUSIVE_TIMEOUT_DIVISOR:
         return True
     return len(messages) > 1 and not fits_deadline(state.now, shortest, endpoint)
 
--- a/loftrelay/decisions/endpoint_table.py
+++ b/loftrelay/decisions/endpoint_table.py
@@ -81,7 +81,7 @@
     interval = state.settings.poll_interval or DEFAULT_POLL_INTERVAL_US
     longest = min(MAX_POLL_BACKOFF_US, interval // 2)
     longest = int(longest * state.random.uniform(MIN_POLL_BACKOFF_SHARE, 1))
-    state.poll_at = state.now + min(backoff(state, state.poll_failures), longest)
+    state.watch_at = state.now + min(backoff(state, state.poll_failures), longest)
     state.poll_failures += 1
 
 
@@ -137,7 +137,7 @@
 def _restart(state: DecisionState, endpoint: Endpoint) -> None:
     endpoint.is_disabled = False
     endpoint.consecutive_failures, endpoint.avoid_until = 0, 0
-    siblings = [each for each in endpoint.available_siblings if each is not endpoint]
+    siblings = [each for each in endpoint.available_peers if each is not endpoint]
     # One of several endpoints adds to what the others take; slow start would limit those, too.
     if not any(each.gate is endpoint.gate for each in siblings):
         endpoint.gate.restart(state.now)
--- a/loftrelay/decisions/entities.py
+++ b/loftrelay/decisions/entities.py
@@ -18,7 +18,7 @@
 class EndpointKindStats:
     """What all endpoints of one kind have in common."""
 
-    connections_scarce_until: int = -NEVER  # until then they are taken to accept only few connections
+    connection_limit_until: int = -NEVER  # until then they are taken to accept only few connections
     call_times: CallTimes = field(default_factory=CallTimes)
     # Of calls after a failure, by whether that was a rejection.
     success_rate_after_failure: list[float] = field(
@@ -58,7 +58,7 @@
     avoid_until: int = 0
     usual_call_time: float = 0.0  # smoothed, in microseconds; 0: no call has succeeded yet
     listed_rate: float = 0.0  # calls a second, as listed; 0: not listed
-    last_used_at: int = NEVER  # when a connection to it last carried a call
+    last_used_at: int = NEVER  # when a connection to it last carried a call; NEVER: there is none
     is_disabled: bool = False  # by the operator
 
     @property
@@ -72,7 +72,7 @@
         return self.gate.call_times if self.gate.call_times.smoothed else self.kind_stats.call_times
 
     @property
-    def available_siblings(self) -> list[Endpoint]:
+    def available_peers(self) -> list[Endpoint]:
         """The available endpoints of its destination, itself among them."""
         return [each for each in self.destination.endpoints if each.is_available]
 
@@ -85,7 +85,7 @@
     sent_at: int
     connection_idle: int = 0  # how long its connection was idle before; estimated until the outcome tells
     is_cut_short: bool = False  # deadlines leave it too little time to tell anything of its endpoint
-    in_flight: int = 0  # messages without an outcome
+    pending_messages: int = 0  # messages without an outcome
     is_evaluated: bool = False
     uncertain_keys: list[OrderingKey] = field(
         default_factory=list
@@ -116,7 +116,7 @@
     attempts: int = 0
     not_before: int = 0  # of the next attempt
     call: Call | None = None
-    is_over: bool = False
+    is_ended: bool = False
     first_attempt_at: int | None = None  # when the first attempt that may have run was sent
     first_attempt_endpoint: Endpoint | None = None
 
--- a/loftrelay/decisions/events.py
+++ b/loftrelay/decisions/events.py
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FinalStatusReported:
-    """The platform knows the final status of a rejected or failed message; only now is the message over."""
+    """The platform knows the final status of a rejected or failed message: the next of its key may go."""
 
     message_id: str
 
@@ -116,11 +116,11 @@
     """The outcome of one attempt."""
 
     message_id: str
-    attempt: int
+    attempt: int  # from 0
     endpoint: str
     status: AttemptStatus
     elapsed: int
-    is_final: bool  # the message has ended; if not, a final status is still owed
+    is_final: bool  # delivered: nothing more is owed
     retry_after: int  # 0: none was told
     rate_limit: float | None  # load report: calls a second from all relays; 0: no limit
     rate_limit_remaining: float | None  # load report: share of that limit left
--- a/loftrelay/decisions/feedback.py
+++ b/loftrelay/decisions/feedback.py
@@ -8,12 +8,12 @@
 from loftrelay.decisions.entities import Call, Endpoint
 from loftrelay.decisions.events import AttemptEnded, AttemptStatus
 from loftrelay.decisions.gate import Gate
-from loftrelay.decisions.retry import BACKOFF_BASE_US, MAX_PAUSE_US, backoff, with_jitter
+from loftrelay.decisions.retry import BACKOFF_BASE_US, MAX_PROBE_INTERVAL_US, backoff, with_jitter
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import SECOND_US
 
-CALL_TIME_GAIN = 8  # one over the gain of the smoothed call time of an endpoint
-SUCCESS_RATE_GAIN = 8  # one over the gain of the success rate after a failure
+CALL_TIME_GAIN = 1 / 8  # of the smoothed call time of an endpoint
+SUCCESS_RATE_GAIN = 1 / 8  # of the success rate after a failure
 STRETCH_AFTER_REJECTIONS = 3  # a Retry-After is stretched from the next rejection in a row on ...
 MAX_STRETCH_EXPONENT = 3  # ... by a factor of up to two to this power
 
@@ -24,7 +24,7 @@
     endpoint.last_used_at = state.now
     if event.is_late or _was_cut_short(call, event.status):
         return
-    idle_connections.close_if_scarce(state, endpoint, event.status)
+    idle_connections.close_if_limited(state, endpoint, event.status)
     if event.connection_idle is not None:
         call.connection_idle = event.connection_idle
     if event.status not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT):
@@ -49,20 +49,20 @@
     """Returns whether an outcome tells of the connection or the way, not yet of the destination."""
     if event.status is AttemptStatus.MALFORMED_RESPONSE:
         return True
-    fresh_below = 0 if event.connection_idle is not None else idle_connections.MIN_IDLE_US
-    return event.status is AttemptStatus.CONNECTION_LOST and call.connection_idle > fresh_below
+    min_idle = 0 if event.connection_idle is not None else idle_connections.MIN_IDLE_US
+    return event.status is AttemptStatus.CONNECTION_LOST and call.connection_idle > min_idle
 
 
 def _update_success_rate(endpoint: Endpoint, gate: Gate, status: AttemptStatus) -> None:
     rates, index = endpoint.kind_stats.success_rate_after_failure, gate.breaker.last_was_rejection
-    rates[index] += ((status is AttemptStatus.OK) - rates[index]) / SUCCESS_RATE_GAIN
+    rates[index] += ((status is AttemptStatus.OK) - rates[index]) * SUCCESS_RATE_GAIN
 
 
 def _record_success(state: DecisionState, endpoint: Endpoint, elapsed: int) -> None:
     gate, limits = endpoint.gate, state.limits
     endpoint.consecutive_failures, endpoint.avoid_until = 0, 0
     gain = CALL_TIME_GAIN if endpoint.usual_call_time else 1
-    endpoint.usual_call_time += (elapsed - endpoint.usual_call_time) / gain
+    endpoint.usual_call_time += (elapsed - endpoint.usual_call_time) * gain
     gate.call_times.add(elapsed)
     endpoint.kind_stats.call_times.add(elapsed)
     gate.breaker.record_success()
@@ -80,7 +80,7 @@
     if not is_rejection:
         endpoint.consecutive_failures += 1
         delay = backoff(state, endpoint.consecutive_failures - 1)
-        endpoint.avoid_until = state.now + min(delay, MAX_PAUSE_US)
+        endpoint.avoid_until = state.now + min(delay, MAX_PROBE_INTERVAL_US)
     if call.sent_at < gate.window.narrowed_at:
         return  # sent before the window was last narrowed: it says nothing of the window now
     gate.window.narrow(state.now)
@@ -90,12 +90,18 @@
         _lower_rate_limit(state, endpoint, demand)
         gate.window.limit_after_rejection()
     elif _has_healthy_sibling(state, endpoint, event.status):
-        gate.window.keep_open()
-    if gate.window.is_paused:
+        gate.window.allow_one_call()
+    if gate.window.is_below_one_call:
         _pause(state, endpoint, event, recovery_rate)
-    opens = gate.breaker.should_open(state.now, state.limits, recovery_rate, is_rejection=is_rejection)
-    if opens and gate.window.is_paused:
-        _open_circuit(state, endpoint)
+    has_opened = gate.breaker.open_if_failing(
+        state.now,
+        state.limits,
+        recovery_rate,
+        is_rejection=is_rejection,
+        is_paused=gate.window.is_below_one_call,
+    )
+    if has_opened:
+        _circuit_opened(state, endpoint)
 
 
 def _lower_rate_limit(state: DecisionState, endpoint: Endpoint, demand: float) -> None:
@@ -114,7 +120,7 @@
     return any(
         sibling.consecutive_failures == 0
         and (sibling.usual_call_time or never_ran or not state.limits.is_large_fleet)
-        for sibling in endpoint.available_siblings
+        for sibling in endpoint.available_peers
         if sibling.gate is endpoint.gate
     )
 
@@ -124,7 +130,9 @@
     gate, kind = endpoint.gate, endpoint.kind_stats
     is_rejection = event.status is AttemptStatus.REJECTED
     # A call that found no connection cost its endpoint nothing.
-    longest = MAX_PAUSE_US // 2 if event.status is AttemptStatus.CONNECT_FAILED else MAX_PAUSE_US
+    longest = (
+        MAX_PROBE_INTERVAL_US // 2 if event.status is AttemptStatus.CONNECT_FAILED else MAX_PROBE_INTERVAL_US
+    )
     pause = min(int(BACKOFF_BASE_US * 0.5 / gate.window.size), longest)
     if is_rejection:
         pause = max(pause, _stretched_retry_after(state, gate, event.retry_after))
@@ -138,11 +146,10 @@
     """Returns a longer Retry-After after rejections in a row, so that relays don't all return at its end."""
     extra = gate.breaker.consecutive_failures - STRETCH_AFTER_REJECTIONS
     stretched = retry_after * 2 ** min(max(0, extra), MAX_STRETCH_EXPONENT)
-    return int(min(stretched, retry_after + MAX_PAUSE_US * state.limits.relay_count // 2))
+    return int(min(stretched, retry_after + MAX_PROBE_INTERVAL_US * state.limits.relay_count // 2))
 
 
-def _open_circuit(state: DecisionState, endpoint: Endpoint) -> None:
-    endpoint.gate.breaker.is_open = True
+def _circuit_opened(state: DecisionState, endpoint: Endpoint) -> None:
     endpoint.gate.slow_start.started_at = None
     number = endpoint.destination.number
     state.actions.append(WriteLog(f"destination {number}: circuit open, one probe at a time"))
--- a/loftrelay/decisions/gate.py
+++ b/loftrelay/decisions/gate.py
@@ -37,7 +37,7 @@
     @property
     def is_degraded(self) -> bool:
         """Whether the destination is failing, paused or recovering."""
-        return self.breaker.is_open or self.window.is_paused or self.slow_start.is_active
+        return self.breaker.is_open or self.window.is_below_one_call or self.slow_start.is_active
 
     def heed_retry_after(self, until: int) -> None:
         """Allows no call before a time; an earlier one does not shorten a later one."""
@@ -46,7 +46,7 @@
     def restart(self, now: int) -> None:
         """Begins slow start, for a destination that the operator has restarted."""
         self.breaker.reset()
-        self.window.keep_open()
+        self.window.allow_one_call()
         self.slow_start.started_at = now
 
     def copy_learned_state(self, source: Gate) -> None:
--- a/loftrelay/decisions/hibernation.py
+++ b/loftrelay/decisions/hibernation.py
@@ -33,7 +33,7 @@
         return
     del state.destinations[number]
     state.backlog.pop(number, None)
-    state.retry_after_destinations.pop(number, None)
+    state.destinations_to_check.pop(number, None)
     earlier = state.hibernated.get(number)  # with endpoints that have not been listed again since
     record = HibernatedDestination(
         number=number,
--- a/loftrelay/decisions/idempotency.py
+++ b/loftrelay/decisions/idempotency.py
@@ -15,7 +15,7 @@
 GLOBAL_SCOPE = "all"
 ZONE_SCOPE = "zone"
 WINDOW_MARGIN_US = SECOND_US // 10  # the transit times of two calls may differ by this much
-MAX_WINDOW_MARGIN_SHARE = 10  # the margin is at most the window over this
+WINDOW_MARGIN_DIVISOR = 10  # the margin is at most the window over this
 UNCERTAIN_STATUSES = (
     AttemptStatus.ERROR,
     AttemptStatus.TIMEOUT,
@@ -30,7 +30,7 @@
     if message.first_attempt_at is None or not message.is_deduplicated:
         return NEVER
     window = message.message_class.dedup_window or 0
-    margin = min(WINDOW_MARGIN_US, window // MAX_WINDOW_MARGIN_SHARE)
+    margin = min(WINDOW_MARGIN_US, window // WINDOW_MARGIN_DIVISOR)
     return message.first_attempt_at + window - margin - 2 * (state.settings.batch_interval or 0) - 1
 
 
--- a/loftrelay/decisions/idle_connections.py
+++ b/loftrelay/decisions/idle_connections.py
@@ -18,7 +18,7 @@
 MIN_RESETS = 2
 EXCESS_RESET_SHARE = 0.05  # over twice the share of fresh connections
 CONNECTION_SCARCITY_US = 30 * SECOND_US  # after a refused connection
-MAX_KEPT_GAP_US = 2 * SECOND_US  # between calls to an endpoint that accepts few connections, to keep one open
+MAX_CALL_GAP_US = 2 * SECOND_US  # between calls to an endpoint that accepts few connections, to keep one open
 
 
 def record_reset(state: DecisionState, idle: int, status: AttemptStatus) -> None:
@@ -51,12 +51,12 @@
     return resets / calls if resets * RESET_SPAN_US / SECOND_US > MIN_RESETS else 0.0
 
 
-def close_if_scarce(state: DecisionState, endpoint: Endpoint, status: AttemptStatus) -> None:
+def close_if_limited(state: DecisionState, endpoint: Endpoint, status: AttemptStatus) -> None:
     """Closes a rarely used connection to an endpoint whose kind accepts only few."""
     if status is AttemptStatus.CONNECT_FAILED:
-        endpoint.kind_stats.connections_scarce_until = state.now + CONNECTION_SCARCITY_US
-    if endpoint.kind_stats.connections_scarce_until <= state.now or endpoint.in_flight:
+        endpoint.kind_stats.connection_limit_until = state.now + CONNECTION_SCARCITY_US
+    if endpoint.kind_stats.connection_limit_until <= state.now or endpoint.in_flight:
         return
-    if endpoint.call_rate.read(state.now) * MAX_KEPT_GAP_US < SECOND_US:
+    if endpoint.call_rate.read(state.now) * MAX_CALL_GAP_US < SECOND_US:
         endpoint.last_used_at = NEVER
         state.actions.append(CloseIdleConnections(endpoint.name))
--- a/loftrelay/decisions/lifecycle.py
+++ b/loftrelay/decisions/lifecycle.py
@@ -16,7 +16,7 @@
 from loftrelay.decisions.units import NEVER, SECOND_US
 
 LAST_ATTEMPT_MARGIN_US = SECOND_US // 4  # before the end of the dedup window, for a last attempt
-MAX_LAST_ATTEMPT_SHARE = 4  # the margin is at most the window over this
+LAST_ATTEMPT_DIVISOR = 4  # the margin is at most the window over this
 
 
 def admit(state: DecisionState, event: MessageSubmitted, age: int = 0) -> OpenMessage:
@@ -77,7 +77,7 @@
         message.first_attempt_endpoint = state.endpoints.get(event.first_attempt_endpoint or "")
     message.destination.waiting.pop(message.name)
     if event.is_ended:
-        message.is_over = True
+        message.is_ended = True
         _close(state, message, is_reported=False)
     else:
         enqueue_or_end(state, message)
@@ -87,7 +87,7 @@
     """Has a message wait for an endpoint."""
     destination = message.destination
     destination.waiting[message.name] = message
-    state.retry_after_destinations[destination.number] = destination
+    state.destinations_to_check[destination.number] = destination
     state.backlog[destination.number] = destination
     state.set_timer(min(latest_send_time(message), dedup_window_end(state, message)), message)
 
@@ -97,7 +97,7 @@
     window_end = dedup_window_end(state, message)
     if message.not_before >= window_end:
         window = message.message_class.dedup_window or 0
-        margin = min(LAST_ATTEMPT_MARGIN_US, window // MAX_LAST_ATTEMPT_SHARE)
+        margin = min(LAST_ATTEMPT_MARGIN_US, window // LAST_ATTEMPT_DIVISOR)
         message.not_before = max(state.now, window_end - margin)
     can_repeat = message.is_repeatable or not message.may_have_run
     has_time = message.not_before < min(window_end, latest_send_time(message))
@@ -130,8 +130,8 @@
         message: the message to end.
         action: the end to tell; None where it is known already, or nobody waits for it.
     """
-    if not message.is_over:
-        message.is_over = True
+    if not message.is_ended:
+        message.is_ended = True
         message.destination.waiting.pop(message.name, None)
         if action is not None:
             state.actions.append(action)
@@ -165,7 +165,7 @@
 def dispute_outcome(state: DecisionState, event: OutcomeDisputed) -> None:
     """Takes back that an attempt did not run: its response may have been another call's."""
     message = state.messages.get(event.message_id)
-    if message is None or message.is_over:
+    if message is None or message.is_ended:
         return
     mark_attempt(message, state.now - event.attempt_age, state.endpoints.get(event.endpoint))
     if message.ordering_key is not None and message.ordering_key.cooldown_until < NEVER:
@@ -176,8 +176,11 @@
 
 
 def check_deadline(state: DecisionState, message: OpenMessage) -> None:
-    """Fails a waiting message whose time left covers no usual call; looks again later otherwise."""
-    if message.is_over or message.call is not None:
+    """Fails a waiting message whose time left covers no usual call; looks again later otherwise.
+
+    The end of a dedup window ends nothing by itself: the next attempt or Retry-After takes it into account.
+    """
+    if message.is_ended or message.call is not None:
         return
     if state.now >= latest_send_time(message):
         fail(state, message)
--- a/loftrelay/decisions/load_shedding.py
+++ b/loftrelay/decisions/load_shedding.py
@@ -1,4 +1,7 @@
-"""Load shedding: messages that are ended early, since they can't be delivered in time or fill the relay."""
+"""Load shedding: ends waiting messages early that can't be delivered in time or fill the relay.
+
+New messages are rejected before, in `relay/intake.py`, where the relay is full or lags.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import SECOND_US
 
-QUEUE_HEADROOM_FRACTION = 8  # 1 / 8 of the queue is kept free
+QUEUE_HEADROOM_DIVISOR = 8  # the queue over this is kept free
 MIN_QUEUE_HEADROOM = 2  # messages
 BACKLOG_DRAIN_RATE_PER_S = 8  # assumed, for the wait behind a backlog
 MIN_SHED_WAIT_US = SECOND_US  # messages with a shorter wait ahead stay
@@ -22,7 +25,7 @@
 class ShedCandidate:
     """A waiting message that may be shed. Lower values go first, older messages last."""
 
-    value: float  # priority weight by the microseconds that it still waits
+    value: float  # priority weight over the microseconds that it still waits
     message: OpenMessage
     wait: int  # microseconds
 
@@ -34,7 +37,7 @@
 
 def end_blocked_messages(state: DecisionState) -> None:
     """Ends messages at once whose time is over before the Retry-After of all their endpoints is."""
-    for destination in state.retry_after_destinations.values():
+    for destination in state.destinations_to_check.values():
         available = [each for each in destination.endpoints if each.is_available]
         blocked_to = min((each.gate.retry_after_until for each in available), default=0)
         if blocked_to <= state.now:
@@ -43,13 +46,13 @@
         for message in list(destination.waiting.values()):
             if blocked_to >= min(latest_send_time(message), dedup_window_end(state, message)):
                 reject_or_fail(state, message, retry_after)
-    state.retry_after_destinations.clear()
+    state.destinations_to_check.clear()
 
 
 def shed_excess(state: DecisionState) -> None:
     """Rejects the cheapest messages behind long waits, so that part of the queue stays free."""
     max_open = state.limits.max_open_messages
-    headroom = max(MIN_QUEUE_HEADROOM, max_open // QUEUE_HEADROOM_FRACTION)
+    headroom = max(MIN_QUEUE_HEADROOM, max_open // QUEUE_HEADROOM_DIVISOR)
     excess = len(state.messages) - max_open + headroom
     if excess <= 0:
         return
--- a/loftrelay/decisions/outcomes.py
+++ b/loftrelay/decisions/outcomes.py
@@ -21,13 +21,13 @@
     message.call = None
     _release_slot(state, call)
     # Messages of a batch time out one by one: while others wait on, the fate of the call is not known.
-    is_decided = call.in_flight == 0 or event.status is not AttemptStatus.TIMEOUT
+    is_decided = call.pending_messages == 0 or event.status is not AttemptStatus.TIMEOUT
     if is_decided and not event.postponed_for and not call.is_evaluated:
         call.is_evaluated = True
         feedback.evaluate(state, call, event)
     if event.status in UNCERTAIN_STATUSES:
         _note_uncertain_outcome(state, message, call, event.status)
-    if event.is_final or message.is_over:
+    if event.is_final or message.is_ended:
         lifecycle.finish(state, message, None)
     elif event.is_expired:
         lifecycle.fail(state, message)
@@ -40,7 +40,7 @@
     if retry_after <= 0:
         return
     if (endpoint := state.endpoints.get(endpoint_name)) is not None:
-        state.retry_after_destinations[endpoint.destination.number] = endpoint.destination
+        state.destinations_to_check[endpoint.destination.number] = endpoint.destination
     gate = hibernation.gate_of(state, endpoint_name)
     if gate is not None:
         gate.heed_retry_after(state.now + retry_after)
@@ -48,8 +48,8 @@
 
 def _release_slot(state: DecisionState, call: Call) -> None:
     """Ends a call once the last message in it has its outcome."""
-    call.in_flight -= 1
-    if call.in_flight:
+    call.pending_messages -= 1
+    if call.pending_messages:
         return
     endpoint = call.endpoint
     state.calls_in_flight -= 1
@@ -67,7 +67,7 @@
     mark_attempt(message, call.sent_at, call.endpoint)
     if message.ordering_key is None or status is AttemptStatus.ERROR:
         return
-    if call.in_flight:
+    if call.pending_messages:
         ordering.hold_until_call_ends(message.ordering_key, call)
     else:
         ordering.start_cooldown(state, message.ordering_key, message.destination)
--- a/loftrelay/decisions/retry.py
+++ b/loftrelay/decisions/retry.py
@@ -16,7 +16,8 @@
 BACKOFF_FACTOR = 2
 BACKOFF_MAX_EXPONENT = 16
 BACKOFF_JITTER = 0.15  # added share, drawn evenly, so that relays don't retry in step
-MAX_PAUSE_US = 4 * SECOND_US  # between probes of a failing destination, to see an outage of seconds end
+# Between probes of a failing destination, to see an outage of seconds end.
+MAX_PROBE_INTERVAL_US = 4 * SECOND_US
 
 TIMEOUT_DEVIATIONS = 6  # over the usual call time
 MIN_TIMEOUT_US = SECOND_US
--- a/loftrelay/decisions/routing.py
+++ b/loftrelay/decisions/routing.py
@@ -7,14 +7,15 @@
 from loftrelay.decisions.demand import observed_fraction
 from loftrelay.decisions.entities import Destination, Endpoint, OpenMessage
 from loftrelay.decisions.idempotency import may_repeat_at
-from loftrelay.decisions.retry import MAX_PAUSE_US
+from loftrelay.decisions.retry import MAX_PROBE_INTERVAL_US
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import SECOND_US
 
 OPEN_CONNECTION_WEIGHT = 3.0  # factor for an endpoint whose connection is still open
-ZONE_COST_WEIGHT = 300.0
+ZONE_COST_WEIGHT = 300.0  # added cost of a message for each unit of a zone's price
 MIN_KNOWN_RATE_PER_S = 1.0  # with less traffic the choice is randomized
-RISKY_ERROR_RATE = 0.3  # at-most-once messages avoid a destination with more failures
+RISKY_ERROR_RATE = 0.3  # at-most-once messages avoid a destination with more failures ...
+RISKY_ERROR_MEMORY_US = MAX_PROBE_INTERVAL_US  # ... for this long after the last one
 
 
 def available_endpoints(state: DecisionState, destination: Destination) -> list[Endpoint]:
@@ -27,21 +28,24 @@
         if allowed_at <= state.now:
             allowed.append(endpoint)
         else:
-            state.wake_no_later_than(allowed_at)
+            state.run_batch_no_later_than(allowed_at)
     allowed.sort(key=lambda endpoint: cost(state, endpoint))
     return allowed
 
 
 def cost(state: DecisionState, endpoint: Endpoint) -> tuple[bool, float]:
-    """Returns the sort key of an endpoint: healthy ones first, then by call time, load, zone and connection.
+    """Returns the sort key of an endpoint: those not avoided after a failure first.
 
-    Where this relay has little traffic the cost is randomized: many relays that all take the quickest
-    endpoint would overload it.
+    Among them it goes by call time, load, zone and whether a connection is open. An endpoint that was never
+    used counts as having one. Where this relay has little traffic the cost is randomized: many relays that
+    all take the quickest endpoint would overload it.
     """
     usual = endpoint.usual_call_time or endpoint.call_times.smoothed or DEFAULT_CALL_TIME_US
     weight = SECOND_US / (usual * (1 + endpoint.in_flight))
-    has_own_limit = endpoint.gate is not endpoint.destination.gate and endpoint.listed_rate
-    weight *= endpoint.listed_rate if has_own_limit else weight
+    if endpoint.gate is not endpoint.destination.gate and endpoint.listed_rate:
+        weight *= endpoint.listed_rate
+    else:
+        weight *= weight  # prefers quick endpoints more strongly where nothing tells their capacity
     if state.now - endpoint.last_used_at < state.limits.connection_idle_timeout:
         weight *= OPEN_CONNECTION_WEIGHT
     if endpoint.destination.demand.read(state.now) < MIN_KNOWN_RATE_PER_S * observed_fraction(state):
@@ -51,7 +55,7 @@
 
 def may_attempt(state: DecisionState, message: OpenMessage, endpoint: Endpoint) -> bool:
     """Returns whether a message may go to an endpoint now, limits on calls aside."""
-    if message.is_over or message.call is not None or not endpoint.is_available:
+    if message.is_ended or message.call is not None or not endpoint.is_available:
         return False
     if message.may_have_run:
         return may_repeat_at(state, message, endpoint)
@@ -61,8 +65,8 @@
 def _is_healthy(state: DecisionState, endpoint: Endpoint) -> bool:
     """Returns whether an endpoint is good enough for a message that an unknown outcome would end."""
     breaker = endpoint.gate.breaker
-    if breaker.error_rate >= RISKY_ERROR_RATE and state.now <= breaker.failed_at + MAX_PAUSE_US:
+    if breaker.error_rate >= RISKY_ERROR_RATE and state.now <= breaker.failed_at + RISKY_ERROR_MEMORY_US:
         return False
     if endpoint.consecutive_failures == 0:
         return True
-    return all(sibling.consecutive_failures for sibling in endpoint.available_siblings)
+    return all(sibling.consecutive_failures for sibling in endpoint.available_peers)
--- a/loftrelay/decisions/scheduler.py
+++ b/loftrelay/decisions/scheduler.py
@@ -2,7 +2,8 @@
 
 Every rule has a module of its own:
 
-    admission       lifecycle (admit), quota, load_shedding
+    admission       lifecycle (admit), quota (priority weight)
+    ends            lifecycle (finish), load_shedding
     choosing        dispatch, priority, routing, batching, deadlines, ordering, idempotency
     limits on calls availability, concurrency, rate_limit, circuit_breaker, slow_start, demand
     after a call    outcomes, feedback, retry, idle_connections
@@ -69,11 +70,11 @@
             The actions, to be carried out in order.
         """
         state = self.state
-        state.now, state.actions, state.wake_at = now, [], NEVER
+        state.now, state.actions, state.next_batch_at = now, [], NEVER
         state.started_at = min(state.started_at, now)
         for event in events:
             self._apply_event(event)
-        self._poll_if_due()
+        self._watch_if_due()
         self._run_due_timers()
         load_shedding.end_blocked_messages(state)
         load_shedding.shed_excess(state)
@@ -132,9 +133,9 @@
             case SettingsChanged(settings):
                 self.state.apply_settings(settings)
 
-    def _poll_if_due(self) -> None:
-        if self.state.now >= self.state.poll_at:
-            self.state.poll_at = NEVER
+    def _watch_if_due(self) -> None:
+        if self.state.now >= self.state.watch_at:
+            self.state.watch_at = NEVER
             self.state.actions.append(WatchEndpointList())
 
     def _run_due_timers(self) -> None:
@@ -156,7 +157,7 @@
         """Has the next batch run when something is due, unless a timer for that is set."""
         state = self.state
         next_timer = state.timers[0][0] if state.timers else NEVER
-        due = min(state.wake_at, state.poll_at, next_timer)
+        due = min(state.next_batch_at, state.watch_at, next_timer)
         if state.now >= state.timer_set_for:
             state.timer_set_for = NEVER
         if due < state.timer_set_for:
--- a/loftrelay/decisions/settings.py
+++ b/loftrelay/decisions/settings.py
@@ -37,7 +37,7 @@
     latency_objective: int | None  # full priority weight until this age
     deadline: int | None
     priority_weight: float | None
-    late_priority_weight: float | None  # share of the priority weight that is left at the deadline
+    late_priority_weight: float | None  # share left at the deadline; stored with messages, used by no rule
     is_ordered: bool  # messages with one ordering key are delivered in turn
 
 
@@ -82,8 +82,8 @@
     max_open_messages: int | None = None
     polls_endpoint_list: bool = False
     poll_interval: int | None = None
-    can_cancel: bool = False
-    can_probe: bool = False
+    can_cancel: bool = False  # used by no rule
+    can_probe: bool = False  # used by no rule: each probe would count as a call
     sends_retry_after: bool = False  # a rejection may tell the client how long to stay away
     max_retry_after: int | None = None
     # what the rate of a list entry means: "nominal", "rough" or another word
--- a/loftrelay/decisions/slow_start.py
+++ b/loftrelay/decisions/slow_start.py
@@ -57,7 +57,9 @@
         self.drop_old_calls(now, limits)
 
     def budget(self, now: int, limits: Limits, demand: float) -> float:
-        """Returns the calls allowed in one overload window; infinite once slow start is over.
+        """Returns the calls allowed in one overload window; infinite, and ends slow start, once it is over.
+
+        Each message of the demand counts as a call.
 
         Args:
             now: the time of the batch.
@@ -75,7 +77,7 @@
         fraction = initial + (1 - initial) * progress
         return demand * limits.overload_multiple * fraction * limits.overload_window / SECOND_US
 
-    def next_call_at(self, budget: float, limits: Limits, not_before: int) -> int:
+    def next_fit_at(self, budget: float, limits: Limits, not_before: int) -> int:
         """Returns when the next call fits a budget of at least one call."""
         spent = self.spent
         for sent_at, weight in self.recent_calls:
--- a/loftrelay/decisions/snapshot.py
+++ b/loftrelay/decisions/snapshot.py
@@ -148,7 +148,7 @@
 
 
 def _is_of_ended_message(subject: object) -> bool:
-    return isinstance(subject, entities.OpenMessage) and subject.is_over
+    return isinstance(subject, entities.OpenMessage) and subject.is_ended
 
 
 class _Writer:
--- a/loftrelay/decisions/state.py
+++ b/loftrelay/decisions/state.py
@@ -62,10 +62,11 @@
 
     messages: dict[str, OpenMessage] = field(default_factory=dict)
     ordering_keys: dict[str, OrderingKey] = field(default_factory=dict)
-    unreported: dict[str, OpenMessage] = field(default_factory=dict)  # over, and still first of their keys
+    # Ended and not reported: still first of their keys.
+    unreported: dict[str, OpenMessage] = field(default_factory=dict)
     backlog: dict[int, Destination] = field(default_factory=dict)  # destinations with waiting messages
-    # Destinations whose Retry-After may outlast the time of a message.
-    retry_after_destinations: dict[int, Destination] = field(default_factory=dict)
+    # With a new message or Retry-After since blocked messages were last looked for.
+    destinations_to_check: dict[int, Destination] = field(default_factory=dict)
 
     arrivals: DecayingRate = field(default_factory=DecayingRate)
     quota_buckets: dict[str, TokenBucket] = field(default_factory=dict)  # by tenant
@@ -75,15 +76,15 @@
     timers: list[tuple[int, int, TimerSubject]] = field(default_factory=list)  # a heap
     timer_sequence: int = 0
     timer_set_for: int = NEVER
-    wake_at: int = NEVER  # when a message may go next, as far as the current batch found
-    poll_at: int = NEVER  # when the endpoint list is asked for next
+    next_batch_at: int = NEVER  # when a message may go next, as far as the current batch found
+    watch_at: int = NEVER  # when the endpoint list is asked for next
     poll_failures: int = 0
 
     @classmethod
     def create(cls, seed: int, settings: RelaySettings) -> DecisionState:
         """Returns the state of a relay that has seen nothing yet."""
-        poll_at = 0 if settings.polls_endpoint_list else NEVER
-        return cls(settings, Limits.from_settings(settings), random.Random(seed), poll_at=poll_at)
+        watch_at = 0 if settings.polls_endpoint_list else NEVER
+        return cls(settings, Limits.from_settings(settings), random.Random(seed), watch_at=watch_at)
 
     def apply_settings(self, settings: RelaySettings) -> None:
         """Uses new settings. Open messages keep their terms, endpoints the kind they were listed as."""
@@ -95,9 +96,9 @@
         self.timer_sequence += 1
         heapq.heappush(self.timers, (at, self.timer_sequence, subject))
 
-    def wake_no_later_than(self, at: int) -> None:
+    def run_batch_no_later_than(self, at: int) -> None:
         """Has the next batch run at a time, at the latest."""
-        self.wake_at = min(self.wake_at, at)
+        self.next_batch_at = min(self.next_batch_at, at)
 
     def retry_advice(self, wait: int) -> int:
         """Returns the Retry-After of a rejection, as far as the settings allow one; 0 for none."""
--- a/loftrelay/delivery/host_client.py
+++ b/loftrelay/delivery/host_client.py
@@ -51,7 +51,7 @@
 CONNECT_MARGIN_S = 0.5  # ... and this to get its connection: drains allow 2 s in all
 PASSES_WHEN_LATE = 3  # of the event loop, in which all that has come is read
 RESPONSE_TIMEOUT_S = 0.3  # from a response's first byte to its last
-MIN_TELLING_TIMEOUT_S = 0.6  # a shorter call without a response says nothing of its connection
+MIN_CONCLUSIVE_TIMEOUT_S = 0.6  # a shorter call without a response says nothing of its connection
 HOLD_FACTOR = 4  # an early response is held for so many times the quickest response time, ...
 MAX_HOLD_S = 1.0  # ... at most so long, ...
 MAX_HOLD_FRACTION = 0.9  # ... and no longer than this part of the time left
@@ -218,7 +218,7 @@
         except TimeoutError:
             if not call.is_started:
                 return call.all_results(self._unsent_timeout(call))
-            is_telling = call.options.timeout >= MIN_TELLING_TIMEOUT_S
+            is_telling = call.options.timeout >= MIN_CONCLUSIVE_TIMEOUT_S
             is_dead = is_telling and not self.stall_detector.has_stalled_since(call.decided_at)
             return self._handle_loss(call, AttemptStatus.TIMEOUT, is_dead)
         except MalformedResponseError:
--- a/loftrelay/discovery/subscription.py
+++ b/loftrelay/discovery/subscription.py
@@ -1,7 +1,7 @@
 """The state machine of a relay's subscription to its destinations, at one of several registries.
 
 It does no input or output: what happens is reported to it with the time (seconds of a monotonic clock), what
-is to be done is returned by `take_actions`, and `tick` is to be called at `due_at` or later. docs/slices.md
+is to be done is returned by `drain_actions`, and `tick` is to be called at `due_at` or later. docs/slices.md
 has the rules. On the wire a destination is a *cell*. registry_session.py has the modes and their transitions.
 """
 
--- a/loftrelay/relay/attempts.py
+++ b/loftrelay/relay/attempts.py
@@ -14,7 +14,7 @@
 from loftrelay.relay.batch_loop import US_PER_S
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.context import RelayContext
-from loftrelay.relay.events import not_sent
+from loftrelay.relay.events import DECIDE_ANEW_US, not_sent
 from loftrelay.relay.final_statuses import FinalStatuses
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_terms import is_repeatable
@@ -154,7 +154,7 @@
                 rate_limit_remaining=None,
                 connection_idle=result.connection_idle,
                 is_expired=result.is_expired,
-                postponed_for=int(not was_sent),
+                postponed_for=0 if was_sent else DECIDE_ANEW_US,
                 is_late=result.is_late,
             )
         )
--- a/loftrelay/relay/batch_loop.py
+++ b/loftrelay/relay/batch_loop.py
@@ -18,13 +18,16 @@
 
 US_PER_S = 1e6
 DEFAULT_BATCH_INTERVAL_US = 5_000
-# Passes of the event loop after a stall before a batch: input is read in the first, who waits for it runs
-# in the second, and has posted its event by the third.
+# Passes of the event loop after a stall before a batch. Input is read in the first, waiting tasks run in the
+# second, their events are posted by the third; one is spare.
 PASSES_AFTER_STALL = 4
 
 
 class BatchLoop:
-    """Events of one relay until their batch. Times are seconds of the event loop's clock."""
+    """Events of one relay until their batch.
+
+    Times are seconds of the event loop's clock, but `now` and what the decisions see are microseconds.
+    """
 
     run_batch: Callable[[list[Event]], None]  # set by Engine: decides and carries the actions out
     after_stall: Callable[[float], None]  # set by Engine: told the length of a stall once it is over
--- a/loftrelay/relay/engine.py
+++ b/loftrelay/relay/engine.py
@@ -33,8 +33,8 @@
 from loftrelay.relay.context import RelayContext
 from loftrelay.relay.endpoints import Endpoints
 from loftrelay.relay.final_statuses import FinalStatuses
-from loftrelay.relay.handover import HandoverState
 from loftrelay.relay.handover_control import HandoverControl
+from loftrelay.relay.handover_state import HandoverState
 from loftrelay.relay.intake import Intake
 from loftrelay.relay.message_state import Stage
 from loftrelay.relay.ports import (
--- a/loftrelay/relay/events.py
+++ b/loftrelay/relay/events.py
@@ -7,6 +7,8 @@
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_terms import unpack
 
+DECIDE_ANEW_US = 1  # the shortest postponement: an attempt that was not begun costs none, and is decided anew
+
 
 def submission_of(message: Message) -> MessageSubmitted:
     """Returns the submission of a message, with the time that it has left now."""
--- a/loftrelay/relay/final_statuses.py
+++ b/loftrelay/relay/final_statuses.py
@@ -48,7 +48,7 @@
         context = self.context
         if context.store is not None and status == REJECTED:
             retry_after_ms = retry_after_ms or context.store.retry_after_ms
-        if answer := context.message_states.begin_rejecting(message_id):
+        if answer := context.message_states.begin_answering(message_id):
             self._answer_client(message_id, answer, status, retry_after_ms)
             return
         final_status = final_status_record(status, retry_after_ms)
--- a/loftrelay/relay/handover_control.py
+++ b/loftrelay/relay/handover_control.py
@@ -24,9 +24,9 @@
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.context import RelayContext
 from loftrelay.relay.endpoints import Endpoints
-from loftrelay.relay.events import not_sent, recovery_of, submission_of
+from loftrelay.relay.events import DECIDE_ANEW_US, not_sent, recovery_of, submission_of
 from loftrelay.relay.final_statuses import FinalStatuses
-from loftrelay.relay.handover import HandoverState, write_state
+from loftrelay.relay.handover_state import HandoverState, write_state
 from loftrelay.relay.intake import Intake
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_state import Stage
@@ -34,8 +34,6 @@
 
 log = logging.getLogger(__name__)
 
-WITHDRAWN_POSTPONED_US = 1  # a withdrawn attempt costs none, and is decided anew at once
-
 
 class HandoverControl:
     """Both sides of a handover at one relay."""
@@ -67,7 +65,7 @@
         for message, host in context.delivery.withdraw_unsent_calls():
             message.attempts -= 1
             context.message_states.end_attempt(message.id)
-            context.loop.add(not_sent(message, host, WITHDRAWN_POSTPONED_US), now)
+            context.loop.add(not_sent(message, host, DECIDE_ANEW_US), now)
         context.discovery.pause()
         context.status_reporter.close()
 
@@ -143,7 +141,7 @@
 
     def _reconcile_message(self, message: Message, submitted: set[str], now: int) -> None:
         context = self.context
-        is_in_flight = context.message_states.stage(message.id) is Stage.HELD_BY_PREDECESSOR
+        is_in_flight = context.message_states.stage(message.id) is Stage.IN_FLIGHT_AT_PREDECESSOR
         if message.attempt_started_at is not None and not is_in_flight:
             context.journal.record_attempt_result(message, AttemptStatus.NOT_SENT)
         if message.final_status is None and not is_in_flight:
@@ -157,7 +155,7 @@
     def predecessor_lost(self) -> None:
         """The predecessor is gone, with the calls that it still had in flight: they may have run."""
         states = self.context.message_states
-        for message_id in states.in_stage(Stage.HELD_BY_PREDECESSOR):
+        for message_id in states.in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR):
             host = states.by_message[message_id].host
             self.predecessor_attempt_ended(message_id, host, AttemptResult(AttemptStatus.CONNECTION_LOST))
 
--- a/loftrelay/relay/intake.py
+++ b/loftrelay/relay/intake.py
@@ -96,7 +96,7 @@
             elif self.context.loop.is_lagging:
                 self._reject_lagging(submission.message, submission.answer)
             else:
-                self._admit(submission.message, submission.answer, submission.deadline)
+                self._admit(submission.message, submission.answer, submission.loop_deadline)
 
     def reject_pending(self) -> None:
         """Rejects the messages that wait for a destination: nothing more is resolved here."""
@@ -136,14 +136,14 @@
             self.context.metrics.count_final_status(message.class_name, FinalStatus.REJECTED)
         answer(decision.status or REJECTED, decision.retry_after_ms)
 
-    def _accept(self, message: Message, answer: Answer, deadline: float) -> None:
+    def _accept(self, message: Message, answer: Answer, loop_deadline: float) -> None:
         """Hands a message to the decisions; `deadline` is in seconds of the loop's clock."""
         if self.context.is_stopping:
             self.context.message_states.enqueue(message.id)
             answer(ACCEPTED, 0)
             return
         self.context.message_states.await_answer(message.id, answer)
-        remaining = int((deadline - asyncio.get_running_loop().time()) * US_PER_S)
+        remaining = int((loop_deadline - asyncio.get_running_loop().time()) * US_PER_S)
         self.context.post(replace(submission_of(message), time_remaining=remaining))
 
     def answer_admitted(self) -> None:
--- a/loftrelay/relay/message_state.py
+++ b/loftrelay/relay/message_state.py
@@ -4,10 +4,13 @@
 message that is not here yet, or is over. A transition that is not in the table is a fault of the program: it
 is made all the same, since a relay has to go on, and told to `on_fault`.
 
+After a start a message enters where it was left (`_BEGINNINGS`); a call of the predecessor that is still in
+flight ends in WAITING.
+
     submitted --> STORING --> UNANSWERED --> WAITING <--> IN_FLIGHT
                                   |             |
                                   v             +--> RECORDING_DELIVERY --> over
-                              REJECTING         +--> RECORDING_FINAL_STATUS --> REPORTING --> over
+                              ANSWERING         +--> RECORDING_FINAL_STATUS --> REPORTING --> over
                                   |             +--> REPORTING --> over           (without a store)
                                   v
                                  over
@@ -31,8 +34,9 @@
     UNANSWERED = "unanswered"  # the next batch takes it in; its client waits
     WAITING = "waiting"  # admitted, and no call is in flight for it
     IN_FLIGHT = "in flight"  # in a call, or one is decided
-    HELD_BY_PREDECESSOR = "held by predecessor"  # in a call of the process before this one
-    REJECTING = "rejecting"  # rejected or failed; its client waits until the store has that
+    # Owned here; its call was begun by the process before.
+    IN_FLIGHT_AT_PREDECESSOR = "in flight at predecessor"
+    ANSWERING = "answering"  # rejected or failed; its client gets that as its answer once the store has it
     RECORDING_DELIVERY = "recording delivery"  # delivered; the store does not have that yet
     RECORDING_FINAL_STATUS = "recording final status"  # rejected or failed; the store does not have that yet
     REPORTING = "reporting"  # the platform is told how it ended
@@ -40,15 +44,17 @@
 
 _ENDS = frozenset({Stage.RECORDING_DELIVERY, Stage.RECORDING_FINAL_STATUS, Stage.REPORTING})
 # After a start a message is wherever the journal, the store or the predecessor left it.
-_BEGINNINGS = frozenset({Stage.STORING, Stage.UNANSWERED, Stage.WAITING, Stage.HELD_BY_PREDECESSOR}) | _ENDS
+_BEGINNINGS = (
+    frozenset({Stage.STORING, Stage.UNANSWERED, Stage.WAITING, Stage.IN_FLIGHT_AT_PREDECESSOR}) | _ENDS
+)
 TRANSITIONS: dict[Stage | None, frozenset[Stage | None]] = {
     None: frozenset(_BEGINNINGS),
     Stage.STORING: frozenset({Stage.UNANSWERED, Stage.WAITING, None}),
-    Stage.UNANSWERED: frozenset({Stage.WAITING, Stage.REJECTING, None}),
+    Stage.UNANSWERED: frozenset({Stage.WAITING, Stage.ANSWERING, None}),
     Stage.WAITING: frozenset({Stage.IN_FLIGHT, None}) | _ENDS,
     Stage.IN_FLIGHT: frozenset({Stage.WAITING}),  # no end while a call is in flight
-    Stage.HELD_BY_PREDECESSOR: frozenset({Stage.WAITING, None}),
-    Stage.REJECTING: frozenset({None}),
+    Stage.IN_FLIGHT_AT_PREDECESSOR: frozenset({Stage.WAITING, None}),
+    Stage.ANSWERING: frozenset({None}),
     Stage.RECORDING_DELIVERY: frozenset({None}),
     Stage.RECORDING_FINAL_STATUS: frozenset({Stage.REPORTING}),
     Stage.REPORTING: frozenset({None}),
@@ -148,7 +154,7 @@
 
     def adopt_attempt(self, message: str, host: str, sent_at: int | None) -> None:
         """A call of the predecessor with a message is still in flight."""
-        state = self._move(message, Stage.HELD_BY_PREDECESSOR)
+        state = self._move(message, Stage.IN_FLIGHT_AT_PREDECESSOR)
         state.host, state.sent_at = host, sent_at
 
     def end_attempt(self, message: str) -> int | None:
@@ -167,7 +173,7 @@
 
     # Ends
 
-    def begin_rejecting(self, message: str) -> Answer | None:
+    def begin_answering(self, message: str) -> Answer | None:
         """Ends a message whose client still waits for the first answer: that answer is the end.
 
         Returns:
@@ -177,7 +183,7 @@
         if state is None or state.stage is not Stage.UNANSWERED:
             return None
         answer, state.answer = state.answer, None
-        self._move(message, Stage.REJECTING)
+        self._move(message, Stage.ANSWERING)
         return answer
 
     def begin_recording_delivery(self, message: str) -> None:
--- a/loftrelay/relay/pending_submissions.py
+++ b/loftrelay/relay/pending_submissions.py
@@ -17,7 +17,7 @@
 
     message: Message
     answer: Answer
-    deadline: float  # seconds of the event loop's clock
+    loop_deadline: float  # seconds of the event loop's clock
 
 
 class PendingSubmissions:
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -48,26 +48,26 @@
     messages: dict[str, Message]
     uncertain_keys: dict[str, int]  # key -> when an attempt was given up that may still run, wall clock
 
-    def completed(self, message: str) -> CompletedMessage | None:
+    def completed(self, message_id: str) -> CompletedMessage | None:
         """Returns how a message ended, while its id is remembered."""
 
-    def admit(self, held: Message) -> None:
+    def admit(self, message: Message) -> None:
         """Records a new message.
 
         Raises:
             JournalFullError: there is no room for it.
         """
 
-    def record_attempt_result(self, held: Message, result: AttemptStatus) -> None:
+    def record_attempt_result(self, message: Message, status: AttemptStatus) -> None:
         """Records that an attempt ended other than by a delivery."""
 
-    def record_final_status(self, message: str, notice: dict[str, Any]) -> None:
+    def record_final_status(self, message_id: str, final_status: dict[str, Any]) -> None:
         """Records how a message ends; it is over once that is reported."""
 
-    def record_dispute(self, held: Message, host: str, ran_at: int) -> None:
+    def record_dispute(self, message: Message, host: str, sent_at: int) -> None:
         """Records that a rejected attempt may have run after all."""
 
-    def complete(self, message: str, status: int = 0) -> None:
+    def complete(self, message_id: str, status: int = 0) -> None:
         """Records that a message is over; its id is remembered with a status other than 0."""
 
     def close(self) -> None:
@@ -97,14 +97,14 @@
     def request_attempt(self, messages: Sequence[Message], host: str, done: Callable[[bool], None]) -> None:
         """Asks for an attempt; `done` is called with whether it may begin."""
 
-    def attempt_ended(self, message: str, result: str) -> None:
+    def attempt_ended(self, message_id: str, result: str) -> None:
         """Tells the outcome of an attempt that was asked for, deliveries aside."""
 
 
 class RelayObserver(Protocol):
     """Is told what this relay sees for itself."""
 
-    def attempt_ended(self, held: Message, host: str, ending: AttemptResult) -> None:
+    def attempt_ended(self, message: Message, host: str, result: AttemptResult) -> None:
         """An attempt has ended."""
 
     def endpoint_disabled(self, host: str) -> None:
@@ -117,7 +117,7 @@
 class RecoveryAction(Enum):
     """What a restart does about a message, by what the journal and the store have of it."""
 
-    AGREE = auto()  # nothing: both have it as over
+    AGREE = auto()  # both have it as over: the journal entry is completed
     STORE = auto()  # the store is told what the journal knows
     RESUME = auto()  # the message goes on; the store is told where it stands
     FAIL = auto()  # it may have run and must not run twice: it is failed, and not sent
@@ -128,30 +128,30 @@
 class MessageStore(AttemptGate, Protocol):
     """The store of record, where the operator has set one. Calls back from the loop, at once or later."""
 
-    def admit(self, held: Message, done: Callable[[StoreDecision], None]) -> None:
+    def admit(self, message: Message, done: Callable[[StoreDecision], None]) -> None:
         """Stores a new message, or says what is known of its id."""
 
     def record_final_status(
-        self, message: str, answer: str, result: str | None, done: Callable[[], None]
+        self, message_id: str, answer: str, result: str | None, done: Callable[[], None]
     ) -> None:
         """Stores how a message ends."""
 
-    def final_status_reported(self, message: str) -> None:
+    def final_status_reported(self, message_id: str) -> None:
         """Stores that whoever waits for the end of a message has it."""
 
-    def recorded_answer(self, message: str) -> str | None:
+    def recorded_answer(self, message_id: str) -> str | None:
         """Returns how a message ended, as stored before a restart; None while it has not."""
 
-    def recover(self, held: Message | None, message: str, unsafe: bool) -> RecoveryAction:
+    def recover(self, message: Message | None, message_id: str, is_at_most_once: bool) -> RecoveryAction:
         """Reconciles the record of a message with the journal; returns what is to be done.
 
         Args:
-            held: the message in the journal, if it is there.
-            message: its id.
-            unsafe: whether it must not run twice.
+            message: as in the journal, if it is there.
+            message_id: its id.
+            is_at_most_once: whether it must not run twice.
         """
 
-    def unfinished_without_journal(self, held: Mapping[str, Message]) -> Sequence[str]:
+    def unfinished_without_journal(self, messages: Mapping[str, Message]) -> Sequence[str]:
         """Returns the ids of messages that are unfinished in the store and not in the journal."""
 
 
@@ -180,7 +180,7 @@
     def withdraw_blocked_calls(self) -> None:
         """Withdraws calls that a Retry-After forbids now, as long as their last byte is not written."""
 
-    def send_call(self, host: str, messages: list[Message], terms: CallOptions) -> None:
+    def send_call(self, host: str, messages: list[Message], options: CallOptions) -> None:
         """Begins a call."""
 
     def withdraw_unsent_calls(self) -> list[tuple[Message, str]]:
@@ -196,7 +196,7 @@
     address: Address
     revision: int | None
 
-    def load_cached(self, known: Mapping[str, Any]) -> None:
+    def load_cached(self, cached_list: Mapping[str, Any]) -> None:
         """Takes in the list as last known."""
 
     def watch(self) -> None:
@@ -248,7 +248,7 @@
     def pending(self) -> int:
         """Final statuses that are not acknowledged yet."""
 
-    def report(self, message: str, notice: dict[str, Any]) -> None:
+    def report(self, message_id: str, final_status: dict[str, Any]) -> None:
         """Reports a final status, until it is acknowledged."""
 
     def move_to(self, address: Address) -> None:
@@ -261,11 +261,11 @@
 class OutcomeForwarder(Protocol):
     """Is told the outcomes of calls while another process decides, or is about to."""
 
-    def retry_after_received(self, host: str, wait: int) -> None:
+    def retry_after_received(self, host: str, retry_after: int) -> None:
         """A host sent a Retry-After, in microseconds."""
 
-    def attempt_ended(self, message: str, host: str, ending: AttemptResult) -> None:
+    def attempt_ended(self, message_id: str, host: str, result: AttemptResult) -> None:
         """An attempt has ended."""
 
-    def outcome_disputed(self, message: str, host: str, ran_at: int) -> None:
+    def outcome_disputed(self, message_id: str, host: str, sent_at: int) -> None:
         """A rejected attempt may have run after all; `ran_at` is in microseconds of the wall clock."""
--- a/loftrelay/relay/recovery.py
+++ b/loftrelay/relay/recovery.py
@@ -51,7 +51,7 @@
             self._end_interrupted_attempt(message)
         self._restore_cooldowns()
         self.messages = [message for message in context.messages_in_order() if self._reconcile(message)]
-        recovered = self.messages
+        recovered = self.messages  # replay empties the list
         if context.subscription is None:
             self.replay()
         for message in recovered:
@@ -128,6 +128,7 @@
             return False
         if action is RecoveryAction.REPORT_AGAIN and message.final_status is None:
             self.context.journal.record_final_status(message.id, rejected_or_failed(answer))
+        # The decisions fail it: it may have run and can't be repeated.
         if action is RecoveryAction.FAIL and message.first_attempt_at is None:
             self.context.journal.record_dispute(message, message.attempt_host or "", wall_clock())
         return True
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -12,7 +12,7 @@
 from loftrelay.journal.journal import Journal
 from loftrelay.net.address import Address
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.handover import HandoverState
+from loftrelay.relay.handover_state import HandoverState
 from loftrelay.relay.ports import EndpointDirectory, MessageStore, SubscribedDirectory
 from loftrelay.state.disabled_hosts import DisabledHostsFile
 
--- a/loftrelay/service/store_setup.py
+++ b/loftrelay/service/store_setup.py
@@ -20,25 +20,29 @@
 RETRY_INTERVAL_S = 0.5  # seconds between looks for a store that is away at the start
 
 
-def durability_modes(settings: RelaySettings, told: StoreSettings) -> dict[str, DurabilityMode]:
+def durability_modes(settings: RelaySettings, store_settings: StoreSettings) -> dict[str, DurabilityMode]:
     """How each class is recorded: by its effect."""
     harmless = (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED)
     return {
-        name: told.repeatable_mode if about.semantics in harmless else told.at_most_once_mode
+        name: store_settings.repeatable_mode
+        if about.semantics in harmless
+        else store_settings.at_most_once_mode
         for name, about in settings.classes.items()
     }
 
 
-async def open_store(config: Config, told: StoreSettings, journal: Journal) -> Recorder:
+async def open_store(config: Config, store_settings: StoreSettings, journal: Journal) -> Recorder:
     """The store of record, read. Waits for one that is away, and raises Unusable for one that stays so."""
-    writer = Writer(store_opener(told), told.max_queued, told.max_changes_per_commit)
+    writer = Writer(
+        store_opener(store_settings), store_settings.max_queued, store_settings.max_changes_per_commit
+    )
     recorder = Recorder(
         writer,
         config.name,
-        durability_modes(config.settings, told),
-        told.remembered_for,
-        told.retention,
-        told.max_store_wait_s,
+        durability_modes(config.settings, store_settings),
+        store_settings.remembered_for,
+        store_settings.retention,
+        store_settings.max_store_wait_s,
     )
     while True:
         try:
--- a/loftrelay/store/backend.py
+++ b/loftrelay/store/backend.py
@@ -55,7 +55,7 @@
     def select(self, query: RecordQuery) -> Iterator[MessageRecord]:
         """Yields the records that a query asks for."""
 
-    def prune(self, before: int, most: int) -> int:
+    def prune(self, before: int, max_rows: int) -> int:
         """Deletes so many records at most that were reported before a time; returns how many."""
 
     def verify(self) -> list[str]:
--- a/loftrelay/store/group_commit.py
+++ b/loftrelay/store/group_commit.py
@@ -44,7 +44,7 @@
     attempts: dict[tuple[str, int, int], AttemptRow] = field(default_factory=dict)
     ids_in_use: dict[int, MessageRecord] = field(
         default_factory=dict
-    )  # TAKEs not applied, and the record that has their id
+    )  # by position: admissions not applied, and the record that has the id
 
 
 def build_group(changes: Sequence[Change], seen: Mapping[str, MessageRecord]) -> CommitGroup:
--- a/loftrelay/store/postgres.py
+++ b/loftrelay/store/postgres.py
@@ -233,12 +233,12 @@
             rows = self.database.execute(text.encode(), given).fetchall()
         yield from map(record_of, rows)
 
-    def prune(self, before: int, most: int) -> int:
+    def prune(self, before: int, max_rows: int) -> int:
         """Deletes so many records at most that were reported before a time; returns how many."""
         with self._call():
             self.database.execute("BEGIN")
             rows = self.database.execute(
-                "SELECT id FROM messages WHERE told_at < %s ORDER BY told_at LIMIT %s", (before, most)
+                "SELECT id FROM messages WHERE told_at < %s ORDER BY told_at LIMIT %s", (before, max_rows)
             ).fetchall()
             for row in rows:
                 self.database.execute("DELETE FROM attempts WHERE id = %s", row)
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -28,7 +28,7 @@
     RecordState,
     StoredAnswer,
 )
-from loftrelay.store.writer import IdInUseError, StoreAwayError, Writer
+from loftrelay.store.writer import IdInUseError, StoreBusyError, Writer
 
 log = logging.getLogger(__name__)
 
@@ -60,19 +60,19 @@
         return STATUSES[self.known_id]
 
 
-def journal_standing(held: Message) -> state_machine.JournalStanding:
+def journal_standing(message: Message) -> state_machine.JournalStanding:
     """Returns what the journal has of a message at a start."""
-    if held.final_status is not None:
+    if message.final_status is not None:
         return (
             state_machine.JournalStanding.DELIVERED
-            if held.final_status["status"] == "delivered"
+            if message.final_status["status"] == "delivered"
             else state_machine.JournalStanding.ENDED
         )
-    if held.attempt_started_at is not None:
+    if message.attempt_started_at is not None:
         return state_machine.JournalStanding.IN_FLIGHT
-    if held.first_attempt_at is not None:
+    if message.first_attempt_at is not None:
         return state_machine.JournalStanding.MAY_HAVE_RUN
-    return state_machine.JournalStanding.TRIED if held.attempts else state_machine.JournalStanding.ADMITTED
+    return state_machine.JournalStanding.TRIED if message.attempts else state_machine.JournalStanding.ADMITTED
 
 
 @dataclass(slots=True)
@@ -107,26 +107,26 @@
         writer: Writer,
         instance: str,
         modes: Mapping[str, DurabilityMode],
-        memory: int,
-        keep: int | None = None,
-        patience: float = 0.5,
+        remembered_for: int,
+        retention: int | None = None,
+        max_store_wait_s: float = 0.5,
     ) -> None:
         self.writer = writer
         self.instance = instance
         self.modes = modes
-        self.remembered_for = memory
-        self.retention = keep
-        self.max_store_wait_s = patience
+        self.remembered_for = remembered_for
+        self.retention = retention
+        self.max_store_wait_s = max_store_wait_s
         self.positions: dict[str, RecordPosition] = {}
         self.records_at_start: dict[
             str, MessageRecord
         ] = {}  # as the store had them at the start, until they are taken up
-        self.pruning = asyncio.create_task(self._prune()) if keep is not None else None
+        self.pruning = asyncio.create_task(self._prune()) if retention is not None else None
 
     @property
     def retry_after_ms(self) -> int:
         """When to come back, while the store is away; 0 while it is there."""
-        return self.writer.retry_after_ms if self.writer.is_store_away else 0
+        return self.writer.retry_after_ms if self.writer.is_store_unavailable else 0
 
     # A start
 
@@ -142,46 +142,46 @@
     def _mine(self, store: StoreBackend) -> list[MessageRecord]:
         return [e for e in store.select(RecordQuery(unfinished=True)) if e.facts.instance == self.instance]
 
-    def unfinished_without_journal(self, held: Mapping[str, Message]) -> list[str]:
+    def unfinished_without_journal(self, messages: Mapping[str, Message]) -> list[str]:
         """Returns the messages that are unfinished in the store and not in the journal."""
         return [
             name
             for name, entry in self.records_at_start.items()
-            if name not in held and entry.reported_at is None
+            if name not in messages and entry.reported_at is None
         ]
 
-    def recover(self, held: Message | None, message: str, unsafe: bool) -> RecoveryAction:
+    def recover(self, message: Message | None, message_id: str, is_at_most_once: bool) -> RecoveryAction:
         """Returns what a start does about a message, and goes on with its record."""
-        entry = self.records_at_start.pop(message, None)
+        entry = self.records_at_start.pop(message_id, None)
         class_name = (
-            held.class_name if held is not None else entry.facts.class_name if entry is not None else ""
+            message.class_name if message is not None else entry.facts.class_name if entry is not None else ""
         )
         mode = self.modes.get(class_name, DurabilityMode.WRITE_AHEAD)
-        stands = state_machine.JournalStanding.NOTHING if held is None else journal_standing(held)
-        mend = state_machine.reconcile(stands, entry, unsafe, mode)
+        stands = state_machine.JournalStanding.NOTHING if message is None else journal_standing(message)
+        mend = state_machine.reconcile(stands, entry, is_at_most_once, mode)
         if mend in (RecoveryAction.AGREE, RecoveryAction.FORGET):
             return mend
-        track = self.positions[message] = RecordPosition(mode)
+        track = self.positions[message_id] = RecordPosition(mode)
         if entry is not None:
             track.run, track.number, track.state = entry.run, entry.number, entry.state
-        elif held is not None:
-            self._take(held, track, 1, _ignore, optional=False)
-            if held.attempts:  # as far as the journal tells
+        elif message is not None:
+            self._record_admission(message, track, 1, _ignore, optional=False)
+            if message.attempts:  # as far as the journal tells
                 self._post(
-                    message,
+                    message_id,
                     track,
                     ChangeKind.BEGIN_ATTEMPT,
-                    host=held.attempt_host or held.first_attempt_host,
+                    host=message.attempt_host or message.first_attempt_host,
                 )
                 if stands is not state_machine.JournalStanding.DELIVERED:
                     self.attempt_ended(
-                        message, "NOT_SENT" if stands is state_machine.JournalStanding.TRIED else "BROKEN"
+                        message_id, "NOT_SENT" if stands is state_machine.JournalStanding.TRIED else "BROKEN"
                     )
         if track.state is RecordState.IN_FLIGHT and mend in (
             RecoveryAction.RESUME,
             RecoveryAction.FAIL,
         ):
-            self.attempt_ended(message, "BROKEN")
+            self.attempt_ended(message_id, "BROKEN")
         return mend
 
     def recorded_answer(self, message: str) -> str | None:
@@ -195,24 +195,24 @@
 
     # A message's life
 
-    def admit(self, held: Message, done: Callable[[AdmissionDecision], None]) -> None:
+    def admit(self, message: Message, done: Callable[[AdmissionDecision], None]) -> None:
         """Stores a new message; `done` is told when it has it, or why not, at once for WRITE_BEHIND classes.
 
         A slow store rejects, too: what it has in the end is recorded as rejected. An id whose earlier record
         not complete yet is rejected as well.
         """
-        if held.id in self.positions:
+        if message.id in self.positions:
             done(self._refusal())
             return
-        track = self.positions[held.id] = RecordPosition(
-            self.modes.get(held.class_name, DurabilityMode.WRITE_AHEAD)
+        track = self.positions[message.id] = RecordPosition(
+            self.modes.get(message.class_name, DurabilityMode.WRITE_AHEAD)
         )
         if track.mode is DurabilityMode.WRITE_BEHIND:
             if len(self.writer.queue) >= self.writer.max_queued:
-                self.drop(held.id)
+                self.drop(message.id)
                 done(AdmissionDecision(retry_after_ms=self.writer.retry_after_ms))
                 return
-            self._take(held, track, 1, _ignore)
+            self._record_admission(message, track, 1, _ignore)
             done(AdmissionDecision())
             return
         late = False
@@ -229,18 +229,21 @@
             elif verdict.known_id is KnownId.NEW and not verdict.retry_after_ms:
                 # Its client was refused meanwhile, and may come again with it.
                 self.record_final_status(
-                    held.id, StoredAnswer.REJECTED.value, None, partial(self.final_status_reported, held.id)
+                    message.id,
+                    StoredAnswer.REJECTED.value,
+                    None,
+                    partial(self.final_status_reported, message.id),
                 )
 
         clock = asyncio.get_running_loop().call_later(self.max_store_wait_s, give_up)
-        self._take(held, track, 1, settle)
+        self._record_admission(message, track, 1, settle)
 
     def _refusal(self) -> AdmissionDecision:
         return AdmissionDecision(KnownId.REJECTED, max(MIN_RETRY_AFTER_MS, self.writer.retry_after_ms))
 
-    def _take(
+    def _record_admission(
         self,
-        held: Message,
+        message: Message,
         track: RecordPosition,
         run: int,
         done: Callable[[AdmissionDecision], None],
@@ -249,20 +252,22 @@
         track.run, track.number, track.state = run, 1, RecordState.ADMITTED
         about = MessageFacts(
             self.instance,
-            held.class_name,
-            held.tenant,
-            held.destination,
-            held.ordering_key,
-            held.deadline,
-            hashlib.sha256(held.body).hexdigest(),
+            message.class_name,
+            message.tenant,
+            message.destination,
+            message.ordering_key,
+            message.deadline,
+            hashlib.sha256(message.body).hexdigest(),
         )
-        change = Change(held.id, run, 1, ChangeKind.ADMIT, held.admitted_at, facts=about)
+        change = Change(message.id, run, 1, ChangeKind.ADMIT, message.admitted_at, facts=about)
         required = track.mode is DurabilityMode.WRITE_AHEAD
-        self.writer.put(change, partial(self._taken, held, track, done), optional and required, required)
+        self.writer.put(
+            change, partial(self._admission_recorded, message, track, done), optional and required, required
+        )
 
-    def _taken(
+    def _admission_recorded(
         self,
-        held: Message,
+        message: Message,
         track: RecordPosition,
         done: Callable[[AdmissionDecision], None],
         error: Exception | None,
@@ -273,12 +278,12 @@
         if isinstance(error, IdInUseError):
             verdict = state_machine.status_of_id(error.record, wall_clock(), self.remembered_for)
             if verdict is KnownId.NEW and track.number == 1:
-                self._take(held, track, error.record.run + 1, done)
+                self._record_admission(message, track, error.record.run + 1, done)
                 return
             if track.mode is DurabilityMode.WRITE_BEHIND:
-                log.warning("%s is recorded already: nothing more is recorded of it", held.id)
-        if self.positions.get(held.id) is track:
-            self.drop(held.id)
+                log.warning("%s is recorded already: nothing more is recorded of it", message.id)
+        if self.positions.get(message.id) is track:
+            self.drop(message.id)
         if isinstance(error, IdInUseError) and verdict is KnownId.REJECTED:
             done(self._refusal())
         elif isinstance(error, IdInUseError):
@@ -287,7 +292,7 @@
             done(
                 AdmissionDecision(
                     retry_after_ms=error.retry_after_ms
-                    if isinstance(error, StoreAwayError)
+                    if isinstance(error, StoreBusyError)
                     else self.writer.retry_after_ms
                 )
             )
@@ -305,7 +310,7 @@
             if error is not None:
                 track.number, track.state = track.number - 1, before
                 failed = True
-                if not isinstance(error, StoreAwayError):
+                if not isinstance(error, StoreBusyError):
                     log.error("%s: its record is behind: %s", message, error)
             if not waiting:
                 done(not failed)
--- a/loftrelay/store/settings.py
+++ b/loftrelay/store/settings.py
@@ -66,22 +66,22 @@
     Raises:
         SettingsError: it names the file, the key and the value.
     """
-    told = read_toml(path, KEYS)
-    if bool(told["file"]) == bool(told["dsn"]):
+    values = read_toml(path, KEYS)
+    if bool(values["file"]) == bool(values["dsn"]):
         raise SettingsError(
-            f"{path}: file = {told['file']!r}: one of file and dsn is to be set, and not both"
+            f"{path}: file = {values['file']!r}: one of file and dsn is to be set, and not both"
         )
     return StoreSettings(
-        file=Path(told["file"]) if told["file"] else None,
-        dsn=told["dsn"],
-        call_timeout_s=told["call_s"],
-        synchronous=told["synchronous"],
-        busy_ms=told["busy_ms"],
-        at_most_once_mode=DurabilityMode(told["unsafe"]),
-        repeatable_mode=DurabilityMode(told["repeatable"]),
-        max_store_wait_s=told["take_ms"] / 1000,
-        max_queued=told["most_queued"],
-        max_changes_per_commit=told["most_in_commit"],
-        remembered_for=round(told["memory_s"] * 1_000_000),
-        retention=round(told["keep_days"] * DAY * 1_000_000) if told["keep_days"] else None,
+        file=Path(values["file"]) if values["file"] else None,
+        dsn=values["dsn"],
+        call_timeout_s=values["call_s"],
+        synchronous=values["synchronous"],
+        busy_ms=values["busy_ms"],
+        at_most_once_mode=DurabilityMode(values["unsafe"]),
+        repeatable_mode=DurabilityMode(values["repeatable"]),
+        max_store_wait_s=values["take_ms"] / 1000,
+        max_queued=values["most_queued"],
+        max_changes_per_commit=values["most_in_commit"],
+        remembered_for=round(values["memory_s"] * 1_000_000),
+        retention=round(values["keep_days"] * DAY * 1_000_000) if values["keep_days"] else None,
     )
--- a/loftrelay/store/sqlite.py
+++ b/loftrelay/store/sqlite.py
@@ -193,12 +193,12 @@
         except sqlite3.Error as error:
             raise StoreUnavailableError(f"{self.path}: {error}") from error
 
-    def prune(self, before: int, most: int) -> int:
+    def prune(self, before: int, max_rows: int) -> int:
         """Deletes so many records at most that were reported before a time; returns how many."""
         try:
             self.database.execute("BEGIN IMMEDIATE")
             rows = self.database.execute(
-                "SELECT id FROM messages WHERE told_at < ? ORDER BY told_at LIMIT ?", (before, most)
+                "SELECT id FROM messages WHERE told_at < ? ORDER BY told_at LIMIT ?", (before, max_rows)
             ).fetchall()
             self.database.executemany("DELETE FROM attempts WHERE id = ?", rows)
             self.database.executemany("DELETE FROM messages WHERE id = ?", rows)
--- a/loftrelay/store/state_machine.py
+++ b/loftrelay/store/state_machine.py
@@ -92,10 +92,10 @@
     number: int  # of this change, from 1
     kind: ChangeKind
     at: int
-    facts: MessageFacts | None = None  # TAKE
-    host: str | None = None  # INTEND
-    result: str | None = None  # OUTCOME, and END where an attempt was out
-    answer: StoredAnswer | None = None  # END
+    facts: MessageFacts | None = None  # of ADMIT
+    host: str | None = None  # of BEGIN_ATTEMPT
+    result: str | None = None  # of END_ATTEMPT, and of DECIDE while an attempt is in flight
+    answer: StoredAnswer | None = None  # of DECIDE
 
 
 @dataclass(frozen=True, slots=True)
@@ -293,7 +293,7 @@
 
 
 def reconcile(
-    held: JournalStanding, seen: MessageRecord | None, unsafe: bool, mode: DurabilityMode
+    standing: JournalStanding, seen: MessageRecord | None, is_at_most_once: bool, mode: DurabilityMode
 ) -> RecoveryAction:
     """Returns what a start does about a message.
 
@@ -301,12 +301,12 @@
     the store has lost it.
 
     Args:
-        held: what the journal has of it.
+        standing: what the journal has of it.
         seen: what the store has of it.
-        unsafe: whether it must not run twice.
+        is_at_most_once: whether it must not run twice.
         mode: how its class is recorded.
     """
-    if held is JournalStanding.NOTHING:
+    if standing is JournalStanding.NOTHING:
         if seen is None or seen.state in (RecordState.REPORTED,):
             return RecoveryAction.AGREE
         if seen.state is RecordState.ENDED:
@@ -317,23 +317,23 @@
             )
         return RecoveryAction.FAIL  # the journal is lost: nobody knows whether it ran
     if seen is None:
-        if mode is DurabilityMode.WRITE_AHEAD and held is JournalStanding.ADMITTED:
+        if mode is DurabilityMode.WRITE_AHEAD and standing is JournalStanding.ADMITTED:
             return RecoveryAction.FORGET  # never committed, so its client was never told
-        if unsafe and held in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN):
+        if is_at_most_once and standing in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN):
             return RecoveryAction.FAIL
         return (
             RecoveryAction.STORE
-            if held in (JournalStanding.DELIVERED, JournalStanding.ENDED)
+            if standing in (JournalStanding.DELIVERED, JournalStanding.ENDED)
             else RecoveryAction.RESUME
         )
     if seen.state is RecordState.REPORTED:
         return RecoveryAction.AGREE  # reported, and the journal did not have that yet
     if seen.state is RecordState.ENDED:
         return RecoveryAction.STORE if seen.answer is StoredAnswer.DELIVERED else RecoveryAction.REPORT_AGAIN
-    if held in (JournalStanding.DELIVERED, JournalStanding.ENDED):
+    if standing in (JournalStanding.DELIVERED, JournalStanding.ENDED):
         return RecoveryAction.STORE
     may_have_run = (
-        held in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN)
+        standing in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN)
         or seen.state is RecordState.IN_FLIGHT
     )
-    return RecoveryAction.FAIL if unsafe and may_have_run else RecoveryAction.RESUME
+    return RecoveryAction.FAIL if is_at_most_once and may_have_run else RecoveryAction.RESUME
--- a/loftrelay/store/writer.py
+++ b/loftrelay/store/writer.py
@@ -29,7 +29,7 @@
 T = TypeVar("T")
 
 
-class StoreAwayError(Exception):
+class StoreBusyError(Exception):
     """The store can't take a change now; `retry_after_ms` tells when to try again."""
 
     def __init__(self, retry_ms: int) -> None:
@@ -70,17 +70,20 @@
     """`open_store` is called in the thread, anew after each failure of the database."""
 
     def __init__(
-        self, open_store: Callable[[], StoreBackend], most_queued: int = 10_000, most_in_commit: int = 500
+        self,
+        open_store: Callable[[], StoreBackend],
+        max_queued: int = 10_000,
+        max_changes_per_commit: int = 500,
     ) -> None:
         self.open_store = open_store
-        self.max_queued = most_queued
-        self.max_changes_per_commit = most_in_commit
+        self.max_queued = max_queued
+        self.max_changes_per_commit = max_changes_per_commit
         self.thread = ThreadPoolExecutor(1, "record")
         self.store: StoreBackend | None = None
         self.queue: deque[QueuedChange] = deque()
         self.has_work = asyncio.Event()
         self.has_urgent_work = asyncio.Event()  # something urgent is queued, or there is no time left
-        self.is_store_away = False
+        self.is_store_unavailable = False
         self.backoff_s = MIN_BACKOFF_S
         self.is_store_slow = False
         self.commits = 0
@@ -105,9 +108,9 @@
                 at once while the store is away or its queue is full. Any other change stays queued.
             urgent: somebody waits for it.
         """
-        if optional and (self.is_store_away or self.is_closing or len(self.queue) >= self.max_queued):
+        if optional and (self.is_store_unavailable or self.is_closing or len(self.queue) >= self.max_queued):
             if done is not None:
-                asyncio.get_running_loop().call_soon(done, StoreAwayError(self.retry_after_ms))
+                asyncio.get_running_loop().call_soon(done, StoreBusyError(self.retry_after_ms))
             return
         self.queue.append(QueuedChange(change, done, optional, urgent))
         self.has_work.set()
@@ -189,7 +192,7 @@
         if self.commits:
             log.info("%d changes stored in %d commits", self.changes, self.commits)
         for item in self.queue:
-            item.settle(StoreAwayError(self.retry_after_ms))
+            item.settle(StoreBusyError(self.retry_after_ms))
 
     async def _wait_for_changes(self) -> bool:
         """Returns whether there is something to write; False once the writer closes with nothing left."""
@@ -223,22 +226,23 @@
             return await self._one_by_one(group)
         except CommitUncertainError as error:
             log.warning("a commit's outcome is not known, it is read back: %s", error)
-            self._mark_away(error)  # the next try applies only what is missing: each change is numbered
+            # The next try applies only what is missing: each change is numbered.
+            self._mark_unavailable(error)
             for item in group:
                 item.optional = False  # it may be stored: given up now, its record would stand for nobody
             await loop.run_in_executor(self.thread, self._close_store)
             return False
         except StoreError as error:
-            self._mark_away(error)
+            self._mark_unavailable(error)
             await loop.run_in_executor(self.thread, self._close_store)
             for item in (*group, *self.queue):
                 if item.optional:
-                    item.settle(StoreAwayError(self.retry_after_ms))
+                    item.settle(StoreBusyError(self.retry_after_ms))
             self.queue = deque(item for item in self.queue if not item.optional)
             return False
-        if self.is_store_away:
+        if self.is_store_unavailable:
             log.warning("the store of record is back")
-            self.is_store_away, self.backoff_s = False, MIN_BACKOFF_S
+            self.is_store_unavailable, self.backoff_s = False, MIN_BACKOFF_S
         self._log_slowness(loop.time() - began)
         self.commits += 1
         self.changes += len(group)
@@ -265,8 +269,8 @@
         results = [await self._write([item]) for item in group]
         return all(results)
 
-    def _mark_away(self, error: StoreError) -> None:
-        if not self.is_store_away:
+    def _mark_unavailable(self, error: StoreError) -> None:
+        if not self.is_store_unavailable:
             level = logging.ERROR if isinstance(error, StoreUnusableError) else logging.WARNING
             log.log(level, "the store of record is away: %s", error)
-        self.is_store_away = True
+        self.is_store_unavailable = True
--- a/loftrelay/upgrade/messages.py
+++ b/loftrelay/upgrade/messages.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from loftrelay.relay.handover import HandoverError, read_attempt_result, write_attempt_result
+from loftrelay.relay.handover_state import HandoverError, read_attempt_result, write_attempt_result
 from loftrelay.relay.ports import AttemptResult
 
 
--- a/loftrelay/upgrade/receiver.py
+++ b/loftrelay/upgrade/receiver.py
@@ -14,7 +14,7 @@
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.fault_points import fault_point
-from loftrelay.relay.handover import HandoverError, HandoverState, read_state
+from loftrelay.relay.handover_state import HandoverError, HandoverState, read_state
 from loftrelay.upgrade.channel import Channel, connect
 from loftrelay.upgrade.lock import Lock
 from loftrelay.upgrade.messages import (
--- a/loftrelay/upgrade/sender.py
+++ b/loftrelay/upgrade/sender.py
@@ -31,7 +31,7 @@
     read_message,
     write_message,
 )
-from loftrelay.upgrade.state_machine import MAX_PAUSE_US, Predecessor, PredecessorAction
+from loftrelay.upgrade.state_machine import MAX_HANDOVER_PAUSE_US, Predecessor, PredecessorAction
 
 log = logging.getLogger(__name__)
 
@@ -177,7 +177,7 @@
         self._front.pause()
         self._engine.handover.pause(self.forwarder)
         fault_point("frozen")
-        delay_s = MAX_PAUSE_US / 1e6 + TIMER_SLACK_S
+        delay_s = MAX_HANDOVER_PAUSE_US / 1e6 + TIMER_SLACK_S
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
     def _export_state(self) -> None:
--- a/loftrelay/upgrade/state_machine.py
+++ b/loftrelay/upgrade/state_machine.py
@@ -9,15 +9,19 @@
     reports that it has loaded them  -> releases the lock and the journal, in one step
     owns all, and continues          <- transfers clients, and outcomes of attempts in flight
 
-A process that is lost before the release leaves the predecessor as it was. Events that a table below does not
-name for a state change nothing. Times are microseconds on any one clock.
+A process that is lost before the release leaves the predecessor as it was. A successor that is lost after it
+has the predecessor start again from the journal, once it gets the lock; one that was requested to stop exits
+instead. Events that a table below does not name for a state change nothing. Times are microseconds on any one
+clock.
 """
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
-MAX_PAUSE_US = 1_500_000  # clients wait 400 ms for an answer; a longer pause would only reject more of them
+MAX_HANDOVER_PAUSE_US = (
+    1_500_000  # clients wait 400 ms for an answer; a longer pause would only reject more of them
+)
 RETRY_DELAY_US = 50_000  # between the attempts of a successor to get the lock or to reach a predecessor
 
 
@@ -123,7 +127,7 @@
     def on_request(self, now: int) -> tuple[PredecessorAction, ...]:
         """Another process wants to take over."""
         if self.is_serving:
-            self._pause_ends_at = now + MAX_PAUSE_US
+            self._pause_ends_at = now + MAX_HANDOVER_PAUSE_US
         return self._apply(PredecessorEvent.REQUESTED)
 
     def on_loaded(self, now: int) -> tuple[PredecessorAction, ...]:
@@ -163,7 +167,7 @@
 
     LOCK_ACQUIRED = auto()  # no other process owns the state
     CONNECTED = auto()  # to a predecessor
-    UNREACHABLE = auto()  # neither of both
+    UNREACHABLE = auto()  # neither the lock nor a predecessor
     STATE_RECEIVED = auto()  # the predecessor has paused
     OWNERSHIP_RECEIVED = auto()  # with the lock
     CHANNEL_LOST = auto()  # or the predecessor refuses
--- a/tests/program/test_handover_from_baseline.py
+++ b/tests/program/test_handover_from_baseline.py
@@ -14,7 +14,12 @@
 import pytest
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.relay.handover import HandoverError, read_attempt_result, read_state, write_attempt_result
+from loftrelay.relay.handover_state import (
+    HandoverError,
+    read_attempt_result,
+    read_state,
+    write_attempt_result,
+)
 from loftrelay.relay.ports import AttemptResult
 from tests.standins.predecessor import play
 
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -17,7 +17,12 @@
 from loftrelay.metrics.counters import FinalStatus
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.handover import HandoverError, read_attempt_result, read_state, write_attempt_result
+from loftrelay.relay.handover_state import (
+    HandoverError,
+    read_attempt_result,
+    read_state,
+    write_attempt_result,
+)
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_state import Stage
 from loftrelay.relay.ports import AttemptResult
@@ -63,7 +68,7 @@
     def use(self, engine: Engine) -> None:
         self.engine = engine
 
-        def send(host: str, messages: list[Message], terms: object) -> None:
+        def send(host: str, messages: list[Message], options: object) -> None:
             self.out += [(message, host) for message in messages]
 
         # Virtual time for the module: its pauses pass from turn to turn.
@@ -169,7 +174,7 @@
         second_journal.take_ownership()
         ended_before = sum(first.context.metrics.final_statuses.values())
         second, _ = build(config(tmp_path), journal=second_journal, received=handed)
-        assert set(second.context.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)) == {
+        assert set(second.context.message_states.in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)) == {
             held.id for held, _ in steps.out
         }
         steps.use(second)
@@ -181,7 +186,7 @@
         outstanding = len(second.context.journal.messages)
         second.handover.predecessor_lost()
         second.context.loop.run_due_batch()
-        assert not second.context.message_states.in_stage(Stage.HELD_BY_PREDECESSOR)
+        assert not second.context.message_states.in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)
         assert len(second.context.journal.messages) <= outstanding
         steps.check(ended_before)
         close(first)
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -143,7 +143,7 @@
     async def main() -> None:
         engine = make_engine(tmp_path)
         given: list[CallOptions] = []
-        engine.context.delivery.send_call = lambda host, messages, terms: given.append(terms)  # type: ignore[method-assign]
+        engine.context.delivery.send_call = lambda host, messages, options: given.append(options)  # type: ignore[method-assign]
         now = wall_clock()
         lives = {"short": 2_000_000, "long": 9_000_000} if batch else {"short": 2_000_000}
         for name, remaining in lives.items():
@@ -173,7 +173,7 @@
         engine.context.scheduler.state.settings = replace(
             engine.context.scheduler.state.settings, awaits_final_status=True
         )
-        engine.context.delivery.send_call = lambda host, messages, terms: None  # type: ignore[method-assign]
+        engine.context.delivery.send_call = lambda host, messages, options: None  # type: ignore[method-assign]
         now = wall_clock()
         for name in ("m", "next"):
             held = Message(
@@ -224,7 +224,7 @@
     async def main() -> None:
         engine = make_engine(tmp_path)
         sent: list[str] = []
-        engine.context.delivery.send_call = lambda host, messages, terms: sent.append(host)  # type: ignore[method-assign]
+        engine.context.delivery.send_call = lambda host, messages, options: sent.append(host)  # type: ignore[method-assign]
         now = wall_clock()
         held = Message("m", 0, "order", "acme", 1, "k", now, now + 9_000_000)
         engine.intake.submit(held, lambda status, _: None)
--- a/tests/relay/test_message_state.py
+++ b/tests/relay/test_message_state.py
@@ -18,7 +18,7 @@
     "send": lambda lives, m: lives.begin_attempt(m, 7),
     "abroad": lambda lives, m: lives.adopt_attempt(m, "h", 5),
     "back": lambda lives, m: lives.end_attempt(m),
-    "refuse": lambda lives, m: lives.begin_rejecting(m),
+    "refuse": lambda lives, m: lives.begin_answering(m),
     "close": lambda lives, m: lives.begin_recording_delivery(m),
     "end": lambda lives, m: lives.begin_recording_final_status(m, {"status": "deferred"}),
     "tell": lambda lives, m: lives.begin_reporting(m),
@@ -57,10 +57,10 @@
     answers = {name: (lambda status, again: None) for name in "abc"}
     for name, answer in answers.items():
         lives.await_answer(name, answer)
-    assert lives.begin_rejecting("b") is answers["b"]
+    assert lives.begin_answering("b") is answers["b"]
     assert lives.complete("c") is not None
     assert lives.answer_admitted() == [answers["a"]]
     assert lives.answer_admitted() == []
-    assert lives.begin_rejecting("a") is None
-    assert lives.stage("b") is Stage.REJECTING
+    assert lives.begin_answering("a") is None
+    assert lives.stage("b") is Stage.ANSWERING
     assert not faults
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -26,7 +26,7 @@
 from loftrelay.discovery.status_reporter import FinalStatusReporter
 from loftrelay.journal.journal import Journal
 from loftrelay.net.address import Address
-from loftrelay.relay import handover
+from loftrelay.relay import handover_state
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.message import Message
@@ -87,7 +87,7 @@
 
 
 def make(
-    folder: Path, most_held: int = 100, handed: handover.HandoverState | None = None
+    folder: Path, most_held: int = 100, handed: handover_state.HandoverState | None = None
 ) -> tuple[Engine, FakeSlices]:
     config, slices = config_of(folder, most_held), FakeSlices()
     journal = Journal(folder, config.journal_bytes)
@@ -383,7 +383,7 @@
         told = json.loads(json.dumps(engine.handover.export_state()))
         assert told["revision"] == (None if sliced else 7)
         close(engine)
-        handed = handover.read_state(told, 1)
+        handed = handover_state.read_state(told, 1)
         assert handed.is_subscription is sliced
         assert handed.subscription_revision == (7 if sliced else None)
         engine, slices = make(tmp_path, handed=replace(handed))
--- a/tests/store/test_postgres_cuts.py
+++ b/tests/store/test_postgres_cuts.py
@@ -143,7 +143,7 @@
 
     async def main() -> None:
         server.drawn = draw
-        writer = Writer(partial(PostgresStore, server.dsn), most_in_commit=20)
+        writer = Writer(partial(PostgresStore, server.dsn), max_changes_per_commit=20)
         names = [f"m{i}" for i in range(300)]
         await asyncio.gather(*(writer.write(change) for name in names for change in life(name)))
         server.drawn = None
--- a/tests/store/test_recorder.py
+++ b/tests/store/test_recorder.py
@@ -40,7 +40,7 @@
     async def main() -> None:
         store = Faulty(folder / "r.sqlite")
         modes = {"order": DurabilityMode.WRITE_AHEAD, "status": DurabilityMode.WRITE_BEHIND}
-        recorder = Recorder(Writer(store.open), "n1", modes, HOUR, patience=NEVER)
+        recorder = Recorder(Writer(store.open), "n1", modes, HOUR, max_store_wait_s=NEVER)
         await scenario(store, recorder)
         store.gate.set()
         await recorder.close()
@@ -50,7 +50,7 @@
 
 def beside(recorder: Recorder) -> Recorder:
     """Another instance at the same store."""
-    return Recorder(recorder.writer, "n2", recorder.modes, HOUR, patience=NEVER)
+    return Recorder(recorder.writer, "n2", recorder.modes, HOUR, max_store_wait_s=NEVER)
 
 
 async def take(recorder: Recorder, held: Message) -> AdmissionDecision:
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -13,7 +13,7 @@
 from loftrelay.store.backend import CommitUncertainError, RecordQuery, StoreUnavailableError
 from loftrelay.store.sqlite import SQLiteStore
 from loftrelay.store.state_machine import Change, MessageRecord, RecordRuleError, RecordState
-from loftrelay.store.writer import IdInUseError, StoreAwayError, Writer
+from loftrelay.store.writer import IdInUseError, StoreBusyError, Writer
 from tests.store.test_sqlite import life
 
 
@@ -100,14 +100,14 @@
         store.faults = ["away"] * 3
         intend, outcome, told = life("m")[1:]
         kept = [writer.write(intend), writer.write(outcome), writer.write(told)]
-        with pytest.raises(StoreAwayError) as refusal:
+        with pytest.raises(StoreBusyError) as refusal:
             await writer.write(life("new")[0], optional=True)
         assert refusal.value.retry_after_ms > 0
-        assert writer.is_store_away
-        with pytest.raises(StoreAwayError):  # without a try of the store
+        assert writer.is_store_unavailable
+        with pytest.raises(StoreBusyError):  # without a try of the store
             await writer.write(life("newer")[0], optional=True)
         await asyncio.gather(*kept)
-        assert not writer.is_store_away
+        assert not writer.is_store_unavailable
         assert store.opened == 4
         found = await writer.call(lambda s: s.read(["m", "new", "newer"]))
         assert set(found) == {"m"}
@@ -175,11 +175,11 @@
         await asyncio.sleep(0)  # never told before `write` returns
         refused = [write for write in writes if write.done()]
         assert 9 <= len(refused) <= 10
-        assert all(isinstance(write.exception(), StoreAwayError) for write in refused)
+        assert all(isinstance(write.exception(), StoreBusyError) for write in refused)
         store.gate.set()
         await asyncio.gather(*writes, return_exceptions=True)
 
-    run(tmp_path, scenario, most_queued=10)
+    run(tmp_path, scenario, max_queued=10)
 
 
 def test_what_nobody_waits_for_gathers_and_goes_with_what_is_urgent(
@@ -208,7 +208,7 @@
         await asyncio.gather(*(writer.write(change, urgent=False) for change in life("m")))
         assert store.groups == [4]
 
-    run(tmp_path, scenario, most_in_commit=4)
+    run(tmp_path, scenario, max_changes_per_commit=4)
 
 
 def test_closing_writes_what_is_queued(tmp_path: Path) -> None:
@@ -216,7 +216,7 @@
         writes = [writer.write(change) for change in life("m")]
         await writer.close()
         assert all(write.done() and write.exception() is None for write in writes)
-        with pytest.raises(StoreAwayError):
+        with pytest.raises(StoreBusyError):
             await writer.write(life("late")[0], optional=True)
 
     async def main() -> None:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -54,7 +54,7 @@
     "relay/message_state.py",
     "relay/shutdown_schedule.py",
     "relay/message_terms.py",
-    "relay/handover.py",
+    "relay/handover_state.py",
     "upgrade/state_machine.py",
     "metrics/counters.py",
     "upgrade/messages.py",
--- a/tests/upgrade/test_messages.py
+++ b/tests/upgrade/test_messages.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.relay.handover import HandoverError
+from loftrelay.relay.handover_state import HandoverError
 from loftrelay.relay.ports import AttemptResult
 from loftrelay.upgrade.messages import (
     WIRE_KINDS,
--- a/tests/upgrade/test_state_machine.py
+++ b/tests/upgrade/test_state_machine.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loftrelay.upgrade.state_machine import (
-    MAX_PAUSE_US,
+    MAX_HANDOVER_PAUSE_US,
     Predecessor,
     PredecessorAction,
     PredecessorState,
@@ -82,7 +82,7 @@
         self.log.append(what)
         match what:
             case "time":
-                self.now += self.random.choice([1_000, 100_000, MAX_PAUSE_US])
+                self.now += self.random.choice([1_000, 100_000, MAX_HANDOVER_PAUSE_US])
                 if self.old.alive and self.old.predecessor is not None:
                     self.does(self.old.predecessor.on_timer(self.now))
             case "try":
@@ -217,15 +217,18 @@
 def test_a_successor_that_exceeds_the_pause_finds_all_as_it_was() -> None:
     predecessor = Predecessor()
     assert predecessor.on_request(0) == (PredecessorAction.PAUSE, PredecessorAction.EXPORT_STATE)
-    assert predecessor.on_timer(MAX_PAUSE_US - 1) == ()
-    assert predecessor.on_loaded(MAX_PAUSE_US) == (PredecessorAction.RESUME,)
+    assert predecessor.on_timer(MAX_HANDOVER_PAUSE_US - 1) == ()
+    assert predecessor.on_loaded(MAX_HANDOVER_PAUSE_US) == (PredecessorAction.RESUME,)
     assert predecessor.state is PredecessorState.SERVING
-    assert predecessor.on_loaded(MAX_PAUSE_US + 1) == () == predecessor.on_channel_lost()
-    assert predecessor.on_request(MAX_PAUSE_US + 2) == (
+    assert predecessor.on_loaded(MAX_HANDOVER_PAUSE_US + 1) == () == predecessor.on_channel_lost()
+    assert predecessor.on_request(MAX_HANDOVER_PAUSE_US + 2) == (
         PredecessorAction.PAUSE,
         PredecessorAction.EXPORT_STATE,
     )
-    assert predecessor.on_loaded(MAX_PAUSE_US + 3) == (PredecessorAction.RELEASE, PredecessorAction.TRANSFER)
+    assert predecessor.on_loaded(MAX_HANDOVER_PAUSE_US + 3) == (
+        PredecessorAction.RELEASE,
+        PredecessorAction.TRANSFER,
+    )
 
 
 def test_a_second_request_and_one_while_stopping_are_refused() -> None:
