--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -145,3 +145,27 @@
     rules = {path.relative_to(ROOT.parent).as_posix() for path in ROOT.glob("decisions/*.py")}
     not_rules = {f"loftrelay/decisions/{name}.py" for name in ("__init__", "simulator", "snapshot")}
     assert set(deploy["policy"]) == rules - not_rules
+
+
+MAX_MODULE_LINES = 500
+MAX_FUNCTION_LINES = 50
+
+
+@pytest.mark.parametrize(
+    "package",
+    sorted({path.parent for path in ROOT.rglob("*.py")}),
+    ids=lambda package: package.relative_to(ROOT.parent).as_posix(),
+)
+def test_modules_classes_and_functions_of_a_package_stay_small(package: Path) -> None:
+    for path in package.glob("*.py"):
+        text = path.read_text()
+        assert text.count("\n") <= MAX_MODULE_LINES, path
+        for node in ast.walk(ast.parse(text)):
+            if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
+                assert node.end_lineno is not None
+                assert node.end_lineno - node.lineno < MAX_FUNCTION_LINES, (path, node.name)
+            elif isinstance(node, ast.ClassDef):
+                methods = [
+                    each for each in node.body if isinstance(each, ast.FunctionDef | ast.AsyncFunctionDef)
+                ]
+                assert len(methods) <= MAX_METHODS, (path, node.name)
