--- a/loftrelay/decisions/feedback.py
+++ b/loftrelay/decisions/feedback.py
@@ -63,7 +63,7 @@
     endpoint.consecutive_failures, endpoint.avoid_until = 0, 0
     gain = CALL_TIME_GAIN if endpoint.usual_call_time else 1
     endpoint.usual_call_time += (elapsed - endpoint.usual_call_time) * gain
-    gate.call_times.add(elapsed)
+    gate.record_call_time(elapsed)
     endpoint.kind_stats.call_times.add(elapsed)
     gate.breaker.record_success()
     gate.rate_limiter.increase(limits, len(endpoint.destination.waiting))
--- a/loftrelay/decisions/gate.py
+++ b/loftrelay/decisions/gate.py
@@ -19,6 +19,7 @@
 
 LEARNED_STATE_TTL_US = 600 * SECOND_US  # after the last call, short of an open circuit
 MIN_RELEVANT_ERROR_RATE = 0.01
+NO_CALL_TIMES = CallTimes()  # shared by all gates that have seen no call: most destinations are idle
 
 
 @dataclass(slots=True)
@@ -31,7 +32,7 @@
     slow_start: SlowStart = field(default_factory=SlowStart)
     retry_after_until: int = 0  # the end of the last Retry-After
     next_attempt_at: int = 0  # the end of the pause after a failure
-    call_times: CallTimes = field(default_factory=CallTimes)
+    call_times: CallTimes = field(default_factory=lambda: NO_CALL_TIMES)
     listed_rate: float = 0.0  # calls a second from all relays, as listed; 0: not listed
 
     @property
@@ -39,6 +40,12 @@
         """Whether the destination is failing, paused or recovering."""
         return self.breaker.is_open or self.window.is_below_one_call or self.slow_start.is_active
 
+    def record_call_time(self, elapsed: int) -> None:
+        """Takes in the duration of one successful call, in microseconds."""
+        if not self.call_times.smoothed:
+            self.call_times = CallTimes()  # the one before may be shared with other gates
+        self.call_times.add(elapsed)
+
     def heed_retry_after(self, until: int) -> None:
         """Allows no call before a time; an earlier one does not shorten a later one."""
         self.retry_after_until = max(self.retry_after_until, until)
