--- a/loftrelay/decisions/snapshot.py
+++ b/loftrelay/decisions/snapshot.py
@@ -1,13 +1,12 @@
 """Snapshots: the whole state of the decisions as JSON, which one process hands over to the next.
 
 Objects are written once and referred to by number, so that shared objects stay shared. Only the types in
-RECORDS and ENUMS can stand in a snapshot, under names of their own; nothing in one is ever called. Two
+RECORDS and ENUMS can stand in a snapshot, under their stored names; nothing in one is ever called. Two
 programs understand each other's snapshots if `fingerprint()` is the same in both.
 """
 
 from __future__ import annotations
 
-import dataclasses
 import hashlib
 import heapq
 import json
@@ -15,100 +14,36 @@
 import random
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
-from enum import Enum
 from functools import cache
 from typing import Any
 
-from loftrelay.decisions import entities, events, limits, settings
-from loftrelay.decisions.circuit_breaker import CircuitBreaker
-from loftrelay.decisions.concurrency import ConcurrencyWindow
-from loftrelay.decisions.estimators import CallTimes, DecayingRate
-from loftrelay.decisions.gate import Gate, GateSnapshot
-from loftrelay.decisions.rate_limit import RateLimiter
+from loftrelay.decisions import entities, events
 from loftrelay.decisions.scheduler import Scheduler
-from loftrelay.decisions.slow_start import SlowStart
-from loftrelay.decisions.state import DecisionState, IdleResetCounts, TokenBucket
+from loftrelay.decisions.snapshot_event_records import ENUMS, EVENT_RECORDS
+from loftrelay.decisions.snapshot_format import RecordFormat
+from loftrelay.decisions.snapshot_state_records import STATE_RECORDS
+from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import NEVER
 
 FORMAT_VERSION = 2
-LEFT_OUT = {"state": ("random", "actions")}  # fields that a snapshot does not carry, by record
-
-RECORDS: Mapping[str, type] = {
-    "state": DecisionState,
-    "limits": limits.Limits,
-    "settings": settings.RelaySettings,
-    "message_class": settings.MessageClass,
-    "message_terms": settings.MessageTerms,
-    "tenant": settings.Tenant,
-    "endpoint_kind": settings.EndpointKind,
-    "destination": entities.Destination,
-    "endpoint": entities.Endpoint,
-    "endpoint_kind_stats": entities.EndpointKindStats,
-    "call": entities.Call,
-    "ordering_key": entities.OrderingKey,
-    "message": entities.OpenMessage,
-    "hibernated_destination": entities.HibernatedDestination,
-    "hibernated_endpoint": entities.HibernatedEndpoint,
-    "gate": Gate,
-    "gate_snapshot": GateSnapshot,
-    "window": ConcurrencyWindow,
-    "rate_limiter": RateLimiter,
-    "circuit_breaker": CircuitBreaker,
-    "slow_start": SlowStart,
-    "call_times": CallTimes,
-    "decaying_rate": DecayingRate,
-    "token_bucket": TokenBucket,
-    "idle_reset_counts": IdleResetCounts,
-    "endpoint_entry": events.EndpointEntry,
-    "endpoint_list_received": events.EndpointListReceived,
-    "message_submitted": events.MessageSubmitted,
-    "message_recovered": events.MessageRecovered,
-    "ordering_key_cooldown": events.OrderingKeyCooldown,
-    "final_status_reported": events.FinalStatusReported,
-    "outcome_disputed": events.OutcomeDisputed,
-    "attempt_ended": events.AttemptEnded,
-    "response_started": events.ResponseStarted,
-    "message_cancelled": events.MessageCancelled,
-    "timer_fired": events.TimerFired,
-    "probe_result": events.ProbeResult,
-    "endpoint_disabled": events.EndpointDisabled,
-    "endpoint_enabled": events.EndpointEnabled,
-    "destinations_released": events.DestinationsReleased,
-    "settings_changed": events.SettingsChanged,
-}
-ENUMS: Mapping[str, type[Enum]] = {
-    "semantics": settings.DeliverySemantics,
-    "attempt_status": events.AttemptStatus,
-    "endpoint_state": events.EndpointState,
-    "endpoint_list_kind": events.EndpointListKind,
-}
-RECORD_NAMES = {record: name for name, record in RECORDS.items()}
-ENUM_NAMES = {enum: name for name, enum in ENUMS.items()}
+# Class or type alias -> its name among the stored types, where the two differ.
+STORED_TYPE_NAMES: Mapping[str, str] = {}
+
+RECORDS: Mapping[str, RecordFormat] = {**STATE_RECORDS, **EVENT_RECORDS}
+RECORD_NAMES = {record.type: name for name, record in RECORDS.items()}
+ENUM_NAMES = {enum.type: name for name, enum in ENUMS.items()}
 
 
 class SnapshotError(Exception):
     """What was read is no snapshot that this program understands."""
 
 
-def record_fields(name: str) -> list[str]:
-    """Returns the fields of a record that a snapshot carries, in their order there."""
-    return [
-        field.name for field in dataclasses.fields(RECORDS[name]) if field.name not in LEFT_OUT.get(name, ())
-    ]
-
-
-FIELDS = {name: record_fields(name) for name in RECORDS}
-
-
 @cache
 def fingerprint() -> str:
-    """Returns a hash that changes with any field of any type in a snapshot."""
-    types = {
-        name: [(field.name, str(field.type)) for field in dataclasses.fields(record)]
-        for name, record in RECORDS.items()
-    }
-    words = {name: [member.name for member in enum] for name, enum in ENUMS.items()}
-    description = json.dumps([FORMAT_VERSION, types, words])
+    """Returns a hash that changes with the stored name of any field, type or enum member in a snapshot."""
+    types = {name: list(record.fields.items()) for name, record in RECORDS.items()}
+    members = {name: list(enum.members) for name, enum in ENUMS.items()}
+    description = json.dumps([FORMAT_VERSION, types, members])
     return hashlib.sha256(description.encode()).hexdigest()[:16]
 
 
@@ -170,7 +105,8 @@
 
     def _row(self, record: Any) -> list[Any]:
         name = RECORD_NAMES[type(record)]
-        return [name, *(self._value(getattr(record, field)) for field in FIELDS[name])]
+        attributes = RECORDS[name].row_attributes
+        return [name, *(self._value(getattr(record, attribute)) for attribute in attributes)]
 
     def _value(self, value: Any) -> Any:
         if value is None or isinstance(value, bool | int | str):
@@ -182,7 +118,8 @@
         if type(value) in RECORD_NAMES:
             return {"r": self._reference(value)}
         if type(value) in ENUM_NAMES:
-            return {"e": [ENUM_NAMES[type(value)], value.name]}
+            name = ENUM_NAMES[type(value)]
+            return {"e": [name, ENUMS[name].stored_names[value]]}
         return self._container(value)
 
     def _container(self, value: Any) -> dict[str, Any]:
@@ -210,10 +147,10 @@
     def __init__(self, rows: list[Any], seed: int) -> None:
         self.rows = rows
         self.seed = seed
-        self.objects: list[Any] = [object.__new__(RECORDS[row[0]]) for row in rows]
+        self.objects: list[Any] = [object.__new__(RECORDS[row[0]].type) for row in rows]
         self.readers: Mapping[str, Callable[[Any], Any]] = {
             "f": float,
-            "e": lambda value: ENUMS[value[0]][value[1]],
+            "e": lambda value: ENUMS[value[0]].member(value[1]),
             "d": lambda value: {self._value(key): self._value(each) for key, each in value},
             "t": lambda value: tuple(self._value(each) for each in value),
             "q": lambda value: deque(self._value(each) for each in value),
@@ -224,8 +161,9 @@
     def read(self, root: Any) -> Any:
         """Returns the value, all objects restored."""
         for row, record in zip(self.rows, self.objects, strict=True):
-            for name, value in zip(FIELDS[row[0]], row[1:], strict=True):
-                object.__setattr__(record, name, self._value(value))
+            attributes = RECORDS[row[0]].row_attributes
+            for attribute, value in zip(attributes, row[1:], strict=True):
+                object.__setattr__(record, attribute, self._value(value))
             if isinstance(record, DecisionState):
                 record.random = random.Random(self.seed)
                 record.actions = []
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -24,6 +24,7 @@
     TimerFired,
 )
 from loftrelay.decisions.scheduler import Scheduler
+from loftrelay.decisions.snapshot_format import RecordFormat
 from tests.decisions.world import CLASSES, MS, SETTINGS, START, S, entry
 
 RESULTS = list(AttemptStatus)
@@ -161,7 +162,8 @@
 
 def test_the_fingerprint_tells_fields_apart(monkeypatch: pytest.MonkeyPatch) -> None:
     before = snapshot.fingerprint()
-    records = {**snapshot.RECORDS, "more": dataclasses.make_dataclass("More", ["field"])}
+    more = RecordFormat(dataclasses.make_dataclass("More", ["field"]), {"field": "Any"})
+    records = {**snapshot.RECORDS, "more": more}
     monkeypatch.setattr(snapshot, "RECORDS", records)
     snapshot.fingerprint.cache_clear()
     try:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -143,7 +143,8 @@
 def test_the_deploy_file_names_every_module_of_the_decisions() -> None:
     deploy = tomllib.loads((ROOT.parent / "deploy" / "balancer.toml").read_text())
     rules = {path.relative_to(ROOT.parent).as_posix() for path in ROOT.glob("decisions/*.py")}
-    not_rules = {f"loftrelay/decisions/{name}.py" for name in ("__init__", "simulator", "snapshot")}
+    snapshots = ("snapshot", "snapshot_format", "snapshot_state_records", "snapshot_event_records")
+    not_rules = {f"loftrelay/decisions/{name}.py" for name in ("__init__", "simulator", *snapshots)}
     assert set(deploy["policy"]) == rules - not_rules
 
 
