--- a/tests/decisions/test_long_lists.py
+++ b/tests/decisions/test_long_lists.py
@@ -17,14 +17,14 @@
     EndpointState,
 )
 from loftrelay.decisions.scheduler import Scheduler
-from tests.decisions.world import SETTINGS, START, Driver, S, entry
+from tests.decisions.world import SECOND_US, SETTINGS, START, SchedulerDriver, make_entry
 from tests.standins.work import Walked, steps
 
 FEW, MANY = 1_000, 50_000
 CHANGES = {
-    "a host drains": (entry("h5", 5, state=EndpointState.DRAINING),),
-    "a host goes": (entry("h6", 6, state=EndpointState.REMOVED),),
-    "a host comes": (entry("new", 7),),
+    "a host drains": (make_entry("h5", 5, state=EndpointState.DRAINING),),
+    "a host goes": (make_entry("h6", 6, state=EndpointState.REMOVED),),
+    "a host comes": (make_entry("new", 7),),
     "nothing": (),
 }
 
@@ -42,7 +42,7 @@
         module = made[size] = Scheduler(1, SETTINGS)
         module.handle_batch(
             START,
-            [EndpointListReceived(EndpointListKind.FULL, tuple(entry(f"h{i}", i) for i in range(size)))],
+            [EndpointListReceived(EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size)))],
         )
         module.state.endpoints, module.state.destinations = (
             Walked(module.state.endpoints),
@@ -72,39 +72,44 @@
         module.state.endpoints.walked = 0
 
 
-def gone(d: Driver, *names: str) -> tuple[EndpointEntry, ...]:
-    return tuple(entry(name, state=EndpointState.REMOVED) for name in names)
+def gone(driver: SchedulerDriver, *names: str) -> tuple[EndpointEntry, ...]:
+    return tuple(make_entry(name, state=EndpointState.REMOVED) for name in names)
 
 
 def test_one_that_is_gone_is_forgotten_with_the_first_change_after_it_binds_no_more() -> None:
-    d = Driver(entry("a", 1), entry("b", 2), entry("c", 3))
-    d.brain.apply_retry_after(d.now, "a", 2 * S)
-    d.submit("m", destination=2)
-    d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a", 1, state=EndpointState.REMOVED),)))
-    d.feed(
-        EndpointListReceived(EndpointListKind.DELTA, (entry("b", 2, state=EndpointState.REMOVED),)), after=S
+    driver = SchedulerDriver(make_entry("a", 1), make_entry("b", 2), make_entry("c", 3))
+    driver.scheduler.apply_retry_after(driver.now, "a", 2 * SECOND_US)
+    driver.submit("m", destination=2)
+    driver.run_batch(
+        EndpointListReceived(EndpointListKind.DELTA, (make_entry("a", 1, state=EndpointState.REMOVED),))
     )
-    assert set(d.brain.state.endpoints) == {"a", "b", "c"}
-    assert set(d.brain.state.removed_endpoints) == {"a", "b"}
-    d.feed(EndpointListReceived(EndpointListKind.DELTA, ()), after=S)
-    assert set(d.brain.state.endpoints) == {"b", "c"}
-    assert d.brain.state.destinations[1].endpoints == []
-    d.outcome("m", AttemptStatus.OK)
-    d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("d", 4),)))
-    assert set(d.brain.state.endpoints) == {"c", "d"}
-    assert not d.brain.state.removed_endpoints
+    driver.run_batch(
+        EndpointListReceived(EndpointListKind.DELTA, (make_entry("b", 2, state=EndpointState.REMOVED),)),
+        after=SECOND_US,
+    )
+    assert set(driver.scheduler.state.endpoints) == {"a", "b", "c"}
+    assert set(driver.scheduler.state.removed_endpoints) == {"a", "b"}
+    driver.run_batch(EndpointListReceived(EndpointListKind.DELTA, ()), after=SECOND_US)
+    assert set(driver.scheduler.state.endpoints) == {"b", "c"}
+    assert driver.scheduler.state.destinations[1].endpoints == []
+    driver.end_attempt("m", AttemptStatus.OK)
+    driver.run_batch(EndpointListReceived(EndpointListKind.DELTA, (make_entry("d", 4),)))
+    assert set(driver.scheduler.state.endpoints) == {"c", "d"}
+    assert not driver.scheduler.state.removed_endpoints
 
 
 def test_one_that_is_gone_and_listed_again_stays() -> None:
-    d = Driver(entry("a"))
-    d.brain.apply_retry_after(d.now, "a", 2 * S)
-    d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a", state=EndpointState.REMOVED),)))
-    d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a"),)), after=S)
-    d.feed(EndpointListReceived(EndpointListKind.DELTA, ()), after=9 * S)
-    assert set(d.brain.state.endpoints) == {"a"}
-    assert not d.brain.state.removed_endpoints
-    assert d.submit("m")
-    assert d.sent[-1][1].endpoint == "a"
+    driver = SchedulerDriver(make_entry("a"))
+    driver.scheduler.apply_retry_after(driver.now, "a", 2 * SECOND_US)
+    driver.run_batch(
+        EndpointListReceived(EndpointListKind.DELTA, (make_entry("a", state=EndpointState.REMOVED),))
+    )
+    driver.run_batch(EndpointListReceived(EndpointListKind.DELTA, (make_entry("a"),)), after=SECOND_US)
+    driver.run_batch(EndpointListReceived(EndpointListKind.DELTA, ()), after=9 * SECOND_US)
+    assert set(driver.scheduler.state.endpoints) == {"a"}
+    assert not driver.scheduler.state.removed_endpoints
+    assert driver.submit("m")
+    assert driver.sent[-1][1].endpoint == "a"
 
 
 def test_many_that_are_gone_and_bind_for_long_cost_a_change_no_more_than_a_few() -> None:
@@ -112,37 +117,38 @@
     costs = []
     for size in (2 * MIN_REMOVAL_CHECKS, 80 * MIN_REMOVAL_CHECKS):
         names = [f"h{i}" for i in range(size)]
-        d = Driver(*(entry(name, i, kind="apart") for i, name in enumerate(names)))
+        driver = SchedulerDriver(*(make_entry(name, i, kind="apart") for i, name in enumerate(names)))
         for name in names:
-            d.brain.state.endpoints[name].gate.breaker.is_open = True
-        d.feed(
+            driver.scheduler.state.endpoints[name].gate.breaker.is_open = True
+        driver.run_batch(
             EndpointListReceived(
-                EndpointListKind.DELTA, tuple(replace(entry(n), state=EndpointState.REMOVED) for n in names)
+                EndpointListKind.DELTA,
+                tuple(replace(make_entry(n), state=EndpointState.REMOVED) for n in names),
             )
         )
-        assert len(d.brain.state.removed_endpoints) == size
-        costs.append(told(d.brain))
-        for endpoint in d.brain.state.endpoints.values():
+        assert len(driver.scheduler.state.removed_endpoints) == size
+        costs.append(told(driver.scheduler))
+        for endpoint in driver.scheduler.state.endpoints.values():
             endpoint.gate.breaker.is_open = False
         for _ in range(size // MIN_REMOVAL_CHECKS):
-            d.feed(EndpointListReceived(EndpointListKind.DELTA, ()))
-        assert not d.brain.state.endpoints
-        assert not d.brain.state.removed_endpoints
+            driver.run_batch(EndpointListReceived(EndpointListKind.DELTA, ()))
+        assert not driver.scheduler.state.endpoints
+        assert not driver.scheduler.state.removed_endpoints
     assert costs[1] <= 1.5 * costs[0]
 
 
 def test_a_whole_list_looks_at_all_that_are_gone() -> None:
     names = [f"h{i}" for i in range(3 * MIN_REMOVAL_CHECKS)]
-    d = Driver(*(entry(name) for name in names))
-    d.feed(EndpointListReceived(EndpointListKind.FULL, (entry("x"),)))
-    assert set(d.brain.state.endpoints) == {"x"}
-    assert not d.brain.state.removed_endpoints
+    driver = SchedulerDriver(*(make_entry(name) for name in names))
+    driver.run_batch(EndpointListReceived(EndpointListKind.FULL, (make_entry("x"),)))
+    assert set(driver.scheduler.state.endpoints) == {"x"}
+    assert not driver.scheduler.state.removed_endpoints
 
 
 def test_what_an_endpoint_takes_of_memory() -> None:
     """With a destination of its own. Trouble: two fifths of 1.6 KB were an empty deque."""
     size = 2_000
-    listing = EndpointListReceived(EndpointListKind.FULL, tuple(entry(f"h{i}", i) for i in range(size)))
+    listing = EndpointListReceived(EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size)))
     module = Scheduler(1, SETTINGS)
     gc.collect()
     tracemalloc.start()
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -23,22 +23,22 @@
     MessageSubmitted,
 )
 from loftrelay.decisions.settings import DeliverySemantics
-from tests.decisions.world import CLASSES, MS, Driver, S, entry
+from tests.decisions.world import CLASSES, MILLISECOND_US, SECOND_US, SchedulerDriver, make_entry
 
 PROVEN = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 ENTRIES = [
-    entry("a"),
-    entry("b", zone="there"),
-    entry("c", 2, kind="apart"),
-    entry("d", 2, "there", kind="apart"),
-    entry("e", 3, kind="bundled"),
+    make_entry("a"),
+    make_entry("b", zone="there"),
+    make_entry("c", 2, kind="apart"),
+    make_entry("d", 2, "there", kind="apart"),
+    make_entry("e", 3, kind="bundled"),
 ]
 DESTINATION = {e.endpoint: e.destination for e in ENTRIES}
 ZONE = {e.endpoint: e.zone for e in ENTRIES}
 STEP = st.tuples(
     st.sampled_from(["submit", "answer", "answer", "pass", "list", "withdraw"]),
     st.integers(0, 999),
-    st.integers(0, 3 * S),
+    st.integers(0, 3 * SECOND_US),
     st.sampled_from(list(AttemptStatus)),
 )
 
@@ -47,7 +47,7 @@
     """Plays steps into a Brain and asserts the rules on every action."""
 
     def __init__(self, steps: list[tuple[str, int, int, AttemptStatus]]) -> None:
-        self.d = Driver(*ENTRIES, max_attempts=5)
+        self.driver = SchedulerDriver(*ENTRIES, max_attempts=5)
         self.about: dict[str, MessageSubmitted] = {}
         self.due: dict[str, int] = {}
         self.ended: dict[str, int] = {}
@@ -61,9 +61,9 @@
         for step in steps:
             self.step(*step)
         for _ in range(400):
-            if not self.out and self.d.wake is None:
+            if not self.out and self.driver.timer_at is None:
                 break
-            self.step("answer" if self.out else "pass", 0, 3 * S, AttemptStatus.TIMEOUT)
+            self.step("answer" if self.out else "pass", 0, 3 * SECOND_US, AttemptStatus.TIMEOUT)
         missing = set(self.about) - set(self.ended)
         assert not missing, f"lost: {missing}"
 
@@ -72,8 +72,8 @@
 
     def step(self, what: str, pick: int, delay: int, result: AttemptStatus) -> None:
         limits = [at + s.timeout for at, s in self.out.values()]
-        limits += [self.d.wake] if self.d.wake is not None else []
-        now = min([self.d.now + delay, *limits])
+        limits += [self.driver.timer_at] if self.driver.timer_at is not None else []
+        now = min([self.driver.now + delay, *limits])
         events: list[Event] = []
         for key, (at, sent) in sorted(self.out.items()):
             if at + sent.timeout <= now:
@@ -82,7 +82,7 @@
             name = f"m{len(self.about)}"
             of = sorted(CLASSES)[pick % len(CLASSES)]
             self.about[name] = MessageSubmitted(
-                name, pick % 3 + 1, of, None, 500 * MS + pick * 9 * MS, f"k{pick % 2}"
+                name, pick % 3 + 1, of, None, 500 * MILLISECOND_US + pick * 9 * MILLISECOND_US, f"k{pick % 2}"
             )
             self.due[name] = now + self.about[name].time_remaining
             events.append(self.about[name])
@@ -102,7 +102,7 @@
             name = sorted(self.about)[pick % len(self.about)]
             events.append(MessageCancelled(name))
             self.ended.setdefault(name, now)
-        actions = self.d.feed(*events, after=now - self.d.now)
+        actions = self.driver.run_batch(*events, after=now - self.driver.now)
         self.trace += actions
         for action in actions:
             self.judge(action, now)
@@ -113,14 +113,14 @@
             self.ran.setdefault(key[0], (at, sent.endpoint))
         if result is AttemptStatus.OK:
             self.ended.setdefault(key[0], now)
-        wait = S if result is AttemptStatus.REJECTED else 0
+        wait = SECOND_US if result is AttemptStatus.REJECTED else 0
         if wait:
             self.wait[self.domain(sent.endpoint)] = now + wait
         if (
             result in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECTION_LOST, AttemptStatus.CANCELLED)
             and CLASSES[self.about[key[0]].class_name].is_ordered
         ):
-            self.rest_of(key[0], now + 300 * MS)
+            self.rest_of(key[0], now + 300 * MILLISECOND_US)
         return AttemptEnded(
             key[0], key[1], sent.endpoint, result, now - at, key[0] in self.ended, wait, None, None
         )
@@ -132,7 +132,7 @@
         if isinstance(action, FailMessage | RejectMessage):
             name = action.message_id
             assert name not in self.ended, "answered twice"
-            assert now <= self.due[name] + 20 * MS, "answered too late"
+            assert now <= self.due[name] + 20 * MILLISECOND_US, "answered too late"
             self.ended[name] = now
             if isinstance(action, RejectMessage):
                 effect, scope = self.effect(name)
@@ -164,7 +164,7 @@
                 "an effect may happen twice"
             )
             if effect is DeliverySemantics.DEDUPLICATED:
-                assert now < at + 5 * S, "resent after its window"
+                assert now < at + 5 * SECOND_US, "resent after its window"
                 assert scope == "all" or ZONE[where] == ZONE[send.endpoint], "resent outside its zone"
         if CLASSES[about.class_name].is_ordered:
             for other in self.about:
--- a/tests/decisions/test_recorded_decisions.py
+++ b/tests/decisions/test_recorded_decisions.py
@@ -53,7 +53,7 @@
 )
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import MessageTerms, RelaySettings, Tenant
-from tests.decisions.world import CLASSES, MS, SETTINGS, START, S
+from tests.decisions.world import CLASSES, MILLISECOND_US, SECOND_US, SETTINGS, START
 
 RECORDED = Path(__file__).parent / "recorded" / "decisions.json"
 SEEDS = range(1, 41)
@@ -79,7 +79,8 @@
 def settings_for(rng: random.Random) -> RelaySettings:
     """One of many settings: fleets of 1 to 230 relays, few or many slots, short or long windows."""
     classes = {
-        name: replace(each, dedup_window=rng.choice((None, 1 * S, 5 * S))) for name, each in CLASSES.items()
+        name: replace(each, dedup_window=rng.choice((None, 1 * SECOND_US, 5 * SECOND_US)))
+        for name, each in CLASSES.items()
     }
     tenants = {
         "north": Tenant("north", rng.choice((None, 2.0, 20.0)), 0.5),
@@ -96,8 +97,8 @@
         max_open_messages=rng.choice((8, 20, 100)),
         polls_endpoint_list=rng.random() < 0.5,
         sends_retry_after=rng.random() < 0.7,
-        slow_start_duration=rng.choice((2 * S, 10 * S)),
-        overload_window=rng.choice((500 * MS, 2 * S)),
+        slow_start_duration=rng.choice((2 * SECOND_US, 10 * SECOND_US)),
+        overload_window=rng.choice((500 * MILLISECOND_US, 2 * SECOND_US)),
         awaits_final_status=rng.random() < 0.5,
     )
 
@@ -120,7 +121,15 @@
 
     def play(self) -> str:
         for number in range(BATCHES):
-            self.now += self.rng.choice((1 * MS, 5 * MS, 50 * MS, 200 * MS, 1 * S))
+            self.now += self.rng.choice(
+                (
+                    1 * MILLISECOND_US,
+                    5 * MILLISECOND_US,
+                    50 * MILLISECOND_US,
+                    200 * MILLISECOND_US,
+                    1 * SECOND_US,
+                )
+            )
             events = [self._event() for _ in range(self.rng.choice((0, 1, 1, 2, 5, 9)))]
             if number == 0:
                 events = [self._listing(EndpointListKind.FULL)]
@@ -144,7 +153,7 @@
             return
         host = self.rng.choice(sorted(self.hosts))
         if self.rng.random() < 0.05:
-            self.module.apply_retry_after(self.now, host, self.rng.randrange(2 * S))
+            self.module.apply_retry_after(self.now, host, self.rng.randrange(2 * SECOND_US))
         number = self.rng.randrange(DESTINATIONS)
         answers = [
             self.module.is_blocked(self.now, host),
@@ -213,7 +222,9 @@
         class_name = self.rng.choice([*CLASSES, "unknown"])
         key = f"key-{self.rng.randrange(4)}" if class_name in ORDERED else None
         if remaining is None:
-            remaining = self.rng.choice((0, 30 * MS, 500 * MS, 2 * S, 9 * S, 20 * S))
+            remaining = self.rng.choice(
+                (0, 30 * MILLISECOND_US, 500 * MILLISECOND_US, 2 * SECOND_US, 9 * SECOND_US, 20 * SECOND_US)
+            )
         terms = None
         if self.rng.random() < 0.1:
             terms = MessageTerms(CLASSES["keyed"], self.rng.choice((1, 3, None)))
@@ -235,14 +246,14 @@
             attempt,
             endpoint,
             result,
-            self.rng.randrange(1, 800 * MS),
+            self.rng.randrange(1, 800 * MILLISECOND_US),
             result is AttemptStatus.OK,
-            self.rng.choice((0, 200 * MS, 2 * S)) if is_full else 0,
+            self.rng.choice((0, 200 * MILLISECOND_US, 2 * SECOND_US)) if is_full else 0,
             None,
             None,
-            self.rng.choice((None, 0, 300 * MS, 4 * S)),
+            self.rng.choice((None, 0, 300 * MILLISECOND_US, 4 * SECOND_US)),
             result is AttemptStatus.ERROR and self.rng.random() < 0.1,
-            self.rng.choice((0, 20 * MS)) if result is AttemptStatus.NOT_SENT else 0,
+            self.rng.choice((0, 20 * MILLISECOND_US)) if result is AttemptStatus.NOT_SENT else 0,
             self.rng.random() < 0.03,
         )
 
@@ -274,21 +285,21 @@
         return MessageCancelled(f"message-{self.rng.randrange(1, self.submitted + 2)}")
 
     def _recovered(self) -> Event:
-        submit = self._submit(self.rng.choice((500 * MS, 9 * S)))
-        ran_ago = self.rng.choice((None, 50 * MS, 3 * S))
+        submit = self._submit(self.rng.choice((500 * MILLISECOND_US, 9 * SECOND_US)))
+        ran_ago = self.rng.choice((None, 50 * MILLISECOND_US, 3 * SECOND_US))
         ran_on = None if ran_ago is None else f"host-{self.rng.randrange(12)}"
         ended = self.rng.random() < 0.2
         if ended:
             self.known.append(submit.message_id)
-        age = self.rng.randrange(1, 8 * S)
+        age = self.rng.randrange(1, 8 * SECOND_US)
         return MessageRecovered(submit, age, self.rng.randrange(3), ran_ago, ran_on, ended)
 
     def _key_rest(self) -> Event:
-        return OrderingKeyCooldown(f"key-{self.rng.randrange(4)}", self.rng.randrange(400 * MS))
+        return OrderingKeyCooldown(f"key-{self.rng.randrange(4)}", self.rng.randrange(400 * MILLISECOND_US))
 
     def _doubted(self) -> Event:
         message = f"message-{self.rng.randrange(max(1, self.submitted - 20), self.submitted + 2)}"
-        return OutcomeDisputed(message, f"host-{self.rng.randrange(12)}", self.rng.randrange(2 * S))
+        return OutcomeDisputed(message, f"host-{self.rng.randrange(12)}", self.rng.randrange(2 * SECOND_US))
 
     def _by_operator(self) -> Event:
         host = f"host-{self.rng.randrange(12)}"
@@ -307,7 +318,7 @@
     def _ignored(self) -> Event:
         if self.rng.random() < 0.5:
             return ResponseStarted("message-1", 1)
-        return ProbeResult("host-1", AttemptStatus.OK, 3 * MS)
+        return ProbeResult("host-1", AttemptStatus.OK, 3 * MILLISECOND_US)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -25,16 +25,16 @@
 )
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.snapshot_format import RecordFormat
-from tests.decisions.world import CLASSES, MS, SETTINGS, START, S, entry
+from tests.decisions.world import CLASSES, MILLISECOND_US, SECOND_US, SETTINGS, START, make_entry
 
 RESULTS = list(AttemptStatus)
 HOSTS = [
-    entry("a1"),
-    entry("a2"),
-    entry("b1", 2, kind="apart"),
-    entry("b2", 2, kind="apart", zone="there"),
-    entry("c1", 3, kind="bundled"),
-    entry("c2", 3, kind="bundled"),
+    make_entry("a1"),
+    make_entry("a2"),
+    make_entry("b1", 2, kind="apart"),
+    make_entry("b2", 2, kind="apart", zone="there"),
+    make_entry("c1", 3, kind="bundled"),
+    make_entry("c2", 3, kind="bundled"),
 ]
 
 
@@ -49,22 +49,26 @@
 
     def events(self) -> list[Event]:
         draw, events = self.random, list[Event]()
-        self.now += draw.choice([5 * MS, 20 * MS, 300 * MS, 2 * S])
+        self.now += draw.choice(
+            [5 * MILLISECOND_US, 20 * MILLISECOND_US, 300 * MILLISECOND_US, 2 * SECOND_US]
+        )
         for _ in range(draw.randrange(4)):
             self.number += 1
             name = draw.choice(sorted(CLASSES))
             key = f"k{draw.randrange(3)}" if CLASSES[name].is_ordered else None
             events.append(
                 MessageSubmitted(
-                    f"m{self.number}", draw.randrange(1, 4), name, "t", draw.randrange(1, 20) * S, key
+                    f"m{self.number}", draw.randrange(1, 4), name, "t", draw.randrange(1, 20) * SECOND_US, key
                 )
             )
         for message, host in draw.sample(self.out, draw.randrange(len(self.out) + 1)):
             self.out.remove((message, host))
             result = draw.choice([AttemptStatus.OK, *RESULTS])
-            wait = 400 * MS if result is AttemptStatus.REJECTED and draw.random() < 0.5 else 0
+            wait = 400 * MILLISECOND_US if result is AttemptStatus.REJECTED and draw.random() < 0.5 else 0
             over = result is AttemptStatus.OK
-            events.append(AttemptEnded(message, 0, host, result, 30 * MS, over, wait, None, None, 0))
+            events.append(
+                AttemptEnded(message, 0, host, result, 30 * MILLISECOND_US, over, wait, None, None, 0)
+            )
         if draw.random() < 0.2:
             changed = replace(draw.choice(HOSTS), state=draw.choice(list(EndpointState)))
             events.append(EndpointListReceived(EndpointListKind.DELTA, (changed,)))
@@ -83,7 +87,7 @@
     module.handle_batch(play.now, [EndpointListReceived(EndpointListKind.FULL, tuple(HOSTS))])
     for _ in range(60):
         play.heard(module.handle_batch(play.now, play.events()))
-    waiting = [MessageSubmitted("last", 1, "safe", None, 9 * S, None)]
+    waiting = [MessageSubmitted("last", 1, "safe", None, 9 * SECOND_US, None)]
     other, events = snapshot.read(snapshot.write(module, waiting), seed=1)
     assert events == waiting
     assert module.state.messages
@@ -100,7 +104,9 @@
 def test_what_is_shared_stays_shared() -> None:
     module = Scheduler(1, SETTINGS)
     module.handle_batch(START, [EndpointListReceived(EndpointListKind.FULL, tuple(HOSTS))])
-    module.handle_batch(START, [MessageSubmitted(f"m{i}", 1, "strict", None, 9 * S, "k") for i in range(3)])
+    module.handle_batch(
+        START, [MessageSubmitted(f"m{i}", 1, "strict", None, 9 * SECOND_US, "k") for i in range(3)]
+    )
     other, _ = snapshot.read(snapshot.write(module), 1)
     assert (
         other.state.endpoints["a1"].gate
@@ -123,7 +129,7 @@
 def written() -> str:
     module = Scheduler(1, SETTINGS)
     module.handle_batch(START, [EndpointListReceived(EndpointListKind.FULL, (HOSTS[0],))])
-    module.handle_batch(START, [MessageSubmitted("m", 1, "safe", None, 9 * S, None)])
+    module.handle_batch(START, [MessageSubmitted("m", 1, "safe", None, 9 * SECOND_US, None)])
     return snapshot.write(module)
 
 
--- a/tests/decisions/test_snapshot_b94bb80.py
+++ b/tests/decisions/test_snapshot_b94bb80.py
@@ -24,7 +24,7 @@
 SNAPSHOT = (FIXTURES / "snapshot.json").read_text().rstrip("\n")
 EXPECTED: dict[str, Any] = json.loads((FIXTURES / "expected.json").read_text())
 FINGERPRINT = "0184246a1d90783d"
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 def restored() -> tuple[Scheduler, list[Event]]:
@@ -64,9 +64,9 @@
 def test_restored_scheduler_waits_until_the_end_of_the_retry_after() -> None:
     scheduler, _ = restored()
     now, end = EXPECTED["written_at"], EXPECTED["retry_after_until"]
-    scheduler.handle_batch(now, [MessageSubmitted("new", 7, "safe", None, 80 * S, None)])
+    scheduler.handle_batch(now, [MessageSubmitted("new", 7, "safe", None, 80 * SECOND_US, None)])
     sent: list[tuple[int, str]] = []
-    while now < end + 30 * S and not sent:
+    while now < end + 30 * SECOND_US and not sent:
         now += 50_000
         actions = scheduler.handle_batch(now, [TimerFired(0)])
         sent += [(now, a.endpoint) for a in actions if isinstance(a, SendAttempt) and a.endpoint == "r1"]
--- a/tests/decisions/test_told_waits.py
+++ b/tests/decisions/test_told_waits.py
@@ -14,85 +14,103 @@
     EndpointListReceived,
     SettingsChanged,
 )
-from tests.decisions.world import MS, Driver, S, ends, entry, sends
+from tests.decisions.world import (
+    MILLISECOND_US,
+    SECOND_US,
+    SchedulerDriver,
+    ended_messages,
+    make_entry,
+    sent_messages,
+)
 
 
 @pytest.mark.parametrize("kind", ["plain", "apart"])
 def test_a_wait_heard_between_batches_binds_at_once(kind: str) -> None:
     """The whole destination, or the one endpoint where routes are apart."""
-    d = Driver(entry("a", kind=kind), entry("b", kind=kind), entry("c", destination=2))
-    d.brain.apply_retry_after(d.now, "a", 3 * S)
-    bound = {name: d.brain.is_blocked(d.now + 3 * S - 1, name) for name in "abc"}
+    driver = SchedulerDriver(
+        make_entry("a", kind=kind), make_entry("b", kind=kind), make_entry("c", destination=2)
+    )
+    driver.scheduler.apply_retry_after(driver.now, "a", 3 * SECOND_US)
+    bound = {name: driver.scheduler.is_blocked(driver.now + 3 * SECOND_US - 1, name) for name in "abc"}
     assert bound == {"a": True, "b": kind == "plain", "c": False}
-    assert not any(d.brain.is_blocked(d.now + 3 * S, name) for name in ("a", "b", "unknown"))
-    actions = d.submit("m")
+    assert not any(
+        driver.scheduler.is_blocked(driver.now + 3 * SECOND_US, name) for name in ("a", "b", "unknown")
+    )
+    actions = driver.submit("m")
     assert [(a.message_id, a.endpoint) for a in actions if isinstance(a, SendAttempt)] == (
         [] if kind == "plain" else [("m", "b")]
     )
 
 
 def test_of_several_waits_the_one_that_ends_last_binds() -> None:
-    d = Driver(entry("a"))
-    for wait, until in ((2 * S, 2 * S), (S, 2 * S), (0, 2 * S), (3 * S, 3 * S)):
-        d.brain.apply_retry_after(d.now, "a", wait)
-        assert d.brain.is_blocked(d.now + until - 1, "a")
-        assert not d.brain.is_blocked(d.now + until, "a")
+    driver = SchedulerDriver(make_entry("a"))
+    for wait, until in (
+        (2 * SECOND_US, 2 * SECOND_US),
+        (SECOND_US, 2 * SECOND_US),
+        (0, 2 * SECOND_US),
+        (3 * SECOND_US, 3 * SECOND_US),
+    ):
+        driver.scheduler.apply_retry_after(driver.now, "a", wait)
+        assert driver.scheduler.is_blocked(driver.now + until - 1, "a")
+        assert not driver.scheduler.is_blocked(driver.now + until, "a")
 
 
 @pytest.mark.parametrize("message", ["gone", "ended"])
 def test_a_wait_binds_whatever_became_of_its_message(message: str) -> None:
     """Its client left, it ended otherwise, or a process before this one had it."""
-    d = Driver(entry("a"))
-    d.warm()
-    d.submit("ended")
-    d.outcome("ended", AttemptStatus.OK)
-    d.feed(AttemptEnded(message, 0, "a", AttemptStatus.REJECTED, 0, False, 2 * S, None, None))
-    assert not sends(d.submit("m"))
-    at = d.now
-    while "m" not in sends(d.run(10 * S)):
+    driver = SchedulerDriver(make_entry("a"))
+    driver.run_successful_calls()
+    driver.submit("ended")
+    driver.end_attempt("ended", AttemptStatus.OK)
+    driver.run_batch(
+        AttemptEnded(message, 0, "a", AttemptStatus.REJECTED, 0, False, 2 * SECOND_US, None, None)
+    )
+    assert not sent_messages(driver.submit("m"))
+    at = driver.now
+    while "m" not in sent_messages(driver.advance_clock(10 * SECOND_US)):
         pass
-    assert d.now >= at + 2 * S
+    assert driver.now >= at + 2 * SECOND_US
 
 
 def test_a_wait_outlives_the_listing_of_its_host() -> None:
     """Gone, listed again, draining and moved: whoever stands there under that id has told it."""
     for kind in ("plain", "apart"):
-        d = Driver(entry("a", kind=kind), entry("b", 2))
-        d.brain.apply_retry_after(d.now, "a", 3 * S)
-        d.feed(EndpointListReceived(EndpointListKind.FULL, (entry("b", 2),)))
-        d.feed(EndpointListReceived(EndpointListKind.DELTA, (entry("a", kind=kind),)))
-        d.feed(SettingsChanged(replace(d.settings, max_concurrent_calls=3)))
-        assert d.brain.is_blocked(d.now, "a")
-        assert not sends(d.submit("m"))
+        driver = SchedulerDriver(make_entry("a", kind=kind), make_entry("b", 2))
+        driver.scheduler.apply_retry_after(driver.now, "a", 3 * SECOND_US)
+        driver.run_batch(EndpointListReceived(EndpointListKind.FULL, (make_entry("b", 2),)))
+        driver.run_batch(EndpointListReceived(EndpointListKind.DELTA, (make_entry("a", kind=kind),)))
+        driver.run_batch(SettingsChanged(replace(driver.settings, max_concurrent_calls=3)))
+        assert driver.scheduler.is_blocked(driver.now, "a")
+        assert not sent_messages(driver.submit("m"))
 
 
 def test_a_call_that_was_taken_back_costs_no_try_and_teaches_nothing() -> None:
-    d = Driver(entry("a"), max_attempts=1)
-    d.warm()
-    gate = d.brain.state.endpoints["a"].gate
+    driver = SchedulerDriver(make_entry("a"), max_attempts=1)
+    driver.run_successful_calls()
+    gate = driver.scheduler.state.endpoints["a"].gate
     gate.breaker.connection_failures, gate.breaker.consecutive_failures, gate.breaker.failed_at = (
         2,
         1,
-        d.now - 1,
+        driver.now - 1,
     )
-    d.submit("m", "strict", ordering_key="k")
-    d.submit("n", "strict", ordering_key="k")
-    luck = list(d.brain.state.endpoints["a"].kind_stats.success_rate_after_failure)
-    d.brain.apply_retry_after(d.now, "a", S)
-    event = replace(d.outcome_event("m", AttemptStatus.NOT_SENT, over=False), postponed_for=1)
-    assert not ends(d.feed(event))
+    driver.submit("m", "strict", ordering_key="k")
+    driver.submit("n", "strict", ordering_key="k")
+    luck = list(driver.scheduler.state.endpoints["a"].kind_stats.success_rate_after_failure)
+    driver.scheduler.apply_retry_after(driver.now, "a", SECOND_US)
+    event = replace(driver.make_attempt_ended("m", AttemptStatus.NOT_SENT, is_final=False), postponed_for=1)
+    assert not ended_messages(driver.run_batch(event))
     assert gate.window.in_flight == 0
-    assert d.brain.state.calls_in_flight == 0
+    assert driver.scheduler.state.calls_in_flight == 0
     assert (
         gate.breaker.connection_failures,
         gate.breaker.consecutive_failures,
-        d.brain.state.endpoints["a"].kind_stats.success_rate_after_failure,
+        driver.scheduler.state.endpoints["a"].kind_stats.success_rate_after_failure,
     ) == (2, 1, luck)
-    at = d.now
-    while not (sent := sends(d.run(20 * S))):
+    at = driver.now
+    while not (sent := sent_messages(driver.advance_clock(20 * SECOND_US))):
         pass
     assert sent == ["m"]
-    assert d.now >= at + S
+    assert driver.now >= at + SECOND_US
 
 
 @pytest.mark.parametrize(("of", "ran", "end"), [("safe", False, RejectMessage), ("keyed", True, FailMessage)])
@@ -100,22 +118,28 @@
     of: str, ran: bool, end: type[Action]
 ) -> None:
     """Also one that comes while they last; clients are told when to come again, where that is allowed."""
-    d = Driver(entry("a", kind="apart"), entry("b", kind="apart"), max_concurrent_calls=2)
+    driver = SchedulerDriver(
+        make_entry("a", kind="apart"), make_entry("b", kind="apart"), max_concurrent_calls=2
+    )
     for name in ("x", "y"):
-        d.submit(name, time_remaining=100 * S)
-    d.submit("m", of, time_remaining=3 * S)
-    assert "m" in d.brain.state.messages
+        driver.submit(name, time_remaining=100 * SECOND_US)
+    driver.submit("m", of, time_remaining=3 * SECOND_US)
+    assert "m" in driver.scheduler.state.messages
     if ran:
-        d.brain.state.messages["m"].first_attempt_at = d.now  # and its key is known to one zone alone
-        d.brain.state.messages["m"].message_class = replace(
-            d.brain.state.messages["m"].message_class, dedup_scope="zone"
+        driver.scheduler.state.messages[
+            "m"
+        ].first_attempt_at = driver.now  # and its key is known to one zone alone
+        driver.scheduler.state.messages["m"].message_class = replace(
+            driver.scheduler.state.messages["m"].message_class, dedup_scope="zone"
         )
-    d.brain.apply_retry_after(d.now, "a", 60 * S)
-    d.submit("n", time_remaining=100 * S)
-    assert "m" in d.brain.state.messages  # another route may take it yet
-    d.brain.apply_retry_after(d.now, "b", 61 * S)
-    actions = d.submit("o", time_remaining=2 * S)
-    assert ends(actions) == [(end, "m"), (RejectMessage, "o")]
-    assert "n" in d.brain.state.messages
-    assert all(a.retry_after == 2 * S for a in actions if isinstance(a, RejectMessage))
-    assert ends(d.submit("p", time_remaining=40 * S, after=MS)) == [(RejectMessage, "p")]
+    driver.scheduler.apply_retry_after(driver.now, "a", 60 * SECOND_US)
+    driver.submit("n", time_remaining=100 * SECOND_US)
+    assert "m" in driver.scheduler.state.messages  # another route may take it yet
+    driver.scheduler.apply_retry_after(driver.now, "b", 61 * SECOND_US)
+    actions = driver.submit("o", time_remaining=2 * SECOND_US)
+    assert ended_messages(actions) == [(end, "m"), (RejectMessage, "o")]
+    assert "n" in driver.scheduler.state.messages
+    assert all(a.retry_after == 2 * SECOND_US for a in actions if isinstance(a, RejectMessage))
+    assert ended_messages(driver.submit("p", time_remaining=40 * SECOND_US, after=MILLISECOND_US)) == [
+        (RejectMessage, "p")
+    ]
--- a/tests/decisions/world.py
+++ b/tests/decisions/world.py
@@ -20,18 +20,18 @@
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import DeliverySemantics, EndpointKind, MessageClass, RelaySettings
 
-MS, S = 1_000, 1_000_000
-START = 5_000 * S
+MILLISECOND_US, SECOND_US = 1_000, 1_000_000
+START = 5_000 * SECOND_US
 
 
-def message_class(name: str, effect: DeliverySemantics, **changes: Any) -> MessageClass:
+def message_class(name: str, semantics: DeliverySemantics, **changes: Any) -> MessageClass:
     base = MessageClass(
         name=name,
-        semantics=effect,
+        semantics=semantics,
         dedup_scope="all",
-        dedup_window=5 * S,
-        latency_objective=2 * S,
-        deadline=20 * S,
+        dedup_window=5 * SECOND_US,
+        latency_objective=2 * SECOND_US,
+        deadline=20 * SECOND_US,
         priority_weight=1.0,
         late_priority_weight=0.4,
         is_ordered=False,
@@ -64,98 +64,112 @@
     max_attempts=6,
     max_open_messages=100,
     polls_endpoint_list=False,
-    poll_interval=10 * S,
+    poll_interval=10 * SECOND_US,
     can_cancel=True,
     can_probe=False,
     sends_retry_after=True,
-    max_retry_after=2 * S,
+    max_retry_after=2 * SECOND_US,
     listed_rate_kind=None,
     over_quota_weight=0.1,
-    ordering_cooldown=300 * MS,
-    slow_start_duration=10 * S,
+    ordering_cooldown=300 * MILLISECOND_US,
+    slow_start_duration=10 * SECOND_US,
     slow_start_initial_fraction=0.2,
     overload_multiple=2.0,
-    overload_window=2 * S,
-    batch_interval=5 * MS,
-    connection_idle_timeout=10 * S,
+    overload_window=2 * SECOND_US,
+    batch_interval=5 * MILLISECOND_US,
+    connection_idle_timeout=10 * SECOND_US,
 )
 
 
-def entry(
+def make_entry(
     name: str, destination: int = 1, zone: str = "here", kind: str = "plain", **changes: Any
 ) -> EndpointEntry:
     return replace(EndpointEntry(name, destination, EndpointState.ACTIVE, zone, kind, None), **changes)
 
 
-class Driver:
+class SchedulerDriver:
     """Feeds a Brain and keeps book of what it did."""
 
     def __init__(self, *entries: EndpointEntry, seed: int = 7, **changes: Any) -> None:
         self.settings = replace(SETTINGS, **changes)
-        self.brain = Scheduler(seed, self.settings)
+        self.scheduler = Scheduler(seed, self.settings)
         self.now = START
         self.sent: list[tuple[int, SendAttempt]] = []
-        self.tries: dict[str, int] = {}
-        self.wake: int | None = None
-        self.log: list[Action] = []
-        self.feed(EndpointListReceived(EndpointListKind.FULL, entries))
+        self.timer_at: int | None = None
+        self.actions: list[Action] = []
+        self.run_batch(EndpointListReceived(EndpointListKind.FULL, entries))
 
-    def feed(self, *events: Event, after: int = 0) -> list[Action]:
+    def run_batch(self, *events: Event, after: int = 0) -> list[Action]:
         """One batch, so many microseconds after the one before."""
         self.now += after
-        if self.wake is not None and self.wake <= self.now:
-            self.wake, events = None, (*events, TimerFired(0))
-        actions = self.brain.handle_batch(self.now, events)
+        if self.timer_at is not None and self.timer_at <= self.now:
+            self.timer_at, events = None, (*events, TimerFired(0))
+        actions = self.scheduler.handle_batch(self.now, events)
         for action in actions:
             if isinstance(action, SendAttempt):
                 self.sent.append((self.now, action))
             if isinstance(action, SetTimer):
                 due = self.now + action.delay
-                self.wake = due if self.wake is None else min(self.wake, due)
-        self.log += actions
+                self.timer_at = due if self.timer_at is None else min(self.timer_at, due)
+        self.actions += actions
         return actions
 
-    def run(self, duration: int) -> list[Action]:
+    def advance_clock(self, duration: int) -> list[Action]:
         """Lets time pass; timers are the only events. Stops at the first batch that does something."""
         end = self.now + duration
-        while self.wake is not None and self.wake <= end:
+        while self.timer_at is not None and self.timer_at <= end:
             actions: list[Action] = [
-                a for a in self.feed(after=max(0, self.wake - self.now)) if not isinstance(a, SetTimer)
+                a
+                for a in self.run_batch(after=max(0, self.timer_at - self.now))
+                if not isinstance(a, SetTimer)
             ]
             if actions:
                 return actions
         self.now = end
         return []
 
-    def submit(self, name: str, of: str = "safe", after: int = 0, **changes: Any) -> list[Action]:
-        event = MessageSubmitted(name, 1, of, None, 20 * S, None)
-        return self.feed(replace(event, **changes), after=after)
-
-    def outcome(
-        self, name: str, result: AttemptStatus, after: int = 50 * MS, wait: int = 0, over: bool | None = None
+    def submit(self, name: str, class_name: str = "safe", after: int = 0, **changes: Any) -> list[Action]:
+        event = MessageSubmitted(name, 1, class_name, None, 20 * SECOND_US, None)
+        return self.run_batch(replace(event, **changes), after=after)
+
+    def end_attempt(
+        self,
+        name: str,
+        status: AttemptStatus,
+        after: int = 50 * MILLISECOND_US,
+        retry_after: int = 0,
+        is_final: bool | None = None,
     ) -> list[Action]:
-        return self.feed(self.outcome_event(name, result, wait=wait, over=over, after=after), after=after)
+        return self.run_batch(
+            self.make_attempt_ended(name, status, retry_after=retry_after, is_final=is_final, after=after),
+            after=after,
+        )
 
-    def outcome_event(
-        self, name: str, result: AttemptStatus, wait: int = 0, over: bool | None = None, after: int = 0
+    def make_attempt_ended(
+        self,
+        name: str,
+        status: AttemptStatus,
+        retry_after: int = 0,
+        is_final: bool | None = None,
+        after: int = 0,
     ) -> AttemptEnded:
         at, send = [x for x in self.sent if x[1].message_id == name][-1]
-        ended = result is AttemptStatus.OK if over is None else over
+        ended = status is AttemptStatus.OK if is_final is None else is_final
         number = sum(s.message_id == name for _, s in self.sent) - 1
         return AttemptEnded(
-            name, number, send.endpoint, result, self.now + after - at, ended, wait, None, None
+            name, number, send.endpoint, status, self.now + after - at, ended, retry_after, None, None
         )
 
-    def warm(self, calls: int = 6, of: str = "safe") -> None:
+    def run_successful_calls(self, calls: int = 6, class_name: str = "safe") -> None:
         """Some successes, so that the window is open."""
         for i in range(calls):
-            self.submit(f"warm{i}", of)
-            self.outcome(f"warm{i}", AttemptStatus.OK)
+            self.submit(f"warm{i}", class_name)
+            self.end_attempt(f"warm{i}", AttemptStatus.OK)
 
 
-def sends(actions: list[Action]) -> list[str]:
+def sent_messages(actions: list[Action]) -> list[str]:
     return [a.message_id for a in actions if isinstance(a, SendAttempt)]
 
 
-def ends(actions: list[Action]) -> list[tuple[type, str]]:
+def ended_messages(actions: list[Action]) -> list[tuple[type, str]]:
     return [(type(a), a.message_id) for a in actions if isinstance(a, FailMessage | RejectMessage)]
--- a/tests/delivery/test_decided_and_not_begun.py
+++ b/tests/delivery/test_decided_and_not_begun.py
@@ -14,7 +14,14 @@
 from loftrelay.decisions.events import AttemptStatus, MessageSubmitted
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass, MessageTerms
 from loftrelay.relay.message import Message
-from tests.decisions.world import MS, Driver, S, ends, entry, sends
+from tests.decisions.world import (
+    MILLISECOND_US,
+    SECOND_US,
+    SchedulerDriver,
+    ended_messages,
+    make_entry,
+    sent_messages,
+)
 from tests.delivery.sender import Sender
 from tests.delivery.test_waits import Gate, run
 from tests.standins.partner import Partner
@@ -109,20 +116,24 @@
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("window", [S, 5 * S])
+@pytest.mark.parametrize("window", [SECOND_US, 5 * SECOND_US])
 def test_the_module_bounds_each_repeat_by_its_window(window: int) -> None:
     """The first call has no bound; each later one goes out whole before the window is over, or not at all."""
-    d = Driver(entry("a"))
-    d.warm()
-    about = MessageClass("k", DeliverySemantics.DEDUPLICATED, "all", window, S, 20 * S, 1.0, 0.4, False)
-    d.feed(MessageSubmitted("m", 1, "k", None, 20 * S, None, MessageTerms(about, 12)))
-    first = d.now
-    while not ends(actions := d.outcome("m", AttemptStatus.CONNECTION_LOST, after=20 * MS)):
-        while not sends(actions) and not ends(actions):
-            actions = d.run(30 * S)
-        if ends(actions):
+    driver = SchedulerDriver(make_entry("a"))
+    driver.run_successful_calls()
+    about = MessageClass(
+        "k", DeliverySemantics.DEDUPLICATED, "all", window, SECOND_US, 20 * SECOND_US, 1.0, 0.4, False
+    )
+    driver.run_batch(MessageSubmitted("m", 1, "k", None, 20 * SECOND_US, None, MessageTerms(about, 12)))
+    first = driver.now
+    while not ended_messages(
+        actions := driver.end_attempt("m", AttemptStatus.CONNECTION_LOST, after=20 * MILLISECOND_US)
+    ):
+        while not sent_messages(actions) and not ended_messages(actions):
+            actions = driver.advance_clock(30 * SECOND_US)
+        if ended_messages(actions):
             break
-    calls = [(at, send) for at, send in d.sent if send.message_id == "m"]
+    calls = [(at, send) for at, send in driver.sent if send.message_id == "m"]
     assert calls[0][1].send_within is None
     assert len(calls) > 1
     for at, send in calls[1:]:
