--- a/loftrelay/decisions/__init__.py
+++ b/loftrelay/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""All decisions on messages: when to send, wait, retry, reject or fail them. Without input or output."""
+"""Scheduling decisions of a relay: when to send, delay, retry, reject or fail a message. Does no I/O."""
 
 from loftrelay.decisions.scheduler import Scheduler
 
--- a/loftrelay/decisions/actions.py
+++ b/loftrelay/decisions/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the decisions return, in the order in which they are to be carried out.
+"""Actions that the scheduler returns, in the order in which the caller executes them.
 
 All times and durations are integer microseconds.
 """
@@ -10,26 +10,26 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Attempt a message at an endpoint. Attempts of one batch to one endpoint may travel in one call."""
+    """Send a message to an endpoint. Attempts of one batch to one endpoint may share one call."""
 
     message_id: str
     endpoint: str
     timeout: int
-    max_connection_idle: int | None = None  # no connection that was idle for so long may carry it; None: any
-    send_within: int | None = None  # its last byte goes out within this time, or none does; None: no limit
+    max_connection_idle: int | None = None  # use only connections idle for less than this; None: any
+    send_within: int | None = None  # send its last byte within this time, or do not send it; None: no limit
 
 
 @dataclass(slots=True, frozen=True)
 class RejectMessage:
-    """End a message undelivered, with the promise that sending it again does no harm."""
+    """End a message undelivered; guarantees that the client can safely send it again."""
 
     message_id: str
-    retry_after: int  # 0: none is told
+    retry_after: int  # 0: the response carries no Retry-After
 
 
 @dataclass(slots=True, frozen=True)
 class FailMessage:
-    """End a message as failed, without a promise."""
+    """End a message as failed; it may or may not have taken effect."""
 
     message_id: str
 
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Run a batch with TimerFired after a delay; a later SetTimer replaces it."""
+    """Run a batch with TimerFired after a delay. A later SetTimer replaces this one."""
 
     delay: int
     token: int
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpointList:
-    """Ask discovery for the changes of the endpoint list from now on."""
+    """Subscribe to changes of the endpoint list in discovery."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/loftrelay/decisions/batching.py
+++ b/loftrelay/decisions/batching.py
@@ -1,7 +1,8 @@
-"""Batching: which messages travel together in one call.
+"""Batching: which messages share one call.
 
-A batch has one outcome and ends with the first deadline in it. So messages that live long enough for even a
-slow call travel together, and a message close to its deadline takes no at-most-once message with it.
+A batch has one outcome, and its call is abandoned at the earliest deadline in it. Messages whose deadlines
+leave time for a slow call are therefore batched together, and a message close to its deadline is never
+batched with an at-most-once message that has more time.
 """
 
 from __future__ import annotations
@@ -19,7 +20,8 @@
 def batch_capacity(state: DecisionState, endpoint: Endpoint) -> int:
     """Returns how many messages a call to an endpoint may carry now.
 
-    A probe carries one: its failure costs an attempt and starts a dedup window.
+    A probe carries one, because a failed probe costs each of its messages an attempt and starts its dedup
+    window.
     """
     gate, capacity = endpoint.gate, endpoint.max_batch_size
     if gate.breaker.is_open:
@@ -32,7 +34,7 @@
 
 
 def batch_for(state: DecisionState, first: OpenMessage, endpoint: Endpoint) -> list[OpenMessage]:
-    """Returns a message with all others that share its call, by priority."""
+    """Returns the messages of one call: `first`, then the others by descending priority."""
     if endpoint.max_batch_size <= 1:
         return [first]
     ready = [
--- a/loftrelay/decisions/concurrency.py
+++ b/loftrelay/decisions/concurrency.py
@@ -1,7 +1,7 @@
-"""Concurrency limit: how many calls may be in flight to one destination at once.
+"""Concurrency limit: how many calls may be in flight to one destination at a time.
 
-The window grows by one with each success and is halved on failure or when calls become slow. Below one call
-it stands for a pause between single calls (`feedback.py`).
+The window grows by one call per success and is halved on a failure or when calls become slow. A size below
+one call means that single calls are sent with a pause between them (`feedback.py`).
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 
 from loftrelay.decisions.estimators import CallTimes
 
-HEALTHY_SLOT_SHARE = 0.75  # part of all slots that one destination may use
-DEGRADED_SLOT_SHARE = 0.5  # while it is failing or recovering
-SLOW_CALL_FACTOR = 2.5  # smoothed call time over its long-term mean that halves the window
+HEALTHY_SLOT_SHARE = 0.75  # share of all call slots that one destination may use
+DEGRADED_SLOT_SHARE = 0.5  # the same while the destination is failing, paused or recovering
+SLOW_CALL_FACTOR = 2.5  # the window is halved above this ratio of smoothed to long-term call time
 REJECTED_WINDOW_SIZE = 0.5
 
 
@@ -22,16 +22,16 @@
 
     size: float = 1.0
     in_flight: int = 0
-    narrowed_at: int = -1
+    narrowed_at: int = -1  # when the window was last halved; -1: never
 
     @property
     def is_full(self) -> bool:
-        """Whether no further call may start before one ends."""
+        """Whether a call in flight has to end before another may start."""
         return self.in_flight >= max(1, int(self.size))
 
     @property
     def is_below_one_call(self) -> bool:
-        """Whether less than one call is allowed, so that calls are spaced by pauses."""
+        """Whether the size is below one call, so that calls are separated by pauses."""
         return self.size < 1
 
     def widen(self, max_size: int) -> None:
@@ -44,15 +44,15 @@
         self.size /= 2
 
     def narrow_if_slow(self, now: int, times: CallTimes) -> None:
-        """Halves the window once a call time when calls take far longer than usual."""
+        """Halves the window, at most once per call time, when calls take far longer than usual."""
         if times.smoothed > SLOW_CALL_FACTOR * times.long_term and self.narrowed_at < now - times.smoothed:
             self.size = max(1.0, self.size / 2)
             self.narrowed_at = now
 
-    def limit_after_rejection(self) -> None:
-        """A rejected call always leads to a pause."""
+    def limit_below_one_call(self) -> None:
+        """Limits the size to less than one call, because a rejected call always leads to a pause."""
         self.size = min(self.size, REJECTED_WINDOW_SIZE)
 
     def allow_one_call(self) -> None:
-        """At least one call stays allowed."""
+        """Raises the size to at least one call."""
         self.size = max(1.0, self.size)
--- a/loftrelay/decisions/dispatch.py
+++ b/loftrelay/decisions/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: fills the free slots with the calls that are worth most for the slot time that they take."""
+"""Dispatch: fills the free call slots with the calls of the highest priority per slot time."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from loftrelay.decisions.units import NEVER, SECOND_US
 
 MIN_SLOT_TIME_US = SECOND_US / 20
-CONCLUSIVE_TIMEOUT_DIVISOR = 2  # a call with less than its timeout over this tells nothing
+CONCLUSIVE_TIMEOUT_DIVISOR = 2  # a failure with less time than the timeout over this is inconclusive
 
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
-    """The best call to one destination now."""
+    """The best call to one destination at the current time."""
 
-    value: float  # priority over slot time
+    value: float  # summed priority per microsecond of slot time
     message: OpenMessage
     endpoint: Endpoint
 
 
 def fill_slots(state: DecisionState) -> None:
-    """Sends calls while slots are free and a message may go."""
-    destinations = [each for each in state.backlog.values() if each.waiting]
+    """Sends calls while call slots are free and a message may be sent."""
+    destinations = [destination for destination in state.backlog.values() if destination.waiting]
     if len(destinations) < len(state.backlog):
-        state.backlog = {each.number: each for each in destinations}
+        state.backlog = {destination.number: destination for destination in destinations}
     best: dict[int, Candidate] = {}
     while state.calls_in_flight < state.limits.max_concurrent_calls:
         for destination in destinations:
@@ -43,14 +43,14 @@
                 best[destination.number] = candidate
         if not best:
             return
-        number = max(best, key=lambda each: best[each].value)
+        number = max(best, key=lambda candidate_number: best[candidate_number].value)
         candidate = best.pop(number)
         send_call(state, candidate.message, candidate.endpoint)
         destinations = [state.destinations[number]]
 
 
 def choose_call(state: DecisionState, destination: Destination) -> Candidate | None:
-    """Returns the message of a destination that should go first, and where; None if none may go."""
+    """Returns the best message of a destination and its endpoint; None if no message may be sent now."""
     endpoints = available_endpoints(state, destination)
     if not endpoints:
         return None
@@ -61,11 +61,13 @@
         if not _is_due(state, message):
             continue
         priorities.append(priority(state, message))
-        # A probe is made with the message that can wait longest for its outcome.
+        # A probe carries the message with the latest deadline, which has most time for a retry.
         rank = float(message.deadline) if is_probe else priorities[-1]
         if first is not None and rank <= first[0]:
             continue
-        endpoint = next((each for each in endpoints if may_attempt(state, message, each)), None)
+        endpoint = next(
+            (candidate for candidate in endpoints if may_attempt(state, message, candidate)), None
+        )
         if endpoint is not None:
             first = (rank, message, endpoint)
         else:
@@ -78,7 +80,7 @@
 
 
 def _is_due(state: DecisionState, message: OpenMessage) -> bool:
-    """Returns whether backoff and order let a message go; has a later batch look again if not."""
+    """Returns whether backoff and ordering allow a message; otherwise schedules a batch for a due time."""
     if message.not_before > state.now:
         state.run_batch_no_later_than(message.not_before)
         return False
@@ -91,7 +93,7 @@
 
 
 def send_call(state: DecisionState, first: OpenMessage, endpoint: Endpoint) -> None:
-    """Sends a message, with all others that may share its call."""
+    """Sends a call with a message and all others that may share it."""
     messages = batch_for(state, first, endpoint)
     idle = 0 if endpoint.in_flight else max(0, state.now - endpoint.last_used_at)
     call = Call(endpoint, state.now, connection_idle=idle, pending_messages=len(messages))
@@ -105,9 +107,13 @@
 
 
 def _close_stale_connection(state: DecisionState, call: Call, messages: list[OpenMessage]) -> int | None:
-    """Returns the longest idle time allowed to this call's connection; closes idle ones beyond it.
+    """Closes idle connections that are likely to be reset.
 
-    A message that can be repeated still uses any connection: its attempt shows whether idle ones are reset.
+    A call whose messages can all be repeated may use any connection: its outcome shows whether idle
+    connections are still reset.
+
+    Returns:
+        The longest idle time allowed for this call's connection, in microseconds; None for no limit.
     """
     if all(message.is_repeatable for message in messages):
         return None
@@ -119,7 +125,7 @@
 
 
 def _is_cut_short(state: DecisionState, messages: list[OpenMessage], endpoint: Endpoint) -> bool:
-    """Returns whether deadlines leave a call too little time to tell anything of its endpoint."""
+    """Returns whether deadlines leave a call too little time for a failure to count against its endpoint."""
     shortest = min(messages, key=lambda message: message.deadline)
     timeout = max(attempt_timeout(state, message, endpoint) for message in messages)
     if shortest.deadline - state.now < min(timeout, MIN_TIMEOUT_US) // CONCLUSIVE_TIMEOUT_DIVISOR:
--- a/loftrelay/decisions/endpoint_table.py
+++ b/loftrelay/decisions/endpoint_table.py
@@ -1,6 +1,6 @@
-"""The endpoint table: list updates, draining, removal, and endpoints that the operator disables.
+"""Endpoint table: list updates, draining, removal, and endpoints that the operator disables.
 
-The list names endpoints and says nothing of their health. A draining or removed endpoint gets no new call.
+The list contains no health information. A draining or removed endpoint receives no new call.
 """
 
 from __future__ import annotations
@@ -22,14 +22,15 @@
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import SECOND_US
 
-MAX_POLL_BACKOFF_US = 2 * SECOND_US  # with the call itself this stays under the 6 s in which a drain binds
-MIN_POLL_BACKOFF_SHARE = 0.7
-MIN_REMOVAL_CHECKS = 64  # removed endpoints looked at with each change of the list
-RATE_KINDS = ("nominal", "rough")  # words of the settings for listed rates that are limits
+# Together with the request itself this stays below the 6 s within which a drain must take effect.
+MAX_POLL_BACKOFF_US = 2 * SECOND_US
+MIN_POLL_BACKOFF_SHARE = 0.7  # jitter: the longest delay is drawn from this share of the maximum upwards
+MIN_REMOVAL_CHECKS = 64  # removed endpoints checked per change of the list, at least
+RATE_KINDS = ("nominal", "rough")  # values of `listed_rate_kind` for which listed rates are limits
 
 
 def update_list(state: DecisionState, event: EndpointListReceived) -> None:
-    """Takes in a list or its changes; after a failed request the old list stands and is asked for again."""
+    """Applies a full list or its changes; after a failed request keeps the old list and schedules a retry."""
     if event.kind is EndpointListKind.FAILED:
         _schedule_poll(state)
         return
@@ -40,21 +41,21 @@
         _mark_all_removed(state)
     for entry in event.entries:
         _apply_entry(state, entry)
-    # The cost of a change is in proportion to its size, however many endpoints are listed.
+    # Bounds the cost of a change by its size, independently of the number of listed endpoints.
     checks = max(MIN_REMOVAL_CHECKS, 2 * len(event.entries)) if is_delta else len(state.removed_endpoints)
     for name in list(islice(state.removed_endpoints, checks)):
         _drop_if_unused(state, state.removed_endpoints.pop(name))
 
 
 def disable(state: DecisionState, name: str) -> None:
-    """The operator disables an endpoint, whatever the list says."""
+    """Disables an endpoint for the operator, whatever its state in the list."""
     state.disabled_endpoints.add(name)
     if endpoint := state.endpoints.get(name):
         endpoint.is_disabled = True
 
 
 def enable(state: DecisionState, name: str) -> None:
-    """The operator enables an endpoint after a restart: it is cold, and what was learned of it is void."""
+    """Enables an endpoint that the operator has restarted: clears its failures and begins slow start."""
     if (endpoint := state.endpoints.get(name)) is not None and endpoint.is_disabled:
         _restart(state, endpoint)
     elif name in state.disabled_endpoints:
@@ -66,7 +67,7 @@
 
 
 def avoided_count(state: DecisionState) -> int:
-    """Returns how many listed endpoints are avoided now, by the operator or for their failures."""
+    """Returns how many listed endpoints are avoided now: disabled by the operator, or failing."""
     return sum(
         endpoint.state is not EndpointState.REMOVED
         and (endpoint.is_disabled or endpoint.gate.breaker.is_open or endpoint.avoid_until > state.now)
@@ -75,7 +76,7 @@
 
 
 def _schedule_poll(state: DecisionState) -> None:
-    """Asks again with a growing delay, so that a busy discovery service is not flooded."""
+    """Schedules the next request with a growing delay, so that a busy discovery service is not overloaded."""
     if not state.settings.polls_endpoint_list:
         return
     interval = state.settings.poll_interval or DEFAULT_POLL_INTERVAL_US
@@ -105,7 +106,7 @@
 def _add_endpoint(state: DecisionState, entry: EndpointEntry) -> Endpoint:
     kind: EndpointKind | None = state.settings.endpoint_kinds.get(entry.kind or "")
     has_own_gate = kind is not None and kind.has_endpoint_limits
-    destination = hibernation.get_destination(state, entry.destination)
+    destination = hibernation.get_or_create_destination(state, entry.destination)
     endpoint = Endpoint(
         name=entry.endpoint,
         destination=destination,
@@ -124,11 +125,11 @@
 
 
 def _drop_if_unused(state: DecisionState, endpoint: Endpoint) -> None:
-    """Drops a removed endpoint unless a call, a Retry-After or an open circuit still refers to it."""
+    """Drops a removed endpoint unless a call, a Retry-After, an open circuit or slow start still needs it."""
     gate, destination = endpoint.gate, endpoint.destination
     is_failing = gate is not destination.gate and (gate.breaker.is_open or gate.slow_start.is_active)
     if endpoint.in_flight or is_failing or gate.retry_after_until > state.now:
-        state.removed_endpoints[endpoint.name] = endpoint  # behind the others that are still to be checked
+        state.removed_endpoints[endpoint.name] = endpoint  # moves to the end of the check order
         return
     del state.endpoints[endpoint.name]
     destination.endpoints.remove(endpoint)
@@ -137,9 +138,9 @@
 def _restart(state: DecisionState, endpoint: Endpoint) -> None:
     endpoint.is_disabled = False
     endpoint.consecutive_failures, endpoint.avoid_until = 0, 0
-    siblings = [each for each in endpoint.available_peers if each is not endpoint]
-    # One of several endpoints adds to what the others take; slow start would limit those, too.
-    if not any(each.gate is endpoint.gate for each in siblings):
+    siblings = [peer for peer in endpoint.available_peers if peer is not endpoint]
+    # The siblings behind a shared gate carry the load already; slow start would limit them, too.
+    if not any(sibling.gate is endpoint.gate for sibling in siblings):
         endpoint.gate.restart(state.now)
 
 
@@ -147,6 +148,6 @@
     gate = hibernation.gate_of(state, name)
     if not isinstance(gate, GateSnapshot):
         return
-    gate.restart(state.now)  # which other endpoints were available is not known any more
-    kept = state.hibernated[state.hibernated_endpoints[name]].endpoints[name]
-    kept.consecutive_failures, kept.avoid_until = 0, 0
+    gate.restart(state.now)  # siblings are unknown here: the destination is hibernated
+    record = state.hibernated[state.hibernated_endpoints[name]].endpoints[name]
+    record.consecutive_failures, record.avoid_until = 0, 0
--- a/loftrelay/decisions/entities.py
+++ b/loftrelay/decisions/entities.py
@@ -1,4 +1,4 @@
-"""What the decisions keep track of: destinations, endpoints, calls, ordering keys and open messages."""
+"""Entities of the scheduler state: destinations, endpoints, calls, ordering keys and open messages."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @dataclass(slots=True)
 class EndpointKindStats:
-    """What all endpoints of one kind have in common."""
+    """Statistics shared by all endpoints of one kind."""
 
-    connection_limit_until: int = -NEVER  # until then they are taken to accept only few connections
+    connection_limit_until: int = -NEVER  # until then they are assumed to accept only a few connections
     call_times: CallTimes = field(default_factory=CallTimes)
-    # Of calls after a failure, by whether that was a rejection.
+    # Success rate of the next call after [0] a failure other than a rejection, [1] a rejection.
     success_rate_after_failure: list[float] = field(
         default_factory=lambda: [INITIAL_SUCCESS_RATE, INITIAL_SUCCESS_RATE]
     )
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Destination:
-    """One outside destination with its endpoints and the messages that wait for it."""
+    """A destination with its endpoints and the messages that wait for it."""
 
     number: int
     gate: Gate = field(default_factory=Gate)
@@ -36,13 +36,13 @@
     waiting: dict[str, OpenMessage] = field(default_factory=dict)
     in_flight: int = 0
     demand: DecayingRate = field(default_factory=lambda: DecayingRate(DEMAND_SPAN_US))
-    unfinished: int = 0  # messages that are not over, or still in the queue of their ordering key
-    cooldown_until: int = 0  # the last cooldown of its ordering keys
+    unfinished: int = 0  # messages that have not ended, or are still queued under their ordering key
+    cooldown_until: int = 0  # end of the latest cooldown of its ordering keys
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One address of a destination, behind the gate of the destination or one of its own."""
+    """One address of a destination, limited by the gate of the destination or by its own."""
 
     name: str
     destination: Destination
@@ -56,54 +56,53 @@
     in_flight: int = 0
     consecutive_failures: int = 0
     avoid_until: int = 0
-    usual_call_time: float = 0.0  # smoothed, in microseconds; 0: no call has succeeded yet
-    listed_rate: float = 0.0  # calls a second, as listed; 0: not listed
-    last_used_at: int = NEVER  # when a connection to it last carried a call; NEVER: there is none
+    usual_call_time: float = 0.0  # smoothed, in microseconds; 0: no call has succeeded
+    listed_rate: float = 0.0  # calls per second from all relays; 0: not listed
+    last_used_at: int = NEVER  # when a connection to it last carried a call; NEVER: no open connection
     is_disabled: bool = False  # by the operator
 
     @property
     def is_available(self) -> bool:
-        """Whether new calls may go to it, its gate aside."""
+        """Whether new calls may be sent to it, regardless of its gate."""
         return self.state is EndpointState.ACTIVE and not self.is_disabled
 
     @property
     def call_times(self) -> CallTimes:
-        """Call times of its gate, or of its kind while the gate has seen none."""
+        """Call times of its gate, or of its kind until a call through the gate has succeeded."""
         return self.gate.call_times if self.gate.call_times.smoothed else self.kind_stats.call_times
 
     @property
     def available_peers(self) -> list[Endpoint]:
-        """The available endpoints of its destination, itself among them."""
-        return [each for each in self.destination.endpoints if each.is_available]
+        """The available endpoints of its destination, including this one."""
+        return [endpoint for endpoint in self.destination.endpoints if endpoint.is_available]
 
 
 @dataclass(slots=True)
 class Call:
-    """One or more messages that travel together: one slot, one outcome."""
+    """One or more messages sent together: one call slot, one outcome."""
 
     endpoint: Endpoint
     sent_at: int
-    connection_idle: int = 0  # how long its connection was idle before; estimated until the outcome tells
-    is_cut_short: bool = False  # deadlines leave it too little time to tell anything of its endpoint
+    connection_idle: int = 0  # idle time of its connection before; an estimate until the outcome reports it
+    is_cut_short: bool = False  # too little time for a failure to count against its endpoint
     pending_messages: int = 0  # messages without an outcome
     is_evaluated: bool = False
-    uncertain_keys: list[OrderingKey] = field(
-        default_factory=list
-    )  # of messages that timed out while it runs
+    # Ordering keys of messages that timed out while the call was still running.
+    uncertain_keys: list[OrderingKey] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class OrderingKey:
-    """The queue of the messages that are delivered in turn under one key."""
+    """The queue of messages that are delivered one after the other under one key."""
 
     name: str
     pending: deque[OpenMessage] = field(default_factory=deque)
-    cooldown_until: int = 0  # NEVER: until its call has ended
+    cooldown_until: int = 0  # NEVER: until the call in flight has ended
 
 
 @dataclass(slots=True)
 class OpenMessage:
-    """A message that is not over. Times are in microseconds."""
+    """A message that has no final status yet. Times are in microseconds."""
 
     name: str
     message_class: MessageClass
@@ -114,7 +113,7 @@
     ordering_key: OrderingKey | None
     max_attempts: int
     attempts: int = 0
-    not_before: int = 0  # of the next attempt
+    not_before: int = 0  # earliest time of the next attempt
     call: Call | None = None
     is_ended: bool = False
     first_attempt_at: int | None = None  # when the first attempt that may have run was sent
@@ -122,7 +121,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether it can be attempted again after an attempt that may have run."""
+        """Whether it can be attempted again after an attempt that may have taken effect."""
         return self.message_class.semantics.is_repeatable
 
     @property
@@ -132,7 +131,7 @@
 
     @property
     def is_deduplicated(self) -> bool:
-        """Whether its destination drops repeats."""
+        """Whether its destination drops duplicates."""
         return self.message_class.semantics is DeliverySemantics.DEDUPLICATED
 
 
@@ -140,17 +139,17 @@
 class HibernatedEndpoint:
     """An endpoint of a hibernated destination."""
 
-    gate: GateSnapshot | None  # None: it shares the gate of its destination
+    gate: GateSnapshot | None  # None: it shared the gate of its destination
     consecutive_failures: int
     avoid_until: int
 
 
 @dataclass(slots=True)
 class HibernatedDestination:
-    """What is kept of a released destination, until it is listed again or can change no decision any more."""
+    """What is kept of a released destination until it is listed again or no longer affects any decision."""
 
     number: int
-    gate: GateSnapshot | None  # None: the destination is back, and some of its endpoints are not
+    gate: GateSnapshot | None  # None: the destination was restored, but not all of its endpoints
     demand: float
     demand_updated_at: int
     endpoints: dict[str, HibernatedEndpoint]
--- a/loftrelay/decisions/estimators.py
+++ b/loftrelay/decisions/estimators.py
@@ -1,4 +1,4 @@
-"""Running estimates: event rates that decay over time, and smoothed call times."""
+"""Estimators: event rates with exponential decay, and smoothed call times."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True)
 class DecayingRate:
-    """Events a second, with exponential decay over `span_us`."""
+    """Events per second, with exponential decay over `span_us` microseconds."""
 
     span_us: int = RATE_SPAN_US
     value: float = 0.0
     updated_at: int = 0
 
     def read(self, now: int) -> float:
-        """Returns the rate in events a second at a time."""
+        """Returns the rate at a time, in events per second."""
         return self.value * math.exp((self.updated_at - now) / self.span_us)
 
     def add(self, now: int, weight: float = 1.0) -> None:
-        """Counts one event, or a part of one."""
+        """Adds one event, or a fraction of one."""
         self.value = self.read(now) + weight * SECOND_US / self.span_us
         self.updated_at = now
 
@@ -41,7 +41,7 @@
     long_term: float = 0.0
 
     def add(self, elapsed: int) -> None:
-        """Takes in the duration of one successful call."""
+        """Adds the duration of one successful call, in microseconds."""
         if not self.smoothed:
             self.smoothed = float(elapsed)
             self.deviation = elapsed / 2
--- a/loftrelay/decisions/events.py
+++ b/loftrelay/decisions/events.py
@@ -1,6 +1,6 @@
-"""Events that the decisions are told: messages, outcomes, endpoint lists, operators' calls and settings.
+"""Events that the scheduler handles: messages, outcomes, endpoint lists, operator commands and settings.
 
-All times and durations are integer microseconds on the clock of the batch. A value not given is None.
+All times and durations are integer microseconds on the clock of the batch. A missing value is None.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 
 class AttemptStatus(Enum):
-    """How an attempt ended. Values are the names in stored records."""
+    """Outcome of an attempt. The values are the names in stored records."""
 
     OK = "OK"  # delivered
     ERROR = "ERROR"  # the endpoint responded with an error; the effect may have taken place
-    REJECTED = "FULL"  # rejected unseen: over a limit, queue full, shut or draining
-    TIMEOUT = "TIMEOUT"  # no response in time; the effect may have taken place, or still do so
-    CONNECT_FAILED = "NO_CONNECTION"  # no connection was established, so it has not run
-    CONNECTION_LOST = "BROKEN"  # the connection was lost during the attempt; may have run
-    MALFORMED_RESPONSE = "SPOILT"  # the response can't be read; it has run, and the endpoint is up
-    CANCELLED = "CANCELLED"  # cancelled by this relay; may have run
-    NOT_SENT = "NOT_SENT"  # has not left this relay
+    REJECTED = "FULL"  # rejected unprocessed: over a limit, queue full, shut down or draining
+    TIMEOUT = "TIMEOUT"  # no response in time; the effect may have taken place, or may still do so
+    CONNECT_FAILED = "NO_CONNECTION"  # no connection was established, so it did not take effect
+    CONNECTION_LOST = "BROKEN"  # the connection was lost during the attempt; it may have taken effect
+    MALFORMED_RESPONSE = "SPOILT"  # unreadable response; it took effect, and the endpoint is up
+    CANCELLED = "CANCELLED"  # cancelled by this relay; it may have taken effect
+    NOT_SENT = "NOT_SENT"  # did not leave this relay
 
 
 class EndpointState(Enum):
-    """State of an endpoint in the list, not its health. Values are the names in stored records."""
+    """State of an endpoint in the list, not its health. The values are the names in stored records."""
 
     ACTIVE = "LISTED"
     DRAINING = "DRAINING"
@@ -34,12 +34,12 @@
 
 
 class EndpointListKind(Enum):
-    """What an endpoint list brings."""
+    """Content of an EndpointListReceived."""
 
-    DELTA = auto()  # the changes since the last one
-    FULL = auto()
-    CACHED = auto()  # the full list as last saved; may be old
-    FAILED = auto()  # a request for the list failed, or the watch broke
+    DELTA = auto()  # the changes since the last list
+    FULL = auto()  # all endpoints
+    CACHED = auto()  # all endpoints as last saved; may be outdated
+    FAILED = auto()  # a request for the list failed, or the subscription ended
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,12 +51,12 @@
     state: EndpointState
     zone: str | None
     kind: str | None
-    listed_rate: float | None  # calls a second from all relays
+    listed_rate: float | None  # calls per second from all relays
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListReceived:
-    """A list, its changes, or the failure to get one."""
+    """An endpoint list, its changes, or a failed request for it."""
 
     kind: EndpointListKind
     entries: tuple[EndpointEntry, ...]
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageSubmitted:
-    """A message to deliver, which ends exactly once."""
+    """A message to deliver. It ends exactly once."""
 
     message_id: str
     destination: int
@@ -72,24 +72,25 @@
     tenant: str | None
     time_remaining: int
     ordering_key: str | None
-    terms: MessageTerms | None = None  # under which it was admitted; None: those in force
+    # Terms under which it was admitted; None: those of the current settings.
+    terms: MessageTerms | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class MessageRecovered:
-    """A message that this relay had admitted before it restarted. They come in their first order."""
+    """A message that this relay admitted before it restarted. The events come in order of admission."""
 
     submission: MessageSubmitted
     age: int
     attempts: int
-    first_attempt_age: int | None  # since the first attempt that may have run; None: there was none
+    first_attempt_age: int | None  # since the first attempt that may have taken effect; None: none has
     first_attempt_endpoint: str | None
-    is_ended: bool  # its end is decided; only FinalStatusReported is missing
+    is_ended: bool  # its end was decided; only FinalStatusReported is outstanding
 
 
 @dataclass(slots=True, frozen=True)
 class OrderingKeyCooldown:
-    """An attempt from before a restart may still be running: its ordering key waits."""
+    """Blocks an ordering key, because an attempt from before a restart may still be running."""
 
     ordering_key: str
     remaining: int
@@ -97,18 +98,18 @@
 
 @dataclass(slots=True, frozen=True)
 class FinalStatusReported:
-    """The platform knows the final status of a rejected or failed message: the next of its key may go."""
+    """The platform has the final status of a rejected or failed message: its ordering key may proceed."""
 
     message_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class OutcomeDisputed:
-    """The response that said a message had not run may have been another call's: it may have run."""
+    """A response saying that a message did not run may belong to another call: the message may have run."""
 
     message_id: str
     endpoint: str
-    attempt_age: int  # since that attempt was sent
+    attempt_age: int  # since the attempt was sent
 
 
 @dataclass(slots=True, frozen=True)
@@ -120,19 +121,19 @@
     endpoint: str
     status: AttemptStatus
     elapsed: int
-    is_final: bool  # delivered: nothing more is owed
-    retry_after: int  # 0: none was told
-    rate_limit: float | None  # load report: calls a second from all relays; 0: no limit
-    rate_limit_remaining: float | None  # load report: share of that limit left
-    connection_idle: int | None = None  # how long its connection was idle before; 0: new; None: unknown
-    is_expired: bool = False  # the endpoint takes the message's deadline as over, and accepts it no more
-    postponed_for: int = 0  # not begun for a reason of this relay's own: costs no attempt, and waits so long
-    is_late: bool = False  # this relay was stalled meanwhile; when the response came is not known
+    is_final: bool  # delivered: no further attempt is needed
+    retry_after: int  # 0: the response carried none
+    rate_limit: float | None  # load report: calls per second from all relays; 0: no limit
+    rate_limit_remaining: float | None  # load report: remaining share of that limit
+    connection_idle: int | None = None  # idle time of its connection before; 0: new; None: unknown
+    is_expired: bool = False  # the endpoint considers the deadline passed and will not accept the message
+    postponed_for: int = 0  # not started for a local reason: no attempt is counted, retry after this time
+    is_late: bool = False  # this relay was stalled meanwhile, so the arrival time of the response is unknown
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """The response to a streamed message began; the attempt now belongs to the client."""
+    """The response to a streamed message has started; the attempt now belongs to the client."""
 
     message_id: str
     attempt: int
@@ -140,21 +141,21 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageCancelled:
-    """The client of a message has left."""
+    """The client of a message has disconnected."""
 
     message_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """Only runs a batch; the token is not looked at."""
+    """Only triggers a batch; the token is ignored."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
-    """Ignored: no probes are sent, since each counts as a call."""
+    """Ignored: the scheduler sends no health checks, because each would count as a call."""
 
     endpoint: str
     status: AttemptStatus
@@ -163,23 +164,23 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointDisabled:
-    """The operator disables an endpoint, whatever the list says, until EndpointEnabled."""
+    """The operator disables an endpoint until EndpointEnabled, whatever its state in the list."""
 
     endpoint: str
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointEnabled:
-    """The operator enables an endpoint again. It was restarted meanwhile, so that slow start applies."""
+    """The operator enables an endpoint again. It was restarted meanwhile, so slow start applies."""
 
     endpoint: str
 
 
 @dataclass(slots=True, frozen=True)
 class DestinationsReleased:
-    """This relay does not serve these destinations any more; those that are not idle stay as they are.
+    """This relay no longer serves these destinations. Destinations that are not idle are left unchanged.
 
-    What was learned of them is restored with the next list entry that names the destination.
+    Their learned state is restored by the next list entry for the destination.
     """
 
     destinations: tuple[int, ...]
@@ -187,7 +188,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """The settings from now on. Open messages keep the terms under which they were admitted."""
+    """New settings, effective now. Open messages keep the terms under which they were admitted."""
 
     settings: RelaySettings
 
--- a/loftrelay/decisions/feedback.py
+++ b/loftrelay/decisions/feedback.py
@@ -1,4 +1,4 @@
-"""Feedback: what the outcome of a call changes in the limits of its destination."""
+"""Feedback: how the outcome of a call changes the limits of its destination."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 CALL_TIME_GAIN = 1 / 8  # of the smoothed call time of an endpoint
 SUCCESS_RATE_GAIN = 1 / 8  # of the success rate after a failure
-STRETCH_AFTER_REJECTIONS = 3  # a Retry-After is stretched from the next rejection in a row on ...
-MAX_STRETCH_EXPONENT = 3  # ... by a factor of up to two to this power
+STRETCH_AFTER_REJECTIONS = 3  # more consecutive rejections than this lengthen a Retry-After ...
+MAX_STRETCH_EXPONENT = 3  # ... by a factor of at most two to this power
 
 
 def evaluate(state: DecisionState, call: Call, event: AttemptEnded) -> None:
-    """Learns from the outcome of a call, once for all messages in it."""
+    """Updates the limits from the outcome of a call, once for all messages in it."""
     endpoint, gate = call.endpoint, call.endpoint.gate
     endpoint.last_used_at = state.now
     if event.is_late or _was_cut_short(call, event.status):
@@ -30,7 +30,7 @@
     if event.status not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT):
         idle_connections.record_reset(state, call.connection_idle, event.status)
     is_connection_failure = _is_connection_failure(call, event)
-    if gate.breaker.counts_connection_failure(is_connection_failure=is_connection_failure):
+    if gate.breaker.record_connection_outcome(is_connection_failure=is_connection_failure):
         return
     if gate.breaker.consecutive_failures and call.sent_at > gate.breaker.failed_at:
         _update_success_rate(endpoint, gate, event.status)
@@ -41,12 +41,12 @@
 
 
 def _was_cut_short(call: Call, status: AttemptStatus) -> bool:
-    """Returns whether a call failed for want of time alone, which tells nothing of its endpoint."""
+    """Returns whether a call failed only because its deadline was too close to judge the endpoint by it."""
     return call.is_cut_short and status in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECT_FAILED)
 
 
 def _is_connection_failure(call: Call, event: AttemptEnded) -> bool:
-    """Returns whether an outcome tells of the connection or the way, not yet of the destination."""
+    """Returns whether an outcome points to the connection or the network rather than the destination."""
     if event.status is AttemptStatus.MALFORMED_RESPONSE:
         return True
     min_idle = 0 if event.connection_idle is not None else idle_connections.MIN_IDLE_US
@@ -82,13 +82,13 @@
         delay = backoff(state, endpoint.consecutive_failures - 1)
         endpoint.avoid_until = state.now + min(delay, MAX_PROBE_INTERVAL_US)
     if call.sent_at < gate.window.narrowed_at:
-        return  # sent before the window was last narrowed: it says nothing of the window now
+        return  # sent before the window was last narrowed: no evidence about its present size
     gate.window.narrow(state.now)
     demand = demand_rate(state, gate, endpoint.destination)
     recovery_rate = demand * state.limits.overload_multiple * state.limits.slow_start_initial_fraction
     if is_rejection:
         _lower_rate_limit(state, endpoint, demand)
-        gate.window.limit_after_rejection()
+        gate.window.limit_below_one_call()
     elif _has_healthy_sibling(state, endpoint, event.status):
         gate.window.allow_one_call()
     if gate.window.is_below_one_call:
@@ -101,20 +101,21 @@
         is_paused=gate.window.is_below_one_call,
     )
     if has_opened:
-        _circuit_opened(state, endpoint)
+        _report_open_circuit(state, endpoint)
 
 
 def _lower_rate_limit(state: DecisionState, endpoint: Endpoint, demand: float) -> None:
-    """Lowers the learned rate below the calls sent, and not below what demand needs in full batches."""
+    """Lowers the learned rate below the rate of calls sent, but not below the demand in full batches."""
     gate = endpoint.gate
     observed = (len(gate.slow_start.recent_calls) - 1) * SECOND_US / state.limits.overload_window
     gate.rate_limiter.decrease(observed, demand / endpoint.max_batch_size)
 
 
 def _has_healthy_sibling(state: DecisionState, endpoint: Endpoint, status: AttemptStatus) -> bool:
-    """Returns whether another endpoint behind the same gate works.
+    """Returns whether another endpoint behind the same gate is healthy.
 
-    In a large fleet an endpoint that has never answered proves nothing against a hang of all of them.
+    In a large fleet an endpoint that this relay has never called successfully does not show that the others
+    are healthy: all of them may hang.
     """
     never_ran = status is AttemptStatus.CONNECT_FAILED
     return any(
@@ -126,10 +127,10 @@
 
 
 def _pause(state: DecisionState, endpoint: Endpoint, event: AttemptEnded, recovery_rate: float) -> None:
-    """Sets the pause before the next call, by failures in a row, Retry-After and rate."""
+    """Sets the pause before the next call from the consecutive failures, the Retry-After and the rate."""
     gate, kind = endpoint.gate, endpoint.kind_stats
     is_rejection = event.status is AttemptStatus.REJECTED
-    # A call that found no connection cost its endpoint nothing.
+    # A refused connection puts no load on the endpoint, so it is probed sooner.
     longest = (
         MAX_PROBE_INTERVAL_US // 2 if event.status is AttemptStatus.CONNECT_FAILED else MAX_PROBE_INTERVAL_US
     )
@@ -143,13 +144,13 @@
 
 
 def _stretched_retry_after(state: DecisionState, gate: Gate, retry_after: int) -> int:
-    """Returns a longer Retry-After after rejections in a row, so that relays don't all return at its end."""
+    """Lengthens a Retry-After after consecutive rejections, so that not all relays return when it ends."""
     extra = gate.breaker.consecutive_failures - STRETCH_AFTER_REJECTIONS
     stretched = retry_after * 2 ** min(max(0, extra), MAX_STRETCH_EXPONENT)
     return int(min(stretched, retry_after + MAX_PROBE_INTERVAL_US * state.limits.relay_count // 2))
 
 
-def _circuit_opened(state: DecisionState, endpoint: Endpoint) -> None:
+def _report_open_circuit(state: DecisionState, endpoint: Endpoint) -> None:
     endpoint.gate.slow_start.started_at = None
     number = endpoint.destination.number
     state.actions.append(WriteLog(f"destination {number}: circuit open, one probe at a time"))
--- a/loftrelay/decisions/gate.py
+++ b/loftrelay/decisions/gate.py
@@ -1,7 +1,7 @@
-"""The gate of one destination, or of one endpoint that has limits of its own: every limit on calls to it.
+"""Gate: all limits on calls to one destination, or to one endpoint that has its own limits.
 
-It composes the concurrency window, the rate limiter, the circuit breaker, slow start and Retry-After (RFC
-9110, 10.2.3). `GateSnapshot` is the compact form that a hibernated destination keeps.
+A gate combines the concurrency window, the rate limiter, the circuit breaker, slow start and Retry-After (RFC
+9110, 10.2.3). `GateSnapshot` is the compact form kept for a hibernated destination.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 from loftrelay.decisions.slow_start import SlowStart
 from loftrelay.decisions.units import NEVER, SECOND_US
 
-LEARNED_STATE_TTL_US = 600 * SECOND_US  # after the last call, short of an open circuit
+LEARNED_STATE_TTL_US = 600 * SECOND_US  # after the last call; an open circuit is kept without limit
 MIN_RELEVANT_ERROR_RATE = 0.01
-NO_CALL_TIMES = CallTimes()  # shared by all gates that have seen no call: most destinations are idle
+NO_CALL_TIMES = CallTimes()  # shared by all gates without a call, to save memory: most destinations are idle
 
 
 @dataclass(slots=True)
 class Gate:
-    """Limits on calls, and the call times behind them. Times are in microseconds."""
+    """Limits on calls and the call times that they depend on. Times are in microseconds."""
 
     window: ConcurrencyWindow = field(default_factory=ConcurrencyWindow)
     rate_limiter: RateLimiter = field(default_factory=RateLimiter)
     breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
     slow_start: SlowStart = field(default_factory=SlowStart)
-    retry_after_until: int = 0  # the end of the last Retry-After
-    next_attempt_at: int = 0  # the end of the pause after a failure
+    retry_after_until: int = 0  # end of the latest Retry-After
+    next_attempt_at: int = 0  # end of the pause after a failure
     call_times: CallTimes = field(default_factory=lambda: NO_CALL_TIMES)
-    listed_rate: float = 0.0  # calls a second from all relays, as listed; 0: not listed
+    listed_rate: float = 0.0  # calls per second from all relays; 0: not listed
 
     @property
     def is_degraded(self) -> bool:
@@ -41,23 +41,23 @@
         return self.breaker.is_open or self.window.is_below_one_call or self.slow_start.is_active
 
     def record_call_time(self, elapsed: int) -> None:
-        """Takes in the duration of one successful call, in microseconds."""
+        """Adds the duration of one successful call, in microseconds."""
         if not self.call_times.smoothed:
-            self.call_times = CallTimes()  # the one before may be shared with other gates
+            self.call_times = CallTimes()  # replaces the shared NO_CALL_TIMES
         self.call_times.add(elapsed)
 
-    def heed_retry_after(self, until: int) -> None:
-        """Allows no call before a time; an earlier one does not shorten a later one."""
+    def block_until(self, until: int) -> None:
+        """Allows no call before a time, such as the end of a Retry-After. Never shortens an earlier block."""
         self.retry_after_until = max(self.retry_after_until, until)
 
     def restart(self, now: int) -> None:
-        """Begins slow start, for a destination that the operator has restarted."""
+        """Begins slow start after the operator has restarted the destination."""
         self.breaker.reset()
         self.window.allow_one_call()
         self.slow_start.started_at = now
 
     def copy_learned_state(self, source: Gate) -> None:
-        """Takes over what another gate has learned, without calls in flight and call times."""
+        """Copies the learned state of another gate, without its calls in flight and call times."""
         self.window.size = source.window.size
         self.retry_after_until = source.retry_after_until
         self.next_attempt_at = source.next_attempt_at
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class GateSnapshot:
-    """What a gate has learned, without calls in flight and call times."""
+    """Learned state of a gate, without its calls in flight and call times."""
 
     window_size: float
     retry_after_until: int
@@ -92,7 +92,7 @@
 
     @classmethod
     def capture(cls, gate: Gate, now: int, limits: Limits) -> GateSnapshot:
-        """Copies what a gate has learned."""
+        """Returns a snapshot of the learned state of a gate."""
         breaker, rate_limiter = gate.breaker, gate.rate_limiter
         since = now - limits.overload_window
         return cls(
@@ -116,7 +116,7 @@
         )
 
     def restore(self, gate: Gate) -> None:
-        """Copies it back into a gate."""
+        """Copies the snapshot back into a gate."""
         gate.window.size = self.window_size
         gate.retry_after_until = self.retry_after_until
         gate.next_attempt_at = self.next_attempt_at
@@ -138,12 +138,12 @@
         )
         gate.slow_start = SlowStart(self.slow_start_at, list(self.recent_calls) or None)
 
-    def heed_retry_after(self, until: int) -> None:
-        """Allows no call before a time; an earlier one does not shorten a later one."""
+    def block_until(self, until: int) -> None:
+        """Allows no call before a time, such as the end of a Retry-After. Never shortens an earlier block."""
         self.retry_after_until = max(self.retry_after_until, until)
 
     def restart(self, now: int) -> None:
-        """Begins slow start, for a destination that the operator has restarted."""
+        """Begins slow start after the operator has restarted the destination."""
         self.is_open = False
         self.error_rate = 0.0
         self.consecutive_failures = 0
@@ -151,7 +151,7 @@
         self.slow_start_at = now
 
     def relevant_until(self, limits: Limits) -> int:
-        """Returns until when the snapshot can change a decision; NEVER while the circuit is open."""
+        """Returns until when the snapshot can affect a decision; NEVER while the circuit is open."""
         if self.is_open:
             return NEVER
         slow_start_end = 0 if self.slow_start_at is None else self.slow_start_at + limits.slow_start_duration
--- a/loftrelay/decisions/hibernation.py
+++ b/loftrelay/decisions/hibernation.py
@@ -1,7 +1,7 @@
-"""Hibernation: what is kept of destinations that this relay does not serve any more.
+"""Hibernation: compact state of destinations that this relay no longer serves.
 
-A released destination is folded into a snapshot of what can still change a decision: a Retry-After, an open
-circuit, slow start, learned limits. The next list entry that names it restores it.
+A released destination is reduced to a snapshot of the state that can still affect a decision: a Retry-After,
+an open circuit, slow start and learned limits. The next list entry for the destination restores it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def is_idle(state: DecisionState, now: int, number: int) -> bool:
-    """Returns whether nothing of a destination is waiting, in flight or in a queue."""
+    """Returns whether a destination has no message waiting, in flight or queued under an ordering key."""
     destination = state.destinations.get(number)
     if destination is None:
         return True
@@ -27,14 +27,14 @@
 
 
 def hibernate(state: DecisionState, number: int) -> None:
-    """Folds an idle destination; one that is not idle stays as it is."""
+    """Replaces an idle destination by its snapshot; leaves one that is not idle unchanged."""
     destination = state.destinations.get(number)
     if destination is None or not is_idle(state, state.now, number):
         return
     del state.destinations[number]
     state.backlog.pop(number, None)
     state.destinations_to_check.pop(number, None)
-    earlier = state.hibernated.get(number)  # with endpoints that have not been listed again since
+    earlier = state.hibernated.get(number)  # holds endpoints that have not been listed again
     record = HibernatedDestination(
         number=number,
         gate=GateSnapshot.capture(destination.gate, state.now, state.limits),
@@ -44,9 +44,9 @@
     )
     for endpoint in destination.endpoints:
         _hibernate_endpoint(state, record, endpoint)
-    destination.endpoints.clear()  # breaks the reference cycle, so that both are freed at once
+    destination.endpoints.clear()  # breaks the reference cycle, so that both are freed immediately
     state.hibernated[number] = record
-    # A call that was given up may still bring a Retry-After.
+    # An abandoned call may still report a Retry-After.
     state.set_timer(state.now + state.limits.slow_start_duration, record)
 
 
@@ -62,8 +62,8 @@
     state.hibernated_endpoints[endpoint.name] = record.number
 
 
-def get_destination(state: DecisionState, number: int) -> Destination:
-    """Returns a destination, restored or new if need be."""
+def get_or_create_destination(state: DecisionState, number: int) -> Destination:
+    """Returns a destination; restores it from its snapshot or creates it if it does not exist."""
     destination = state.destinations.get(number)
     if destination is not None:
         return destination
@@ -78,7 +78,7 @@
 
 
 def restore_endpoint(state: DecisionState, endpoint: Endpoint) -> None:
-    """Gives an endpoint that is listed again what was kept of it."""
+    """Restores the hibernated state of an endpoint that is listed again."""
     destination = endpoint.destination
     record = state.hibernated.get(destination.number)
     if record is None or (kept := record.endpoints.pop(endpoint.name, None)) is None:
@@ -89,14 +89,14 @@
             kept.gate.restore(endpoint.gate)
         else:
             endpoint.gate.copy_learned_state(destination.gate)
-    elif kept.gate is not None:  # the settings have changed: it had limits of its own before
-        endpoint.gate.heed_retry_after(kept.gate.retry_after_until)
+    elif kept.gate is not None:  # the settings have changed: it had its own limits before
+        endpoint.gate.block_until(kept.gate.retry_after_until)
     _forget_endpoint(state, endpoint.name, record)
     state.set_timer(state.now, record)
 
 
 def gate_of(state: DecisionState, name: str) -> Gate | GateSnapshot | None:
-    """Returns the gate of an endpoint, listed or hibernated; None for an unknown one."""
+    """Returns the gate of a listed or hibernated endpoint; None if it is unknown."""
     if (endpoint := state.endpoints.get(name)) is not None:
         return endpoint.gate
     if (number := state.hibernated_endpoints.get(name)) is None:
@@ -106,7 +106,7 @@
 
 
 def drop_if_irrelevant(state: DecisionState, record: HibernatedDestination) -> None:
-    """Forgets a hibernated destination once it can change no decision; looks again later otherwise."""
+    """Drops a hibernated destination that can no longer affect a decision; otherwise sets a timer."""
     if state.hibernated.get(record.number) is not record:
         return
     relevant_until = _relevant_until(state, record)
@@ -122,12 +122,14 @@
     endpoints = record.endpoints.values()
     if any(name in state.disabled_endpoints for name in record.endpoints):
         return NEVER
-    gates = [gate for gate in (record.gate, *(each.gate for each in endpoints)) if gate is not None]
+    gates = [gate for gate in (record.gate, *(endpoint.gate for endpoint in endpoints)) if gate is not None]
     times = [gate.relevant_until(state.limits) for gate in gates]
-    times += [each.avoid_until + LEARNED_STATE_TTL_US for each in endpoints if each.consecutive_failures]
+    times += [
+        endpoint.avoid_until + LEARNED_STATE_TTL_US for endpoint in endpoints if endpoint.consecutive_failures
+    ]
     return max(times, default=0)
 
 
 def _forget_endpoint(state: DecisionState, name: str, record: HibernatedDestination) -> None:
-    if state.hibernated_endpoints.get(name) == record.number:  # or it has moved to another destination since
+    if state.hibernated_endpoints.get(name) == record.number:  # otherwise it has moved to another destination
         del state.hibernated_endpoints[name]
--- a/loftrelay/decisions/idempotency.py
+++ b/loftrelay/decisions/idempotency.py
@@ -1,7 +1,8 @@
-"""Idempotency: whether a message that may have run can be attempted again, where and until when.
+"""Idempotency: whether, where and until when a message that may have run can be attempted again.
 
-An attempt with an unknown outcome may have taken effect. An idempotent message can always go again. One that
-its destination deduplicates can go again inside the dedup window and scope. Any other cannot.
+An attempt with an unknown outcome may have taken effect. An idempotent message can always be repeated. A
+message that its destination deduplicates can be repeated within the dedup window and scope. No other message
+can be repeated.
 """
 
 from __future__ import annotations
@@ -14,19 +15,20 @@
 
 GLOBAL_SCOPE = "all"
 ZONE_SCOPE = "zone"
-WINDOW_MARGIN_US = SECOND_US // 10  # the transit times of two calls may differ by this much
-WINDOW_MARGIN_DIVISOR = 10  # the margin is at most the window over this
+WINDOW_MARGIN_US = SECOND_US // 10  # allowed difference between the transit times of two calls
+WINDOW_MARGIN_DIVISOR = 10  # the margin is at most this fraction (1/n) of the window
+# After these outcomes the attempt may have taken effect.
 UNCERTAIN_STATUSES = (
     AttemptStatus.ERROR,
     AttemptStatus.TIMEOUT,
     AttemptStatus.CONNECTION_LOST,
     AttemptStatus.MALFORMED_RESPONSE,
     AttemptStatus.CANCELLED,
-)  # the attempt may have run
+)
 
 
 def dedup_window_end(state: DecisionState, message: OpenMessage) -> int:
-    """Returns until when the destination surely drops a repeat; NEVER where no window applies."""
+    """Returns until when the destination is certain to drop a duplicate; NEVER if no window applies."""
     if message.first_attempt_at is None or not message.is_deduplicated:
         return NEVER
     window = message.message_class.dedup_window or 0
@@ -35,7 +37,7 @@
 
 
 def may_repeat_at(state: DecisionState, message: OpenMessage, endpoint: Endpoint) -> bool:
-    """Returns whether a message that may have run can go to an endpoint now."""
+    """Returns whether a message that may have run can be repeated at an endpoint now."""
     if message.message_class.semantics is DeliverySemantics.IDEMPOTENT:
         return True
     if not message.is_deduplicated or state.now >= dedup_window_end(state, message):
@@ -47,7 +49,7 @@
 
 
 def can_reject(message: OpenMessage) -> bool:
-    """Returns whether a message can be rejected, which promises that sending it again does no harm."""
+    """Returns whether a message can be rejected, which guarantees that sending it again is safe."""
     if message.call is not None:
         return False
     semantics = message.message_class.semantics
@@ -56,8 +58,8 @@
     return message.is_deduplicated and message.message_class.dedup_scope == GLOBAL_SCOPE
 
 
-def mark_attempt(message: OpenMessage, sent_at: int, endpoint: Endpoint | None) -> None:
-    """Notes an attempt that may have run; only the first one counts."""
+def record_uncertain_attempt(message: OpenMessage, sent_at: int, endpoint: Endpoint | None) -> None:
+    """Records the time and endpoint of the first attempt that may have run; ignores later ones."""
     if message.first_attempt_at is None:
         message.first_attempt_at = sent_at
         message.first_attempt_endpoint = endpoint
--- a/loftrelay/decisions/idle_connections.py
+++ b/loftrelay/decisions/idle_connections.py
@@ -1,7 +1,7 @@
-"""Idle connections: when they are likely to be reset, and when they should be closed.
+"""Idle connections: from which idle time they are often reset, and when to close them.
 
-Hosts and devices on the way drop connections that have been idle for long. A reset then ends a message that
-can't be repeated, where a new handshake would not. Resets are counted by idle time, in octaves.
+Hosts and network devices drop connections that have been idle for long. A reset then ends a message that
+cannot be repeated, which a new connection would have avoided. Resets are counted by idle time, in octaves.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from loftrelay.decisions.state import DecisionState, IdleResetCounts
 from loftrelay.decisions.units import NEVER, SECOND_US
 
-MIN_IDLE_US = SECOND_US // 8  # below this a reset may have crossed a response, and tells nothing of idle time
+MIN_IDLE_US = SECOND_US // 8  # a reset sooner than this may have crossed a response: not due to idle time
 RESET_SPAN_US = 60 * SECOND_US
-MIN_RESETS = 2
-EXCESS_RESET_SHARE = 0.05  # over twice the share of fresh connections
-CONNECTION_SCARCITY_US = 30 * SECOND_US  # after a refused connection
-MAX_CALL_GAP_US = 2 * SECOND_US  # between calls to an endpoint that accepts few connections, to keep one open
+MIN_RESETS = 2  # recent resets of an octave above which its share counts
+EXCESS_RESET_SHARE = 0.05  # in addition to twice the share of connections idle for less than MIN_IDLE_US
+CONNECTION_SCARCITY_US = 30 * SECOND_US  # assumed after a refused connection
+MAX_CALL_GAP_US = 2 * SECOND_US  # longest mean gap between calls that keeps a scarce connection open
 
 
 def record_reset(state: DecisionState, idle: int, status: AttemptStatus) -> None:
-    """Counts a call on a connection that was idle for so many microseconds before."""
+    """Counts a call, and a reset if it was one, under the idle time of its connection in microseconds."""
     octave = (idle // MIN_IDLE_US).bit_length()
     counts = state.idle_resets.get(octave)
     if counts is None:
@@ -34,7 +34,7 @@
 
 
 def max_connection_idle(state: DecisionState) -> int | None:
-    """Returns the idle time from which connections are often reset; None for no limit."""
+    """Returns the idle time in microseconds from which connections are often reset; None if there is none."""
     threshold = 2 * _reset_share(state, 0) + EXCESS_RESET_SHARE
     unreliable = [
         octave for octave in state.idle_resets if octave and _reset_share(state, octave) > threshold
@@ -43,7 +43,7 @@
 
 
 def _reset_share(state: DecisionState, octave: int) -> float:
-    """Returns the share of calls that were reset; 0 where too few were to tell."""
+    """Returns the share of calls in an octave that were reset; 0 if there were too few resets."""
     counts = state.idle_resets.get(octave)
     if counts is None:
         return 0.0
@@ -52,7 +52,7 @@
 
 
 def close_if_limited(state: DecisionState, endpoint: Endpoint, status: AttemptStatus) -> None:
-    """Closes a rarely used connection to an endpoint whose kind accepts only few."""
+    """Closes rarely used connections to an endpoint whose kind accepts only a few connections."""
     if status is AttemptStatus.CONNECT_FAILED:
         endpoint.kind_stats.connection_limit_until = state.now + CONNECTION_SCARCITY_US
     if endpoint.kind_stats.connection_limit_until <= state.now or endpoint.in_flight:
--- a/loftrelay/decisions/lifecycle.py
+++ b/loftrelay/decisions/lifecycle.py
@@ -1,4 +1,4 @@
-"""Life cycle of a message: admitted or recovered, waiting, and over by exactly one end."""
+"""Life cycle of a message: admission or recovery, waiting, and exactly one end."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from loftrelay.decisions.demand import arrival_weight
 from loftrelay.decisions.entities import OpenMessage
 from loftrelay.decisions.events import MessageRecovered, MessageSubmitted, OutcomeDisputed
-from loftrelay.decisions.idempotency import can_reject, dedup_window_end, mark_attempt
+from loftrelay.decisions.idempotency import can_reject, dedup_window_end, record_uncertain_attempt
 from loftrelay.decisions.limits import DEFAULT_MAX_ATTEMPTS
 from loftrelay.decisions.quota import quota_factor
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import NEVER, SECOND_US
 
-LAST_ATTEMPT_MARGIN_US = SECOND_US // 4  # before the end of the dedup window, for a last attempt
-LAST_ATTEMPT_DIVISOR = 4  # the margin is at most the window over this
+LAST_ATTEMPT_MARGIN_US = SECOND_US // 4  # time reserved at the end of the dedup window for a last attempt
+LAST_ATTEMPT_DIVISOR = 4  # the margin is at most this fraction (1/n) of the window
 
 
 def admit(state: DecisionState, event: MessageSubmitted, age: int = 0) -> OpenMessage:
-    """Takes on a message that came `age` microseconds ago, and has it wait for an endpoint."""
-    destination = hibernation.get_destination(state, event.destination)
+    """Admits a message that arrived `age` microseconds ago and enqueues it."""
+    destination = hibernation.get_or_create_destination(state, event.destination)
     message_class = _class_of(state, event)
     terms = event.terms
     max_attempts = terms.max_attempts if terms else state.settings.max_attempts
@@ -47,7 +47,7 @@
 
 
 def _class_of(state: DecisionState, event: MessageSubmitted) -> MessageClass:
-    """Returns the class that a message was admitted under; an unknown one is handled as at-most-once."""
+    """Returns the class under which a message was admitted; treats an unknown class as at-most-once."""
     if event.terms:
         return event.terms.message_class
     known = state.settings.classes.get(event.class_name)
@@ -67,7 +67,7 @@
 
 
 def recover(state: DecisionState, event: MessageRecovered) -> None:
-    """Takes up a message from before a restart, with what restricts its further attempts."""
+    """Restores a message from before a restart, with its attempt count and first uncertain attempt."""
     message = admit(state, event.submission, event.age)
     message.admitted_at = state.now - event.age
     message.attempts = event.attempts
@@ -84,7 +84,7 @@
 
 
 def enqueue(state: DecisionState, message: OpenMessage) -> None:
-    """Has a message wait for an endpoint."""
+    """Puts a message into the waiting list of its destination."""
     destination = message.destination
     destination.waiting[message.name] = message
     state.destinations_to_check[destination.number] = destination
@@ -93,7 +93,7 @@
 
 
 def enqueue_or_end(state: DecisionState, message: OpenMessage) -> None:
-    """Has a message wait for its next attempt, or ends it where no attempt is possible any more."""
+    """Enqueues a message for its next attempt, or ends it if no further attempt is possible."""
     window_end = dedup_window_end(state, message)
     if message.not_before >= window_end:
         window = message.message_class.dedup_window or 0
@@ -110,7 +110,7 @@
 
 
 def reject_or_fail(state: DecisionState, message: OpenMessage, retry_after: int) -> None:
-    """Ends a message by a rejection, where that is true, or as failed."""
+    """Rejects a message if it can safely be sent again; otherwise fails it."""
     if can_reject(message):
         finish(state, message, RejectMessage(message.name, retry_after))
     else:
@@ -123,12 +123,12 @@
 
 
 def finish(state: DecisionState, message: OpenMessage, action: Action | None) -> None:
-    """Ends a message: at most one end is told, and no attempt follows.
+    """Ends a message: emits at most one end action, and prevents further attempts.
 
     Args:
-        state: the state of the decisions.
-        message: the message to end.
-        action: the end to tell; None where it is known already, or nobody waits for it.
+        state: The scheduler state.
+        message: The message to end.
+        action: The action that reports the end; None if the end is known already or nobody waits for it.
     """
     if not message.is_ended:
         message.is_ended = True
@@ -141,7 +141,7 @@
 
 
 def _close(state: DecisionState, message: OpenMessage, *, is_reported: bool) -> None:
-    """Forgets a message; it stays first of its ordering key until its final status is reported."""
+    """Drops a message; it stays at the head of its ordering key until its final status is reported."""
     if state.messages.pop(message.name, None) is None:
         return
     if is_reported or message.ordering_key is None:
@@ -151,23 +151,23 @@
 
 
 def final_status_reported(state: DecisionState, name: str) -> None:
-    """Lets the next message of the ordering key go, now that the end of this one is known."""
+    """Releases the next message of the ordering key after the final status of this one was reported."""
     if message := state.unreported.pop(name, None):
         ordering.leave_queue(state, message)
 
 
 def cancel(state: DecisionState, name: str) -> None:
-    """Ends a message whose client has left; nobody is told."""
+    """Ends a message whose client has disconnected, without reporting the end."""
     if message := state.messages.get(name):
         finish(state, message, None)
 
 
 def dispute_outcome(state: DecisionState, event: OutcomeDisputed) -> None:
-    """Takes back that an attempt did not run: its response may have been another call's."""
+    """Treats a message as possibly run, because the response that denied it may belong to another call."""
     message = state.messages.get(event.message_id)
     if message is None or message.is_ended:
         return
-    mark_attempt(message, state.now - event.attempt_age, state.endpoints.get(event.endpoint))
+    record_uncertain_attempt(message, state.now - event.attempt_age, state.endpoints.get(event.endpoint))
     if message.ordering_key is not None and message.ordering_key.cooldown_until < NEVER:
         ordering.start_cooldown(state, message.ordering_key, message.destination)
     if message.call is None:
@@ -176,9 +176,9 @@
 
 
 def check_deadline(state: DecisionState, message: OpenMessage) -> None:
-    """Fails a waiting message whose time left covers no usual call; looks again later otherwise.
+    """Fails a waiting message with too little time left for a usual call; otherwise sets a timer.
 
-    The end of a dedup window ends nothing by itself: the next attempt or Retry-After takes it into account.
+    The end of a dedup window does not end a message by itself: the next attempt or Retry-After checks it.
     """
     if message.is_ended or message.call is not None:
         return
--- a/loftrelay/decisions/limits.py
+++ b/loftrelay/decisions/limits.py
@@ -1,4 +1,4 @@
-"""Limits in force: the settings, with defaults where the operator gave none."""
+"""Effective limits: the settings, with defaults for those that the operator did not set."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from loftrelay.decisions.settings import RelaySettings
 from loftrelay.decisions.units import SECOND_US
 
-LARGE_FLEET_RELAYS = 20  # from here on each relay sees too few calls to learn alone
+LARGE_FLEET_RELAYS = 20  # in a fleet of this size or more, each relay sees too few calls to learn alone
 DEFAULT_CONCURRENT_CALLS = 1
 DEFAULT_OPEN_MESSAGES = 1 << 30
 DEFAULT_MAX_ATTEMPTS = 8
@@ -35,7 +35,7 @@
 
     @classmethod
     def from_settings(cls, settings: RelaySettings) -> Limits:
-        """Fills in the defaults."""
+        """Returns the limits of the settings, with defaults for missing values."""
         return cls(
             max_concurrent_calls=max(1, settings.max_concurrent_calls or DEFAULT_CONCURRENT_CALLS),
             max_open_messages=settings.max_open_messages or DEFAULT_OPEN_MESSAGES,
@@ -51,5 +51,5 @@
 
     @property
     def is_large_fleet(self) -> bool:
-        """Whether so many relays share the destinations that each sees only a small part."""
+        """Whether the fleet is so large that each relay sees only a small part of the traffic."""
         return self.relay_count >= LARGE_FLEET_RELAYS
--- a/loftrelay/decisions/load_shedding.py
+++ b/loftrelay/decisions/load_shedding.py
@@ -1,6 +1,6 @@
-"""Load shedding: ends waiting messages early that can't be delivered in time or fill the relay.
+"""Load shedding: ends waiting messages early if they cannot be delivered in time or fill up the relay.
 
-New messages are rejected before, in `relay/intake.py`, where the relay is full or lags.
+New messages are rejected earlier, in `relay/intake.py`, while the relay is full or lags.
 """
 
 from __future__ import annotations
@@ -15,42 +15,42 @@
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import SECOND_US
 
-QUEUE_HEADROOM_DIVISOR = 8  # the queue over this is kept free
+QUEUE_HEADROOM_DIVISOR = 8  # this fraction (1/n) of the open messages limit is kept free
 MIN_QUEUE_HEADROOM = 2  # messages
-BACKLOG_DRAIN_RATE_PER_S = 8  # assumed, for the wait behind a backlog
-MIN_SHED_WAIT_US = SECOND_US  # messages with a shorter wait ahead stay
+BACKLOG_DRAIN_RATE_PER_S = 8  # messages; assumed to estimate the wait behind a backlog
+MIN_SHED_WAIT_US = SECOND_US  # messages with a shorter expected wait are not shed
 
 
 @dataclass(slots=True, frozen=True)
 class ShedCandidate:
-    """A waiting message that may be shed. Lower values go first, older messages last."""
+    """A waiting message that may be shed. Lower values are shed first; of equal ones, newer messages."""
 
-    value: float  # priority weight over the microseconds that it still waits
+    value: float  # priority weight per microsecond of expected wait
     message: OpenMessage
-    wait: int  # microseconds
+    wait: int  # expected wait in microseconds
 
     @property
     def sort_key(self) -> tuple[float, int]:
-        """Cheapest first; among equals the newest."""
+        """Sort key: lowest value first, then newest first."""
         return self.value, -self.message.admitted_at
 
 
 def end_blocked_messages(state: DecisionState) -> None:
-    """Ends messages at once whose time is over before the Retry-After of all their endpoints is."""
+    """Ends messages that run out of time while a Retry-After still blocks all of their endpoints."""
     for destination in state.destinations_to_check.values():
-        available = [each for each in destination.endpoints if each.is_available]
-        blocked_to = min((each.gate.retry_after_until for each in available), default=0)
-        if blocked_to <= state.now:
+        available = [endpoint for endpoint in destination.endpoints if endpoint.is_available]
+        retry_after_until = min((endpoint.gate.retry_after_until for endpoint in available), default=0)
+        if retry_after_until <= state.now:
             continue
-        retry_after = state.retry_advice(blocked_to - state.now)
+        retry_after = state.rejection_retry_after(retry_after_until - state.now)
         for message in list(destination.waiting.values()):
-            if blocked_to >= min(latest_send_time(message), dedup_window_end(state, message)):
+            if retry_after_until >= min(latest_send_time(message), dedup_window_end(state, message)):
                 reject_or_fail(state, message, retry_after)
     state.destinations_to_check.clear()
 
 
 def shed_excess(state: DecisionState) -> None:
-    """Rejects the cheapest messages behind long waits, so that part of the queue stays free."""
+    """Rejects the messages of lowest value with long waits, so that part of the queue stays free."""
     max_open = state.limits.max_open_messages
     headroom = max(MIN_QUEUE_HEADROOM, max_open // QUEUE_HEADROOM_DIVISOR)
     excess = len(state.messages) - max_open + headroom
@@ -59,8 +59,8 @@
     candidates: list[ShedCandidate] = []
     for destination in state.backlog.values():
         candidates += _candidates(state, destination)
-    for candidate in sorted(candidates, key=lambda each: each.sort_key)[:excess]:
-        reject_or_fail(state, candidate.message, state.retry_advice(candidate.wait))
+    for candidate in sorted(candidates, key=lambda candidate: candidate.sort_key)[:excess]:
+        reject_or_fail(state, candidate.message, state.rejection_retry_after(candidate.wait))
 
 
 def _candidates(state: DecisionState, destination: Destination) -> list[ShedCandidate]:
--- a/loftrelay/decisions/ordering.py
+++ b/loftrelay/decisions/ordering.py
@@ -1,7 +1,7 @@
-"""Ordering: messages of one ordering key are delivered in turn.
+"""Ordering: messages of one ordering key are delivered one after the other.
 
-A message may go once all before it are over and their final status is reported, and once the key's cooldown
-after an attempt with an unknown outcome has passed: that attempt may still be running.
+A message may be sent once all earlier ones of its key have ended, their final status is reported, and the
+cooldown of the key is over. The cooldown follows an attempt with an unknown outcome, which may still run.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from loftrelay.decisions.units import NEVER
 
 
-def key_named(state: DecisionState, name: str) -> OrderingKey:
-    """Returns the ordering key of a name, a new one if need be."""
+def get_or_create_key(state: DecisionState, name: str) -> OrderingKey:
+    """Returns the ordering key of a name; creates it if it does not exist."""
     return state.ordering_keys.setdefault(name, OrderingKey(name))
 
 
 def join_queue(state: DecisionState, message: OpenMessage, name: str) -> None:
-    """Puts a message behind all others of its ordering key."""
-    message.ordering_key = key_named(state, name)
+    """Appends a message to the queue of its ordering key."""
+    message.ordering_key = get_or_create_key(state, name)
     message.ordering_key.pending.append(message)
 
 
 def leave_queue(state: DecisionState, message: OpenMessage) -> None:
-    """Lets the next message of the ordering key go."""
+    """Removes a message from the queue of its ordering key, which releases the next one."""
     message.destination.unfinished -= 1
     key = message.ordering_key
     if key is None:
@@ -34,13 +34,13 @@
 
 
 def is_first(message: OpenMessage) -> bool:
-    """Returns whether no other message of its ordering key goes before it."""
+    """Returns whether a message has no ordering key or is at the head of its queue."""
     key = message.ordering_key
     return key is None or key.pending[0] is message
 
 
 def is_next(state: DecisionState, message: OpenMessage) -> bool:
-    """Returns whether a message may go now, as far as order is concerned."""
+    """Returns whether ordering allows a message to be sent now."""
     key = message.ordering_key
     if key is None:
         return True
@@ -49,26 +49,26 @@
 
 
 def start_cooldown(state: DecisionState, key: OrderingKey, destination: Destination) -> None:
-    """Holds an ordering key back after an attempt with an unknown outcome."""
+    """Blocks an ordering key for the cooldown after an attempt with an unknown outcome."""
     key.cooldown_until = state.now + (state.settings.ordering_cooldown or 0)
     destination.cooldown_until = max(destination.cooldown_until, key.cooldown_until)
     state.set_timer(key.cooldown_until, key)
 
 
 def hold_until_call_ends(key: OrderingKey, call: Call) -> None:
-    """Holds an ordering key back while another message of the same call has no outcome yet."""
+    """Blocks an ordering key until its call ends: other messages of the call have no outcome yet."""
     key.cooldown_until = NEVER
     call.uncertain_keys.append(key)
 
 
 def extend_cooldown(state: DecisionState, name: str, remaining: int) -> None:
-    """Holds an ordering key back for an attempt from before a restart."""
-    key = key_named(state, name)
+    """Blocks an ordering key for an attempt from before a restart; `remaining` is in microseconds."""
+    key = get_or_create_key(state, name)
     key.cooldown_until = max(key.cooldown_until, state.now + remaining)
     state.set_timer(key.cooldown_until, key)
 
 
 def drop_unused_key(state: DecisionState, key: OrderingKey) -> None:
-    """Forgets an ordering key that has no message and no cooldown."""
+    """Deletes an ordering key that has no message; called when its cooldown has ended."""
     if not key.pending and state.ordering_keys.get(key.name) is key:
         del state.ordering_keys[key.name]
--- a/loftrelay/decisions/priority.py
+++ b/loftrelay/decisions/priority.py
@@ -8,6 +8,6 @@
 
 
 def priority(state: DecisionState, message: OpenMessage) -> float:
-    """Returns the priority weight, which rises with the wait so that no class or tenant starves."""
+    """Returns the priority of a message. It rises with the wait, so that no class or tenant starves."""
     objective = message.message_class.latency_objective or DEFAULT_LATENCY_OBJECTIVE_US
     return message.priority_weight * (1 + (state.now - message.admitted_at) / objective)
--- a/loftrelay/decisions/quota.py
+++ b/loftrelay/decisions/quota.py
@@ -1,6 +1,7 @@
-"""Tenant quota: messages beyond a tenant's quota get a lower priority weight and go behind the rest.
+"""Tenant quota: messages beyond a tenant's quota get a lower priority weight and are sent after the others.
 
-The quota is a token bucket, filled at the tenant's rate and at least at its share of this relay's arrivals.
+The quota is a token bucket, refilled at the tenant's rate or at its share of this relay's arrivals, whichever
+is higher.
 """
 
 from __future__ import annotations
@@ -9,13 +10,13 @@
 from loftrelay.decisions.state import DecisionState, TokenBucket
 from loftrelay.decisions.units import SECOND_US
 
-BURST_SECONDS = 5.0  # of the tenant's rate that may come at once
-MIN_BURST_MESSAGES = 5.0  # a relay that holds a small part of the quota still sees bursts
-DEFAULT_OVER_QUOTA_WEIGHT = 0.1
+BURST_SECONDS = 5.0  # seconds of the refill rate that may arrive as a burst
+MIN_BURST_MESSAGES = 5.0  # a relay with a small part of the quota still receives bursts
+DEFAULT_OVER_QUOTA_WEIGHT = 0.1  # factor on the priority weight beyond the quota
 
 
 def quota_factor(state: DecisionState, tenant_name: str | None) -> float:
-    """Takes a token for one message; returns the factor on its priority weight, 1.0 inside the quota."""
+    """Takes a token for one message and returns the factor on its priority weight, 1.0 within the quota."""
     tenant = state.settings.tenants.get(tenant_name or "")
     if tenant is None or tenant.quota_rate is None:
         return 1.0
@@ -33,7 +34,7 @@
 
 
 def _refill_rate(state: DecisionState, tenant: Tenant, quota_rate: float) -> float:
-    """Returns the messages a second inside the quota at this relay."""
-    of_fleet = quota_rate / state.limits.relay_count
-    of_arrivals = (tenant.traffic_share or 0.0) * state.arrivals.read(state.now)
-    return max(of_fleet, of_arrivals)
+    """Returns the refill rate at this relay, in messages per second."""
+    quota_share = quota_rate / state.limits.relay_count
+    arrival_share = (tenant.traffic_share or 0.0) * state.arrivals.read(state.now)
+    return max(quota_share, arrival_share)
--- a/loftrelay/decisions/retry.py
+++ b/loftrelay/decisions/retry.py
@@ -1,8 +1,8 @@
 """Retry: exponential backoff with jitter, and the timeout of an attempt.
 
-A retry waits for BACKOFF_BASE_US times a growing power of two, or for the Retry-After of the response if that
-is longer. A message goes again until its attempts are used up, its time runs short, or it must not be
-repeated (`lifecycle.enqueue_or_end`).
+A retry is delayed by BACKOFF_BASE_US times a growing power of two, or by the Retry-After of the response if
+that is longer. A message is retried until its attempts are used up, too little time is left, or
+it must not be repeated (`lifecycle.enqueue_or_end`).
 """
 
 from __future__ import annotations
@@ -15,48 +15,47 @@
 BACKOFF_BASE_US = SECOND_US // 2
 BACKOFF_FACTOR = 2
 BACKOFF_MAX_EXPONENT = 16
-BACKOFF_JITTER = 0.15  # added share, drawn evenly, so that relays don't retry in step
-# Between probes of a failing destination, to see an outage of seconds end.
+BACKOFF_JITTER = 0.15  # added share, uniform from 0, so that relays do not retry in step
+# Short enough to notice the end of an outage of a few seconds.
 MAX_PROBE_INTERVAL_US = 4 * SECOND_US
 
-TIMEOUT_DEVIATIONS = 6  # over the usual call time
+TIMEOUT_DEVIATIONS = 6  # mean deviations above the smoothed call time
 MIN_TIMEOUT_US = SECOND_US
-MIN_TIMEOUT_LAST_SLOT_US = (
-    6 * SECOND_US // 10
-)  # for the last free slot: a hung call must not hold it for long
-INITIAL_TIMEOUT_US = 3 * SECOND_US  # before any call was seen
-IDLE_SLOTS_TIMEOUT_FACTOR = 2  # while half of the slots are free and nothing has failed
-AT_MOST_ONCE_TIMEOUT_FACTOR = 3  # a timeout ends a message that can't be repeated
+# For a call in the last free slot, which a hung call must not occupy for long.
+MIN_TIMEOUT_LAST_SLOT_US = 6 * SECOND_US // 10
+INITIAL_TIMEOUT_US = 3 * SECOND_US  # until a call has succeeded
+IDLE_SLOTS_TIMEOUT_FACTOR = 2  # while half of the slots are free and the last call did not fail
+AT_MOST_ONCE_TIMEOUT_FACTOR = 3  # longer, because a timeout ends a message that cannot be repeated
 
 
 def with_jitter(state: DecisionState, delay: float) -> int:
-    """Returns a delay in microseconds with jitter added."""
+    """Returns a delay in microseconds with random jitter added."""
     return int(delay * (1 + BACKOFF_JITTER * state.random.random()))
 
 
 def backoff(state: DecisionState, exponent: int) -> int:
-    """Returns the delay in microseconds before a retry, after `exponent` earlier ones."""
+    """Returns the delay in microseconds before a retry that `exponent` earlier retries preceded."""
     return with_jitter(state, BACKOFF_BASE_US * BACKOFF_FACTOR ** min(exponent, BACKOFF_MAX_EXPONENT))
 
 
 def retry_delay(state: DecisionState, message: OpenMessage, event: AttemptEnded) -> int:
-    """Returns how long a message waits after an attempt, in microseconds."""
+    """Returns the delay of the next attempt of a message, in microseconds."""
     if event.status is AttemptStatus.NOT_SENT:
         delay = 0
     else:
         delay = max(backoff(state, message.attempts - 1), event.retry_after)
     if event.status is AttemptStatus.CONNECT_FAILED and _has_healthy_endpoint(message):
-        delay = 0  # another endpoint takes it at once
+        delay = 0  # another endpoint can take it immediately
     return max(delay, event.postponed_for)
 
 
 def _has_healthy_endpoint(message: OpenMessage) -> bool:
     endpoints = message.destination.endpoints
-    return any(each.consecutive_failures == 0 and each.is_available for each in endpoints)
+    return any(endpoint.consecutive_failures == 0 and endpoint.is_available for endpoint in endpoints)
 
 
 def attempt_timeout(state: DecisionState, message: OpenMessage, endpoint: Endpoint) -> int:
-    """Returns how long an attempt may take, in microseconds, from the call times seen so far."""
+    """Returns the timeout of an attempt in microseconds, derived from the call times measured so far."""
     gate, times, limits = endpoint.gate, endpoint.call_times, state.limits
     timeout = INITIAL_TIMEOUT_US
     if times.smoothed:
--- a/loftrelay/decisions/routing.py
+++ b/loftrelay/decisions/routing.py
@@ -1,4 +1,4 @@
-"""Routing: which endpoints may take a message, and which of them costs least."""
+"""Routing: which endpoints may receive a message, and which of them has the lowest cost."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import SECOND_US
 
-OPEN_CONNECTION_WEIGHT = 3.0  # factor for an endpoint whose connection is still open
-ZONE_COST_WEIGHT = 300.0  # added cost of a message for each unit of a zone's price
-MIN_KNOWN_RATE_PER_S = 1.0  # with less traffic the choice is randomized
-RISKY_ERROR_RATE = 0.3  # at-most-once messages avoid a destination with more failures ...
+OPEN_CONNECTION_WEIGHT = 3.0  # weight factor of an endpoint whose connection is still open
+ZONE_COST_WEIGHT = 300.0  # cost factor per unit of zone cost
+MIN_KNOWN_RATE_PER_S = 1.0  # messages; with less demand the choice is randomized
+RISKY_ERROR_RATE = 0.3  # at-most-once messages avoid a destination from this error rate on ...
 RISKY_ERROR_MEMORY_US = MAX_PROBE_INTERVAL_US  # ... for this long after the last one
 
 
 def available_endpoints(state: DecisionState, destination: Destination) -> list[Endpoint]:
-    """Returns the endpoints that let a call through now, the cheapest first."""
+    """Returns the endpoints that accept a call now, in ascending order of cost."""
     allowed: list[Endpoint] = []
     for endpoint in destination.endpoints:
         if not endpoint.is_available:
@@ -34,18 +34,18 @@
 
 
 def cost(state: DecisionState, endpoint: Endpoint) -> tuple[bool, float]:
-    """Returns the sort key of an endpoint: those not avoided after a failure first.
+    """Returns the sort key of an endpoint: endpoints that are not avoided after a failure come first.
 
-    Among them it goes by call time, load, zone and whether a connection is open. An endpoint that was never
-    used counts as having one. Where this relay has little traffic the cost is randomized: many relays that
-    all take the quickest endpoint would overload it.
+    The second component depends on call time, load, zone and whether a connection is open; an endpoint that
+    was never used counts as having an open one. With little traffic the cost is randomized, because many
+    relays that all choose the fastest endpoint would overload it.
     """
     usual = endpoint.usual_call_time or endpoint.call_times.smoothed or DEFAULT_CALL_TIME_US
     weight = SECOND_US / (usual * (1 + endpoint.in_flight))
     if endpoint.gate is not endpoint.destination.gate and endpoint.listed_rate:
         weight *= endpoint.listed_rate
     else:
-        weight *= weight  # prefers quick endpoints more strongly where nothing tells their capacity
+        weight *= weight  # prefers fast endpoints more strongly if their capacity is unknown
     if state.now - endpoint.last_used_at < state.limits.connection_idle_timeout:
         weight *= OPEN_CONNECTION_WEIGHT
     if endpoint.destination.demand.read(state.now) < MIN_KNOWN_RATE_PER_S * observed_fraction(state):
@@ -54,7 +54,7 @@
 
 
 def may_attempt(state: DecisionState, message: OpenMessage, endpoint: Endpoint) -> bool:
-    """Returns whether a message may go to an endpoint now, limits on calls aside."""
+    """Returns whether a message may be sent to an endpoint now, regardless of the limits on calls."""
     if message.is_ended or message.call is not None or not endpoint.is_available:
         return False
     if message.may_have_run:
@@ -63,7 +63,7 @@
 
 
 def _is_healthy(state: DecisionState, endpoint: Endpoint) -> bool:
-    """Returns whether an endpoint is good enough for a message that an unknown outcome would end."""
+    """Returns whether an endpoint is healthy enough for a message that an unknown outcome would end."""
     breaker = endpoint.gate.breaker
     if breaker.error_rate >= RISKY_ERROR_RATE and state.now <= breaker.failed_at + RISKY_ERROR_MEMORY_US:
         return False
--- a/loftrelay/decisions/scheduler.py
+++ b/loftrelay/decisions/scheduler.py
@@ -1,6 +1,6 @@
-"""The scheduler: takes batches of events and returns the actions that they lead to.
+"""Scheduler: handles batches of events and returns the resulting actions.
 
-Every rule has a module of its own:
+Each group of rules has its own module:
 
     admission       lifecycle (admit), quota (priority weight)
     ends            lifecycle (finish), load_shedding
@@ -9,7 +9,7 @@
     after a call    outcomes, feedback, retry, idle_connections
     endpoints       endpoint_table, hibernation
 
-The rules are functions over `DecisionState`. They do no input or output and read no clock.
+The rules are functions on `DecisionState`. They do no I/O and read no clock.
 """
 
 from __future__ import annotations
@@ -49,25 +49,25 @@
 
 
 class Scheduler:
-    """The decisions of one relay.
+    """Scheduler of one relay.
 
     Args:
-        seed: of all random draws.
-        settings: in force until a SettingsChanged.
+        seed: Seed of the random generator.
+        settings: Settings until the first SettingsChanged.
     """
 
     def __init__(self, seed: int, settings: RelaySettings) -> None:
         self.state = DecisionState.create(seed, settings)
 
     def handle_batch(self, now: int, events: Iterable[Event]) -> list[Action]:
-        """Applies all events of a batch, then decides once.
+        """Applies all events of a batch, then makes the decisions once.
 
         Args:
-            now: the time in microseconds; never less than in the batch before.
-            events: what has happened since, in order.
+            now: The time in microseconds; never less than in the previous batch.
+            events: The events since the previous batch, in order.
 
         Returns:
-            The actions, to be carried out in order.
+            The actions, to be executed in order.
         """
         state = self.state
         state.now, state.actions, state.next_batch_at = now, [], NEVER
@@ -83,21 +83,21 @@
         return state.actions
 
     def apply_retry_after(self, now: int, endpoint: str, retry_after: int) -> None:
-        """Heeds a Retry-After in microseconds as soon as it is read, also between batches."""
+        """Applies a Retry-After, in microseconds, as soon as it is received, even between batches."""
         self.state.now = max(self.state.now, now)
         outcomes.apply_retry_after(self.state, endpoint, retry_after)
 
     def is_blocked(self, now: int, endpoint: str) -> bool:
-        """Returns whether a Retry-After forbids a call, to be asked before the first byte of each."""
+        """Returns whether a Retry-After forbids a call. Check this before the first byte of each call."""
         gate = hibernation.gate_of(self.state, endpoint)
         return gate is not None and gate.retry_after_until > now
 
     def is_idle(self, now: int, destination: int) -> bool:
-        """Returns whether a destination can be released, as of all events so far."""
+        """Returns whether a destination can be released, given all events so far."""
         return hibernation.is_idle(self.state, now, destination)
 
     def avoided_endpoint_count(self) -> int:
-        """Returns how many listed endpoints are avoided now."""
+        """Returns how many listed endpoints are disabled or failing now."""
         return endpoint_table.avoided_count(self.state)
 
     def _apply_event(self, event: Event) -> None:
@@ -154,7 +154,7 @@
         fill_slots(self.state)
 
     def _set_timer(self) -> None:
-        """Has the next batch run when something is due, unless a timer for that is set."""
+        """Requests a batch for the next due time, unless an earlier timer is already set."""
         state = self.state
         next_timer = state.timers[0][0] if state.timers else NEVER
         due = min(state.next_batch_at, state.watch_at, next_timer)
--- a/loftrelay/decisions/simulator.py
+++ b/loftrelay/decisions/simulator.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: reads its messages as events, and writes actions as its replies.
+"""Adapter for the simulator: converts its wire messages to events, and actions to its replies.
 
-`python -m loftrelay.decisions.simulator` answers batches on standard input until it ends. Each simulated
-relay has a scheduler of its own. The names on the wire, also those of the settings, are mapped to the
-decisions' terms here.
+`python -m loftrelay.decisions.simulator` answers batches from standard input until end of file. Each
+simulated relay has its own scheduler. This module maps all names on the wire, including those of the
+settings, to the names used by the scheduler.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
     "cached": EndpointListKind.CACHED,
     "failed": EndpointListKind.FAILED,
 }
-# Values that follow the name of each message.
+# Number of values that follow the name of each wire message.
 VALUE_COUNTS: Mapping[str, int] = {
     "tick": 1,
     "end": 0,
@@ -92,7 +92,7 @@
     "sampled": 5,
     "inbox": 3,
 }
-# Settings: the part of the configuration and the key there, and the field.
+# Section of the configuration (None: top level), key in it, field of RelaySettings.
 SETTING_KEYS: tuple[tuple[str | None, str, str], ...] = (
     (None, "zone", "zone"),
     (None, "peers_total", "relay_count"),
@@ -124,17 +124,17 @@
 
 
 class WireError(Exception):
-    """A line that breaks the protocol."""
+    """A line that violates the wire protocol."""
 
 
 def read_settings(config: Mapping[str, Any]) -> RelaySettings:
-    """Returns the settings of a configuration; absent ones are None, unknown ones are ignored."""
+    """Returns the settings of a configuration. Missing ones are None, and unknown ones are ignored."""
     values: dict[str, Any] = {}
-    for part, key, field in SETTING_KEYS:
-        values[field] = (config if part is None else _mapping(config.get(part))).get(key)
-    for part, key, field in FLAG_KEYS:
-        values[field] = bool(_mapping(config.get(part)).get(key))
-    zone_costs = _mapping(config.get("extra")).get("fee_by_zone") or []
+    for section, key, field in SETTING_KEYS:
+        values[field] = (config if section is None else _mapping_or_empty(config.get(section))).get(key)
+    for section, key, field in FLAG_KEYS:
+        values[field] = bool(_mapping_or_empty(config.get(section)).get(key))
+    zone_costs = _mapping_or_empty(config.get("extra")).get("fee_by_zone") or []
     return RelaySettings(
         classes={row["name"]: _read_class(row) for row in config.get("classes") or []},
         tenants={row["name"]: _read_tenant(row) for row in config.get("tenants") or []},
@@ -145,7 +145,7 @@
     )
 
 
-def _mapping(value: Any) -> Mapping[str, Any]:
+def _mapping_or_empty(value: Any) -> Mapping[str, Any]:
     return value if isinstance(value, dict) else {}
 
 
@@ -168,7 +168,7 @@
 
 
 def _read_endpoint_kinds(config: Mapping[str, Any]) -> dict[str, EndpointKind]:
-    extra = _mapping(config.get("extra"))
+    extra = _mapping_or_empty(config.get("extra"))
     batch_sizes, own_limits = extra.get("bundle_max") or [], extra.get("own_limits") or []
     kinds = {}
     for position, name in enumerate(config.get("flavors") or []):
@@ -194,7 +194,7 @@
     return EndpointListReceived(kind, () if kind is EndpointListKind.FAILED else pages[values[3]])
 
 
-def _read_submission(values: Row, pages: Pages) -> Event:  # noqa: ARG001 - all readers have one signature
+def _read_submission(values: Row, pages: Pages) -> Event:  # noqa: ARG001 - all readers have the same signature
     return MessageSubmitted(
         message_id=values[1],
         destination=values[3],
@@ -205,8 +205,8 @@
     )
 
 
-def _read_outcome(values: Row, pages: Pages) -> Event:  # noqa: ARG001 - all readers have one signature
-    report, status = _mapping(values[8]), STATUS_CODES[values[4]]
+def _read_outcome(values: Row, pages: Pages) -> Event:  # noqa: ARG001 - all readers have the same signature
+    report, status = _mapping_or_empty(values[8]), STATUS_CODES[values[4]]
     is_rejection = status is AttemptStatus.REJECTED
     return AttemptEnded(
         message_id=values[1],
@@ -233,7 +233,7 @@
 
 
 def write_action(relay: str, action: Action) -> Row:
-    """Returns the reply for an action of a relay."""
+    """Returns the wire reply for an action of a relay."""
     match action:
         case SendAttempt(message_id, endpoint, timeout):
             return ["submit_to", relay, message_id, endpoint, timeout]
@@ -256,47 +256,52 @@
 
 
 class SimulatedRelays:
-    """All relays of one process. They share the pages of the endpoint list and nothing else."""
+    """All simulated relays of one process. They share only the pages of the endpoint list."""
 
     def __init__(self) -> None:
         self.schedulers: dict[str, Scheduler] = {}
         self.pages: dict[int, tuple[EndpointEntry, ...]] = {}
-        self.now: int | None = None  # of the open batch
+        self.now: int | None = None  # time of the open batch; None: no batch is open
         self.batch: dict[str, list[Event]] = {}
 
-    def read(self, value: Any) -> list[Row] | None:
-        """Takes one parsed line; returns the reply's lines if it ends a batch.
+    def handle_line(self, value: Any) -> list[Row] | None:
+        """Handles one parsed line.
+
+        Returns:
+            The lines of the reply if the line ends a batch, otherwise None.
 
         Raises:
-            WireError: the line breaks the protocol.
+            WireError: The line violates the wire protocol.
         """
-        word, values = self._check(value)
-        if word == "tick":
+        message_name, values = self._parse_message(value)
+        if message_name == "tick":
             self._begin_batch(values[0])
-        elif word == "end":
+        elif message_name == "end":
             return self._end_batch()
         else:
             try:
-                self._apply(word, values)
+                self._apply(message_name, values)
             except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
-                raise WireError(f"bad value in {word!r}: {error!r}") from error
+                raise WireError(f"invalid value in {message_name!r}: {error!r}") from error
         return None
 
-    def _check(self, value: Any) -> tuple[str, Row]:
+    def _parse_message(self, value: Any) -> tuple[str, Row]:
         if not isinstance(value, list) or not value or not isinstance(value[0], str):
-            raise WireError("not an array that opens with a name")
-        word, values = value[0], value[1:]
-        if word not in VALUE_COUNTS:
-            raise WireError(f"unknown message {word!r}")
-        if len(values) != VALUE_COUNTS[word]:
-            raise WireError(f"{word!r} takes {VALUE_COUNTS[word]} values, got {len(values)}")
-        if (word == "tick") == (self.now is not None):
-            raise WireError(f"{word!r} is out of place")
-        return word, values
+            raise WireError("expected an array that starts with a message name")
+        message_name, values = value[0], value[1:]
+        if message_name not in VALUE_COUNTS:
+            raise WireError(f"unknown message {message_name!r}, expected one of {', '.join(VALUE_COUNTS)}")
+        if len(values) != VALUE_COUNTS[message_name]:
+            raise WireError(f"{message_name!r} takes {VALUE_COUNTS[message_name]} values, got {len(values)}")
+        if (message_name == "tick") == (self.now is not None):
+            raise WireError(
+                f"{message_name!r} is only allowed {'outside' if self.now is not None else 'inside'} a batch"
+            )
+        return message_name, values
 
     def _begin_batch(self, now: Any) -> None:
         if not isinstance(now, int) or isinstance(now, bool):
-            raise WireError("the clock is not a whole number")
+            raise WireError(f"clock value {now!r} is not an integer")
         self.now = now
 
     def _end_batch(self) -> list[Row]:
@@ -309,44 +314,53 @@
         reply.append(["ok"])
         return reply
 
-    def _apply(self, word: str, values: Row) -> None:
-        if word == "page":
+    def _apply(self, message_name: str, values: Row) -> None:
+        if message_name == "page":
             self.pages[values[0]] = tuple(_read_entry(row) for row in values[1])
             return
         name = values[0]
-        if word == "spawn":
-            self.schedulers[name] = Scheduler(values[1], read_settings(_mapping(values[2])))
+        if message_name == "spawn":
+            self.schedulers[name] = Scheduler(values[1], read_settings(_mapping_or_empty(values[2])))
             self.batch[name] = []
             return
         if name not in self.schedulers:
-            raise WireError(f"{word!r} for an instance never spawned: {name!r}")
-        if word == "retire":
+            raise WireError(f"{message_name!r} names relay {name!r}, which was not spawned")
+        if message_name == "retire":
             del self.schedulers[name]
             self.batch.pop(name, None)
-        elif word in EVENT_READERS:
-            self.batch.setdefault(name, []).append(EVENT_READERS[word](values, self.pages))
+        elif message_name in EVENT_READERS:
+            self.batch.setdefault(name, []).append(EVENT_READERS[message_name](values, self.pages))
+
+
+def run(input_stream: TextIO, output_stream: TextIO, error_stream: TextIO) -> int:
+    """Answers batches until the end of the input.
 
+    Args:
+        input_stream: Wire messages, one JSON array per line.
+        output_stream: Receives the replies, one JSON array per line.
+        error_stream: Receives one line that describes the first error.
 
-def run(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Answers batches until the input ends; returns the exit status."""
+    Returns:
+        The exit status: 0, or 1 after an error.
+    """
     relays = SimulatedRelays()
-    number = 0
-    for number, line in enumerate(source, 1):
+    line_number = 0
+    for line_number, line in enumerate(input_stream, 1):
         if not line.strip():
             continue
         try:
-            reply = relays.read(json.loads(line))
+            reply = relays.handle_line(json.loads(line))
         except (ValueError, RecursionError) as error:
-            print(f"line {number}: not JSON ({error}): {_quoted(line)}", file=errors)
+            print(f"line {line_number}: invalid JSON ({error}): {_quoted(line)}", file=error_stream)
             return 1
         except WireError as error:
-            print(f"line {number}: {error}: {_quoted(line)}", file=errors)
+            print(f"line {line_number}: {error}: {_quoted(line)}", file=error_stream)
             return 1
         if reply is not None:
-            sink.write("".join(json.dumps(row, separators=(",", ":")) + "\n" for row in reply))
-            sink.flush()
+            output_stream.write("".join(json.dumps(row, separators=(",", ":")) + "\n" for row in reply))
+            output_stream.flush()
     if relays.now is not None:
-        print(f"line {number}: the input ended inside a batch", file=errors)
+        print(f"line {line_number}: input ended inside a batch", file=error_stream)
         return 1
     return 0
 
--- a/loftrelay/decisions/snapshot.py
+++ b/loftrelay/decisions/snapshot.py
@@ -1,8 +1,8 @@
-"""Snapshots: the whole state of the decisions as JSON, which one process hands over to the next.
+"""Snapshots: the complete scheduler state as JSON, passed from one process to its successor in a handover.
 
-Objects are written once and referred to by number, so that shared objects stay shared. Only the types in
-RECORDS and ENUMS can stand in a snapshot, under their stored names; nothing in one is ever called. Two
-programs understand each other's snapshots if `fingerprint()` is the same in both.
+Each object is written once and referenced by number, so that shared objects stay shared. A snapshot can
+contain only the types in RECORDS and ENUMS, under their stored names; reading one never calls anything named
+in it. Two programs can read each other's snapshots if `fingerprint()` is the same in both.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class SnapshotError(Exception):
-    """What was read is no snapshot that this program understands."""
+    """The text is not a snapshot that this program can read."""
 
 
 @cache
@@ -48,9 +48,9 @@
 
 
 def write(scheduler: Scheduler, pending: Iterable[events.Event] = ()) -> str:
-    """Returns the snapshot of a scheduler and of events that it has not seen yet.
+    """Returns the snapshot of a scheduler and of the events that it has not handled yet.
 
-    Timers of messages that are over are dropped first: they would only wake the scheduler for nothing.
+    Drops the timers of ended messages first, because they would only cause needless batches.
     """
     state = scheduler.state
     state.timers = [timer for timer in state.timers if not _is_of_ended_message(timer[2])]
@@ -60,22 +60,24 @@
 
 
 def read(text: str, seed: int) -> tuple[Scheduler, list[events.Event]]:
-    """Returns the scheduler and the events of a snapshot.
+    """Returns the scheduler and the pending events of a snapshot.
 
-    The scheduler has to be given a batch at once: its timer is not set.
+    The caller has to run a batch immediately, because no timer is set for the restored scheduler.
 
     Raises:
-        SnapshotError: the text is no snapshot, or one of another fingerprint.
+        SnapshotError: The text is not a snapshot, or has another fingerprint.
     """
     try:
         snapshot = json.loads(text)
         if snapshot["shape"] != fingerprint():
-            raise SnapshotError("it was written by a program of another version")
+            raise SnapshotError(
+                f"snapshot has fingerprint {snapshot['shape']!r}, expected {fingerprint()!r}: other version"
+            )
         state, pending = _Reader(snapshot["rows"], seed).read(snapshot["root"])
     except (KeyError, IndexError, TypeError, ValueError, AttributeError, RecursionError) as error:
-        raise SnapshotError(f"it can't be read: {error!r}") from error
+        raise SnapshotError(f"snapshot is malformed: {error!r}") from error
     if not isinstance(state, DecisionState) or not isinstance(pending, list):
-        raise SnapshotError("it holds no state")
+        raise SnapshotError("snapshot root is not a pair of DecisionState and event list")
     scheduler = Scheduler(seed, state.settings)
     scheduler.state = state
     state.timer_set_for = NEVER
@@ -87,18 +89,19 @@
 
 
 class _Writer:
-    """Writes an object graph as rows, one an object."""
+    """Writes an object graph as rows, one row per object."""
 
     def __init__(self) -> None:
         self.numbers: dict[int, int] = {}
-        self.objects: list[Any] = []  # kept alive, so that no id is given twice
+        self.objects: list[Any] = []  # keeps the objects alive, so that no id() is reused
         self.rows: list[Any] = []
 
     def write(self, value: Any) -> dict[str, Any]:
-        """Returns the rows, and the value that refers to them."""
+        """Returns the rows and the root value that refers to them."""
         root = self._value(value)
         position = 0
-        while position < len(self.objects):  # a work list: the graph is too deep for recursion
+        # Each row may append objects: the object graph is too deep for recursion.
+        while position < len(self.objects):
             self.rows.append(self._row(self.objects[position]))
             position += 1
         return {"root": root, "rows": self.rows}
@@ -114,7 +117,7 @@
         if isinstance(value, float):
             return value if math.isfinite(value) else {"f": repr(value)}
         if isinstance(value, list):
-            return [self._value(each) for each in value]
+            return [self._value(item) for item in value]
         if type(value) in RECORD_NAMES:
             return {"r": self._reference(value)}
         if type(value) in ENUM_NAMES:
@@ -124,14 +127,14 @@
 
     def _container(self, value: Any) -> dict[str, Any]:
         if isinstance(value, Mapping):
-            return {"d": [[self._value(key), self._value(each)] for key, each in value.items()]}
+            return {"d": [[self._value(key), self._value(item)] for key, item in value.items()]}
         if isinstance(value, tuple):
-            return {"t": [self._value(each) for each in value]}
+            return {"t": [self._value(item) for item in value]}
         if isinstance(value, deque):
-            return {"q": [self._value(each) for each in value]}
+            return {"q": [self._value(item) for item in value]}
         if isinstance(value, set | frozenset):
-            return {"s": [self._value(each) for each in value]}
-        raise TypeError(f"{type(value)!r} can't stand in a snapshot")
+            return {"s": [self._value(item) for item in value]}
+        raise TypeError(f"{type(value)!r} cannot be stored in a snapshot")
 
     def _reference(self, record: Any) -> int:
         number = self.numbers.get(id(record))
@@ -151,15 +154,15 @@
         self.readers: Mapping[str, Callable[[Any], Any]] = {
             "f": float,
             "e": lambda value: ENUMS[value[0]].member(value[1]),
-            "d": lambda value: {self._value(key): self._value(each) for key, each in value},
-            "t": lambda value: tuple(self._value(each) for each in value),
-            "q": lambda value: deque(self._value(each) for each in value),
-            "s": lambda value: {self._value(each) for each in value},
+            "d": lambda value: {self._value(key): self._value(item) for key, item in value},
+            "t": lambda value: tuple(self._value(item) for item in value),
+            "q": lambda value: deque(self._value(item) for item in value),
+            "s": lambda value: {self._value(item) for item in value},
             "r": lambda value: self.objects[value],
         }
 
     def read(self, root: Any) -> Any:
-        """Returns the value, all objects restored."""
+        """Restores all objects and returns the root value."""
         for row, record in zip(self.rows, self.objects, strict=True):
             attributes = RECORDS[row[0]].row_attributes
             for attribute, value in zip(attributes, row[1:], strict=True):
@@ -171,11 +174,11 @@
 
     def _value(self, value: Any) -> Any:
         if isinstance(value, list):
-            return [self._value(each) for each in value]
+            return [self._value(item) for item in value]
         if not isinstance(value, dict):
             return value
-        ((mark, content),) = value.items()
-        reader = self.readers.get(mark)
+        ((tag, content),) = value.items()
+        reader = self.readers.get(tag)
         if reader is None:
-            raise SnapshotError(f"no such mark: {mark!r}")
+            raise SnapshotError(f"unknown value tag {tag!r}, expected one of {', '.join(self.readers)}")
         return reader(content)
--- a/loftrelay/decisions/snapshot_event_records.py
+++ b/loftrelay/decisions/snapshot_event_records.py
@@ -1,4 +1,4 @@
-"""Stored names of the events in a snapshot, and of the enums in it. See `snapshot_format`."""
+"""Stored formats of the events and enums in a snapshot. See `snapshot_format`."""
 
 from __future__ import annotations
 
--- a/loftrelay/decisions/snapshot_format.py
+++ b/loftrelay/decisions/snapshot_format.py
@@ -1,4 +1,4 @@
-"""Stored form of records and enums: maps the names in a snapshot to the attributes of the program.
+"""Stored formats of records and enums: map the names in a snapshot to the attributes of the program.
 
 Snapshots pass between processes of different versions, so stored names never change. After a rename in the
 program, `RecordFormat.attributes` or `EnumFormat.members` maps the stored name to the new one.
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True)
 class RecordFormat:
-    """Stored form of the objects of one type.
+    """Stored format of the objects of one type.
 
     Attributes:
         type: The type.
-        fields: Stored name of each field, in their order in a row, and the stored name of its type.
-        attributes: Stored name of a field -> the attribute that holds it, where the two differ.
-        left_out: Stored names of the fields that a row does not carry.
+        fields: Stored name of each field, in row order -> stored name of its type.
+        attributes: Stored name of a field -> attribute that holds it, where the two differ.
+        left_out: Stored names of the fields that a row omits.
     """
 
     type: type[Any]
@@ -31,13 +31,13 @@
 
     @cached_property
     def row_attributes(self) -> tuple[str, ...]:
-        """Attributes that a row carries, in their order there."""
+        """Attributes contained in a row, in row order."""
         return tuple(self.attributes.get(name, name) for name in self.fields if name not in self.left_out)
 
 
 @dataclass(frozen=True)
 class EnumFormat:
-    """Stored form of the members of one enum.
+    """Stored format of the members of one enum.
 
     Attributes:
         type: The enum.
@@ -48,10 +48,14 @@
     members: Mapping[str, str]
 
     def member(self, stored_name: str) -> Enum:
-        """Returns the member of a stored name; raises KeyError if there is none."""
+        """Returns the member of a stored name.
+
+        Raises:
+            KeyError: No member has this stored name.
+        """
         return self.type[self.members[stored_name]]
 
     @cached_property
     def stored_names(self) -> Mapping[Enum, str]:
-        """Stored name of each member."""
+        """Member -> its stored name."""
         return {self.type[name]: stored_name for stored_name, name in self.members.items()}
--- a/loftrelay/decisions/snapshot_state_records.py
+++ b/loftrelay/decisions/snapshot_state_records.py
@@ -1,4 +1,4 @@
-"""Stored names of the records in a snapshot that hold state and settings. See `snapshot_format`."""
+"""Stored formats of the state and settings records in a snapshot. See `snapshot_format`."""
 
 from __future__ import annotations
 
--- a/loftrelay/decisions/units.py
+++ b/loftrelay/decisions/units.py
@@ -1,4 +1,4 @@
-"""Units of time used by the decisions: all times and durations are integer microseconds."""
+"""Time units of the scheduler. All times and durations are integer microseconds."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_adapter.py
+++ b/tests/decisions/test_adapter.py
@@ -85,15 +85,15 @@
 @pytest.mark.parametrize(
     ("lines", "reason"),
     [
-        (["{not json"], "not JSON"),
+        (["{not json"], "invalid JSON"),
         ([["tick", 1], ["mystery", "relay_1"]], "unknown message"),
         ([["tick", 1], ["ring", "relay_1"]], "takes 2 values"),
-        ([["tick", 1], ["ring", "relay_9", 0]], "never spawned"),
-        ([["ring", "relay_1", 0]], "out of place"),
+        ([["tick", 1], ["ring", "relay_9", 0]], "was not spawned"),
+        ([["ring", "relay_1", 0]], "only allowed inside a batch"),
         ([["tick", "soon"]], "clock"),
-        ([{"tick": 1}], "not an array"),
-        ([["tick", 1]], "inside a batch"),
-        ([["tick", 1], ["spawn", "relay_1", 1, CONFIG], ["sync", "relay_1", "full", 1, 7]], "bad value"),
+        ([{"tick": 1}], "expected an array"),
+        ([["tick", 1]], "input ended inside a batch"),
+        ([["tick", 1], ["spawn", "relay_1", 1, CONFIG], ["sync", "relay_1", "full", 1, 7]], "invalid value"),
     ],
 )
 def test_malformed_input_gets_one_plain_line(lines: list[Any], reason: str) -> None:
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -162,7 +162,7 @@
 def test_only_listed_types_can_be_written() -> None:
     module = Scheduler(1, SETTINGS)
     module.state.disabled_endpoints = {object()}  # type: ignore[arg-type]
-    with pytest.raises(TypeError, match="can't stand in a snapshot"):
+    with pytest.raises(TypeError, match="cannot be stored in a snapshot"):
         snapshot.write(module)
 
 
