--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -138,7 +138,9 @@
                 received = decode_list(json.loads(told))
                 form = EndpointListKind.FULL if received.is_complete else EndpointListKind.DELTA
                 listing = EndpointListReceived(form, tuple(entry for entry, _ in received.rows))
-                engine.endpoints.listed(listing, {entry.endpoint: place for entry, place in received.rows})
+                engine.endpoints.list_received(
+                    listing, {entry.endpoint: place for entry, place in received.rows}
+                )
 
             async def taken(told: bytes, count: int) -> float:
                 began = time.process_time()
--- a/loftrelay/relay/attempts.py
+++ b/loftrelay/relay/attempts.py
@@ -115,7 +115,7 @@
             self.context.message_states.end_attempt(message.id)
             self.context.post(not_sent(message, call.host, retry_ms * 1000))
 
-    def ended(self, message: Message, host: str, result: AttemptResult) -> None:
+    def attempt_ended(self, message: Message, host: str, result: AttemptResult) -> None:
         """Takes in the outcome of one message's attempt."""
         context = self.context
         if context.outcome_forwarder is not None:
@@ -131,7 +131,7 @@
             log.info("message %s not sent: %s came after the decision", message.id, reason)
             message.attempts -= 1  # it costs no attempt
         if result.is_final:
-            self.final_statuses.delivered(message)
+            self.final_statuses.message_delivered(message)
         else:
             context.journal.record_attempt_result(message, result.status)
             for gate in context.attempt_gates:
--- a/loftrelay/relay/endpoints.py
+++ b/loftrelay/relay/endpoints.py
@@ -35,7 +35,7 @@
         self.disabled: set[str] = set()  # by the operator
         self.has_no_list = False  # one was too long, and there was none before: nobody is served
 
-    def listed(self, update: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
+    def list_received(self, update: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
         """Takes in a list or its changes.
 
         Args:
--- a/loftrelay/relay/final_statuses.py
+++ b/loftrelay/relay/final_statuses.py
@@ -93,7 +93,7 @@
         if final_status is not None:
             self.context.status_reporter.report(message_id, final_status)
 
-    def reported(self, message_id: str) -> None:
+    def report_acknowledged(self, message_id: str) -> None:
         """The platform has acknowledged a final status: the message is over."""
         fault_point("told")
         context = self.context
@@ -111,7 +111,7 @@
             context.store.final_status_reported(message_id)
         context.post(FinalStatusReported(message_id))
 
-    def delivered(self, message: Message) -> None:
+    def message_delivered(self, message: Message) -> None:
         """Ends a delivered message. The journal keeps it until the store has that."""
         context = self.context
         remembered_status = 0 if is_idempotent(message.packed_terms) else DELIVERED
--- a/loftrelay/relay/handover_control.py
+++ b/loftrelay/relay/handover_control.py
@@ -163,7 +163,7 @@
         """Takes in the outcome of a call of the predecessor."""
         message = self.context.journal.messages.get(message_id)
         if message is not None:
-            self.attempts.ended(message, host, result)
+            self.attempts.attempt_ended(message, host, result)
             return
         self.context.message_states.complete(message_id)
         self.context.post(
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -156,7 +156,7 @@
 
 
 class Delivery(Protocol):
-    """Carries calls out. Each message of a call ends by one `Attempts.ended`."""
+    """Carries calls out. Each message of a call ends by one `Attempts.attempt_ended`."""
 
     @property
     def is_busy(self) -> bool:
@@ -191,7 +191,7 @@
 
 
 class EndpointDirectory(Protocol):
-    """The endpoint list. What it says comes by `Endpoints.listed`."""
+    """The endpoint list. What it says comes by `Endpoints.list_received`."""
 
     address: Address
     revision: int | None
@@ -242,7 +242,7 @@
 
 
 class StatusReporter(Protocol):
-    """Reports final statuses to the platform. What it acknowledges comes by `FinalStatuses.reported`."""
+    """Reports final statuses to the platform; `FinalStatuses.report_acknowledged` follows each."""
 
     @property
     def pending(self) -> int:
--- a/loftrelay/relay/recovery.py
+++ b/loftrelay/relay/recovery.py
@@ -124,7 +124,7 @@
         final_status = message.final_status
         is_delivered = final_status is not None and final_status["status"] == STATUS_DELIVERED
         if is_delivered or answer == STORED_DELIVERED:
-            self.final_statuses.delivered(message)
+            self.final_statuses.message_delivered(message)
             return False
         if action is RecoveryAction.REPORT_AGAIN and message.final_status is None:
             self.context.journal.record_final_status(message.id, rejected_or_failed(answer))
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -57,7 +57,7 @@
         discovery = _discovery_client(config, address, engine)
     else:
         discovery = subscribed = _subscriber(config, subscription, address, engine)
-    status_reporter = FinalStatusReporter(address, engine.final_statuses.reported)
+    status_reporter = FinalStatusReporter(address, engine.final_statuses.report_acknowledged)
     if received is not None:
         engine.take_over(delivery, discovery, status_reporter, received, subscribed)
     else:
@@ -75,7 +75,7 @@
         connections,
         config.seed,
         journal.record_attempt,
-        engine.attempts.ended,
+        engine.attempts.attempt_ended,
         engine.attempts.outcome_disputed,
         engine.context.metrics.count_forwarded,
         engine.context.stall_detector,
@@ -88,7 +88,7 @@
     return DiscoveryClient(
         address,
         config.settings.poll_interval,
-        engine.endpoints.listed,
+        engine.endpoints.list_received,
         lambda: engine.endpoints.entries,
         engine.endpoints.list_rejected,
     )
@@ -103,7 +103,7 @@
         subscription,
         config.name,
         address,
-        engine.endpoints.listed,
+        engine.endpoints.list_received,
         engine.destination_resolved,
         engine.release_destinations,
     )
--- a/tests/delivery/test_waits_properties.py
+++ b/tests/delivery/test_waits_properties.py
@@ -82,7 +82,7 @@
 
     def report(self, message: str, notice: dict[str, Any]) -> None:
         self.told.append(message)
-        asyncio.get_running_loop().call_later(0.01, self.engine.final_statuses.reported, message)
+        asyncio.get_running_loop().call_later(0.01, self.engine.final_statuses.report_acknowledged, message)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *given: None
@@ -129,7 +129,7 @@
     def place(self, form: EndpointListKind, *names: str, state: EndpointState = EndpointState.ACTIVE) -> None:
         port = self.random.randrange(1, 1000)
         rows = [EndpointEntry(name, HOSTS[name][0], state, None, HOSTS[name][1], None) for name in names]
-        self.engine.endpoints.listed(
+        self.engine.endpoints.list_received(
             EndpointListReceived(form, tuple(rows)), {name: (name, port) for name in names}
         )
 
@@ -143,7 +143,7 @@
     def ended(self, held: Message, host: str, ending: AttemptResult) -> None:
         self.held += ending.is_blocked
         before = held.attempts
-        self.engine.attempts.ended(held, host, ending)
+        self.engine.attempts.attempt_ended(held, host, ending)
         assert held.attempts == before - (ending.is_blocked or ending.is_stale)
 
     def first_byte(self, host: str, ids: list[str]) -> None:
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -102,12 +102,12 @@
                     self.withdrawn += 1
             case 2 if self.out:
                 held, host = self.out.pop(draw.randrange(len(self.out)))
-                engine.attempts.ended(held, host, draw.choice(ENDINGS))
+                engine.attempts.attempt_ended(held, host, draw.choice(ENDINGS))
             case 3:
                 told = [m for m in list(engine.context.status_reporter.reports) if draw.random() < 0.5]  # type: ignore[attr-defined]
                 for message in told:
                     del engine.context.status_reporter.reports[message]  # type: ignore[attr-defined]
-                    engine.final_statuses.reported(message)
+                    engine.final_statuses.report_acknowledged(message)
         engine.context.loop.run_due_batch()
 
     def check(self, before: int = 0) -> None:
@@ -224,12 +224,12 @@
         engine.handover.pause(Away())
         before = engine.metric_lines()
         held, host = steps.out.pop()
-        engine.attempts.ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
+        engine.attempts.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
         engine.context.loop.run_due_batch()
         assert heard == [held.id]
         assert engine.metric_lines() == before
         engine.handover.resume()
-        engine.attempts.ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
+        engine.attempts.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
         engine.context.loop.run_due_batch()
         steps.check()
         assert held.id not in engine.context.journal.messages
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -92,7 +92,7 @@
         held = Message("m", 0, "order", "acme", 1, "k", now, now + 9_000_000)
         engine.intake.submit(held, lambda status, _: None)
         engine.context.loop.run_due_batch()
-        engine.attempts.ended(held, "h", AttemptResult(AttemptStatus.REJECTED))
+        engine.attempts.attempt_ended(held, "h", AttemptResult(AttemptStatus.REJECTED))
         engine.context.loop.run_due_batch()
         assert engine.intake.open_messages == 1  # its end is not decided
         engine.attempts.outcome_disputed("m", "h", now)
@@ -190,7 +190,7 @@
         if late:
             while engine.context.loop.clock() < engine.context.scheduler.state.messages["m"].deadline:
                 time.sleep(0.01)  # the loop does not run
-        engine.attempts.ended(
+        engine.attempts.attempt_ended(
             engine.context.journal.messages["m"], "h", AttemptResult(AttemptStatus.OK, is_final=True)
         )
         while "m" in engine.context.scheduler.state.messages:
--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -39,7 +39,7 @@
 
 
 def listed(engine: Engine, form: EndpointListKind, *entries: EndpointEntry) -> None:
-    engine.endpoints.listed(EndpointListReceived(form, entries), {e.endpoint: AT for e in entries})
+    engine.endpoints.list_received(EndpointListReceived(form, entries), {e.endpoint: AT for e in entries})
     engine.context.loop.run_due_batch()
 
 
@@ -145,7 +145,7 @@
         try:
             entries = decode_rows(json.loads(told))
             listing = EndpointListReceived(EndpointListKind.DELTA, tuple(e for e, _ in entries))
-            engine.endpoints.listed(listing, {e.endpoint: address for e, address in entries})
+            engine.endpoints.list_received(listing, {e.endpoint: address for e, address in entries})
             del entries, listing
             engine.context.loop.events.clear()
             engine.context.loop.posted_at.clear()
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -99,14 +99,14 @@
         PoolSettings(),
         1,
         journal.record_attempt,
-        engine.attempts.ended,
+        engine.attempts.attempt_ended,
         engine.attempts.outcome_disputed,
         engine.context.metrics.count_forwarded,
         engine.context.stall_detector,
         engine.attempts.retry_after_received,
         engine.attempts.is_blocked,
     )
-    notices = FinalStatusReporter(NOWHERE, engine.final_statuses.reported)
+    notices = FinalStatusReporter(NOWHERE, engine.final_statuses.report_acknowledged)
     if handed is None:
         engine.connect(hosts, slices, notices, {}, subscription=slices)
     else:
@@ -146,7 +146,7 @@
 
 
 def hold(engine: Engine, destination: int = 1) -> None:
-    engine.endpoints.listed(*listing(f"h{destination}", destination=destination))
+    engine.endpoints.list_received(*listing(f"h{destination}", destination=destination))
     engine.destination_resolved(destination, ResolutionStatus.RESOLVED)
 
 
@@ -276,7 +276,7 @@
         submit(engine, answers, message("a"))
         while engine.context.loop.is_batch_due:
             await asyncio.sleep(0)
-        engine.endpoints.listed(*listing("h1"))
+        engine.endpoints.list_received(*listing("h1"))
         engine.context.loop.run_due_batch()
         engine.context.stall_detector.last_stall_at = asyncio.get_running_loop().time()  # it stood still
         engine.destination_resolved(1, ResolutionStatus.RESOLVED)
@@ -310,7 +310,7 @@
         engine.context.loop.run_due_batch()
         assert not engine.context.scheduler.state.messages
         assert engine.release_destinations([1, 2]) == []
-        engine.final_statuses.reported("told")  # heard before the module knows of it
+        engine.final_statuses.report_acknowledged("told")  # heard before the module knows of it
         engine.destination_resolved(2, ResolutionStatus.UNAVAILABLE)
         assert slices.wanted == [1, 2, 2]  # tried on
         hold(engine, 1)
@@ -342,7 +342,7 @@
         answers: Answers = {}
         for destination in (1, 2, 3, 4, 5):
             hold(engine, destination)
-        engine.endpoints.listed(*listing("h1b"))
+        engine.endpoints.list_received(*listing("h1b"))
         submit(engine, answers, message("in-line", 2))
         engine.context.loop.run_due_batch()
         submit(engine, answers, message("unheard", 3))  # the module has not heard of it
