--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -148,7 +148,7 @@
                 await asyncio.sleep(0)
                 await until(
                     lambda: (
-                        not engine.context.loop.is_batch_due
+                        not engine.context.batch_loop.is_batch_due
                         and len(engine.context.scheduler.state.endpoints) == count
                     )
                 )
--- a/loftrelay/relay/attempts.py
+++ b/loftrelay/relay/attempts.py
@@ -55,7 +55,7 @@
         messages = [self.context.journal.messages[send.message_id] for send in sends]
         for message in messages:
             message.attempts += 1
-            self.context.message_states.begin_attempt(message.id, self.context.loop.now)
+            self.context.message_states.begin_attempt(message.id, self.context.batch_loop.now)
         options = self._options(sends, messages, is_batch=is_batch)
         self._request_gate(0, GatedCall(host, messages, options))
 
@@ -65,7 +65,7 @@
         open_messages = self.context.scheduler.state.messages
         deadline = min(open_messages[message.id].deadline for message in messages)
         # By the clock of the decisions, which does not step, and as of now: a batch may have taken long.
-        remaining = deadline - self.context.loop.clock() - ANSWER_MARGIN_US
+        remaining = deadline - self.context.batch_loop.clock() - ANSWER_MARGIN_US
         timeout = max(0, min(remaining, max(send.timeout for send in sends)))
         idle_limits = [send.max_connection_idle for send in sends if send.max_connection_idle is not None]
         send_limits = [send.send_within / US_PER_S for send in sends if send.send_within is not None]
@@ -121,7 +121,7 @@
         if context.outcome_forwarder is not None:
             context.outcome_forwarder.attempt_ended(message.id, host, result)
             return
-        now = context.loop.clock()
+        now = context.batch_loop.clock()
         result = self._without_late_answer(message, result, now)
         sent_at = context.message_states.end_attempt(message.id)
         attempt = message.attempts - 1
@@ -185,12 +185,12 @@
         if retry_after >= LONG_RETRY_AFTER_US:
             seconds = retry_after / US_PER_S
             log.warning("host %s sent Retry-After of %.0f s, which a restart forgets", host, seconds)
-        self.context.scheduler.apply_retry_after(self.context.loop.clock(), host, retry_after)
+        self.context.scheduler.apply_retry_after(self.context.batch_loop.clock(), host, retry_after)
         self.context.delivery.withdraw_blocked_calls()
 
     def is_blocked(self, host: str) -> bool:
         """Returns whether a Retry-After forbids a call to a host now."""
-        return self.context.scheduler.is_blocked(self.context.loop.clock(), host)
+        return self.context.scheduler.is_blocked(self.context.batch_loop.clock(), host)
 
     def outcome_disputed(self, message_id: str, host: str, sent_at: int) -> None:
         """Takes back a rejection that may have been another call's response: the message may have run.
--- a/loftrelay/relay/context.py
+++ b/loftrelay/relay/context.py
@@ -53,7 +53,7 @@
         self.attempt_gates: list[AttemptGate] = [] if store is None else [store]
         self.observers: list[RelayObserver] = []
         self.changed_at: dict[int, float] = {}  # destination -> see note_change, seconds of the loop's clock
-        self.loop = BatchLoop(self.stall_detector, settings.batch_interval)
+        self.batch_loop = BatchLoop(self.stall_detector, settings.batch_interval)
         self.is_stopping = False  # what comes is kept for the next start
         self.outcome_forwarder: OutcomeForwarder | None = None  # set while another process decides
         self.is_handed_over = False  # another process owns all messages
@@ -70,7 +70,7 @@
 
     def post(self, event: Event) -> None:
         """Has the next batch take in an event."""
-        self.loop.post(event)
+        self.batch_loop.post(event)
 
     def note_change(self, destination: int) -> None:
         """Notes that what was decided for a destination before may hold no more: a list entry, a failure."""
--- a/loftrelay/relay/endpoints.py
+++ b/loftrelay/relay/endpoints.py
@@ -128,9 +128,9 @@
         return released
 
     def _idle(self, candidates: Iterable[int]) -> set[int]:
-        scheduler, now = self.context.scheduler, self.context.loop.clock()
+        scheduler, now = self.context.scheduler, self.context.batch_loop.clock()
         idle = {destination for destination in candidates if scheduler.is_idle(now, destination)}
-        for event in self.context.loop.events:
+        for event in self.context.batch_loop.events:
             if isinstance(event, MessageSubmitted):
                 idle.discard(event.destination)
             elif isinstance(event, MessageRecovered):
--- a/loftrelay/relay/engine.py
+++ b/loftrelay/relay/engine.py
@@ -78,9 +78,9 @@
         self.handover = HandoverControl(
             self.context, self.intake, self.endpoints, self.attempts, self.final_statuses
         )
-        self.context.loop.run_batch = self._run_batch
-        self.context.loop.after_stall = self.endpoints.refresh_after_stall
-        self.context.loop.is_enabled = lambda: self.context.is_deciding
+        self.context.batch_loop.run_batch = self._run_batch
+        self.context.batch_loop.after_stall = self.endpoints.refresh_after_stall
+        self.context.batch_loop.is_enabled = lambda: self.context.is_deciding
 
     def connect(
         self,
@@ -152,7 +152,7 @@
         context.settings = settings
         context.accepted_classes.apply_settings(settings, wall_clock())
         context.metrics.add_classes(settings.classes)
-        context.loop.set_interval(settings.batch_interval)
+        context.batch_loop.set_interval(settings.batch_interval)
         context.post(SettingsChanged(settings))
         self.move_discovery(discovery)
 
@@ -178,7 +178,7 @@
 
     def _run_batch(self, events: list[Event]) -> None:
         calls: dict[str, list[SendAttempt]] = {}
-        for action in self.context.scheduler.handle_batch(self.context.loop.now, events):
+        for action in self.context.scheduler.handle_batch(self.context.batch_loop.now, events):
             if isinstance(action, SendAttempt):
                 calls.setdefault(action.endpoint, []).append(action)
             else:
@@ -194,7 +194,7 @@
             case FailMessage(message_id):
                 self.final_statuses.end(message_id, FAILED, 0)
             case SetTimer(delay, _):
-                self.context.loop.set_timer(delay)
+                self.context.batch_loop.set_timer(delay)
             case CloseIdleConnections(endpoint):
                 self.context.delivery.close_idle_connections(endpoint)
             case WatchEndpointList():
--- a/loftrelay/relay/handover_control.py
+++ b/loftrelay/relay/handover_control.py
@@ -60,12 +60,12 @@
         self.intake.answer_admitted()
         self.intake.reject_pending()
         context.outcome_forwarder = forwarder
-        context.loop.cancel_timer()
+        context.batch_loop.cancel_timer()
         now = asyncio.get_running_loop().time()
         for message, host in context.delivery.withdraw_unsent_calls():
             message.attempts -= 1
             context.message_states.end_attempt(message.id)
-            context.loop.add(not_sent(message, host, DECIDE_ANEW_US), now)
+            context.batch_loop.add(not_sent(message, host, DECIDE_ANEW_US), now)
         context.discovery.pause()
         context.status_reporter.close()
 
@@ -73,7 +73,7 @@
         """Goes on as if it had not been paused."""
         context = self.context
         context.outcome_forwarder = None
-        context.loop.timer = None
+        context.batch_loop.timer = None
         context.scheduler.state.timer_set_for = 0  # the timer that was set is gone
         context.discovery.watch()
         context.status_reporter.move_to(context.discovery.address)
@@ -84,7 +84,7 @@
         context = self.context
         return write_state(
             scheduler=context.scheduler,
-            events=context.loop.events,
+            events=context.batch_loop.events,
             entries=self.endpoints.entries.values(),
             revision=context.discovery.revision,
             discovery=context.discovery.address,
@@ -100,16 +100,16 @@
         """Goes on where the predecessor has stopped; the ports are connected."""
         context, scheduler_state = self.context, state.scheduler.state
         context.scheduler = state.scheduler
-        context.loop.now = max(context.loop.clock(), scheduler_state.now)
+        context.batch_loop.now = max(context.batch_loop.clock(), scheduler_state.now)
         self.endpoints.disabled = set(scheduler_state.disabled_endpoints)
         self.endpoints.destinations = state.destinations
         context.accepted_classes.restore_retired(state.retired_classes)
         for entry, address in state.entries:
             self.endpoints.add(entry, address)
         now = asyncio.get_running_loop().time()
-        context.loop.events, context.loop.posted_at = [], []
+        context.batch_loop.events, context.batch_loop.posted_at = [], []
         for event in state.events:
-            context.loop.add(self._as_of_now(event), now)
+            context.batch_loop.add(self._as_of_now(event), now)
         context.post(SettingsChanged(context.settings))
         self._reconcile(state.sent_at)
         if context.subscription is not None:
@@ -127,8 +127,10 @@
     def _reconcile(self, sent_at: Mapping[str, int]) -> None:
         """Makes the messages of the journal and those of the decisions the same."""
         context = self.context
-        ended = {event.message_id for event in context.loop.events if isinstance(event, AttemptEnded)}
-        submitted = {event.message_id for event in context.loop.events if isinstance(event, MessageSubmitted)}
+        ended = {event.message_id for event in context.batch_loop.events if isinstance(event, AttemptEnded)}
+        submitted = {
+            event.message_id for event in context.batch_loop.events if isinstance(event, MessageSubmitted)
+        }
         for known in context.scheduler.state.messages.values():
             if known.call is not None and known.name not in ended:
                 host = known.call.endpoint.name
--- a/loftrelay/relay/intake.py
+++ b/loftrelay/relay/intake.py
@@ -60,7 +60,7 @@
             message: the message.
             answer: called with a status and a Retry-After in milliseconds, by the next batch if admitted.
         """
-        if self.context.loop.is_lagging:
+        if self.context.batch_loop.is_lagging:
             self._reject_lagging(message, answer)
             return
         now = wall_clock()
@@ -93,7 +93,7 @@
         for submission in self.pending.take(destination):
             if not is_served:
                 self._reject(submission.message, submission.answer)
-            elif self.context.loop.is_lagging:
+            elif self.context.batch_loop.is_lagging:
                 self._reject_lagging(submission.message, submission.answer)
             else:
                 self._admit(submission.message, submission.answer, submission.loop_deadline)
@@ -155,7 +155,7 @@
 
     def _reject_lagging(self, message: Message, answer: Answer) -> None:
         self._reject(message, answer)
-        if not self.context.loop.is_batch_due:
+        if not self.context.batch_loop.is_batch_due:
             self.context.post(TimerFired(0))  # without a batch the relay would go on lagging
 
     def _reject(self, message: Message, answer: Answer) -> None:
--- a/loftrelay/relay/message_terms.py
+++ b/loftrelay/relay/message_terms.py
@@ -64,14 +64,14 @@
     """The classes under which messages are admitted: those in force, and for a while those removed."""
 
     def __init__(self, settings: RelaySettings) -> None:
-        self.in_force = settings
+        self.settings = settings
         # Terms, and until when (wall clock, microseconds).
         self.retired: dict[str, tuple[PackedTerms, int]] = {}
 
     def apply_settings(self, settings: RelaySettings, now: int) -> None:
         """Uses the classes of new settings, and retires those that are not in them."""
-        before = self.in_force
-        self.in_force = settings
+        before = self.settings
+        self.settings = settings
         for name, message_class in before.classes.items():
             if name not in settings.classes:
                 accepted_for = max(MIN_RETIREMENT_US, message_class.deadline or 0)
@@ -81,13 +81,13 @@
 
     def restore_retired(self, retired: Mapping[str, tuple[PackedTerms, int]]) -> None:
         """Takes over the retired classes of a predecessor."""
-        self.retired = {name: each for name, each in retired.items() if name not in self.in_force.classes}
+        self.retired = {name: each for name, each in retired.items() if name not in self.settings.classes}
 
     def terms(self, class_name: str, now: int) -> PackedTerms | None:
         """Returns the terms of a class; None for one that is not accepted."""
-        message_class = self.in_force.classes.get(class_name)
+        message_class = self.settings.classes.get(class_name)
         if message_class is not None:
-            return pack(message_class, self.in_force.max_attempts)
+            return pack(message_class, self.settings.max_attempts)
         packed, until = self.retired.get(class_name, ((), 0))
         if until <= now:
             self.retired.pop(class_name, None)
@@ -96,7 +96,7 @@
 
     def message_class(self, class_name: str, now: int) -> MessageClass | None:
         """Returns a class that is accepted; None for any other."""
-        message_class = self.in_force.classes.get(class_name)
+        message_class = self.settings.classes.get(class_name)
         if message_class is not None:
             return message_class
         packed = self.terms(class_name, now)
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -117,11 +117,11 @@
 class RecoveryAction(Enum):
     """What a restart does about a message, by what the journal and the store have of it."""
 
-    AGREE = auto()  # both have it as over: the journal entry is completed
-    STORE = auto()  # the store is told what the journal knows
+    COMPLETE = auto()  # both have it as over: the journal entry is completed
+    UPDATE_STORE = auto()  # the store is told what the journal knows
     RESUME = auto()  # the message goes on; the store is told where it stands
     FAIL = auto()  # it may have run and must not run twice: it is failed, and not sent
-    FORGET = auto()  # its client was never told that it was admitted: dropped from the journal
+    DISCARD = auto()  # its client was never told that it was admitted: dropped from the journal
     REPORT_AGAIN = auto()  # its final status is reported once more
 
 
--- a/loftrelay/relay/recovery.py
+++ b/loftrelay/relay/recovery.py
@@ -116,10 +116,10 @@
             return True
         answer = store.recorded_answer(message.id)
         action = store.recover(message, message.id, not is_repeatable(message.packed_terms))
-        if action in (RecoveryAction.AGREE, RecoveryAction.FORGET):
+        if action in (RecoveryAction.COMPLETE, RecoveryAction.DISCARD):
             self._forget(message, answer)
             return False
-        if action is RecoveryAction.STORE and message.final_status is None:
+        if action is RecoveryAction.UPDATE_STORE and message.final_status is None:
             answer = STORED_DELIVERED
         final_status = message.final_status
         is_delivered = final_status is not None and final_status["status"] == STATUS_DELIVERED
--- a/loftrelay/server/http/request.py
+++ b/loftrelay/server/http/request.py
@@ -126,7 +126,7 @@
 
 
 def _tenant(headers: Headers, accepted: AcceptedClasses) -> str | None:
-    tenant, tenants = headers.get("tenant"), accepted.in_force.tenants
+    tenant, tenants = headers.get("tenant"), accepted.settings.tenants
     if tenants and tenant not in tenants:
         raise RequestError(400, "Tenant is missing or unknown")
     return tenant
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -261,7 +261,7 @@
         A relay that listens before its event loop runs freely leaves clients without an answer, where a
         refused connection would have told them at once.
         """
-        loop, interval = asyncio.get_running_loop(), engine.context.loop.interval
+        loop, interval = asyncio.get_running_loop(), engine.context.batch_loop.interval
         deadline = loop.time() + MAX_CATCH_UP_S
         await asyncio.sleep(interval)  # for the first batch
         while (
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -159,7 +159,7 @@
         mode = self.modes.get(class_name, DurabilityMode.WRITE_AHEAD)
         stands = state_machine.JournalStanding.NOTHING if message is None else journal_standing(message)
         mend = state_machine.reconcile(stands, entry, is_at_most_once, mode)
-        if mend in (RecoveryAction.AGREE, RecoveryAction.FORGET):
+        if mend in (RecoveryAction.COMPLETE, RecoveryAction.DISCARD):
             return mend
         track = self.positions[message_id] = RecordPosition(mode)
         if entry is not None:
--- a/loftrelay/store/state_machine.py
+++ b/loftrelay/store/state_machine.py
@@ -308,30 +308,34 @@
     """
     if standing is JournalStanding.NOTHING:
         if seen is None or seen.state in (RecordState.REPORTED,):
-            return RecoveryAction.AGREE
+            return RecoveryAction.COMPLETE
         if seen.state is RecordState.ENDED:
             return (
                 RecoveryAction.REPORT_AGAIN
                 if seen.answer is not StoredAnswer.DELIVERED
-                else RecoveryAction.STORE
+                else RecoveryAction.UPDATE_STORE
             )
         return RecoveryAction.FAIL  # the journal is lost: nobody knows whether it ran
     if seen is None:
         if mode is DurabilityMode.WRITE_AHEAD and standing is JournalStanding.ADMITTED:
-            return RecoveryAction.FORGET  # never committed, so its client was never told
+            return RecoveryAction.DISCARD  # never committed, so its client was never told
         if is_at_most_once and standing in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN):
             return RecoveryAction.FAIL
         return (
-            RecoveryAction.STORE
+            RecoveryAction.UPDATE_STORE
             if standing in (JournalStanding.DELIVERED, JournalStanding.ENDED)
             else RecoveryAction.RESUME
         )
     if seen.state is RecordState.REPORTED:
-        return RecoveryAction.AGREE  # reported, and the journal did not have that yet
+        return RecoveryAction.COMPLETE  # reported, and the journal did not have that yet
     if seen.state is RecordState.ENDED:
-        return RecoveryAction.STORE if seen.answer is StoredAnswer.DELIVERED else RecoveryAction.REPORT_AGAIN
+        return (
+            RecoveryAction.UPDATE_STORE
+            if seen.answer is StoredAnswer.DELIVERED
+            else RecoveryAction.REPORT_AGAIN
+        )
     if standing in (JournalStanding.DELIVERED, JournalStanding.ENDED):
-        return RecoveryAction.STORE
+        return RecoveryAction.UPDATE_STORE
     may_have_run = (
         standing in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN)
         or seen.state is RecordState.IN_FLIGHT
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -62,7 +62,7 @@
         self.handed_in = 0
         self.withdrawn = 0
         self.statuses: Counter[int] = Counter()
-        self.now = engine.context.loop.now
+        self.now = engine.context.batch_loop.now
         self.use(engine)
 
     def use(self, engine: Engine) -> None:
@@ -72,7 +72,7 @@
             self.out += [(message, host) for message in messages]
 
         # Virtual time for the module: its pauses pass from turn to turn.
-        engine.context.loop.clock = lambda: self.now  # type: ignore[method-assign]
+        engine.context.batch_loop.clock = lambda: self.now  # type: ignore[method-assign]
         engine.context.delivery.send_call = send  # type: ignore[method-assign]
         engine.context.delivery.withdraw_unsent_calls = list  # type: ignore[method-assign]
 
@@ -108,7 +108,7 @@
                 for message in told:
                     del engine.context.status_reporter.reports[message]  # type: ignore[attr-defined]
                     engine.final_statuses.report_acknowledged(message)
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
 
     def check(self, before: int = 0) -> None:
         """`before`: taken by another process, and ended or handed over there."""
@@ -178,14 +178,14 @@
             held.id for held, _ in steps.out
         }
         steps.use(second)
-        second.context.loop.run_due_batch()
+        second.context.batch_loop.run_due_batch()
         steps.check(ended_before)
         for _ in range(80):
             steps.step()
             steps.check(ended_before)
         outstanding = len(second.context.journal.messages)
         second.handover.predecessor_lost()
-        second.context.loop.run_due_batch()
+        second.context.batch_loop.run_due_batch()
         assert not second.context.message_states.in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)
         assert len(second.context.journal.messages) <= outstanding
         steps.check(ended_before)
@@ -207,7 +207,7 @@
             Message("m1", 0, "status", "acme", 1, None, now, now + 20_000_000), lambda s, _: None
         )
         steps.handed_in = 1
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert len(steps.out) == 1
         heard: list[str] = []
 
@@ -225,12 +225,12 @@
         before = engine.metric_lines()
         held, host = steps.out.pop()
         engine.attempts.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert heard == [held.id]
         assert engine.metric_lines() == before
         engine.handover.resume()
         engine.attempts.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         steps.check()
         assert held.id not in engine.context.journal.messages
         close(engine)
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -72,7 +72,7 @@
             held = Message(name, 0, "status", "acme", 1, None, now, now + 9_000_000)
             engine.intake.submit(held, lambda status, _, name=name: answers.update({name: status}))  # type: ignore[misc]
         engine.intake.cancel("gone")
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert answers == {"stays": 202}
         assert list(engine.context.journal.messages) == ["stays"]
         assert engine.intake.open_messages == 1
@@ -91,13 +91,13 @@
         now = wall_clock()
         held = Message("m", 0, "order", "acme", 1, "k", now, now + 9_000_000)
         engine.intake.submit(held, lambda status, _: None)
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         engine.attempts.attempt_ended(held, "h", AttemptResult(AttemptStatus.REJECTED))
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert engine.intake.open_messages == 1  # its end is not decided
         engine.attempts.outcome_disputed("m", "h", now)
         engine.attempts.outcome_disputed("unknown", "h", now)
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert engine.intake.open_messages == 0
         assert engine.context.journal.messages["m"].first_attempt_at == now
         engine.context.status_reporter.close()
@@ -112,10 +112,10 @@
     async def main() -> None:
         engine = make_engine(tmp_path)
         engine.context.discovery.watch = lambda: None  # type: ignore[method-assign]
-        while engine.context.loop.is_batch_due:
+        while engine.context.batch_loop.is_batch_due:
             await asyncio.sleep(0)
-        if engine.context.loop.timer is not None:
-            engine.context.loop.timer.cancel()
+        if engine.context.batch_loop.timer is not None:
+            engine.context.batch_loop.timer.cancel()
         engine.context.stall_detector.last_stall_at = asyncio.get_running_loop().time()
         statuses: list[int] = []
         now = wall_clock()
@@ -123,7 +123,7 @@
         engine.intake.submit(held, lambda status, _: statuses.append(status))
         assert statuses == [503]
         async with asyncio.timeout(60):
-            while engine.context.loop.is_lagging:
+            while engine.context.batch_loop.is_lagging:
                 await asyncio.sleep(0)
         engine.intake.submit(held, lambda status, _: statuses.append(status))
         assert "m" in engine.context.journal.messages
@@ -150,7 +150,7 @@
             held = Message(name, 0, "order", "acme", 1, None, now, now + remaining)
             engine.context.journal.admit(held)
             engine.context.message_states.enqueue(name)
-            engine.context.scheduler.state.now = engine.context.loop.clock()
+            engine.context.scheduler.state.now = engine.context.batch_loop.clock()
             lifecycle.admit(engine.context.scheduler.state, submission_of(held))
         sends = [SendAttempt(name, "h", remaining, None) for name, remaining in lives.items()]
         engine.attempts.begin("h", sends, is_batch=batch)
@@ -188,7 +188,7 @@
         ):
             await asyncio.sleep(0.001)
         if late:
-            while engine.context.loop.clock() < engine.context.scheduler.state.messages["m"].deadline:
+            while engine.context.batch_loop.clock() < engine.context.scheduler.state.messages["m"].deadline:
                 time.sleep(0.01)  # the loop does not run
         engine.attempts.attempt_ended(
             engine.context.journal.messages["m"], "h", AttemptResult(AttemptStatus.OK, is_final=True)
@@ -228,7 +228,7 @@
         now = wall_clock()
         held = Message("m", 0, "order", "acme", 1, "k", now, now + 9_000_000)
         engine.intake.submit(held, lambda status, _: None)
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         held = engine.context.journal.messages["m"]
         assert sent == ["h"]
         assert held.attempts == 1
@@ -241,7 +241,7 @@
         engine.attempts._gate_answered(0, call, began, committed)
         assert sent == (["h"] if goes else [])
         assert held.attempts == (1 if goes else 0)
-        postponed = [event for event in engine.context.loop.events if isinstance(event, AttemptEnded)]
+        postponed = [event for event in engine.context.batch_loop.events if isinstance(event, AttemptEnded)]
         assert [event.postponed_for > 0 for event in postponed] == ([] if goes else [True])
         engine.context.status_reporter.close()
         engine.context.delivery.close()
@@ -273,7 +273,7 @@
         return None
 
     def recover(self, held: Message | None, message: str, unsafe: bool) -> RecoveryAction:
-        return RecoveryAction.AGREE
+        return RecoveryAction.COMPLETE
 
     def unfinished_without_journal(self, held: Mapping[str, Message]) -> Sequence[str]:
         return ()
@@ -287,7 +287,7 @@
         clock = [loop.time() + 100]
         loop.time = lambda: clock[0]  # type: ignore[method-assign]
         engine = make_engine(tmp_path)
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         answers: list[str] = []
 
         async def hand_in(name: str) -> None:
--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_long_lists.py
@@ -40,7 +40,7 @@
 
 def listed(engine: Engine, form: EndpointListKind, *entries: EndpointEntry) -> None:
     engine.endpoints.list_received(EndpointListReceived(form, entries), {e.endpoint: AT for e in entries})
-    engine.context.loop.run_due_batch()
+    engine.context.batch_loop.run_due_batch()
 
 
 CHANGES = [entry("h5", 5, EndpointState.DRAINING), entry("h6", 6, EndpointState.REMOVED), entry("new", 7)]
@@ -147,8 +147,8 @@
             listing = EndpointListReceived(EndpointListKind.DELTA, tuple(e for e, _ in entries))
             engine.endpoints.list_received(listing, {e.endpoint: address for e, address in entries})
             del entries, listing
-            engine.context.loop.events.clear()
-            engine.context.loop.posted_at.clear()
+            engine.context.batch_loop.events.clear()
+            engine.context.batch_loop.posted_at.clear()
             gc.collect()
             held = tracemalloc.get_traced_memory()[0] / size
         finally:
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -115,8 +115,8 @@
 
 
 def close(engine: Engine) -> None:
-    if engine.context.loop.timer is not None:
-        engine.context.loop.timer.cancel()
+    if engine.context.batch_loop.timer is not None:
+        engine.context.batch_loop.timer.cancel()
     engine.context.status_reporter.close()
     engine.context.delivery.close()
     engine.context.journal.close()
@@ -172,7 +172,7 @@
         assert [h.sequence for h in engine.context.journal.messages.values()] == sorted(
             h.sequence for h in engine.context.journal.messages.values()
         )
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert answers == dict.fromkeys(("a", "c", "d"), (202, 0))
         assert [m.name for m in engine.context.scheduler.state.ordering_keys["k"].pending] == ["a", "c", "d"]
         assert slices.wanted == [1, 2]
@@ -233,7 +233,7 @@
         while loop.time() < until:
             await asyncio.sleep(0.01)
         hold(engine)
-        (event,) = [e for e in engine.context.loop.events if isinstance(e, MessageSubmitted)]
+        (event,) = [e for e in engine.context.batch_loop.events if isinstance(e, MessageSubmitted)]
         assert event.time_remaining <= 4_800_000
         close(engine)
 
@@ -274,14 +274,14 @@
         engine, _ = make(tmp_path)
         answers: Answers = {}
         submit(engine, answers, message("a"))
-        while engine.context.loop.is_batch_due:
+        while engine.context.batch_loop.is_batch_due:
             await asyncio.sleep(0)
         engine.endpoints.list_received(*listing("h1"))
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         engine.context.stall_detector.last_stall_at = asyncio.get_running_loop().time()  # it stood still
         engine.destination_resolved(1, ResolutionStatus.RESOLVED)
         assert answers == {"a": (503, 1000)}
-        assert engine.context.loop.is_batch_due
+        assert engine.context.batch_loop.is_batch_due
         assert not engine.context.journal.messages
         close(engine)
 
@@ -298,7 +298,7 @@
         answers: Answers = {}
         for name, destination in (("a", 1), ("b", 2), ("c", 1), ("told", 1)):
             submit(engine, answers, message(name, destination, "status"))
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert isinstance(engine.context.journal, Journal)
         engine.context.journal.record_attempt(engine.context.journal.messages["a"], "h1")
         engine.context.journal.record_final_status("told", {"status": "deferred"})
@@ -307,17 +307,17 @@
         engine, slices = make(tmp_path)
         assert slices.wanted == [1, 2]
         assert engine.recovery.unresolved == {1, 2}
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert not engine.context.scheduler.state.messages
         assert engine.release_destinations([1, 2]) == []
         engine.final_statuses.report_acknowledged("told")  # heard before the module knows of it
         engine.destination_resolved(2, ResolutionStatus.UNAVAILABLE)
         assert slices.wanted == [1, 2, 2]  # tried on
         hold(engine, 1)
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert not engine.context.scheduler.state.messages
         hold(engine, 2)
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert list(engine.context.scheduler.state.messages) == ["a", "b", "c"]
         assert not engine.context.scheduler.state.unreported
         ran_on = engine.context.scheduler.state.messages["a"].first_attempt_endpoint
@@ -327,7 +327,7 @@
 
         engine, slices = make(tmp_path)
         engine.recovery.replay()  # no registry answers for too long
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert sorted(engine.context.scheduler.state.messages) == ["a", "b", "c"]
         engine.destination_resolved(1, ResolutionStatus.UNAVAILABLE)
         assert slices.wanted == [1, 2]  # not tried on by the engine
@@ -344,25 +344,25 @@
             hold(engine, destination)
         engine.endpoints.list_received(*listing("h1b"))
         submit(engine, answers, message("in-line", 2))
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         submit(engine, answers, message("unheard", 3))  # the module has not heard of it
         submit(engine, answers, message("parked", 6))
         submit(engine, answers, message("ended", 4, "status"))
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         submit(engine, answers, message("late", 5))
         engine.context.journal.record_final_status("ended", {"status": "deferred"})  # untold as yet
         assert engine.release_destinations([1, 2, 3, 4, 5, 6, 7]) == [1, 7]
         assert 1 not in engine.endpoints.destinations
         assert set(engine.endpoints.entries) == {"h2", "h3", "h4", "h5"}
         assert set(engine.endpoints.batch_sizes) == set(engine.endpoints.entries)
-        assert engine.context.loop.events[-1] == DestinationsReleased((1, 7))
-        engine.context.loop.run_due_batch()
+        assert engine.context.batch_loop.events[-1] == DestinationsReleased((1, 7))
+        engine.context.batch_loop.run_due_batch()
         assert "h1" not in engine.context.scheduler.state.endpoints
         assert "h2" in engine.context.scheduler.state.endpoints
         submit(engine, answers, message("again", 1))
         assert "again" in engine.intake.pending
         hold(engine, 1)
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert answers["again"] == (202, 0)
         close(engine)
 
@@ -377,7 +377,7 @@
         engine, _ = make(tmp_path)
         hold(engine, 1)
         hold(engine, 2)
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         if not sliced:
             engine.context.subscription = None
         told = json.loads(json.dumps(engine.handover.export_state()))
--- a/tests/store/test_rules.py
+++ b/tests/store/test_rules.py
@@ -213,7 +213,7 @@
         assert mend is not RecoveryAction.RESUME
     if held is JournalStanding.NOTHING:
         assert mend is not RecoveryAction.RESUME  # nobody knows where it stands
-    if mend is RecoveryAction.AGREE and seen is not None:
+    if mend is RecoveryAction.COMPLETE and seen is not None:
         assert seen.state is RecordState.REPORTED  # nothing is owed
 
 
@@ -225,7 +225,7 @@
 ) -> None:
     for mode in DurabilityMode:
         mend = reconcile(held, seen, unsafe, mode)
-        assert (mend is RecoveryAction.FORGET) == (
+        assert (mend is RecoveryAction.DISCARD) == (
             held is JournalStanding.ADMITTED and seen is None and mode is DurabilityMode.WRITE_AHEAD
         )
 
