--- a/loftrelay/relay/intake.py
+++ b/loftrelay/relay/intake.py
@@ -162,7 +162,7 @@
         self.context.metrics.count_final_status(message.class_name, FinalStatus.REJECTED)
         answer(REJECTED, OVERLOAD_RETRY_AFTER_MS)
 
-    def known_answer(self, message_id: str) -> tuple[int, int] | None:
+    def known_response(self, message_id: str) -> tuple[int, int] | None:
         """Returns the status and Retry-After (ms) for an id that this relay has or had; None for a new one.
 
         An id that would do harm if it ran again is known until its time is up. A message whose final status
--- a/loftrelay/server/http/connection.py
+++ b/loftrelay/server/http/connection.py
@@ -201,7 +201,7 @@
         message = parse_message(engine.context.accepted_classes, request, received_at_us, body)
         if engine.intake.is_client_waiting(message.id):
             raise RequestError(409, "a request with this id is open")
-        if (known := engine.intake.known_answer(message.id)) is not None:
+        if (known := engine.intake.known_response(message.id)) is not None:
             self._answer(*known)
         else:
             self._pending_id = message.id
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -195,7 +195,7 @@
         assert not engine.context.journal.messages
         assert engine.intake.open_messages == 0
         assert not engine.intake.is_client_waiting("a")
-        assert engine.intake.known_answer("a") is None  # its id is free again
+        assert engine.intake.known_response("a") is None  # its id is free again
         submit(engine, answers, message("c"))
         assert slices.wanted == [1, 1]
         engine.destination_resolved(1, state)
