--- a/loftrelay/relay/__init__.py
+++ b/loftrelay/relay/__init__.py
@@ -1,1 +1,1 @@
-"""What a message is, and the engine that owns the decision module: it knows no socket and no file."""
+"""The engine of a relay: messages, their states, and the scheduler's batches. Uses no socket and no file."""
--- a/loftrelay/relay/attempts.py
+++ b/loftrelay/relay/attempts.py
@@ -1,4 +1,7 @@
-"""Attempts: begins the calls that were decided, once all gates allow them, and takes in their outcomes."""
+"""Attempts: begins the calls that the scheduler decided, once all gates allow them; handles their results.
+
+A call is one request to a host; it carries one attempt of each message in it.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 from loftrelay.relay.batch_loop import US_PER_S
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.context import RelayContext
-from loftrelay.relay.events import DECIDE_ANEW_US, not_sent
+from loftrelay.relay.events import RESCHEDULE_DELAY_US, not_sent_event
 from loftrelay.relay.final_statuses import FinalStatuses
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_terms import is_repeatable
@@ -22,18 +25,18 @@
 
 log = logging.getLogger(__name__)
 
-# How long a decision may wait for the gates: any change of its destination may come meanwhile.
+# Longest wait for the gates: the state of the destination may change meanwhile and invalidate the decision.
 MAX_GATE_WAIT_S = 0.1
-MAX_GATE_WAIT_UNCHANGED_S = 1.0  # while the destination has told of nothing but success
-# A call ends this long before the first deadline in it: later responses don't count.
-ANSWER_MARGIN_US = 20_000
-MIN_GATE_RETRY_MS = 20  # before an attempt that a gate held back is decided anew
-LONG_RETRY_AFTER_US = 60_000_000  # worth a line in the log
+MAX_GATE_WAIT_UNCHANGED_S = 1.0  # if no change of the destination was noted since the request
+# A call times out this long before the earliest deadline in it, because later responses don't count.
+RESPONSE_MARGIN_US = 20_000
+MIN_GATE_RETRY_MS = 20  # delay before an attempt that a gate refused is scheduled again
+LONG_RETRY_AFTER_US = 60_000_000  # from here on a Retry-After is logged, as a restart loses it
 
 
 @dataclass(frozen=True, slots=True)
 class GatedCall:
-    """A call that waits for the gates."""
+    """A call that waits for the attempt gates."""
 
     host: str
     messages: list[Message]
@@ -41,16 +44,16 @@
 
 
 class Attempts:
-    """The calls of one relay."""
+    """Begins the calls of one relay and handles their results."""
 
     def __init__(self, context: RelayContext, final_statuses: FinalStatuses) -> None:
         self.context = context
         self.final_statuses = final_statuses
 
     def begin(self, host: str, sends: Sequence[SendAttempt], *, is_batch: bool) -> None:
-        """Begins one call with attempts that were decided.
+        """Begins one call that carries the given attempts.
 
-        It may take as long as its most patient message, and ends as a whole before the first deadline in it.
+        Its timeout is the longest of its messages, cut off before the earliest deadline among them.
         """
         messages = [self.context.journal.messages[send.message_id] for send in sends]
         for message in messages:
@@ -64,8 +67,8 @@
     ) -> CallOptions:
         open_messages = self.context.scheduler.state.messages
         deadline = min(open_messages[message.id].deadline for message in messages)
-        # By the clock of the decisions, which does not step, and as of now: a batch may have taken long.
-        remaining = deadline - self.context.batch_loop.clock() - ANSWER_MARGIN_US
+        # Uses the scheduler's clock, which never steps, and reads it now: the batch may have taken long.
+        remaining = deadline - self.context.batch_loop.clock() - RESPONSE_MARGIN_US
         timeout = max(0, min(remaining, max(send.timeout for send in sends)))
         idle_limits = [send.max_connection_idle for send in sends if send.max_connection_idle is not None]
         send_limits = [send.send_within / US_PER_S for send in sends if send.send_within is not None]
@@ -78,7 +81,7 @@
         )
 
     def _request_gate(self, position: int, call: GatedCall) -> None:
-        """Asks each gate in turn; then the call goes out."""
+        """Asks the gate at a position and then the next ones; sends the call when all have allowed it."""
         gates = self.context.attempt_gates
         if position == len(gates):
             self.context.delivery.send_call(call.host, call.messages, call.options)
@@ -104,7 +107,7 @@
         return waited < (MAX_GATE_WAIT_UNCHANGED_S if changed_at < requested_at else MAX_GATE_WAIT_S)
 
     def _hold_back(self, position: int, call: GatedCall) -> None:
-        """Has a call decided anew that a gate did not allow in time. It costs its messages no attempt."""
+        """Reschedules a call that a gate did not allow in time. It does not count as an attempt."""
         gates = self.context.attempt_gates
         for gate in gates[: position + 1]:
             for message in call.messages:
@@ -113,23 +116,25 @@
         for message in call.messages:
             message.attempts -= 1
             self.context.message_states.end_attempt(message.id)
-            self.context.post(not_sent(message, call.host, retry_ms * 1000))
+            self.context.post(not_sent_event(message, call.host, retry_ms * 1000))
 
     def attempt_ended(self, message: Message, host: str, result: AttemptResult) -> None:
-        """Takes in the outcome of one message's attempt."""
+        """Handles the result of one message's attempt."""
         context = self.context
         if context.outcome_forwarder is not None:
             context.outcome_forwarder.attempt_ended(message.id, host, result)
             return
         now = context.batch_loop.clock()
-        result = self._without_late_answer(message, result, now)
+        result = self._expire_late_delivery(message, result, now)
         sent_at = context.message_states.end_attempt(message.id)
         attempt = message.attempts - 1
         was_sent = not (result.is_stale or result.is_blocked)
         if not was_sent:
-            reason = "a Retry-After" if result.is_blocked else "a stall, a drain or the end of a dedup window"
-            log.info("message %s not sent: %s came after the decision", message.id, reason)
-            message.attempts -= 1  # it costs no attempt
+            reason = (
+                "Retry-After received" if result.is_blocked else "stall, drain or end of the dedup window"
+            )
+            log.info("message %s not sent to host %s: %s; rescheduling", message.id, host, reason)
+            message.attempts -= 1  # a call that was not sent does not count as an attempt
         if result.is_final:
             self.final_statuses.message_delivered(message)
         else:
@@ -154,37 +159,38 @@
                 rate_limit_remaining=None,
                 connection_idle=result.connection_idle,
                 is_expired=result.is_expired,
-                postponed_for=0 if was_sent else DECIDE_ANEW_US,
+                postponed_for=0 if was_sent else RESCHEDULE_DELAY_US,
                 is_late=result.is_late,
             )
         )
 
-    def _without_late_answer(self, message: Message, result: AttemptResult, now: int) -> AttemptResult:
-        """Takes back a delivery that was read after the deadline: the platform may not count it.
+    def _expire_late_delivery(self, message: Message, result: AttemptResult, now: int) -> AttemptResult:
+        """Turns a delivery read after the deadline into an expiry, as the platform may not count it.
 
-        A final status does no harm if it does. After a stall the response has come long since, and counts.
+        If the platform does count it, the extra final status does no harm. After a stall the response arrived
+        long before it was read, and counts as a delivery.
         """
-        known = self.context.scheduler.state.messages.get(message.id)
-        if not result.is_final or result.is_late or known is None or now < known.deadline:
+        open_message = self.context.scheduler.state.messages.get(message.id)
+        if not result.is_final or result.is_late or open_message is None or now < open_message.deadline:
             return result
-        log.info("message %s answered after its deadline", message.id)
+        log.info("message %s: response was read after the deadline; treating it as expired", message.id)
         return replace(result, is_final=False, is_expired=True)
 
     def retry_after_received(self, host: str, retry_after: int) -> None:
-        """Heeds a Retry-After as soon as it is read, whatever becomes of the rest of the response.
+        """Applies a Retry-After as soon as it is read, even if the rest of the response fails.
 
-        Calls that it forbids and that are not written completely are withdrawn.
+        Withdraws the calls that it forbids and that are not completely written.
 
         Args:
-            host: that sent it.
-            retry_after: microseconds from now.
+            host: the host that sent it.
+            retry_after: delay from now, in microseconds.
         """
         if self.context.outcome_forwarder is not None:
             self.context.outcome_forwarder.retry_after_received(host, retry_after)
             return
         if retry_after >= LONG_RETRY_AFTER_US:
             seconds = retry_after / US_PER_S
-            log.warning("host %s sent Retry-After of %.0f s, which a restart forgets", host, seconds)
+            log.warning("host %s sent Retry-After of %.0f s; a restart of the relay loses it", host, seconds)
         self.context.scheduler.apply_retry_after(self.context.batch_loop.clock(), host, retry_after)
         self.context.delivery.withdraw_blocked_calls()
 
@@ -193,12 +199,12 @@
         return self.context.scheduler.is_blocked(self.context.batch_loop.clock(), host)
 
     def outcome_disputed(self, message_id: str, host: str, sent_at: int) -> None:
-        """Takes back a rejection that may have been another call's response: the message may have run.
+        """Revokes a rejection that may have been the response to another call: the message may have run.
 
         Args:
-            message_id: the message.
-            host: where it was rejected.
-            sent_at: when that attempt was sent, in microseconds of the wall clock.
+            message_id: id of the message; an unknown or completed one is ignored.
+            host: the host that rejected it.
+            sent_at: when that attempt was sent, in wall-clock microseconds.
         """
         if self.context.outcome_forwarder is not None:
             self.context.outcome_forwarder.outcome_disputed(message_id, host, sent_at)
--- a/loftrelay/relay/clock.py
+++ b/loftrelay/relay/clock.py
@@ -1,4 +1,4 @@
-"""The clock that outlasts a process."""
+"""The wall clock, for times that must hold across restarts."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def wall_clock() -> int:
-    """Unix time in microseconds: deadlines and the journal go by it."""
+    """Returns the Unix time in microseconds; deadlines and the journal use it."""
     return time.time_ns() // 1000
--- a/loftrelay/relay/context.py
+++ b/loftrelay/relay/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one relay share: settings, stores, the decisions, and the ports to other packages."""
+"""State shared by the parts of a relay's engine: settings, stores, scheduler, and ports to other packages."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 
 class RelayContext:
-    """The shared state of one relay. The ports are set by `Engine.connect` or `Engine.take_over`."""
+    """Shared state of one relay. `Engine.connect` or `Engine.take_over` sets the ports."""
 
     delivery: Delivery
     discovery: EndpointDirectory
     status_reporter: StatusReporter
-    subscription: SubscribedDirectory | None = None  # None: the endpoint list names every destination
+    subscription: SubscribedDirectory | None = None  # None: the endpoint list covers every destination
 
     def __init__(
         self, seed: int, settings: RelaySettings, journal: Journal, store: MessageStore | None
@@ -47,33 +47,36 @@
         self.scheduler = Scheduler(seed, settings)
         self.accepted_classes = AcceptedClasses(settings)
         self.metrics = Metrics(settings.classes)
-        self.message_states = MessageStates(_log_fault)
+        self.message_states = MessageStates(_log_invalid_transition)
         self.stall_detector = StallDetector()
-        # Who has to allow an attempt besides the decisions, in the order in which they are asked.
+        # Besides the scheduler, each of these has to allow an attempt; they are asked in this order.
         self.attempt_gates: list[AttemptGate] = [] if store is None else [store]
         self.observers: list[RelayObserver] = []
-        self.changed_at: dict[int, float] = {}  # destination -> see note_change, seconds of the loop's clock
+        # Destination -> time of the last change (see note_change), in seconds of the event loop's clock.
+        self.changed_at: dict[int, float] = {}
         self.batch_loop = BatchLoop(self.stall_detector, settings.batch_interval)
-        self.is_stopping = False  # what comes is kept for the next start
-        self.outcome_forwarder: OutcomeForwarder | None = None  # set while another process decides
+        self.is_stopping = False  # no batches run; new messages are kept in the journal for the next start
+        self.outcome_forwarder: OutcomeForwarder | None = (
+            None  # set while another process makes the decisions
+        )
         self.is_handed_over = False  # another process owns all messages
 
     @property
     def is_paused(self) -> bool:
-        """Whether another process decides, or is about to."""
+        """Whether another process makes the decisions, or is about to."""
         return self.outcome_forwarder is not None
 
     @property
     def is_deciding(self) -> bool:
-        """Whether batches are run."""
+        """Whether this process makes the decisions and runs batches."""
         return not self.is_stopping and not self.is_paused
 
     def post(self, event: Event) -> None:
-        """Has the next batch take in an event."""
+        """Adds an event to the next batch, and schedules the batch."""
         self.batch_loop.post(event)
 
     def note_change(self, destination: int) -> None:
-        """Notes that what was decided for a destination before may hold no more: a list entry, a failure."""
+        """Notes a list entry or a failure, which may invalidate earlier decisions for a destination."""
         if self.attempt_gates:
             self.changed_at[destination] = asyncio.get_running_loop().time()
 
@@ -82,6 +85,8 @@
         return sorted(self.journal.messages.values(), key=lambda message: message.sequence)
 
 
-def _log_fault(message: str, before: Stage | None, after: Stage | None) -> None:
+def _log_invalid_transition(message_id: str, before: Stage | None, after: Stage | None) -> None:
     names = [stage.value if stage is not None else "none" for stage in (before, after)]
-    log.error("fault of the program: message %s went from stage %s to %s", message, *names)
+    log.error(
+        "internal error: message %s made the invalid transition from stage %s to %s", message_id, *names
+    )
--- a/loftrelay/relay/endpoints.py
+++ b/loftrelay/relay/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints: the list of hosts in force, those that operators disable, and destinations that are released."""
+"""Endpoints: the current host list, hosts disabled by operators, and the release of idle destinations."""
 
 from __future__ import annotations
 
@@ -21,26 +21,27 @@
 
 log = logging.getLogger(__name__)
 
-LIST_STALE_AFTER_S = 1.0  # of a stall; a drain binds after 2 s
+LIST_STALE_AFTER_S = 1.0  # stall after which the list is requested anew; a drain becomes binding after 2 s
 
 
 class Endpoints:
-    """The hosts that one relay knows."""
+    """The hosts known to one relay."""
 
     def __init__(self, context: RelayContext) -> None:
         self.context = context
         self.entries: dict[str, tuple[EndpointEntry, Address]] = {}  # by host, as listed
-        self.batch_sizes: dict[str, int] = {}  # by host: messages that one call may hold
-        self.destinations: set[int] = set()  # that a list has named
-        self.disabled: set[str] = set()  # by the operator
-        self.has_no_list = False  # one was too long, and there was none before: nobody is served
+        self.batch_sizes: dict[str, int] = {}  # by host: most messages in one call
+        self.destinations: set[int] = set()  # destinations with an entry in the list
+        self.disabled: set[str] = set()  # hosts disabled by the operator
+        # The first list was rejected as too long and no earlier one exists, so no message can be delivered.
+        self.has_no_list = False
 
     def list_received(self, update: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
-        """Takes in a list or its changes.
+        """Applies an endpoint list or a change of it.
 
         Args:
-            update: the list.
-            addresses: of each host in it that is not removed.
+            update: the list or the change.
+            addresses: address of each host in it that is not removed.
         """
         self.has_no_list = self.has_no_list and update.kind is EndpointListKind.FAILED
         if update.kind is EndpointListKind.FULL:
@@ -56,12 +57,12 @@
         self.context.post(update)
 
     def list_rejected(self) -> None:
-        """A list was too long to be taken in. What is in force stays."""
+        """Counts a list that was rejected as too long. The current list stays in use."""
         self.context.metrics.lists_rejected += 1
         self.has_no_list = not self.destinations
 
     def add(self, entry: EndpointEntry, address: Address) -> None:
-        """Adds a host, or changes what is known of it."""
+        """Adds a host, or updates its entry and address."""
         host = entry.endpoint
         self.entries[host] = entry, address
         self.context.delivery.add_host(host, address, entry.destination)
@@ -71,20 +72,20 @@
         self.batch_sizes[host] = (kind and kind.max_batch_size) or 1
 
     def remove(self, host: str) -> None:
-        """Removes a host that no list names any more."""
+        """Removes a host that the list no longer contains."""
         self.context.delivery.remove_host(host)
         self.batch_sizes.pop(host, None)
         self.entries.pop(host, None)
 
     def is_known(self, host: str) -> bool:
-        """Returns whether a host is listed, or is disabled since it was."""
+        """Returns whether a host is listed or disabled."""
         return host in self.batch_sizes or host in self.disabled
 
     def disable(self, host: str) -> None:
-        """The operator takes a host out of service, whatever the list says, until `enable`."""
+        """Takes a host out of service at the operator's request, whatever the list says, until `enable`."""
         if host in self.disabled:
             return
-        log.info("host %s disabled by the operator", host)
+        log.info("host %s disabled by the operator; no new calls begin", host)
         self.disabled.add(host)
         self.context.delivery.drain_host(host)
         self.context.post(EndpointDisabled(host))
@@ -92,7 +93,7 @@
             observer.endpoint_disabled(host)
 
     def enable(self, host: str) -> None:
-        """The operator puts a host back into service."""
+        """Puts a host back into service at the operator's request."""
         if host not in self.disabled:
             return
         log.info("host %s enabled by the operator", host)
@@ -104,15 +105,15 @@
             observer.endpoint_enabled(host)
 
     def restore_disabled(self, hosts: Iterable[str]) -> None:
-        """Disables the hosts that were disabled before a restart."""
+        """Disables again the hosts that the operator had disabled before a restart."""
         for host in hosts:
             self.disabled.add(host)
             self.context.post(EndpointDisabled(host))
 
     def release(self, candidates: Iterable[int]) -> list[int]:
-        """Forgets the destinations among the candidates for which no message is open; returns them.
+        """Removes the idle destinations among the candidates, those without an open message; returns them.
 
-        What the decisions have learned of them (a Retry-After, an open circuit) stays there.
+        The scheduler keeps what it has learned about them, such as a Retry-After or an open circuit.
         """
         idle = self._idle(candidates)
         if not idle:
@@ -140,7 +141,11 @@
         return idle
 
     def refresh_after_stall(self, stalled_for: float) -> None:
-        """Asks discovery anew after a stall in which changes may have become binding."""
+        """Requests the list again after a stall during which changes may have become binding.
+
+        Args:
+            stalled_for: duration of the stall in seconds.
+        """
         discovery = self.context.discovery
         if stalled_for >= LIST_STALE_AFTER_S and discovery.revision is not None:
             discovery.pause()
--- a/loftrelay/relay/engine.py
+++ b/loftrelay/relay/engine.py
@@ -1,11 +1,11 @@
-"""The engine of one relay: owns the decisions, runs them in batches and carries their actions out in order.
+"""The engine of one relay: runs the scheduler in batches and carries out its actions in order.
 
-intake            admits messages and answers their clients
-attempts          begins calls and takes in their outcomes
+intake            admits messages and responds to their clients
+attempts          begins calls and handles their results
 final_statuses    records and reports how messages end
-endpoints         the hosts, as listed and as operators disable them
-recovery          takes up the journal after a restart
-handover          stops for a successor, or goes on for a predecessor
+endpoints         the hosts, as listed and as disabled by operators
+recovery          restores the messages of the journal after a restart
+handover          pauses for a successor, or continues for a predecessor
 """
 
 from __future__ import annotations
@@ -57,13 +57,13 @@
 class Engine:
     """One relay.
 
-    The ports call it back, so they are given later, by `connect` or `take_over`; it runs from there on.
+    The ports call the engine back, so they are passed later, to `connect` or `take_over`, which start it.
 
     Args:
-        seed: of the random draws of the decisions.
-        settings: in force until `apply_settings`.
-        journal: the messages that are not over.
-        store: the store of record, where the operator has set one.
+        seed: seed of the scheduler's random generator.
+        settings: used until `apply_settings`.
+        journal: holds the open messages.
+        store: the store of record, if the operator has configured one.
     """
 
     def __init__(
@@ -93,10 +93,14 @@
     ) -> None:
         """Starts from the journal.
 
-        Args: delivery: carries calls out. discovery: the endpoint list. status_reporter: tells the platform
-        final statuses. cached_list: the endpoint list as last known. disabled_hosts: by the operator, before
-        a restart. subscription: `discovery`, where destinations are subscribed to. Recovered messages then
-        wait until their destinations are resolved, or for `recovery.replay`.
+        Args:
+            delivery: sends calls.
+            discovery: source of the endpoint list.
+            status_reporter: reports final statuses to the platform.
+            cached_list: the last known endpoint list.
+            disabled_hosts: hosts that the operator disabled before a restart.
+            subscription: `discovery`, if the relay subscribes to destinations; recovered messages then wait
+                until their destinations are resolved, or for `recovery.replay`.
         """
         self.context.subscription = subscription
         self.endpoints.restore_disabled(disabled_hosts)
@@ -111,7 +115,7 @@
         state: HandoverState,
         subscription: SubscribedDirectory | None = None,
     ) -> None:
-        """Starts where another process has stopped, in place of `connect`."""
+        """Starts from the state of a predecessor, in place of `connect`."""
         self._set_ports(delivery, discovery, status_reporter)
         self.context.subscription = subscription
         self.handover.take_over(state)
@@ -125,7 +129,7 @@
 
     @property
     def has_unfinished_work(self) -> bool:
-        """Whether a graceful shutdown still waits for a call, a report or the store."""
+        """Whether a graceful shutdown still has to wait for a call, a report or the store."""
         counts = self.context.message_states.counts
         return bool(
             self.context.delivery.is_busy
@@ -135,19 +139,19 @@
         )
 
     def destination_resolved(self, destination: int, status: ResolutionStatus) -> None:
-        """Goes on with the messages that waited for a destination to be resolved."""
+        """Continues with the messages that waited for a destination to be resolved."""
         self.recovery.destination_resolved(destination, status)
         self.intake.destination_resolved(destination, status)
 
     def release_destinations(self, candidates: Iterable[int]) -> list[int]:
-        """Forgets the idle destinations among the candidates; returns them."""
+        """Removes the idle destinations among the candidates; returns them."""
         if not self.context.is_deciding or self.recovery.messages:
             return []
         pending = self.intake.pending.by_destination
         return self.endpoints.release(destination for destination in candidates if destination not in pending)
 
     def apply_settings(self, settings: RelaySettings, discovery: Address) -> None:
-        """Uses new settings, and discovery at a new address. Open messages keep their terms."""
+        """Applies new settings and a new address of discovery. Open messages keep their terms."""
         context = self.context
         context.settings = settings
         context.accepted_classes.apply_settings(settings, wall_clock())
@@ -157,7 +161,7 @@
         self.move_discovery(discovery)
 
     def move_discovery(self, address: Address) -> None:
-        """Asks discovery at another address from now on."""
+        """Uses another address of discovery from now on."""
         context = self.context
         if address != context.discovery.address:
             log.info("discovery moves to %s:%d", *address)
@@ -165,10 +169,10 @@
             context.status_reporter.move_to(address)
 
     def metric_lines(self) -> list[str]:
-        """Returns the lines of all metrics, as operators read them."""
+        """Returns the lines of all metrics for operators."""
         context = self.context
-        ending = context.message_states.counts[Stage.RECORDING_DELIVERY]
-        outstanding = 0 if context.is_handed_over else len(context.journal.messages) - ending
+        delivered = context.message_states.counts[Stage.RECORDING_DELIVERY]
+        outstanding = 0 if context.is_handed_over else len(context.journal.messages) - delivered
         gauges = Gauges(
             outstanding, len(self.endpoints.batch_sizes), context.scheduler.avoided_endpoint_count()
         )
@@ -183,7 +187,7 @@
                 calls.setdefault(action.endpoint, []).append(action)
             else:
                 self._carry_out(action)
-        self.intake.answer_admitted()  # before the first byte of a first attempt
+        self.intake.respond_to_admitted()  # before the first byte of any attempt is sent
         for host, sends in calls.items():
             self._begin_calls(host, sends)
 
@@ -202,7 +206,7 @@
             case WriteLog(text):
                 log.info("%s", text)
             case _:
-                log.error("action not supported by a relay: %s", action)
+                log.error("internal error: the engine does not support the scheduler's action %s", action)
 
     def _begin_calls(self, host: str, sends: list[SendAttempt]) -> None:
         size = self.endpoints.batch_sizes.get(host, 1)
--- a/loftrelay/relay/events.py
+++ b/loftrelay/relay/events.py
@@ -1,4 +1,4 @@
-"""Builds the events that tell the decisions of a message in the journal and of its attempts."""
+"""Builds scheduler events from the messages of the journal and their attempts."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_terms import unpack
 
-DECIDE_ANEW_US = 1  # the shortest postponement: an attempt that was not begun costs none, and is decided anew
+# Shortest postponement: an attempt that was not begun is not counted, and is scheduled again at once.
+RESCHEDULE_DELAY_US = 1
 
 
-def submission_of(message: Message) -> MessageSubmitted:
-    """Returns the submission of a message, with the time that it has left now."""
+def submission_event(message: Message) -> MessageSubmitted:
+    """Returns the submission event of a message, with the time that is left now until its deadline."""
     terms = unpack(message.class_name, message.packed_terms) if message.packed_terms is not None else None
     return MessageSubmitted(
         message_id=message.id,
@@ -24,11 +25,11 @@
     )
 
 
-def recovery_of(message: Message, now: int) -> MessageRecovered:
-    """Returns the recovery of a message; `now` is the wall clock in microseconds."""
+def recovery_event(message: Message, now: int) -> MessageRecovered:
+    """Returns the recovery event of a message; `now` is in wall-clock microseconds."""
     first_attempt_at = message.first_attempt_at
     return MessageRecovered(
-        submission=submission_of(message),
+        submission=submission_event(message),
         age=max(0, now - message.admitted_at),
         attempts=message.attempts,
         first_attempt_age=None if first_attempt_at is None else max(0, now - first_attempt_at),
@@ -37,13 +38,13 @@
     )
 
 
-def not_sent(message: Message, host: str, postponed_for: int) -> AttemptEnded:
-    """Returns the outcome of an attempt that was not begun, for a reason of this relay's own.
+def not_sent_event(message: Message, host: str, postponed_for: int) -> AttemptEnded:
+    """Returns the event of an attempt that this relay decided not to begin.
 
     Args:
-        message: its attempts have been set back: this one costs none.
-        host: where it was to go.
-        postponed_for: microseconds until it may be attempted again.
+        message: the message; its attempt counter has been decremented already, as this attempt doesn't count.
+        host: the host of the attempt.
+        postponed_for: delay before the next attempt, in microseconds.
     """
     return AttemptEnded(
         message_id=message.id,
--- a/loftrelay/relay/fault_points.py
+++ b/loftrelay/relay/fault_points.py
@@ -1,42 +1,42 @@
-"""Fault points: named places in the life of a message and of a handover, where tests inject faults.
+"""Fault points: named places in the processing of a message and in a handover, where tests inject faults.
 
-Nobody listens in a relay that serves. The project's tests listen, and end or stop the process at each in
-turn.
+In production there is no listener. The tests install one that kills or suspends the process at each fault
+point in turn.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# A message that is delivered passes these in order. "commit K" is before, "committed K" right after a commit
-# that holds a change of kind K (loftrelay.store.state_machine.ChangeKind), in the thread of the store.
+# A delivered message passes these in order. "commit K" comes right before, "committed K" right after a store
+# commit that holds a change of kind K (loftrelay.store.state_machine.ChangeKind), in the store's thread.
 DELIVERY_POINTS = (
-    "journal take",  # it is in the journal, and the store has not been asked yet
+    "journal take",  # written to the journal; the store has not been asked yet
     "commit take",
     "committed take",
-    "recorded take",  # the event loop knows, and its client does not
-    "answered taken",  # 202 is written to its client
+    "recorded take",  # the event loop knows of the commit; the client has no response yet
+    "answered taken",  # 202 is written to the client
     "commit intend",
     "committed intend",
-    "journal try",  # before the first byte of an attempt
-    "heard",  # the response is read, and has no effect yet
-    "journal end",  # delivered, in the journal
+    "journal try",  # the attempt is recorded in the journal; none of its bytes is sent yet
+    "heard",  # the response is read and not processed yet
+    "journal end",  # the delivery is recorded in the journal
     "commit end",
-    "commit told",  # of a delivery, in the same commit as its end
+    "commit told",  # for a delivery in the same commit as "end"
     "committed end",
     "committed told",
-    "journal over",  # the message is over
+    "journal over",  # the message is complete in the journal
 )
-# One that fails or is rejected passes these besides:
+# A message that fails or is rejected also passes these:
 FINAL_STATUS_POINTS = (
     "commit outcome",
     "committed outcome",
-    "journal notice",  # its final status is decided
-    "tell",  # the store has the final status; the platform has not been told
-    "told",  # the platform has acknowledged it
+    "journal notice",  # the final status is recorded in the journal
+    "tell",  # the store has recorded the final status; the platform has no report yet
+    "told",  # the platform has acknowledged the report
 )
 
-# Of a handover:
+# Fault points of a handover, in order:
 PREDECESSOR_POINTS = ("frozen", "told state", "giving", "given", "handed over")
 SUCCESSOR_POINTS = ("loaded", "yours", "taken over")
 
@@ -46,6 +46,6 @@
 
 
 def fault_point(name: str) -> None:
-    """Tells the listener, if there is one, that the program is at a fault point."""
+    """Passes the name of a fault point that the program has reached to the listener, if there is one."""
     if listener is not None:
         listener(name)
--- a/loftrelay/relay/final_statuses.py
+++ b/loftrelay/relay/final_statuses.py
@@ -1,6 +1,7 @@
-"""Final statuses: records how a message ended, and tells its client or the platform, each exactly once.
+"""Final statuses: records how a message ended, and informs its client or the platform exactly once.
 
-Where there is a store, it has the final status before anybody is told. A message is over once that is done.
+Where there is a store, it records the final status before anyone is informed. After that the message is
+complete.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from loftrelay.relay.context import RelayContext
 from loftrelay.relay.fault_points import fault_point
 from loftrelay.relay.message import Message
-from loftrelay.relay.message_state import Answer
+from loftrelay.relay.message_state import ResponseCallback
 from loftrelay.relay.message_terms import is_idempotent
 from loftrelay.relay.statuses import (
     DELIVERED,
@@ -30,54 +31,58 @@
 
 
 class FinalStatuses:
-    """Ends messages of one relay."""
+    """Completes the messages of one relay."""
 
     def __init__(self, context: RelayContext) -> None:
         self.context = context
 
     def end(self, message_id: str, status: int, retry_after_ms: int) -> None:
-        """Ends a message undelivered.
+        """Ends a message that is not delivered.
 
-        Its client is answered if it still waits for the first answer, else the platform is told.
+        The status goes to its client if that still waits for its response, otherwise to the platform.
 
         Args:
-            message_id: the message.
+            message_id: id of the message.
             status: REJECTED or FAILED.
-            retry_after_ms: when the client may submit it again; 0 for no time.
+            retry_after_ms: delay before the client may submit it again, in milliseconds; 0 for none.
         """
         context = self.context
         if context.store is not None and status == REJECTED:
             retry_after_ms = retry_after_ms or context.store.retry_after_ms
-        if answer := context.message_states.begin_answering(message_id):
-            self._answer_client(message_id, answer, status, retry_after_ms)
+        if respond := context.message_states.begin_responding(message_id):
+            self._respond_to_client(message_id, respond, status, retry_after_ms)
             return
         final_status = final_status_record(status, retry_after_ms)
         context.journal.record_final_status(message_id, final_status)
         fault_point("journal notice")
         self.report(message_id, final_status)
 
-    def _answer_client(self, message_id: str, answer: Answer, status: int, retry_after_ms: int) -> None:
-        done = partial(self._client_answered, message_id, answer, status, retry_after_ms)
+    def _respond_to_client(
+        self, message_id: str, respond: ResponseCallback, status: int, retry_after_ms: int
+    ) -> None:
+        done = partial(self._finish_response, message_id, respond, status, retry_after_ms)
         if self.context.store is None:
             done()
             return
         stored = STORED_FAILED if status == FAILED else STORED_REJECTED
         self.context.store.record_final_status(message_id, stored, None, done)
 
-    def _client_answered(self, message_id: str, answer: Answer, status: int, retry_after_ms: int) -> None:
+    def _finish_response(
+        self, message_id: str, respond: ResponseCallback, status: int, retry_after_ms: int
+    ) -> None:
         context = self.context
         if (message := context.journal.messages.get(message_id)) is not None:
             final_status = FinalStatus.ABORTED if status == FAILED else FinalStatus.REJECTED
             context.metrics.count_final_status(message.class_name, final_status)
         context.journal.complete(message_id)
         context.message_states.complete(message_id)
-        answer(status, retry_after_ms)
+        respond(status, retry_after_ms)
         context.post(FinalStatusReported(message_id))
         if context.store is not None:
             context.store.final_status_reported(message_id)
 
     def report(self, message_id: str, final_status: FinalStatusRecord) -> None:
-        """Tells the platform a final status, once the store has it."""
+        """Reports a final status to the platform, once the store has recorded it."""
         context = self.context
         if context.store is None:
             context.message_states.report_without_store(message_id)
@@ -94,7 +99,7 @@
             self.context.status_reporter.report(message_id, final_status)
 
     def report_acknowledged(self, message_id: str) -> None:
-        """The platform has acknowledged a final status: the message is over."""
+        """Completes a message whose final status the platform has acknowledged."""
         fault_point("told")
         context = self.context
         message = context.journal.messages.get(message_id)
@@ -104,7 +109,7 @@
             counted = FinalStatus.ABORTED if has_failed else FinalStatus.REJECTED
             context.metrics.count_final_status(message.class_name, counted)
         context.message_states.complete(message_id)
-        # A rejection promised that submitting again does no harm, so its id is free again.
+        # A rejected message had no effect, so its id is free for another submission.
         is_remembered = has_failed and message is not None and not is_idempotent(message.packed_terms)
         context.journal.complete(message_id, FAILED if is_remembered else 0)
         if context.store is not None:
@@ -112,7 +117,7 @@
         context.post(FinalStatusReported(message_id))
 
     def message_delivered(self, message: Message) -> None:
-        """Ends a delivered message. The journal keeps it until the store has that."""
+        """Completes a delivered message. The journal keeps it until the store has recorded the delivery."""
         context = self.context
         remembered_status = 0 if is_idempotent(message.packed_terms) else DELIVERED
         context.metrics.count_final_status(message.class_name, FinalStatus.SUCCEEDED)
@@ -135,8 +140,8 @@
         fault_point("journal over")
         context.store.final_status_reported(message_id)
 
-    def record_silently(self, message_id: str) -> None:
-        """Has the store record a rejection that nobody is told: the client has left."""
+    def record_cancelled(self, message_id: str) -> None:
+        """Records a message as rejected in the store without a report, as its client has disconnected."""
         store = self.context.store
         if store is not None:
             done = partial(store.final_status_reported, message_id)
--- a/loftrelay/relay/handover_control.py
+++ b/loftrelay/relay/handover_control.py
@@ -1,7 +1,7 @@
-"""Handover: stops a relay for its successor, and goes on where a predecessor has stopped.
+"""Handover: pauses a relay for its successor, and continues from the state of a predecessor.
 
-While a relay is paused it decides, begins, writes and reports nothing. Outcomes of its calls that are still
-in flight go to an OutcomeForwarder, and on to the process that decides.
+A paused relay makes no decisions, begins no calls, writes no records and reports no final statuses. Results
+of its calls that are still in flight go to an OutcomeForwarder, which passes them to the deciding process.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.context import RelayContext
 from loftrelay.relay.endpoints import Endpoints
-from loftrelay.relay.events import DECIDE_ANEW_US, not_sent, recovery_of, submission_of
+from loftrelay.relay.events import RESCHEDULE_DELAY_US, not_sent_event, recovery_event, submission_event
 from loftrelay.relay.final_statuses import FinalStatuses
 from loftrelay.relay.handover_state import HandoverState, write_state
 from loftrelay.relay.intake import Intake
@@ -55,9 +55,9 @@
     # The predecessor
 
     def pause(self, forwarder: OutcomeForwarder) -> None:
-        """Stops deciding until `resume`. Calls that have not begun are withdrawn, to be decided anew."""
+        """Stops making decisions until `resume`. Withdraws and reschedules the calls that have not begun."""
         context = self.context
-        self.intake.answer_admitted()
+        self.intake.respond_to_admitted()
         self.intake.reject_pending()
         context.outcome_forwarder = forwarder
         context.batch_loop.cancel_timer()
@@ -65,22 +65,22 @@
         for message, host in context.delivery.withdraw_unsent_calls():
             message.attempts -= 1
             context.message_states.end_attempt(message.id)
-            context.batch_loop.add(not_sent(message, host, DECIDE_ANEW_US), now)
+            context.batch_loop.add(not_sent_event(message, host, RESCHEDULE_DELAY_US), now)
         context.discovery.pause()
         context.status_reporter.close()
 
     def resume(self) -> None:
-        """Goes on as if it had not been paused."""
+        """Continues after a handover that was given up."""
         context = self.context
         context.outcome_forwarder = None
         context.batch_loop.timer = None
-        context.scheduler.state.timer_set_for = 0  # the timer that was set is gone
+        context.scheduler.state.timer_set_for = 0  # `pause` cancelled the timer
         context.discovery.watch()
         context.status_reporter.move_to(context.discovery.address)
         context.post(TimerFired(0))
 
     def export_state(self) -> dict[str, Any]:
-        """Returns what the successor needs beside the journal; to be called while paused."""
+        """Returns the state that the successor needs in addition to the journal. Call it while paused."""
         context = self.context
         return write_state(
             scheduler=context.scheduler,
@@ -97,7 +97,7 @@
     # The successor
 
     def take_over(self, state: HandoverState) -> None:
-        """Goes on where the predecessor has stopped; the ports are connected."""
+        """Continues from the state of the predecessor. The ports have to be connected."""
         context, scheduler_state = self.context, state.scheduler.state
         context.scheduler = state.scheduler
         context.batch_loop.now = max(context.batch_loop.clock(), scheduler_state.now)
@@ -109,7 +109,7 @@
         now = asyncio.get_running_loop().time()
         context.batch_loop.events, context.batch_loop.posted_at = [], []
         for event in state.events:
-            context.batch_loop.add(self._as_of_now(event), now)
+            context.batch_loop.add(self._with_current_remaining_time(event), now)
         context.post(SettingsChanged(context.settings))
         self._reconcile(state.sent_at)
         if context.subscription is not None:
@@ -117,26 +117,27 @@
             context.subscription.adopt(revision, state.destinations, state.entries)
         context.discovery.resume(state.revision)
 
-    def _as_of_now(self, event: Event) -> Event:
-        """Returns an event of the predecessor with the time that its message has left now."""
+    def _with_current_remaining_time(self, event: Event) -> Event:
+        """Returns an event of the predecessor with the time that is left now until its message's deadline."""
         if not isinstance(event, MessageSubmitted):
             return event
         message = self.context.journal.messages.get(event.message_id)
-        return event if message is None else submission_of(message)
+        return event if message is None else submission_event(message)
 
     def _reconcile(self, sent_at: Mapping[str, int]) -> None:
-        """Makes the messages of the journal and those of the decisions the same."""
+        """Makes the scheduler's messages match those of the journal."""
         context = self.context
         ended = {event.message_id for event in context.batch_loop.events if isinstance(event, AttemptEnded)}
         submitted = {
             event.message_id for event in context.batch_loop.events if isinstance(event, MessageSubmitted)
         }
-        for known in context.scheduler.state.messages.values():
-            if known.call is not None and known.name not in ended:
-                host = known.call.endpoint.name
-                context.message_states.adopt_attempt(known.name, host, sent_at.get(known.name))
-            if known.name not in context.journal.messages:
-                context.post(MessageCancelled(known.name))
+        for open_message in context.scheduler.state.messages.values():
+            message_id = open_message.name
+            if open_message.call is not None and message_id not in ended:
+                host = open_message.call.endpoint.name
+                context.message_states.adopt_attempt(message_id, host, sent_at.get(message_id))
+            if message_id not in context.journal.messages:
+                context.post(MessageCancelled(message_id))
         now = wall_clock()
         for message in context.messages_in_order():
             self._reconcile_message(message, submitted, now)
@@ -151,18 +152,20 @@
         if message.final_status is not None:
             self.final_statuses.report(message.id, message.final_status)
         elif message.id not in context.scheduler.state.messages and message.id not in submitted:
-            log.error("message %s is in the journal and was not handed over", message.id)
-            context.post(recovery_of(message, now))
+            log.error(
+                "message %s is missing in the predecessor's state; recovering it from the journal", message.id
+            )
+            context.post(recovery_event(message, now))
 
     def predecessor_lost(self) -> None:
-        """The predecessor is gone, with the calls that it still had in flight: they may have run."""
+        """Ends the calls of a predecessor that exited while they were in flight: they may have run."""
         states = self.context.message_states
-        for message_id in states.in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR):
+        for message_id in states.messages_in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR):
             host = states.by_message[message_id].host
             self.predecessor_attempt_ended(message_id, host, AttemptResult(AttemptStatus.CONNECTION_LOST))
 
     def predecessor_attempt_ended(self, message_id: str, host: str, result: AttemptResult) -> None:
-        """Takes in the outcome of a call of the predecessor."""
+        """Handles the result of an attempt that the predecessor began."""
         message = self.context.journal.messages.get(message_id)
         if message is not None:
             self.attempts.attempt_ended(message, host, result)
--- a/loftrelay/relay/handover_state.py
+++ b/loftrelay/relay/handover_state.py
@@ -1,6 +1,6 @@
-"""What one process hands to the next beside the journal, as JSON and back. No input or output.
+"""Conversion of the state that a process hands over, in addition to the journal, to JSON values and back.
 
-The names in the JSON are mapped to the fields of HandoverState here.
+This module maps the names in the JSON to the fields of HandoverState. Does no input or output.
 """
 
 from __future__ import annotations
@@ -20,22 +20,24 @@
 
 
 class HandoverError(ValueError):
-    """What was handed over can't be used."""
+    """The predecessor's state or an attempt result in it is malformed or of an unsupported version."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """The state of a predecessor."""
+    """State of a predecessor, in addition to the journal."""
 
     scheduler: Scheduler
-    events: list[Event]  # that the scheduler has not seen yet
+    events: list[Event]  # not processed by the scheduler yet
     entries: list[tuple[EndpointEntry, Address]]  # the endpoint list
-    revision: int | None  # of that list
+    revision: int | None  # revision of the endpoint list
     discovery: Address
-    destinations: set[int]  # that a list has named
-    sent_at: dict[str, int]  # of attempts in flight, by message, in microseconds of the shared clock
-    retired_classes: dict[str, tuple[PackedTerms, int]]  # classes still accepted, and until when
-    is_subscription: bool = False  # the list names only the destinations that the predecessor served
+    destinations: set[int]  # destinations with an entry in the endpoint list
+    # Message id -> when its attempt in flight began, in microseconds of the clock that both processes share.
+    sent_at: dict[str, int]
+    # Removed classes that are still accepted: name -> terms, and until when in wall-clock microseconds.
+    retired_classes: dict[str, tuple[PackedTerms, int]]
+    is_subscription: bool = False  # the list covers only the destinations that the predecessor served
     subscription_revision: int | None = None
 
 
@@ -53,7 +55,8 @@
 ) -> dict[str, Any]:
     """Returns the state of a predecessor as JSON values; the arguments are the fields of HandoverState.
 
-    The revision of a subscription stands apart: a successor without registries then asks for the full list.
+    The revision of a subscription has a separate key: a successor without registries then finds no revision
+    and requests the full list.
     """
     state: dict[str, Any] = {
         "module": snapshot.write(scheduler, events),
@@ -73,13 +76,19 @@
 def read_state(state: Mapping[str, Any], seed: int) -> HandoverState:
     """Returns the state that a predecessor wrote.
 
+    Args:
+        state: the JSON values.
+        seed: seed of the scheduler's random generator.
+
     Raises:
-        HandoverError: it is malformed, or was written by a program of another version.
+        HandoverError: the state is malformed, or was written by an incompatible version.
     """
     try:
         return _read_state(state, seed)
     except (snapshot.SnapshotError, *MALFORMED) as error:
-        raise HandoverError(f"what was handed over can't be used: {error!r}") from error
+        raise HandoverError(
+            f"state of the predecessor is malformed or of another version: {error!r}"
+        ) from error
 
 
 def _read_state(state: Mapping[str, Any], seed: int) -> HandoverState:
@@ -119,7 +128,7 @@
 
 
 def write_attempt_result(result: AttemptResult) -> list[Any]:
-    """Returns the outcome of an attempt as JSON values."""
+    """Returns the result of an attempt as JSON values."""
     row = [
         result.status.value,
         result.is_final,
@@ -127,14 +136,14 @@
         result.retry_after,
         result.connection_idle,
     ]
-    return [*row, True] if result.is_blocked else row  # earlier programs read five values
+    return [*row, True] if result.is_blocked else row  # earlier versions accept only five values
 
 
 def read_attempt_result(row: list[Any]) -> AttemptResult:
-    """Returns the outcome of an attempt that a predecessor wrote.
+    """Returns the result of an attempt that a predecessor wrote.
 
     Raises:
-        HandoverError: it is malformed.
+        HandoverError: the row is malformed.
     """
     try:
         status, is_final, is_expired, retry_after, connection_idle, *more = row
@@ -147,4 +156,4 @@
             is_blocked=bool(more and more[0]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise HandoverError(f"an outcome can't be read: {error!r}") from error
+        raise HandoverError(f"attempt result {row!r} is malformed: {error!r}") from error
--- a/loftrelay/relay/intake.py
+++ b/loftrelay/relay/intake.py
@@ -1,7 +1,7 @@
-"""Intake: admits submitted messages or rejects them, and answers their clients.
+"""Intake: admits or rejects submitted messages, and responds to their clients.
 
-A message is in the journal, and in the store if there is one, before its client gets 202. Where destinations
-are subscribed to, the first messages of an unknown one wait until it is resolved.
+A message is written to the journal, and to the store if there is one, before its client gets 202. Where the
+relay subscribes to destinations, messages to an unknown destination wait until it is resolved.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.context import RelayContext
 from loftrelay.relay.endpoints import Endpoints
-from loftrelay.relay.events import submission_of
+from loftrelay.relay.events import submission_event
 from loftrelay.relay.fault_points import fault_point
 from loftrelay.relay.final_statuses import FinalStatuses
 from loftrelay.relay.message import Message
-from loftrelay.relay.message_state import Answer, Stage
+from loftrelay.relay.message_state import ResponseCallback, Stage
 from loftrelay.relay.pending_submissions import PendingSubmission, PendingSubmissions
 from loftrelay.relay.ports import JournalFullError, ResolutionStatus, StoreDecision
 from loftrelay.relay.statuses import ACCEPTED, FAILED, REJECTED, STATUS_REJECTED
 
-OVERLOAD_RETRY_AFTER_MS = 1_000  # of a rejection for want of capacity
+OVERLOAD_RETRY_AFTER_MS = 1_000  # Retry-After of a rejection due to lack of capacity
 
 
 class Intake:
@@ -39,134 +39,138 @@
 
     @property
     def open_messages(self) -> int:
-        """Messages whose end is not decided."""
+        """Number of messages without a final status, those that wait for their destination included."""
         counts = self.context.message_states.counts
-        ending = counts[Stage.RECORDING_DELIVERY] + counts[Stage.RECORDING_FINAL_STATUS]
-        ending += self.context.status_reporter.pending
-        return len(self.context.journal.messages) - ending + len(self.pending)
+        completing = counts[Stage.RECORDING_DELIVERY] + counts[Stage.RECORDING_FINAL_STATUS]
+        completing += self.context.status_reporter.pending
+        return len(self.context.journal.messages) - completing + len(self.pending)
 
     def is_client_waiting(self, message_id: str) -> bool:
-        """Returns whether the client of a message has no answer yet."""
+        """Returns whether the client of a message has no response yet."""
         stage = self.context.message_states.stage(message_id)
-        return stage in (Stage.STORING, Stage.UNANSWERED) or message_id in self.pending
+        return stage in (Stage.STORING, Stage.AWAITING_BATCH) or message_id in self.pending
 
-    def submit(self, message: Message, answer: Answer) -> None:
+    def submit(self, message: Message, respond: ResponseCallback) -> None:
         """Admits or rejects a message.
 
-        While the event loop lags it is rejected at once: its client may have left, and earlier work goes
-        first.
+        While the event loop lags, the message is rejected at once: its client may have disconnected, and
+        earlier work has priority.
 
         Args:
             message: the message.
-            answer: called with a status and a Retry-After in milliseconds, by the next batch if admitted.
+            respond: called with an HTTP status and a Retry-After in milliseconds; for an admitted message,
+                by the next batch.
         """
         if self.context.batch_loop.is_lagging:
-            self._reject_lagging(message, answer)
+            self._reject_lagging(message, respond)
             return
         now = wall_clock()
-        deadline = asyncio.get_running_loop().time() + (message.deadline - now) / US_PER_S
+        loop_deadline = asyncio.get_running_loop().time() + (message.deadline - now) / US_PER_S
         message.packed_terms = self.context.accepted_classes.terms(message.class_name, now)
         if self._is_full():
-            self._reject(message, answer)
+            self._reject(message, respond)
         elif message.destination not in self.endpoints.destinations:
-            self._resolve_first(PendingSubmission(message, answer, deadline))
+            self._resolve_first(PendingSubmission(message, respond, loop_deadline))
         else:
             if self.context.subscription is not None:
                 self.context.subscription.mark_used(message.destination)
-            self._admit(message, answer, deadline)
+            self._admit(message, respond, loop_deadline)
 
     def _is_full(self) -> bool:
         max_open = self.context.settings.max_open_messages
         return max_open is not None and self.open_messages >= max_open
 
     def _resolve_first(self, submission: PendingSubmission) -> None:
-        """Has an unknown destination resolved, where destinations are subscribed to."""
+        """Subscribes to an unknown destination, or rejects the message where there is no subscription."""
         subscription = self.context.subscription
         if subscription is None or not self.context.is_deciding:
-            self._reject(submission.message, submission.answer)
+            self._reject(submission.message, submission.respond)
         elif self.pending.add(submission):
             subscription.resolve(submission.message.destination)
 
     def destination_resolved(self, destination: int, status: ResolutionStatus) -> None:
-        """Admits the messages that waited for a destination, in their order, or rejects them."""
+        """Admits the messages that waited for a destination, in order of arrival, or rejects them."""
         is_served = status is ResolutionStatus.RESOLVED and destination in self.endpoints.destinations
         for submission in self.pending.take(destination):
             if not is_served:
-                self._reject(submission.message, submission.answer)
+                self._reject(submission.message, submission.respond)
             elif self.context.batch_loop.is_lagging:
-                self._reject_lagging(submission.message, submission.answer)
+                self._reject_lagging(submission.message, submission.respond)
             else:
-                self._admit(submission.message, submission.answer, submission.loop_deadline)
+                self._admit(submission.message, submission.respond, submission.loop_deadline)
 
     def reject_pending(self) -> None:
-        """Rejects the messages that wait for a destination: nothing more is resolved here."""
+        """Rejects the messages that wait for a destination, as this process resolves no more destinations."""
         for submission in self.pending.take_all():
-            self._reject(submission.message, submission.answer)
+            self._reject(submission.message, submission.respond)
 
-    def _admit(self, message: Message, answer: Answer, deadline: float) -> None:
+    def _admit(self, message: Message, respond: ResponseCallback, loop_deadline: float) -> None:
         try:
             self.context.journal.admit(message)
         except JournalFullError:
-            self._reject(message, answer)
+            self._reject(message, respond)
             return
         fault_point("journal take")
         if self.context.store is None:
-            self._accept(message, answer, deadline)
+            self._accept(message, respond, loop_deadline)
             return
-        self.context.message_states.begin_storing(message.id, answer)
-        self.context.store.admit(message, partial(self._stored, message, deadline))
+        self.context.message_states.begin_storing(message.id, respond)
+        self.context.store.admit(message, partial(self._stored, message, loop_deadline))
 
-    def _stored(self, message: Message, deadline: float, decision: StoreDecision) -> None:
-        """Goes on with a message by what the store says of it."""
+    def _stored(self, message: Message, loop_deadline: float, decision: StoreDecision) -> None:
+        """Continues the admission of a message with the decision of the store."""
         fault_point("recorded take")
-        answer = self.context.message_states.storing_client(message.id)
+        respond = self.context.message_states.storing_callback(message.id)
         if decision.status or decision.retry_after_ms:
-            self._answer_by_store(message, answer, decision)
-        elif answer is not None:
-            self._accept(message, answer, deadline)
+            self._respond_by_store(message, respond, decision)
+        elif respond is not None:
+            self._accept(message, respond, loop_deadline)
         else:
-            self.final_statuses.record_silently(message.id)  # its client has left meanwhile
+            self.final_statuses.record_cancelled(message.id)  # its client has disconnected meanwhile
 
-    def _answer_by_store(self, message: Message, answer: Answer | None, decision: StoreDecision) -> None:
+    def _respond_by_store(
+        self, message: Message, respond: ResponseCallback | None, decision: StoreDecision
+    ) -> None:
         self.context.journal.complete(message.id)
-        if answer is None:
+        if respond is None:
             return
         self.context.message_states.complete(message.id)
         if not decision.status:
             self.context.metrics.count_final_status(message.class_name, FinalStatus.REJECTED)
-        answer(decision.status or REJECTED, decision.retry_after_ms)
+        respond(decision.status or REJECTED, decision.retry_after_ms)
 
-    def _accept(self, message: Message, answer: Answer, loop_deadline: float) -> None:
-        """Hands a message to the decisions; `deadline` is in seconds of the loop's clock."""
+    def _accept(self, message: Message, respond: ResponseCallback, loop_deadline: float) -> None:
+        """Submits a message to the scheduler; `loop_deadline` is in seconds of the event loop's clock."""
         if self.context.is_stopping:
             self.context.message_states.enqueue(message.id)
-            answer(ACCEPTED, 0)
+            respond(ACCEPTED, 0)
             return
-        self.context.message_states.await_answer(message.id, answer)
+        self.context.message_states.await_batch(message.id, respond)
         remaining = int((loop_deadline - asyncio.get_running_loop().time()) * US_PER_S)
-        self.context.post(replace(submission_of(message), time_remaining=remaining))
+        self.context.post(replace(submission_event(message), time_remaining=remaining))
 
-    def answer_admitted(self) -> None:
-        """Answers the clients of all messages that the decisions have taken in."""
-        if answers := self.context.message_states.answer_admitted():
-            for answer in answers:
-                answer(ACCEPTED, 0)
+    def respond_to_admitted(self) -> None:
+        """Sends 202 to the clients of all messages that the last batch has admitted."""
+        if callbacks := self.context.message_states.mark_admitted():
+            for respond in callbacks:
+                respond(ACCEPTED, 0)
             fault_point("answered taken")
 
-    def _reject_lagging(self, message: Message, answer: Answer) -> None:
-        self._reject(message, answer)
+    def _reject_lagging(self, message: Message, respond: ResponseCallback) -> None:
+        self._reject(message, respond)
         if not self.context.batch_loop.is_batch_due:
-            self.context.post(TimerFired(0))  # without a batch the relay would go on lagging
+            self.context.post(TimerFired(0))  # the lag is over only after a batch has run
 
-    def _reject(self, message: Message, answer: Answer) -> None:
+    def _reject(self, message: Message, respond: ResponseCallback) -> None:
         self.context.metrics.count_final_status(message.class_name, FinalStatus.REJECTED)
-        answer(REJECTED, OVERLOAD_RETRY_AFTER_MS)
+        respond(REJECTED, OVERLOAD_RETRY_AFTER_MS)
 
     def known_response(self, message_id: str) -> tuple[int, int] | None:
-        """Returns the status and Retry-After (ms) for an id that this relay has or had; None for a new one.
+        """Returns the HTTP status and Retry-After (ms) for a known message id; None for a new one.
 
-        An id that would do harm if it ran again is known until its time is up. A message whose final status
-        is being reported gets that status: the platform may know it already, and nothing would follow a 202.
+        The id of a message that must not run again stays known until its deadline. For a message whose final
+        status is being reported, the response is that status: the platform may have received it already, and
+        nothing would follow a 202.
         """
         context = self.context
         message = context.journal.messages.get(message_id)
@@ -181,19 +185,22 @@
         return FAILED, 0
 
     def cancel(self, message_id: str) -> None:
-        """Drops a message whose client has left before its answer."""
+        """Drops a message whose client has disconnected before its response."""
         context = self.context
         self.pending.cancel(message_id)
         stage = context.message_states.stage(message_id)
-        if stage in (Stage.STORING, Stage.UNANSWERED):
+        if stage in (Stage.STORING, Stage.AWAITING_BATCH):
             context.message_states.complete(message_id)
             context.journal.complete(message_id)
-        if stage is Stage.UNANSWERED:
-            self.final_statuses.record_silently(message_id)
+        if stage is Stage.AWAITING_BATCH:
+            self.final_statuses.record_cancelled(message_id)
             context.post(MessageCancelled(message_id))
 
     def stop(self) -> None:
-        """Before the end of the process: what has come is answered, what comes is kept for the next start."""
+        """Prepares the end of the process: messages admitted from now on are kept for the next start.
+
+        Clients of messages that are admitted already get their response; pending submissions are rejected.
+        """
         self.context.is_stopping = True
-        self.answer_admitted()
+        self.respond_to_admitted()
         self.reject_pending()
--- a/loftrelay/relay/message.py
+++ b/loftrelay/relay/message.py
@@ -1,4 +1,4 @@
-"""Messages of the journal: those that are not over, and what is remembered of those that are."""
+"""Messages of the journal: open ones, and the remembered results of completed ones."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @dataclass(slots=True, frozen=True)
 class CompletedMessage:
-    """How a message ended: its id gets this answer when it is submitted again."""
+    """The result of a completed message: the response when its id is submitted again."""
 
-    status: int
+    status: int  # HTTP status
     expires_at: int  # wall-clock microseconds
 
 
 @dataclass(slots=True)
 class Message:
-    """One message that is not over. Times are wall-clock microseconds.
+    """An open message. Times are in wall-clock microseconds.
 
-    The names of the fields in stored records are mapped in the journal.
+    The journal maps the fields to their names in stored records.
     """
 
     id: str
-    sequence: int  # its place in the order of admission
+    sequence: int  # position in the order of admission
     class_name: str
     tenant: str | None
     destination: int
@@ -32,10 +32,10 @@
     deadline: int
     body: bytes = b""
     attempts: int = 0
-    attempt_started_at: int | None = None  # an attempt without a known outcome
+    attempt_started_at: int | None = None  # start of the attempt whose result is not known yet
     attempt_host: str | None = None
-    first_attempt_at: int | None = None  # the first attempt that may have run
+    first_attempt_at: int | None = None  # start of the first attempt that may have run
     first_attempt_host: str | None = None
-    final_status: dict[str, Any] | None = None  # until the platform has acknowledged it
-    packed_terms: Sequence[Any] | None = None  # see message_terms; None: an older program admitted it
-    idempotency_key: str | None = None  # by which its host drops repeats; forwarded unchanged
+    final_status: dict[str, Any] | None = None  # set until the platform has acknowledged it
+    packed_terms: Sequence[Any] | None = None  # see message_terms; None: admitted by an older version
+    idempotency_key: str | None = None  # the host uses it to drop duplicates; forwarded unchanged
--- a/loftrelay/relay/message_terms.py
+++ b/loftrelay/relay/message_terms.py
@@ -1,6 +1,6 @@
-"""The terms under which a message is admitted, as the journal stores them, and the classes that are accepted.
+"""Delivery terms of messages in the form that the journal stores, and the classes that are accepted.
 
-No input or output.
+Does no input or output.
 """
 
 from __future__ import annotations
@@ -11,12 +11,13 @@
 
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass, MessageTerms, RelaySettings
 
-# As in the journal: semantics, dedup scope and window, latency objective, deadline, priority weight, its late
-# share, whether ordered, most attempts.
+# As in the journal: semantics, dedup scope, dedup window, latency objective, deadline, priority weight, late
+# priority weight, whether ordered, most attempts.
 PackedTerms = tuple[Any, ...]
 
 REPEATABLE_VALUES = (DeliverySemantics.IDEMPOTENT.value, DeliverySemantics.DEDUPLICATED.value)
-# Clients go on using a removed class until they know of it, and submit rejected messages again.
+# Shortest time for which a removed class is accepted: clients use it until they learn of its removal, and
+# submit rejected messages again.
 MIN_RETIREMENT_US = 5_000_000
 
 
@@ -36,7 +37,7 @@
 
 
 def unpack(class_name: str, packed: Sequence[Any]) -> MessageTerms:
-    """Returns the terms that `pack` stored."""
+    """Returns the terms that `pack` has packed."""
     return _unpack(class_name, tuple(packed))
 
 
@@ -47,44 +48,49 @@
 
 
 def is_repeatable(packed: Sequence[Any] | None) -> bool:
-    """Returns whether a message of these terms may run twice; unknown terms say no."""
+    """Returns whether a message with these terms may run twice; False for unknown terms."""
     return packed is not None and packed[0] in REPEATABLE_VALUES
 
 
 def is_idempotent(packed: Sequence[Any] | None) -> bool:
-    """Returns whether a message of these terms may run again at any time.
+    """Returns whether a message with these terms may run again at any time.
 
-    A destination that drops repeats does so for a while only: the id of such a message has to be known for as
-    long as a client may submit it again.
+    A destination that drops duplicates does so only for its dedup window, so the id of such a message has to
+    stay known for as long as a client may submit it again.
     """
     return packed is not None and packed[0] == DeliverySemantics.IDEMPOTENT.value
 
 
 class AcceptedClasses:
-    """The classes under which messages are admitted: those in force, and for a while those removed."""
+    """The classes under which messages are admitted: configured ones, and for some time removed ones."""
 
     def __init__(self, settings: RelaySettings) -> None:
         self.settings = settings
-        # Terms, and until when (wall clock, microseconds).
+        # Class name -> terms, and until when it is accepted (wall-clock microseconds).
         self.retired: dict[str, tuple[PackedTerms, int]] = {}
 
     def apply_settings(self, settings: RelaySettings, now: int) -> None:
-        """Uses the classes of new settings, and retires those that are not in them."""
-        before = self.settings
+        """Uses the classes of new settings, and retires the classes that they no longer contain.
+
+        Args:
+            settings: the new settings.
+            now: the time in wall-clock microseconds.
+        """
+        previous = self.settings
         self.settings = settings
-        for name, message_class in before.classes.items():
+        for name, message_class in previous.classes.items():
             if name not in settings.classes:
                 accepted_for = max(MIN_RETIREMENT_US, message_class.deadline or 0)
-                self.retired[name] = pack(message_class, before.max_attempts), now + accepted_for
+                self.retired[name] = pack(message_class, previous.max_attempts), now + accepted_for
         for name in settings.classes:
             self.retired.pop(name, None)
 
     def restore_retired(self, retired: Mapping[str, tuple[PackedTerms, int]]) -> None:
-        """Takes over the retired classes of a predecessor."""
-        self.retired = {name: each for name, each in retired.items() if name not in self.settings.classes}
+        """Restores the retired classes of a predecessor, except those that are configured here."""
+        self.retired = {name: entry for name, entry in retired.items() if name not in self.settings.classes}
 
     def terms(self, class_name: str, now: int) -> PackedTerms | None:
-        """Returns the terms of a class; None for one that is not accepted."""
+        """Returns the terms of a class; None if it is not accepted. `now` is in wall-clock microseconds."""
         message_class = self.settings.classes.get(class_name)
         if message_class is not None:
             return pack(message_class, self.settings.max_attempts)
@@ -95,7 +101,7 @@
         return packed
 
     def message_class(self, class_name: str, now: int) -> MessageClass | None:
-        """Returns a class that is accepted; None for any other."""
+        """Returns a class by name; None if it is not accepted. `now` is in wall-clock microseconds."""
         message_class = self.settings.classes.get(class_name)
         if message_class is not None:
             return message_class
--- a/loftrelay/relay/pending_submissions.py
+++ b/loftrelay/relay/pending_submissions.py
@@ -1,6 +1,6 @@
-"""Submissions that wait until their destination is resolved: unanswered, and in no journal.
+"""Submissions that wait for their destination to be resolved.
 
-No input or output.
+Their clients have no response yet, and the journal does not hold them. Does no input or output.
 """
 
 from __future__ import annotations
@@ -8,24 +8,24 @@
 from dataclasses import dataclass
 
 from loftrelay.relay.message import Message
-from loftrelay.relay.message_state import Answer
+from loftrelay.relay.message_state import ResponseCallback
 
 
 @dataclass(frozen=True, slots=True)
 class PendingSubmission:
-    """One message whose destination is not known yet."""
+    """A message whose destination is not resolved yet."""
 
     message: Message
-    answer: Answer
-    loop_deadline: float  # seconds of the event loop's clock
+    respond: ResponseCallback
+    loop_deadline: float  # deadline of the message, in seconds of the event loop's clock
 
 
 class PendingSubmissions:
-    """All of one relay, in their order."""
+    """All pending submissions of one relay, in order of arrival."""
 
     def __init__(self) -> None:
         self.by_destination: dict[int, dict[str, PendingSubmission]] = {}
-        self.destinations: dict[str, int] = {}  # by message
+        self.destinations: dict[str, int] = {}  # by message id
 
     def __len__(self) -> int:
         return len(self.destinations)
@@ -34,7 +34,7 @@
         return message_id in self.destinations
 
     def add(self, submission: PendingSubmission) -> bool:
-        """Adds a submission; returns whether it is the first of its destination."""
+        """Adds a submission; returns whether it is the first for its destination."""
         message = submission.message
         is_first = message.destination not in self.by_destination
         self.by_destination.setdefault(message.destination, {})[message.id] = submission
@@ -42,7 +42,7 @@
         return is_first
 
     def cancel(self, message_id: str) -> None:
-        """Drops a submission whose client has left."""
+        """Removes a submission whose client has disconnected; an unknown id is ignored."""
         destination = self.destinations.pop(message_id, None)
         if destination is None:
             return
@@ -51,12 +51,14 @@
             del self.by_destination[destination]
 
     def take(self, destination: int) -> list[PendingSubmission]:
-        """Removes and returns all submissions of a destination."""
+        """Removes and returns all submissions for a destination, in order of arrival."""
         submissions = list(self.by_destination.pop(destination, {}).values())
         for submission in submissions:
             del self.destinations[submission.message.id]
         return submissions
 
     def take_all(self) -> list[PendingSubmission]:
-        """Removes and returns all submissions."""
-        return [each for destination in list(self.by_destination) for each in self.take(destination)]
+        """Removes and returns all submissions, grouped by destination."""
+        return [
+            submission for destination in list(self.by_destination) for submission in self.take(destination)
+        ]
--- a/loftrelay/relay/recovery.py
+++ b/loftrelay/relay/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery: takes up the messages of the journal after a restart.
+"""Recovery: restores the messages of the journal after a restart.
 
-The store, where there is one, is reconciled with the journal first. The decisions have to know where each
-message last ran: where destinations are subscribed to, they are resolved before the messages are replayed.
+The store, if there is one, is reconciled with the journal first. The scheduler has to know the host on which
+each message last ran, so a relay that subscribes to destinations resolves them before it replays messages.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from loftrelay.decisions.events import AttemptStatus, OrderingKeyCooldown
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.context import RelayContext
-from loftrelay.relay.events import recovery_of
+from loftrelay.relay.events import recovery_event
 from loftrelay.relay.final_statuses import FinalStatuses
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_terms import is_idempotent, is_repeatable
@@ -31,19 +31,19 @@
 
 
 class Recovery:
-    """The start of one relay from its journal."""
+    """Start of one relay from its journal."""
 
     def __init__(self, context: RelayContext, final_statuses: FinalStatuses) -> None:
         self.context = context
         self.final_statuses = final_statuses
-        self.messages: list[Message] = []  # that the decisions have not been told of yet
-        self.unresolved: set[int] = set()  # destinations of theirs that are not known yet
+        self.messages: list[Message] = []  # recovered, but not passed to the scheduler yet
+        self.unresolved: set[int] = set()  # destinations of these messages that are not resolved yet
 
     def run(self, cached_list: Mapping[str, Any]) -> None:
-        """Takes up all messages in the order in which they were admitted.
+        """Restores all messages in the order in which they were admitted.
 
         Args:
-            cached_list: the endpoint list as last known.
+            cached_list: the last known endpoint list.
         """
         context = self.context
         context.discovery.load_cached(cached_list)
@@ -51,7 +51,7 @@
             self._end_interrupted_attempt(message)
         self._restore_cooldowns()
         self.messages = [message for message in context.messages_in_order() if self._reconcile(message)]
-        recovered = self.messages  # replay empties the list
+        recovered = self.messages  # `replay` replaces self.messages by an empty list
         if context.subscription is None:
             self.replay()
         for message in recovered:
@@ -61,7 +61,7 @@
                 context.message_states.enqueue(message.id)
         self._end_lost_messages()
         if recovered:
-            log.info("%d messages recovered", len(recovered))
+            log.info("%d open messages recovered from the journal", len(recovered))
         if context.subscription is not None:
             self._resolve_destinations(recovered)
 
@@ -72,12 +72,12 @@
             self.context.journal.record_attempt_result(message, AttemptStatus.CONNECTION_LOST)
 
     def _restore_cooldowns(self) -> None:
-        """Holds ordering keys back whose last attempt may still be running."""
+        """Restores the cooldown of ordering keys whose last attempt may still be running."""
         now, cooldown = wall_clock(), self.context.settings.ordering_cooldown or 0
-        for key, given_up_at in self.context.journal.uncertain_keys.items():
+        for ordering_key, given_up_at in self.context.journal.uncertain_keys.items():
             remaining = given_up_at + cooldown - now
             if remaining > 0:
-                self.context.post(OrderingKeyCooldown(key, remaining))
+                self.context.post(OrderingKeyCooldown(ordering_key, remaining))
 
     def _resolve_destinations(self, messages: list[Message]) -> None:
         assert self.context.subscription is not None
@@ -99,48 +99,48 @@
             self.replay()
 
     def replay(self) -> None:
-        """Tells the decisions of the recovered messages, unless they have been told already."""
+        """Passes the recovered messages to the scheduler; does nothing if that is done already."""
         self.unresolved.clear()
         messages, self.messages = self.messages, []
         now = wall_clock()
         for message in messages:
-            if message.id in self.context.journal.messages:  # its end may have become known meanwhile
-                self.context.post(recovery_of(message, now))
+            if message.id in self.context.journal.messages:  # it may have been completed meanwhile
+                self.context.post(recovery_event(message, now))
 
     # Reconciliation with the store
 
     def _reconcile(self, message: Message) -> bool:
-        """Returns whether a message of the journal goes on, after what the store has of it."""
+        """Reconciles a message of the journal with the store; returns whether the message is still open."""
         store = self.context.store
         if store is None:
             return True
-        answer = store.recorded_answer(message.id)
+        recorded_answer = store.recorded_answer(message.id)
         action = store.recover(message, message.id, not is_repeatable(message.packed_terms))
         if action in (RecoveryAction.COMPLETE, RecoveryAction.DISCARD):
-            self._forget(message, answer)
+            self._drop_completed(message, recorded_answer)
             return False
         if action is RecoveryAction.UPDATE_STORE and message.final_status is None:
-            answer = STORED_DELIVERED
+            recorded_answer = STORED_DELIVERED
         final_status = message.final_status
         is_delivered = final_status is not None and final_status["status"] == STATUS_DELIVERED
-        if is_delivered or answer == STORED_DELIVERED:
+        if is_delivered or recorded_answer == STORED_DELIVERED:
             self.final_statuses.message_delivered(message)
             return False
         if action is RecoveryAction.REPORT_AGAIN and message.final_status is None:
-            self.context.journal.record_final_status(message.id, rejected_or_failed(answer))
-        # The decisions fail it: it may have run and can't be repeated.
+            self.context.journal.record_final_status(message.id, rejected_or_failed(recorded_answer))
+        # Recorded as a possible run, so that the scheduler fails the message: it must not run twice.
         if action is RecoveryAction.FAIL and message.first_attempt_at is None:
             self.context.journal.record_dispute(message, message.attempt_host or "", wall_clock())
         return True
 
-    def _forget(self, message: Message, answer: str | None) -> None:
-        """Drops a message that the store has as over; its id keeps the answer if it must not run again."""
+    def _drop_completed(self, message: Message, recorded_answer: str | None) -> None:
+        """Drops a message that is complete in the store; if it must not run again, its id is remembered."""
         statuses = {STORED_DELIVERED: DELIVERED, STORED_FAILED: FAILED}
-        status = 0 if is_idempotent(message.packed_terms) else statuses.get(answer or "", 0)
+        status = 0 if is_idempotent(message.packed_terms) else statuses.get(recorded_answer or "", 0)
         self.context.journal.complete(message.id, status)
 
     def _end_lost_messages(self) -> None:
-        """Ends what the store has unfinished and the journal lost: nobody knows whether it ran."""
+        """Ends messages that are unfinished in the store and lost from the journal: they may have run."""
         store = self.context.store
         if store is None:
             return
@@ -148,9 +148,9 @@
             self._end_lost_message(store, message_id)
 
     def _end_lost_message(self, store: MessageStore, message_id: str) -> None:
-        answer = store.recorded_answer(message_id)
+        recorded_answer = store.recorded_answer(message_id)
         store.recover(None, message_id, True)
-        if answer == STORED_DELIVERED:
+        if recorded_answer == STORED_DELIVERED:
             store.final_status_reported(message_id)
         else:
-            self.final_statuses.report(message_id, rejected_or_failed(answer))
+            self.final_statuses.report(message_id, rejected_or_failed(recorded_answer))
--- a/loftrelay/relay/statuses.py
+++ b/loftrelay/relay/statuses.py
@@ -1,4 +1,4 @@
-"""Statuses of responses to clients, and the words for final statuses in records."""
+"""HTTP statuses of responses to clients, and the names of final statuses in records."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 ACCEPTED = 202
 REJECTED = 503
 FAILED = 500
-DELIVERED = 200  # to an id that is submitted again after its delivery
+DELIVERED = 200  # response to an id that is submitted again after its delivery
 
 STATUS_DELIVERED = "delivered"
 STATUS_REJECTED = "deferred"
@@ -20,7 +20,12 @@
 
 
 def final_status_record(status: int, retry_after_ms: int) -> FinalStatusRecord:
-    """Returns the final status of a message that is failed or rejected."""
+    """Returns the record of a failed or rejected message.
+
+    Args:
+        status: FAILED or REJECTED.
+        retry_after_ms: delay before the client may submit it again, in milliseconds; 0 for none.
+    """
     record: FinalStatusRecord = {"status": STATUS_FAILED if status == FAILED else STATUS_REJECTED}
     if retry_after_ms:
         record["again_ms"] = retry_after_ms
@@ -28,10 +33,10 @@
 
 
 def rejected_or_failed(stored_answer: str | None) -> FinalStatusRecord:
-    """Returns the final status of a message by what the store has of it."""
+    """Returns the final status of a message by its recorded answer in the store; None if it has none."""
     return {"status": STATUS_REJECTED if stored_answer == STORED_REJECTED else STATUS_FAILED}
 
 
 def stored_answer(final_status: FinalStatusRecord) -> str:
-    """Returns the store's word for a final status that is told to the platform."""
+    """Returns the store's name of a final status that is reported to the platform."""
     return STORED_FAILED if final_status["status"] == STATUS_FAILED else STORED_REJECTED
--- a/tests/relay/conftest.py
+++ b/tests/relay/conftest.py
@@ -16,7 +16,7 @@
     def fault(message: str, *stages: object) -> None:
         raise AssertionError(f"{message}: {stages}")
 
-    monkeypatch.setattr(context, "_log_fault", fault)
+    monkeypatch.setattr(context, "_log_invalid_transition", fault)
 
 
 @pytest.fixture
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -174,7 +174,7 @@
         second_journal.take_ownership()
         ended_before = sum(first.context.metrics.final_statuses.values())
         second, _ = build(config(tmp_path), journal=second_journal, received=handed)
-        assert set(second.context.message_states.in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)) == {
+        assert set(second.context.message_states.messages_in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)) == {
             held.id for held, _ in steps.out
         }
         steps.use(second)
@@ -186,7 +186,7 @@
         outstanding = len(second.context.journal.messages)
         second.handover.predecessor_lost()
         second.context.batch_loop.run_due_batch()
-        assert not second.context.message_states.in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)
+        assert not second.context.message_states.messages_in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)
         assert len(second.context.journal.messages) <= outstanding
         steps.check(ended_before)
         close(first)
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -18,7 +18,7 @@
 from loftrelay.relay.attempts import GatedCall
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
-from loftrelay.relay.events import submission_of
+from loftrelay.relay.events import submission_event
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult, CallOptions, RecoveryAction, StoreDecision
 from loftrelay.server.http.server import HTTPServer
@@ -151,7 +151,7 @@
             engine.context.journal.admit(held)
             engine.context.message_states.enqueue(name)
             engine.context.scheduler.state.now = engine.context.batch_loop.clock()
-            lifecycle.admit(engine.context.scheduler.state, submission_of(held))
+            lifecycle.admit(engine.context.scheduler.state, submission_event(held))
         sends = [SendAttempt(name, "h", remaining, None) for name, remaining in lives.items()]
         engine.attempts.begin("h", sends, is_batch=batch)
         gone = (wall_clock() - now) / 1e6
@@ -181,7 +181,7 @@
             )
             engine.context.journal.admit(held)
             engine.context.message_states.enqueue(name)
-            engine.context.post(submission_of(held))
+            engine.context.post(submission_event(held))
         while (
             engine.context.scheduler.state.messages.get("m") is None
             or engine.context.scheduler.state.messages["m"].call is None
--- a/tests/relay/test_stall_detector.py
+++ b/tests/relay/test_stall_detector.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loftrelay.relay.stall_detector import LAG_THRESHOLD_S, STALL_THRESHOLD_S, WAKING_S, StallDetector
+from loftrelay.relay.stall_detector import LAG_AFTERMATH_S, LAG_THRESHOLD_S, STALL_THRESHOLD_S, StallDetector
 
 
 @pytest.mark.parametrize(
@@ -53,5 +53,5 @@
     woke = 10.2 + LAG_THRESHOLD_S + 0.1
     assert pulse.input_age(woke) == pytest.approx(woke - (10.2 + LAG_THRESHOLD_S - 0.001))
     pulse.expect_run_at(woke + 0.2)  # the sweep runs before sockets are read
-    assert pulse.input_age(woke + WAKING_S / 2) > 0
-    assert pulse.input_age(woke + WAKING_S + 0.001) == 0
+    assert pulse.input_age(woke + LAG_AFTERMATH_S / 2) > 0
+    assert pulse.input_age(woke + LAG_AFTERMATH_S + 0.001) == 0
