--- a/loftrelay/relay/shutdown_schedule.py
+++ b/loftrelay/relay/shutdown_schedule.py
@@ -25,7 +25,7 @@
     last_call: float  # no calls begin after this time
     # No messages are admitted after this time. It is late, as clients have no other relay before the restart.
     last_admission: float
-    last_answer: float  # clients that still wait get their response at this time
+    last_response: float  # clients that still wait get their response at this time
     exit: float  # latest time at which the process exits
 
 
@@ -40,6 +40,6 @@
     return ShutdownSchedule(
         last_call=max(0.0, grace_period - LAST_CALL_BEFORE_KILL_S),
         last_admission=grace_period - LAST_ADMISSION_BEFORE_KILL_S,
-        last_answer=exit_at - LAST_RESPONSE_BEFORE_EXIT_S,
+        last_response=exit_at - LAST_RESPONSE_BEFORE_EXIT_S,
         exit=exit_at,
     )
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -312,7 +312,7 @@
         log.info("%s: graceful shutdown, no new attempts", self.config.name)
         await asyncio.sleep(began + schedule.last_admission - loop.time())
         await server.shutdown()
-        await self._wait_for_work(engine, server, began + schedule.last_answer)
+        await self._wait_for_work(engine, server, began + schedule.last_response)
         server.reject_remaining()
         await self._wait_for_work(engine, server, began + schedule.exit)
 
--- a/tests/relay/test_shutdown_schedule.py
+++ b/tests/relay/test_shutdown_schedule.py
@@ -31,7 +31,7 @@
 def test_each_step_comes_before_sigkill(deadlines: list[float | None], grace: float) -> None:
     classes = [replace(ABOUT, deadline=None if d is None else int(d * 1e6)) for d in deadlines]
     schedule = shutdown_schedule(classes)
-    assert 0 <= schedule.last_call < schedule.last_admission < schedule.last_answer < schedule.exit < grace
+    assert 0 <= schedule.last_call < schedule.last_admission < schedule.last_response < schedule.exit < grace
     assert schedule.exit > grace - 0.15
     assert schedule.last_admission > grace - 0.3
 
