--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -261,7 +261,7 @@
         A relay that listens before its event loop runs freely leaves clients without an answer, where a
         refused connection would have told them at once.
         """
-        loop, interval = asyncio.get_running_loop(), engine.context.loop.interval
+        loop, interval = asyncio.get_running_loop(), engine.context.batch_loop.interval
         deadline = loop.time() + MAX_CATCH_UP_S
         await asyncio.sleep(interval)  # for the first batch
         while (
@@ -312,7 +312,7 @@
         log.info("%s: graceful shutdown, no new attempts", self.config.name)
         await asyncio.sleep(began + schedule.last_admission - loop.time())
         await server.shutdown()
-        await self._wait_for_work(engine, server, began + schedule.last_answer)
+        await self._wait_for_work(engine, server, began + schedule.last_response)
         server.reject_remaining()
         await self._wait_for_work(engine, server, began + schedule.exit)
 
--- a/tests/relay/test_counts.py
+++ b/tests/relay/test_counts.py
@@ -62,7 +62,7 @@
         self.handed_in = 0
         self.withdrawn = 0
         self.statuses: Counter[int] = Counter()
-        self.now = engine.context.loop.now
+        self.now = engine.context.batch_loop.now
         self.use(engine)
 
     def use(self, engine: Engine) -> None:
@@ -72,7 +72,7 @@
             self.out += [(message, host) for message in messages]
 
         # Virtual time for the module: its pauses pass from turn to turn.
-        engine.context.loop.clock = lambda: self.now  # type: ignore[method-assign]
+        engine.context.batch_loop.clock = lambda: self.now  # type: ignore[method-assign]
         engine.context.delivery.send_call = send  # type: ignore[method-assign]
         engine.context.delivery.withdraw_unsent_calls = list  # type: ignore[method-assign]
 
@@ -102,13 +102,13 @@
                     self.withdrawn += 1
             case 2 if self.out:
                 held, host = self.out.pop(draw.randrange(len(self.out)))
-                engine.attempts.ended(held, host, draw.choice(ENDINGS))
+                engine.attempts.attempt_ended(held, host, draw.choice(ENDINGS))
             case 3:
                 told = [m for m in list(engine.context.status_reporter.reports) if draw.random() < 0.5]  # type: ignore[attr-defined]
                 for message in told:
                     del engine.context.status_reporter.reports[message]  # type: ignore[attr-defined]
-                    engine.final_statuses.reported(message)
-        engine.context.loop.run_due_batch()
+                    engine.final_statuses.report_acknowledged(message)
+        engine.context.batch_loop.run_due_batch()
 
     def check(self, before: int = 0) -> None:
         """`before`: taken by another process, and ended or handed over there."""
@@ -174,19 +174,19 @@
         second_journal.take_ownership()
         ended_before = sum(first.context.metrics.final_statuses.values())
         second, _ = build(config(tmp_path), journal=second_journal, received=handed)
-        assert set(second.context.message_states.in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)) == {
+        assert set(second.context.message_states.messages_in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)) == {
             held.id for held, _ in steps.out
         }
         steps.use(second)
-        second.context.loop.run_due_batch()
+        second.context.batch_loop.run_due_batch()
         steps.check(ended_before)
         for _ in range(80):
             steps.step()
             steps.check(ended_before)
         outstanding = len(second.context.journal.messages)
         second.handover.predecessor_lost()
-        second.context.loop.run_due_batch()
-        assert not second.context.message_states.in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)
+        second.context.batch_loop.run_due_batch()
+        assert not second.context.message_states.messages_in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)
         assert len(second.context.journal.messages) <= outstanding
         steps.check(ended_before)
         close(first)
@@ -207,7 +207,7 @@
             Message("m1", 0, "status", "acme", 1, None, now, now + 20_000_000), lambda s, _: None
         )
         steps.handed_in = 1
-        engine.context.loop.run_due_batch()
+        engine.context.batch_loop.run_due_batch()
         assert len(steps.out) == 1
         heard: list[str] = []
 
@@ -224,13 +224,13 @@
         engine.handover.pause(Away())
         before = engine.metric_lines()
         held, host = steps.out.pop()
-        engine.attempts.ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
-        engine.context.loop.run_due_batch()
+        engine.attempts.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
+        engine.context.batch_loop.run_due_batch()
         assert heard == [held.id]
         assert engine.metric_lines() == before
         engine.handover.resume()
-        engine.attempts.ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
-        engine.context.loop.run_due_batch()
+        engine.attempts.attempt_ended(held, host, AttemptResult(AttemptStatus.OK, is_final=True))
+        engine.context.batch_loop.run_due_batch()
         steps.check()
         assert held.id not in engine.context.journal.messages
         close(engine)
