--- a/tests/delivery/driver.py
+++ b/tests/delivery/driver.py
@@ -1,4 +1,4 @@
-"""Drives the pure pools by hand, on a clock of its own, and keeps the account that their actions make."""
+"""Harness that drives a connection pool without sockets, on its own clock."""
 
 from __future__ import annotations
 
@@ -17,100 +17,128 @@
 from loftrelay.delivery.connection_pool.manager import PoolManager
 from loftrelay.delivery.connection_pool.settings import MS, SECOND, PoolSettings
 
-
-class Driver:
-    """Each action must be one that the account allows: AssertionError else."""
-
-    def __init__(self, seed: int = 1, **limits: Any) -> None:
-        self.pools = PoolManager(PoolSettings(**limits), seed)
+DEFAULT_HOST = "h"
+
+
+class PoolHarness:
+    """Feeds events to a pool, executes its actions and asserts that each is valid at that time.
+
+    Attributes:
+        manager: The pool under test.
+        now: The clock, in microseconds.
+        opening: Connects in progress: connection number -> host.
+        established: Open connections: connection number -> host.
+        leases: Calls in progress: call number -> connection number.
+        delays: Call number -> microseconds that the call had to wait for the reuse delay.
+        idle_times: Call number -> idle time of its connection in microseconds.
+        waiting: Calls without a connection.
+        errors: Call number -> the reason why it got no connection.
+        log_lines: Log lines of the pool.
+        open_count: Number of connects started.
+        call_count: Number of calls; also the number of the last one.
+    """
+
+    def __init__(self, seed: int = 1, **settings: Any) -> None:
+        self.manager = PoolManager(PoolSettings(**settings), seed)
         self.now = 1_000 * SECOND
         self.opening: dict[int, str] = {}
-        self.up: dict[int, str] = {}  # connections that stand, and their servers
-        self.calls: dict[int, int] = {}  # call -> its connection
-        self.after: dict[int, int] = {}
-        self.idle: dict[int, int] = {}  # call -> how long its connection had stood idle
+        self.established: dict[int, str] = {}
+        self.leases: dict[int, int] = {}
+        self.delays: dict[int, int] = {}
+        self.idle_times: dict[int, int] = {}
         self.waiting: set[int] = set()
-        self.denied: dict[int, PoolErrorKind] = {}
-        self.said: list[str] = []
-        self.opened = 0
-        self.number = 0
+        self.errors: dict[int, PoolErrorKind] = {}
+        self.log_lines: list[str] = []
+        self.open_count = 0
+        self.call_count = 0
 
-    def do(self, actions: list[Action]) -> None:
+    def execute(self, actions: list[Action]) -> None:
+        """Executes actions in order; fails on one that is not valid now."""
         for action in actions:
             match action:
-                case UseConnection(call, connection, after, idle):
+                case UseConnection(call, connection, delay, idle):
                     assert call in self.waiting
-                    assert connection in self.up
-                    assert connection not in self.calls.values(), "used twice at once"
+                    assert connection in self.established
+                    assert connection not in self.leases.values(), "connection is leased twice"
                     self.waiting.remove(call)
-                    self.calls[call], self.after[call], self.idle[call] = connection, after, idle
-                case OpenConnection(server, connection):
+                    self.leases[call], self.delays[call], self.idle_times[call] = connection, delay, idle
+                case OpenConnection(host, connection):
                     assert connection not in self.opening
-                    assert connection not in self.up
-                    self.opening[connection] = server
-                    self.opened += 1
+                    assert connection not in self.established
+                    self.opening[connection] = host
+                    self.open_count += 1
                 case CloseConnection(connection):
-                    assert (connection in self.up) != (connection in self.opening)
-                    assert connection not in self.calls.values(), "closed under its call"
-                    self.up.pop(connection, None)
+                    assert (connection in self.established) != (connection in self.opening)
+                    assert connection not in self.leases.values(), "connection is closed during its call"
+                    self.established.pop(connection, None)
                     self.opening.pop(connection, None)
-                case FailCall(call, why):
+                case FailCall(call, kind):
                     self.waiting.remove(call)
-                    self.denied[call] = why
+                    self.errors[call] = kind
                 case LogLine(text):
-                    self.said.append(text)
-
-    def place(self, server: str = "h", where: object = 1, group: object = 0) -> None:
-        self.do(self.pools.set_host(server, where, group, self.now))
-
-    def want(self, server: str = "h", unsafe: bool = False, most_idle: int | None = None) -> int:
-        self.number += 1
-        self.waiting.add(self.number)
-        self.do(self.pools.acquire(self.number, server, unsafe, most_idle, self.now))
-        return self.number
-
-    def come_up(self, took: int = 20 * MS) -> None:
-        """All that are opening come up."""
-        self.pass_time(took)
+                    self.log_lines.append(text)
+
+    def set_host(self, host: str = DEFAULT_HOST, address: object = 1, destination: object = 0) -> None:
+        """Adds a host or changes its address."""
+        self.execute(self.manager.set_host(host, address, destination, self.now))
+
+    def acquire(
+        self, host: str = DEFAULT_HOST, is_at_most_once: bool = False, max_idle: int | None = None
+    ) -> int:
+        """Requests a connection for a new call and returns the number of the call."""
+        self.call_count += 1
+        self.waiting.add(self.call_count)
+        self.execute(self.manager.acquire(self.call_count, host, is_at_most_once, max_idle, self.now))
+        return self.call_count
+
+    def complete_connects(self, duration: int = 20 * MS) -> None:
+        """Completes all connects in progress after `duration` microseconds."""
+        self.advance_clock(duration)
         for connection in list(self.opening):
             if connection in self.opening:
-                self.up[connection] = self.opening.pop(connection)
-                self.do(self.pools.connected(connection, self.now))
+                self.established[connection] = self.opening.pop(connection)
+                self.execute(self.manager.connected(connection, self.now))
 
-    def fail_opening(self, why: ConnectFailure = ConnectFailure.REFUSED) -> None:
+    def fail_connects(self, failure: ConnectFailure = ConnectFailure.REFUSED) -> None:
+        """Fails all connects in progress."""
         for connection in list(self.opening):
             if connection in self.opening:
                 del self.opening[connection]
-                self.do(self.pools.connect_failed(connection, why, self.now))
+                self.execute(self.manager.connect_failed(connection, failure, self.now))
 
-    def answer(self, call: int, reusable: bool = True, took: int | None = None) -> int:
-        connection = self.calls.pop(call)
-        self.do(self.pools.response_received(connection, reusable, self.now, took))
+    def respond(self, call: int, is_reusable: bool = True, response_time: int | None = None) -> int:
+        """Ends a call with a response and returns its connection."""
+        connection = self.leases.pop(call)
+        self.execute(self.manager.response_received(connection, is_reusable, self.now, response_time))
         return connection
 
-    def break_off(self, call: int, dead: bool = True) -> None:
-        connection = self.calls.pop(call)
-        del self.up[connection]
-        self.do(self.pools.connection_lost(connection, dead, self.now))
-
-    def peer_closes(self, connection: int) -> None:
-        del self.up[connection]
-        self.do(self.pools.closed_by_peer(connection, self.now))
-
-    def pass_time(self, time: int) -> None:
-        """Rings whatever is due on the way."""
-        ends = self.now + time
-        while (due := self.pools.next_timer_at) is not None and due <= ends:
+    def lose_connection(self, call: int, is_reset: bool = True) -> None:
+        """Ends a call with the loss of its connection."""
+        connection = self.leases.pop(call)
+        del self.established[connection]
+        self.execute(self.manager.connection_lost(connection, is_reset, self.now))
+
+    def close_by_peer(self, connection: int) -> None:
+        """Closes an idle connection from the side of the host."""
+        del self.established[connection]
+        self.execute(self.manager.closed_by_peer(connection, self.now))
+
+    def advance_clock(self, duration: int) -> None:
+        """Advances the clock by `duration` microseconds and runs each timer when it is due."""
+        end = self.now + duration
+        while (due := self.manager.next_timer_at) is not None and due <= end:
             self.now = max(self.now, due)
-            self.do(self.pools.run_timers(self.now))
-        self.now = ends
-
-    def serve(self, server: str = "h", unsafe: bool = False, time: int = 100 * MS) -> int:
-        """One whole call; gives the connection that it travelled on."""
-        call = self.want(server, unsafe)
+            self.execute(self.manager.run_timers(self.now))
+        self.now = end
+
+    def run_call(
+        self, host: str = DEFAULT_HOST, is_at_most_once: bool = False, response_time: int = 100 * MS
+    ) -> int:
+        """Runs one call from request to response and returns its connection."""
+        call = self.acquire(host, is_at_most_once)
         if call in self.waiting:
-            self.come_up()
-        connection = self.calls[call]
-        self.pass_time(self.after[call] + time)
-        self.answer(call, took=time)
+            self.complete_connects()
+        connection = self.leases[call]
+        self.advance_clock(self.delays[call] + response_time)
+        self.respond(call, response_time=response_time)
         return connection
--- a/tests/delivery/test_pool_trace.py
+++ b/tests/delivery/test_pool_trace.py
@@ -1,4 +1,4 @@
-"""The pool decides as before its split into modules: the same actions for the same events."""
+"""Regression test: the pool returns the same actions for the same events as before its split into modules."""
 
 from __future__ import annotations
 
@@ -20,10 +20,12 @@
 )
 from loftrelay.delivery.connection_pool.manager import PoolManager
 from loftrelay.delivery.connection_pool.settings import DistrustScope, PoolSettings, ReuseOrder
-from tests.delivery.pool_trace import Trace, settings_of
+from tests.delivery.pool_trace import PoolTrace, draw_settings
 
-GOLDEN: dict[str, str] = json.loads((Path(__file__).parent / "golden" / "pool_traces.json").read_text())
-API: dict[str, Any] = {
+GOLDEN_DIGESTS: dict[str, str] = json.loads(
+    (Path(__file__).parent / "golden" / "pool_traces.json").read_text()
+)
+METHOD_NAMES: dict[str, Any] = {
     "connected": "connected",
     "answered": "response_received",
     "request": "acquire",
@@ -53,7 +55,7 @@
         PoolErrorKind.HOST_REMOVED: "GONE",
     },
 }
-KINDS = {
+ACTION_NAMES = {
     UseConnection: "use",
     OpenConnection: "open",
     CloseConnection: "close",
@@ -62,23 +64,23 @@
 }
 
 
-def play(seed: int) -> tuple[str, dict[str, int]]:
-    settings = settings_of(seed)
+def run_trace(seed: int) -> tuple[str, dict[str, int]]:
+    settings = draw_settings(seed)
     settings["distrust_scope"] = DistrustScope(settings["distrust_scope"])
     settings["reuse_order"] = ReuseOrder(settings["reuse_order"])
-    trace = Trace(seed, PoolManager(PoolSettings(**settings), seed), API, KINDS)
-    return trace.run(), trace.actions
+    trace = PoolTrace(seed, PoolManager(PoolSettings(**settings), seed), METHOD_NAMES, ACTION_NAMES)
+    return trace.run(), trace.action_counts
 
 
-@pytest.mark.parametrize("seed", GOLDEN)
-def test_actions_are_those_of_the_pool_before_its_split(seed: str) -> None:
-    """The digests were made by the module at 32c0038."""
-    assert play(int(seed))[0] == GOLDEN[seed]
+@pytest.mark.parametrize("seed", GOLDEN_DIGESTS)
+def test_pool_actions_match_digest_of_earlier_version(seed: str) -> None:
+    """The digests were made with the single module at commit 32c0038."""
+    assert run_trace(int(seed))[0] == GOLDEN_DIGESTS[seed]
 
 
-def test_the_traces_cover_every_kind_of_action() -> None:
+def test_traces_contain_every_type_of_action() -> None:
     totals = Counter[str]()
-    for seed in GOLDEN:
-        totals.update(play(int(seed))[1])
-    assert set(totals) == set(KINDS.values())
+    for seed in GOLDEN_DIGESTS:
+        totals.update(run_trace(int(seed))[1])
+    assert set(totals) == set(ACTION_NAMES.values())
     assert min(totals.values()) > 100
--- a/tests/delivery/test_settings.py
+++ b/tests/delivery/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's file on connections: what is wrong is named by file, key and value; all or nothing."""
+"""Connection settings file: errors name file, key and value, and reject the whole file."""
 
 from __future__ import annotations
 
@@ -15,43 +15,43 @@
 from loftrelay.delivery.settings import FIELDS, KEYS, load_pool_settings
 from tests.standins.platform import ROOT
 
-SHIPPED = ROOT / "deploy" / "connections.toml"
+SHIPPED_FILE = ROOT / "deploy" / "connections.toml"
 
 
-def load(folder: Path, text: str) -> PoolSettings:
+def load_text(folder: Path, text: str) -> PoolSettings:
     path = folder / "connections.toml"
     path.write_text(text)
     return load_pool_settings(path)
 
 
-def test_an_empty_file_changes_nothing(tmp_path: Path) -> None:
-    assert load(tmp_path, "") == PoolSettings()
+def test_load_pool_settings_empty_file_gives_defaults(tmp_path: Path) -> None:
+    assert load_text(tmp_path, "") == PoolSettings()
 
 
-def test_each_key_is_mapped_to_one_field_of_its_own() -> None:
+def test_each_key_maps_to_its_own_settings_field() -> None:
     assert list(FIELDS) == [key.name for key in KEYS]
     assert [field for field, _ in FIELDS.values()] == [field.name for field in fields(PoolSettings)]
 
 
-def test_units_are_those_of_the_keys(tmp_path: Path) -> None:
-    limits = load(
+def test_load_pool_settings_converts_units_of_keys(tmp_path: Path) -> None:
+    settings = load_text(
         tmp_path,
         'strict = true\ndistrust = "server"\nrest_ms = 2.5\nage_limit_s = 60\norder = "rotate"\n'
         "early_percent = 50\ntrust_after_s = 0\nmost_per_server = 3\nopen_ahead = 2\nspread_percent = 10.0\n",
     )
-    assert limits.is_strict
-    assert limits.distrust_scope is DistrustScope.HOST
-    assert limits.reuse_order is ReuseOrder.ROTATE
-    assert limits.reuse_delay == 2_500
-    assert limits.max_age == 60 * SECOND
-    assert limits.trust_restored_after == 0
-    assert (limits.early_response_fraction, limits.max_per_host) == (0.5, 3)
-    assert (limits.max_prewarmed, limits.limit_jitter) == (2, 0.1)
-    assert limits.max_reuse_delay == 500 * MS  # as it is by default
+    assert settings.is_strict
+    assert settings.distrust_scope is DistrustScope.HOST
+    assert settings.reuse_order is ReuseOrder.ROTATE
+    assert settings.reuse_delay == 2_500
+    assert settings.max_age == 60 * SECOND
+    assert settings.trust_restored_after == 0
+    assert (settings.early_response_fraction, settings.max_per_host) == (0.5, 3)
+    assert (settings.max_prewarmed, settings.limit_jitter) == (2, 0.1)
+    assert settings.max_reuse_delay == 500 * MS  # the default
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "error_text"),
     [
         ("strict = 1", "strict = 1: is not true or false"),
         ('order = "oldest"', "order = 'oldest': is not one of newest, rotate"),
@@ -71,38 +71,40 @@
         ("strict = true\nstrict = false", "can't be read"),
     ],
 )
-def test_an_error_names_file_key_and_value(tmp_path: Path, text: str, says: str) -> None:
+def test_load_pool_settings_invalid_value_error_names_file_key_and_value(
+    tmp_path: Path, text: str, error_text: str
+) -> None:
     with pytest.raises(SettingsError) as error:
-        load(tmp_path, text)
+        load_text(tmp_path, text)
     assert str(error.value).startswith(f"{tmp_path / 'connections.toml'}: ")
-    assert says in str(error.value)
+    assert error_text in str(error.value)
 
 
-def test_a_file_that_is_no_text_or_not_there(tmp_path: Path) -> None:
+def test_load_pool_settings_unreadable_file_raises_error(tmp_path: Path) -> None:
     (tmp_path / "connections.toml").write_bytes(b"\xff\xfe")
     for path in (tmp_path / "connections.toml", tmp_path / "nowhere.toml"):
         with pytest.raises(SettingsError, match="can't be read"):
             load_pool_settings(path)
 
 
-def test_the_shipped_file_tells_each_key_with_its_unit_default_and_bounds() -> None:
-    load_pool_settings(SHIPPED)
-    lines = dict(re.findall(r"^(\w+) = \S+\s+# (.*)$", SHIPPED.read_text(), re.M))
+def test_shipped_file_documents_unit_default_and_bounds_of_each_key() -> None:
+    load_pool_settings(SHIPPED_FILE)
+    lines = dict(re.findall(r"^(\w+) = \S+\s+# (.*)$", SHIPPED_FILE.read_text(), re.M))
     assert list(lines) == [key.name for key in KEYS]
     units = {"s": "seconds", "ms": "milliseconds", "": ""}
     for key in KEYS:
-        about = lines[key.name]
+        comment = lines[key.name]
         if isinstance(key.default, bool):
-            assert about.startswith(f"true or false; default {str(key.default).lower()}: ")
+            assert comment.startswith(f"true or false; default {str(key.default).lower()}: ")
         elif isinstance(key.default, str):
-            assert f'default "{key.default}"' in about
-            assert all(f'"{word}"' in about for word in key.choices)
+            assert f'default "{key.default}"' in comment
+            assert all(f'"{word}"' in comment for word in key.choices)
         else:
             unit, bounds = units.get(key.unit, key.unit), f"{key.minimum:.9g} to {key.maximum:.9g}"
-            assert about.startswith(f"{unit}, {bounds}; default {key.default:g}: "), (key.name, about)
+            assert comment.startswith(f"{unit}, {bounds}; default {key.default:g}: "), (key.name, comment)
 
 
-def test_a_relay_with_a_bad_file_ends_with_one_line(tmp_path: Path) -> None:
+def test_relay_with_invalid_file_exits_with_one_error_line(tmp_path: Path) -> None:
     path = tmp_path / "connections.toml"
     path.write_text("most_connecting = -3\n")
     config = tmp_path / "config.json"
@@ -110,23 +112,23 @@
         '{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","known":{},"limits":{},'
         '"settings":{"classes":[{"name":"status","effect":"idempotent","deadline":1000000}]}}'
     )
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "loftrelay", "--connections", str(path)],
         cwd=ROOT,
         capture_output=True,
         text=True,
         env={"RELAY_CONFIG": str(config), "RELAY_STATE": str(tmp_path / "state")},
     )
-    assert done.returncode == 2
-    assert done.stderr == (
+    assert result.returncode == 2
+    assert result.stderr == (
         f"loftrelay: configuration: {path}: most_connecting = -3: is not from 0 to 100000 connections\n"
     )
 
 
-def test_help_tells_the_option() -> None:
-    done = subprocess.run(
+def test_help_lists_connections_option() -> None:
+    result = subprocess.run(
         [sys.executable, "-m", "loftrelay", "--help"], cwd=ROOT, capture_output=True, text=True
     )
-    assert done.returncode == 0
-    assert "--connections FILE" in done.stdout
-    assert "SIGHUP" in done.stdout
+    assert result.returncode == 0
+    assert "--connections FILE" in result.stdout
+    assert "SIGHUP" in result.stdout
