--- a/benchmarks/misses.py
+++ b/benchmarks/misses.py
@@ -86,7 +86,7 @@
                 )
                 relay = Relay(file)
                 relay.subscriber.watch()
-                await relay.subscriber.first_answer.wait()
+                await relay.subscriber.first_response.wait()
                 numbers = count()
                 for at_once in sizes:
                     found[str(at_once)] = await cost(relay, numbers, at_once, size // len(sizes))
--- a/loftrelay/discovery/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -93,7 +93,7 @@
             secrets.randbits(64),
         )
         self.counts: Counter[str] = self.subscription.counts
-        self.first_answer = asyncio.Event()  # set once a registry has answered
+        self.first_response = asyncio.Event()  # set once a registry has answered
         self.clients: dict[Channel, DiscoveryHttpClient] = {}
         self.tasks: dict[Channel, asyncio.Task[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
@@ -148,7 +148,7 @@
         self.subscription.adopt(self._now(), revision, destinations, rows)
         self.revision = revision
 
-    def figure_lines(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         """Returns the subscription's metrics as lines of the admin endpoint."""
         subscription = self.subscription
         values = {
@@ -184,7 +184,7 @@
             self._set_timer()
         self.revision = self.subscription.revision or None
         if self.subscription.has_answered:
-            self.first_answer.set()
+            self.first_response.set()
 
     def _process_action(self, action: Action) -> None:
         match action:
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -241,7 +241,7 @@
 
         subscriber = engine.context.subscription
         assert isinstance(subscriber, Subscriber)
-        self.admin.metric_sources.append(subscriber.figure_lines)
+        self.admin.metric_sources.append(subscriber.metric_lines)
         self.admin.metric_sources.append(lambda: [f"app.slices_parked={len(engine.intake.pending)}"])
         if has_predecessor:
             return
@@ -250,7 +250,7 @@
         while not self.should_exit.is_set() and loop.time() < began + MAX_REGISTRY_WAIT_S:
             if engine.recovery.unresolved and loop.time() >= began + MAX_RESOLUTION_WAIT_S:
                 engine.recovery.replay()
-            if subscriber.first_answer.is_set() and not engine.recovery.unresolved:
+            if subscriber.first_response.is_set() and not engine.recovery.unresolved:
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
         engine.recovery.replay()
--- a/tests/discovery/test_subscriber.py
+++ b/tests/discovery/test_subscriber.py
@@ -139,14 +139,14 @@
         assert subscriber.revision == 5
         await w.until(lambda: any(isinstance(call, SubscriptionWatch) for call in sound.calls))
         assert len(peer.connections) == 2
-        assert subscriber.first_answer.is_set()
+        assert subscriber.first_response.is_set()
         assert [listing.kind for listing in relay.listings] == [
             EndpointListKind.CACHED,
             EndpointListKind.DELTA,
         ]
         subscriber.move_to(("127.0.0.1", 10))
         assert subscriber.address == ("127.0.0.1", 10)
-        figures = dict(line.split("=") for line in subscriber.figure_lines())
+        figures = dict(line.split("=") for line in subscriber.metric_lines())
         assert figures["app.slices_held"] == "1"
         assert int(figures["app.slices_bytes_in"]) > 200
         subscriber.pause()
