--- a/benchmarks/earlier_decisions.py
+++ b/benchmarks/earlier_decisions.py
@@ -1,7 +1,7 @@
-"""Runs the decision module of an earlier commit, with its own types, where today's scheduler runs.
+"""Runs the scheduler of an earlier commit, with its own types, in place of the current scheduler.
 
-Up to 32c0038 the module was `mulleinlead`, with other names for the same events, actions and settings. The
-tables below map them; only what `benchmarks.fleetmodel` uses is mapped.
+Up to commit 32c0038 the package was `mulleinlead`, with other names for the same events, actions and
+settings. The tables below map them as far as `benchmarks.fleetmodel` uses them.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from loftrelay.decisions.settings import EndpointKind, MessageClass, RelaySettings, Tenant
 
 PACKAGE = "mulleinlead"
-# Today's field -> the earlier one; a field that is not listed had the same name.
+# Current field name -> earlier field name. Fields that are not listed have the same name in both.
 SETTING_FIELDS = {
     "endpoint_kinds": "kinds",
     "zone_costs": "zone_fees",
@@ -78,25 +78,27 @@
     "postponed_for": "postponed",
     "is_late": "late",
 }
-# The values of these enums are the earlier names (they are stored); list kinds had other names.
+# The values of the other enums are the earlier member names; list kinds are mapped by member name.
 LIST_KINDS = {"DELTA": "CHANGES", "FULL": "FULL", "CACHED": "CACHED", "FAILED": "FAILED"}
 
 
-class EarlierModule(Protocol):
-    """The earlier module's one call."""
+class EarlierScheduler(Protocol):
+    """Interface of the earlier scheduler."""
 
-    def handle(self, now: int, events: Iterable[Any]) -> list[Any]: ...
+    def handle(self, now: int, events: Iterable[Any]) -> list[Any]:
+        """Handles a batch of events and returns the actions, both in the earlier types."""
 
 
 class EarlierDecisions:
-    """One relay's decisions by an earlier commit, in today's events and actions."""
+    """Scheduler of an earlier commit for one relay, with the events and actions of the current one."""
 
     def __init__(self, brain: ModuleType, interface: ModuleType, seed: int, settings: RelaySettings) -> None:
         self.interface = interface
-        self.module: EarlierModule = brain.Brain(seed, self._settings(settings))
+        self.scheduler: EarlierScheduler = brain.Brain(seed, self._settings(settings))
 
     def handle_batch(self, now: int, events: Iterable[Event]) -> list[Action]:
-        actions = self.module.handle(now, [self._event(event) for event in events])
+        """Handles a batch like `Scheduler.handle_batch`; leaves out actions that the fleet model ignores."""
+        actions = self.scheduler.handle(now, [self._event(event) for event in events])
         return [action for earlier in actions if (action := self._action(earlier)) is not None]
 
     def _settings(self, settings: RelaySettings) -> Any:
@@ -135,10 +137,13 @@
                 return self._convert(event, "Outcome", OUTCOME_FIELDS, result=result)
             case TimerFired(token):
                 return self.interface.Timer(token)
-        raise TypeError(f"{type(event).__name__} is not translated")
+        raise TypeError(
+            f"cannot convert event {type(event).__name__}; only EndpointListReceived, MessageSubmitted,"
+            " AttemptEnded and TimerFired are supported"
+        )
 
     def _action(self, action: Any) -> Action | None:
-        """None: an action that the model of a fleet ignores."""
+        """Returns the current form of an earlier action; None for one that the fleet model ignores."""
         match type(action).__name__:
             case "Send":
                 return SendAttempt(action.message, action.endpoint, action.timeout)
@@ -151,7 +156,14 @@
         return None
 
     def _convert(self, row: Any, type_name: str, names: Mapping[str, str], **values: Any) -> Any:
-        """Builds the earlier type; fields that it does not have yet are left out."""
+        """Returns the earlier form of a record, without the fields that the earlier type lacks.
+
+        Args:
+            row: The current record.
+            type_name: Name of the earlier type.
+            names: Current field name -> earlier field name, where the two differ.
+            values: Values of earlier fields that are not copied unchanged.
+        """
         earlier_type = getattr(self.interface, type_name)
         known = {field.name for field in fields(earlier_type)}
         copied = {names.get(field.name, field.name): getattr(row, field.name) for field in fields(row)}
@@ -161,15 +173,20 @@
 def load_earlier_decisions(
     folder: Path, commit: str
 ) -> Callable[[int, RelaySettings], EarlierDecisions] | None:
-    """Loads the module of a commit before 32c0038, or of that one.
+    """Loads the scheduler of commit 32c0038 or an earlier one.
+
+    Args:
+        folder: Folder into which the earlier program is extracted.
+        commit: The commit.
 
     Returns:
-        What makes one relay's decisions from its seed and settings; None where the history is not at hand.
+        A factory that creates the scheduler of a relay from its seed and settings; None if the git history is
+        not available.
     """
     if earlier_program(commit, folder) is None:
         return None
     for name in [name for name in sys.modules if name.partition(".")[0] == PACKAGE]:
-        del sys.modules[name]  # of another commit
+        del sys.modules[name]  # loaded from another commit
     sys.path.insert(0, str(folder))
     try:
         interface = importlib.import_module(f"{PACKAGE}.interface")
--- a/tests/benchmarks/test_earlier_decisions.py
+++ b/tests/benchmarks/test_earlier_decisions.py
@@ -1,4 +1,4 @@
-"""The decision module of an earlier commit runs beside today's, with its own types."""
+"""Schedulers of earlier commits run beside the current one, with their own types."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from benchmarks.manyrelays import BEFORE
 from loftrelay.decisions.events import AttemptStatus
 
-LAST_OF_ITS_NAME = "32c0038"  # the last commit before the module got its present names
+LAST_MULLEINLEAD_COMMIT = "32c0038"  # the last commit before the package got its present names
 CASE = Case(relays=3, limit=6.0, seconds=12.0, wait=300_000, outage=(4.0, 6.0), seed=2)
 
 
-def test_the_last_module_before_the_renames_decides_as_today_does(tmp_path: Path) -> None:
-    make = load_earlier_decisions(tmp_path, LAST_OF_ITS_NAME)
-    assert make is not None, "needs the git history"
-    earlier, now = Fleet(CASE, make).run(), Fleet(CASE).run()
-    assert earlier.calls == now.calls
-    assert earlier.delivered == now.delivered
-    assert earlier.ended == now.ended
-    assert now.count(AttemptStatus.OK) > 20
+def test_scheduler_of_last_commit_before_renames_decides_like_current_one(tmp_path: Path) -> None:
+    make_scheduler = load_earlier_decisions(tmp_path, LAST_MULLEINLEAD_COMMIT)
+    assert make_scheduler is not None, "needs the git history"
+    earlier, current = Fleet(CASE, make_scheduler).run(), Fleet(CASE).run()
+    assert earlier.calls == current.calls
+    assert earlier.delivered == current.delivered
+    assert earlier.ended == current.ended
+    assert current.count(AttemptStatus.OK) > 20
 
 
-def test_two_earlier_commits_can_be_loaded_one_after_the_other(tmp_path: Path) -> None:
-    first = load_earlier_decisions(tmp_path / "a", LAST_OF_ITS_NAME)
+def test_schedulers_of_two_earlier_commits_can_be_loaded_in_turn(tmp_path: Path) -> None:
+    first = load_earlier_decisions(tmp_path / "a", LAST_MULLEINLEAD_COMMIT)
     second = load_earlier_decisions(tmp_path / "b", BEFORE)
     assert first is not None, "needs the git history"
     assert second is not None, "needs the git history"
--- a/tests/decisions/test_adapter.py
+++ b/tests/decisions/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: a scripted exchange, interleaved instances, malformed lines."""
+"""Simulator adapter as a process: a scripted exchange, interleaved relays, malformed lines."""
 
 from __future__ import annotations
 
@@ -21,28 +21,30 @@
 PAGE = ["page", 0, [["host_a", 1, None, "IN", 5, "z", "k"]]]
 
 
-def accept(instance: str, message: str) -> list[Any]:
-    return ["accept", instance, message, None, 5, None, False, False, 9_000_000, None, None, "c"]
+def make_submission_row(relay: str, message: str) -> list[Any]:
+    """Returns the wire message that submits a message to a relay."""
+    return ["accept", relay, message, None, 5, None, False, False, 9_000_000, None, None, "c"]
 
 
-def talk(*lines: Any) -> subprocess.CompletedProcess[str]:
+def run_simulator(*lines: Any) -> subprocess.CompletedProcess[str]:
+    """Runs the adapter with the given input lines: JSON values, or strings that are passed unchanged."""
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines)
     return subprocess.run(
         [sys.executable, "-m", "loftrelay.decisions.simulator"], input=text, capture_output=True, text=True
     )
 
 
-def replies(done: subprocess.CompletedProcess[str]) -> list[Any]:
-    return [json.loads(line) for line in done.stdout.splitlines()]
+def read_replies(completed: subprocess.CompletedProcess[str]) -> list[Any]:
+    return [json.loads(line) for line in completed.stdout.splitlines()]
 
 
-def test_a_scripted_exchange() -> None:
-    done = talk(
+def test_simulator_scripted_batches_get_expected_replies() -> None:
+    completed = run_simulator(
         ["tick", 1000],
         ["spawn", "relay_1", 3, CONFIG],
         PAGE,
         ["sync", "relay_1", "cached", 1, 0],
-        accept("relay_1", "m1"),
+        make_submission_row("relay_1", "m1"),
         ["end"],
         ["tick", 61000],
         ["outcome", "relay_1", "m1", None, "host_a", 200, 60000, 0, True, None],
@@ -50,17 +52,19 @@
         ["tick", 70000],
         ["end"],
     )
-    assert done.returncode == 0
-    assert done.stderr == ""
-    out = replies(done)
-    assert ["tail", "relay_1", True] in out
-    assert [line[:4] for line in out if line[0] == "submit_to"] == [["submit_to", "relay_1", "m1", "host_a"]]
-    assert out.count(["ok"]) == 3
-    assert out[-1] == ["ok"]
-
-
-def test_instances_are_kept_apart_and_a_restart_forgets() -> None:
-    done = talk(
+    assert completed.returncode == 0
+    assert completed.stderr == ""
+    replies = read_replies(completed)
+    assert ["tail", "relay_1", True] in replies
+    assert [line[:4] for line in replies if line[0] == "submit_to"] == [
+        ["submit_to", "relay_1", "m1", "host_a"]
+    ]
+    assert replies.count(["ok"]) == 3
+    assert replies[-1] == ["ok"]
+
+
+def test_simulator_relays_are_independent_and_lose_state_on_restart() -> None:
+    completed = run_simulator(
         ["tick", 1],
         ["spawn", "relay_1", 3, CONFIG],
         ["spawn", "relay_2", 3, CONFIG],
@@ -68,17 +72,17 @@
         ["sync", "relay_1", "cached", 1, 0],
         ["end"],
         ["tick", 9],
-        accept("relay_2", "m2"),
-        accept("relay_1", "m1"),
+        make_submission_row("relay_2", "m2"),
+        make_submission_row("relay_1", "m1"),
         ["end"],
         ["tick", 19],
         ["retire", "relay_1"],
         ["spawn", "relay_1", 4, CONFIG],
-        accept("relay_1", "m3"),
+        make_submission_row("relay_1", "m3"),
         ["end"],
     )
-    assert done.returncode == 0
-    sent = [line[1:4] for line in replies(done) if line[0] == "submit_to"]
+    assert completed.returncode == 0
+    sent = [line[1:4] for line in read_replies(completed) if line[0] == "submit_to"]
     assert sent == [["relay_1", "m1", "host_a"]]  # relay_2 and the restarted relay_1 know no endpoint
 
 
@@ -96,10 +100,10 @@
         ([["tick", 1], ["spawn", "relay_1", 1, CONFIG], ["sync", "relay_1", "full", 1, 7]], "invalid value"),
     ],
 )
-def test_malformed_input_gets_one_plain_line(lines: list[Any], reason: str) -> None:
-    done = talk(*lines)
-    assert done.returncode != 0
-    assert done.stdout == ""
-    assert done.stderr.count("\n") == 1
-    assert reason in done.stderr
-    assert f"line {len(lines)}" in done.stderr
+def test_simulator_malformed_input_ends_with_one_error_line(lines: list[Any], reason: str) -> None:
+    completed = run_simulator(*lines)
+    assert completed.returncode != 0
+    assert completed.stdout == ""
+    assert completed.stderr.count("\n") == 1
+    assert reason in completed.stderr
+    assert f"line {len(lines)}" in completed.stderr
--- a/tests/decisions/test_directory.py
+++ b/tests/decisions/test_directory.py
@@ -1,4 +1,4 @@
-"""Two hundred modules at a directory that takes one call from each in eight seconds, in virtual time."""
+"""List polling: 200 relays at a discovery service that needs 8 s to serve all of them, in virtual time."""
 
 from __future__ import annotations
 
@@ -13,50 +13,58 @@
 from loftrelay.decisions.scheduler import Scheduler
 from tests.decisions.world import SECOND_US, SETTINGS, make_entry
 
-CALLERS = 200
-EACH = 8 * SECOND_US // CALLERS  # what one call costs
-QUEUE = 2 * SECOND_US  # it turns away what would wait longer
+RELAY_COUNT = 200
+REQUEST_COST_US = 8 * SECOND_US // RELAY_COUNT  # service time of one request
+MAX_QUEUE_US = 2 * SECOND_US  # requests that would wait longer are rejected
 LIST = EndpointListReceived(EndpointListKind.FULL, (make_entry("a"),))
-ASKED = replace(SETTINGS, polls_endpoint_list=True)
-
-
-def play(seed: int, down: int, make: type[Scheduler] = Scheduler) -> tuple[list[int], list[int]]:
-    """All ask at once, as after a start; it answers from `down` on. When each was told, and its calls."""
-    draw = random.Random(seed)
-    modules = [make(seed * 1000 + n, ASKED) for n in range(CALLERS)]
-    due: list[tuple[int, int, int, Event]] = []
-    told, calls, free, number = [-1] * CALLERS, [0] * CALLERS, 0, CALLERS
-    for n in range(CALLERS):
-        heapq.heappush(due, (draw.randrange(SECOND_US // 10), n, n, TimerFired(0)))
-    while due and -1 in told:
-        now, _, n, event = heapq.heappop(due)
+POLLING_SETTINGS = replace(SETTINGS, polls_endpoint_list=True)
+
+
+def simulate_polling(
+    seed: int, available_from: int, make_scheduler: type[Scheduler] = Scheduler
+) -> tuple[list[int], list[int]]:
+    """Simulates relays that start within 0.1 s; discovery serves requests only from `available_from` on.
+
+    Returns:
+        For each relay the time at which it received the list, -1 for never, and its number of requests.
+    """
+    rng = random.Random(seed)
+    schedulers = [make_scheduler(seed * 1000 + n, POLLING_SETTINGS) for n in range(RELAY_COUNT)]
+    events: list[tuple[int, int, int, Event]] = []
+    received_at, requests, idle_from, number = [-1] * RELAY_COUNT, [0] * RELAY_COUNT, 0, RELAY_COUNT
+    for n in range(RELAY_COUNT):
+        heapq.heappush(events, (rng.randrange(SECOND_US // 10), n, n, TimerFired(0)))
+    while events and -1 in received_at:
+        now, _, n, event = heapq.heappop(events)
         if now > 120 * SECOND_US:
             break
         if event is LIST:
-            told[n] = now
-        for action in modules[n].handle_batch(now, [event]):
+            received_at[n] = now
+        for action in schedulers[n].handle_batch(now, [event]):
             number += 1
             if isinstance(action, SetTimer):
-                heapq.heappush(due, (now + action.delay, number, n, TimerFired(0)))
-            if isinstance(action, WatchEndpointList) and told[n] < 0:
-                calls[n] += 1
-                taken = now >= down and max(free, now) - now <= QUEUE
-                if taken:
-                    free = max(free, now) + EACH
+                heapq.heappush(events, (now + action.delay, number, n, TimerFired(0)))
+            if isinstance(action, WatchEndpointList) and received_at[n] < 0:
+                requests[n] += 1
+                is_accepted = now >= available_from and max(idle_from, now) - now <= MAX_QUEUE_US
+                if is_accepted:
+                    idle_from = max(idle_from, now) + REQUEST_COST_US
                 answer = (
-                    (free, LIST)
-                    if taken
+                    (idle_from, LIST)
+                    if is_accepted
                     else (now + SECOND_US // 50, EndpointListReceived(EndpointListKind.FAILED, ()))
                 )
-                heapq.heappush(due, (answer[0], number, n, answer[1]))
-    return told, calls
+                heapq.heappush(events, (answer[0], number, n, answer[1]))
+    return received_at, requests
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("down", [0, 10 * SECOND_US])
-def test_all_are_told_soon_and_ask_no_more_than_now_and_then(seed: int, down: int) -> None:
-    """Not later than half as long again as it needs to answer all; each asks once in 1.4 s at the most."""
-    told, calls = play(seed, down)
-    assert min(told) >= 0
-    assert max(told) - down <= 12 * SECOND_US
-    assert max(calls) <= 3 + (down + 12 * SECOND_US) // (14 * SECOND_US // 10)
+@pytest.mark.parametrize("available_from", [0, 10 * SECOND_US])
+def test_list_polling_of_overloaded_discovery_reaches_all_relays_at_limited_rate(
+    seed: int, available_from: int
+) -> None:
+    """Within 1.5 times the time that discovery needs to serve all; at most one request per relay in 1.4 s."""
+    received_at, requests = simulate_polling(seed, available_from)
+    assert min(received_at) >= 0
+    assert max(received_at) - available_from <= 12 * SECOND_US
+    assert max(requests) <= 3 + (available_from + 12 * SECOND_US) // (14 * SECOND_US // 10)
--- a/tests/decisions/test_let_go.py
+++ b/tests/decisions/test_let_go.py
@@ -1,4 +1,4 @@
-"""A destination that is let go and comes back is bound by all that it would be bound by, had it stayed."""
+"""Hibernation: a destination that is released and listed again keeps the limits that it would have had."""
 
 from __future__ import annotations
 
@@ -32,7 +32,6 @@
     FinalStatusReported,
     MessageCancelled,
     MessageRecovered,
-    MessageSubmitted,
     TimerFired,
 )
 from loftrelay.decisions.gate import LEARNED_STATE_TTL_US, GateSnapshot
@@ -40,7 +39,7 @@
 from loftrelay.decisions.routing import may_attempt
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import RelaySettings
-from tests.decisions.test_rules import outage
+from tests.decisions.test_rules import run_outage
 from tests.decisions.world import (
     MILLISECOND_US,
     SECOND_US,
@@ -48,122 +47,128 @@
     START,
     SchedulerDriver,
     make_entry,
+    make_message,
     sent_messages,
 )
 from tests.standins.work import Walked, steps
 
 
-def let_go(driver: SchedulerDriver, after: int = 0, number: int = 1) -> None:
+def release_destination(driver: SchedulerDriver, after: int = 0, number: int = 1) -> None:
+    """Releases an idle destination and checks that its full state is gone."""
     driver.run_batch(after=after)
     assert driver.scheduler.is_idle(driver.now, number)
     driver.run_batch(DestinationsReleased((number,)))
     assert number not in driver.scheduler.state.destinations
     assert number not in driver.scheduler.state.backlog
-    assert not any(e.destination.number == number for e in driver.scheduler.state.endpoints.values())
+    assert not any(
+        endpoint.destination.number == number for endpoint in driver.scheduler.state.endpoints.values()
+    )
 
 
-def listed(driver: SchedulerDriver, *entries: EndpointEntry, after: int = 0) -> None:
+def apply_delta(driver: SchedulerDriver, *entries: EndpointEntry, after: int = 0) -> None:
+    """Runs a batch with a delta of the endpoint list."""
     driver.run_batch(EndpointListReceived(EndpointListKind.DELTA, entries), after=after)
 
 
-def first_send(driver: SchedulerDriver, name: str, within: int = 60 * SECOND_US) -> int:
-    """When it is sent, by timers alone."""
+def first_sent_at(driver: SchedulerDriver, name: str, within: int = 60 * SECOND_US) -> int:
+    """Advances the clock until a message was sent; returns the time of its first attempt."""
     end = driver.now + within
     while name not in [send.message_id for _, send in driver.sent]:
-        assert driver.now < end, "never sent"
+        assert driver.now < end, f"message {name} was not sent within {within} microseconds"
         driver.advance_clock(end - driver.now)
     return next(at for at, send in driver.sent if send.message_id == name)
 
 
-# What may be let go
+# Which destinations can be released. Each make_* function makes destination 1 busy and returns a function
+# that makes it idle again.
 
 
-def waiting(driver: SchedulerDriver) -> Any:
+def make_waiting_message(driver: SchedulerDriver) -> Any:
     driver.scheduler.apply_retry_after(driver.now, "a", SECOND_US)
     driver.submit("m")
     return lambda: (driver.advance_clock(SECOND_US), driver.end_attempt("m", AttemptStatus.OK))
 
 
-def out(driver: SchedulerDriver) -> Any:
+def make_message_in_flight(driver: SchedulerDriver) -> Any:
     driver.submit("m")
     return lambda: driver.end_attempt("m", AttemptStatus.OK)
 
 
-def withdrawn_while_out(driver: SchedulerDriver) -> Any:
+def make_cancelled_message_in_flight(driver: SchedulerDriver) -> Any:
     driver.submit("m")
     driver.run_batch(MessageCancelled("m"))
     return lambda: driver.end_attempt("m", AttemptStatus.OK)
 
 
-def tried_and_doubtful(driver: SchedulerDriver) -> Any:
-    """It may have run, and where: its key there binds what may be done with it."""
-    driver.submit("m", "zoned")
+def make_uncertain_message(driver: SchedulerDriver) -> Any:
+    """The message may have run at this destination, whose dedup scope restricts its next attempts."""
+    driver.submit("m", "zone_deduplicated")
     driver.end_attempt("m", AttemptStatus.ERROR)
     return lambda: driver.run_batch(MessageCancelled("m"))
 
 
-def unnoticed(driver: SchedulerDriver) -> Any:
-    driver.submit("m", "strict", ordering_key="k")
+def make_unreported_message(driver: SchedulerDriver) -> Any:
+    driver.submit("m", "ordered_at_most_once", ordering_key="k")
     driver.end_attempt("m", AttemptStatus.ERROR)
     assert driver.actions[-1] == FailMessage("m") or FailMessage("m") in driver.actions
     return lambda: driver.run_batch(FinalStatusReported("m"))
 
 
-def resting_key(driver: SchedulerDriver) -> Any:
-    driver.submit("m", "ordered", ordering_key="k")
+def make_ordering_key_cooldown(driver: SchedulerDriver) -> Any:
+    driver.submit("m", "ordered_idempotent", ordering_key="k")
     driver.end_attempt("m", AttemptStatus.TIMEOUT)
     driver.run_batch(MessageCancelled("m"))
     return lambda: driver.run_batch(after=300 * MILLISECOND_US)
 
 
-def part_of_a_bundle(driver: SchedulerDriver) -> Any:
-    driver.run_batch(*[MessageSubmitted(name, 1, "safe", None, 20 * SECOND_US, None) for name in "mn"])
+def make_partly_ended_batch(driver: SchedulerDriver) -> Any:
+    driver.run_batch(*[make_message(name) for name in "mn"])
     driver.end_attempt("m", AttemptStatus.OK)
     return lambda: driver.end_attempt("n", AttemptStatus.OK)
 
 
-def recovered(driver: SchedulerDriver) -> Any:
-    submit = MessageSubmitted("m", 1, "strict", None, 9 * SECOND_US, "k")
+def make_recovered_message(driver: SchedulerDriver) -> Any:
+    submit = make_message("m", "ordered_at_most_once", time_remaining=9 * SECOND_US, ordering_key="k")
     driver.run_batch(MessageRecovered(submit, SECOND_US, 1, SECOND_US, "a", is_ended=True))
     return lambda: driver.run_batch(FinalStatusReported("m"))
 
 
-BUSY = [
-    waiting,
-    out,
-    withdrawn_while_out,
-    tried_and_doubtful,
-    unnoticed,
-    resting_key,
-    part_of_a_bundle,
-    recovered,
+BUSY_CASES = [
+    make_waiting_message,
+    make_message_in_flight,
+    make_cancelled_message_in_flight,
+    make_uncertain_message,
+    make_unreported_message,
+    make_ordering_key_cooldown,
+    make_partly_ended_batch,
+    make_recovered_message,
 ]
 
 
-@pytest.mark.parametrize("kind", ["plain", "bundled"])
-@pytest.mark.parametrize("busy", BUSY)
-def test_what_is_not_idle_stays_as_it_is(busy: Any, kind: str) -> None:
+@pytest.mark.parametrize("kind", ["shared_limits", "batching"])
+@pytest.mark.parametrize("make_busy", BUSY_CASES)
+def test_release_of_busy_destination_changes_nothing(make_busy: Any, kind: str) -> None:
     driver = SchedulerDriver(make_entry("a", kind=kind), make_entry("x", 2), awaits_final_status=True)
-    over = busy(driver)
+    end_busy = make_busy(driver)
     assert not driver.scheduler.is_idle(driver.now, 1)
     assert driver.scheduler.is_idle(driver.now, 2)
     driver.run_batch(TimerFired(0))
     before = snapshot.write(driver.scheduler)
     assert not driver.run_batch(DestinationsReleased((1,)))
     assert snapshot.write(driver.scheduler) == before
-    over()
+    end_busy()
     assert driver.scheduler.is_idle(driver.now, 1)
-    let_go(driver)
+    release_destination(driver)
 
 
-def test_one_message_more_in_the_same_batch_keeps_it() -> None:
+def test_destination_with_message_in_same_batch_is_not_released() -> None:
     driver = SchedulerDriver(make_entry("a"))
-    driver.run_batch(MessageSubmitted("m", 1, "safe", None, 20 * SECOND_US, None), DestinationsReleased((1,)))
+    driver.run_batch(make_message("m"), DestinationsReleased((1,)))
     assert driver.sent
     assert "a" in driver.scheduler.state.endpoints
 
 
-def test_what_is_not_known_is_idle_and_nothing_is_let_go() -> None:
+def test_release_of_unknown_destination_changes_nothing() -> None:
     driver = SchedulerDriver(make_entry("a"))
     assert driver.scheduler.is_idle(driver.now, 77)
     driver.run_batch(DestinationsReleased((77, -1)))
@@ -171,26 +176,26 @@
     assert set(driver.scheduler.state.endpoints) == {"a"}
 
 
-def test_a_message_for_one_that_was_let_go_waits_for_its_listing() -> None:
+def test_message_for_released_destination_waits_for_list_entry() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    let_go(driver)
+    release_destination(driver)
     assert not sent_messages(driver.submit("m"))
-    listed(driver, make_entry("b"), after=SECOND_US)
+    apply_delta(driver, make_entry("b"), after=SECOND_US)
     assert driver.sent[-1][1] == replace(driver.sent[-1][1], message_id="m", endpoint="b")
 
 
-# What binds
+# Which state is restored
 
 
 @pytest.mark.parametrize("before", [True, False])
-@pytest.mark.parametrize("kind", ["plain", "apart"])
-def test_a_told_wait(kind: str, before: bool) -> None:
-    """Told before it was let go, or heard after: it binds the hosts that it always bound, and as long."""
+@pytest.mark.parametrize("kind", ["shared_limits", "own_limits"])
+def test_retry_after_before_or_after_release_is_kept(kind: str, before: bool) -> None:
+    """A Retry-After received before or after the release blocks the same endpoints for the same time."""
     driver = SchedulerDriver(make_entry("a", kind=kind), make_entry("b", kind=kind))
     if before:
         driver.scheduler.apply_retry_after(driver.now, "a", 5 * SECOND_US)
-    let_go(driver)
+    release_destination(driver)
     if not before:
         driver.scheduler.apply_retry_after(driver.now, "a", 3 * SECOND_US)
         driver.scheduler.apply_retry_after(driver.now, "a", 5 * SECOND_US)
@@ -198,81 +203,81 @@
     until = driver.now + 5 * SECOND_US
     assert driver.scheduler.is_blocked(until - 1, "a")
     assert not driver.scheduler.is_blocked(until, "a")
-    assert driver.scheduler.is_blocked(driver.now, "b") is (kind == "plain")
+    assert driver.scheduler.is_blocked(driver.now, "b") is (kind == "shared_limits")
     driver.run_batch(after=2 * SECOND_US)
-    listed(driver, make_entry("a", kind=kind))
+    apply_delta(driver, make_entry("a", kind=kind))
     driver.submit("m")
-    assert first_send(driver, "m") == until
+    assert first_sent_at(driver, "m") == until
     driver.end_attempt("m", AttemptStatus.OK, after=MILLISECOND_US)
 
 
-def test_a_told_wait_binds_a_sibling_that_is_new() -> None:
+def test_retry_after_of_released_destination_blocks_new_sibling() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.scheduler.apply_retry_after(driver.now, "a", 5 * SECOND_US)
     until = driver.now + 5 * SECOND_US
-    let_go(driver)
-    listed(driver, make_entry("other"))
+    release_destination(driver)
+    apply_delta(driver, make_entry("other"))
     assert driver.scheduler.is_blocked(until - 1, "other")
     driver.submit("m")
-    assert first_send(driver, "m") == until
+    assert first_sent_at(driver, "m") == until
 
 
-def test_a_wait_told_by_the_outcome_of_a_call_given_up_long_since() -> None:
+def test_retry_after_of_abandoned_call_blocks_released_destination() -> None:
     driver = SchedulerDriver(make_entry("a"))
-    let_go(driver)
+    release_destination(driver)
     driver.run_batch(AttemptEnded("m", 0, "a", AttemptStatus.REJECTED, 0, False, 4 * SECOND_US, None, None))
     assert driver.scheduler.is_blocked(driver.now + 4 * SECOND_US - 1, "a")
     assert not driver.scheduler.is_blocked(driver.now + 4 * SECOND_US, "a")
 
 
-def test_a_wait_of_a_route_binds_a_kind_that_shares_it_now_and_the_other_way_round() -> None:
-    for was, now in (("apart", "plain"), ("plain", "apart")):
+def test_retry_after_is_kept_when_endpoint_kind_changes_its_gate() -> None:
+    for was, now in (("own_limits", "shared_limits"), ("shared_limits", "own_limits")):
         driver = SchedulerDriver(make_entry("a", kind=was))
         driver.scheduler.apply_retry_after(driver.now, "a", 5 * SECOND_US)
-        let_go(driver)
-        listed(driver, make_entry("a", kind=now))
+        release_destination(driver)
+        apply_delta(driver, make_entry("a", kind=now))
         assert driver.scheduler.is_blocked(driver.now + 5 * SECOND_US - 1, "a")
 
 
-@pytest.mark.parametrize("kind", ["plain", "apart"])
-def test_an_outage(kind: str) -> None:
-    """However long ago: one trial, spaced, and a budget once it is back."""
+@pytest.mark.parametrize("kind", ["shared_limits", "own_limits"])
+def test_open_circuit_is_kept_until_a_call_succeeds(kind: str) -> None:
+    """However long ago the outage was: spaced single probes, and slow start after the first success."""
     driver = SchedulerDriver(make_entry("a", kind=kind))
     driver.run_successful_calls()
-    outage(driver)
+    run_outage(driver)
     for name in list(driver.scheduler.state.messages):
         driver.run_batch(MessageCancelled(name))
     assert driver.scheduler.state.endpoints["a"].gate.breaker.is_open
     pause = driver.scheduler.state.endpoints["a"].gate.next_attempt_at
-    let_go(driver)
-    listed(driver, make_entry("a", kind=kind))
-    driver.run_batch(*[MessageSubmitted(f"m{i}", 1, "safe", None, 20 * SECOND_US, None) for i in range(9)])
-    first_send(driver, next(iter(driver.scheduler.state.messages)))
+    release_destination(driver)
+    apply_delta(driver, make_entry("a", kind=kind))
+    driver.run_batch(*[make_message(f"m{i}") for i in range(9)])
+    first_sent_at(driver, next(iter(driver.scheduler.state.messages)))
     assert driver.now >= pause
     assert driver.scheduler.state.calls_in_flight == 1
     for name in list(driver.scheduler.state.messages):
         if driver.scheduler.state.messages[name].call:
             driver.end_attempt(name, AttemptStatus.CONNECT_FAILED)
         driver.run_batch(MessageCancelled(name))
-    let_go(driver, after=SECOND_US)
+    release_destination(driver, after=SECOND_US)
     driver.run_batch(after=30 * 24 * 3600 * SECOND_US)
-    assert driver.scheduler.state.hibernated  # an outage binds until a call succeeds
-    listed(driver, make_entry("a", kind=kind))
+    assert driver.scheduler.state.hibernated  # an open circuit is kept until a call succeeds
+    apply_delta(driver, make_entry("a", kind=kind))
     assert driver.scheduler.state.endpoints["a"].gate.breaker.is_open
     driver.submit("n")
     driver.end_attempt("n", AttemptStatus.OK)
     assert driver.scheduler.state.endpoints["a"].gate.slow_start.started_at == driver.now
 
 
-def back(driver: SchedulerDriver) -> None:
-    """Ten a second, an outage, and back."""
+def run_outage_and_recovery(driver: SchedulerDriver) -> None:
+    """Delivers ten messages per second, then runs an outage and the first successful calls after it."""
     for i in range(40):
         driver.submit(f"w{i}", after=50 * MILLISECOND_US)
         driver.end_attempt(f"w{i}", AttemptStatus.OK)
-    outage(driver, AttemptStatus.ERROR, seconds=12)
+    run_outage(driver, AttemptStatus.ERROR, seconds=12)
     driver.submit("back")
     while driver.scheduler.state.endpoints["a"].gate.breaker.is_open:
-        for name in [m for m in driver.scheduler.state.messages if driver.scheduler.state.messages[m].call]:
+        for name in driver.messages_in_flight():
             driver.end_attempt(name, AttemptStatus.OK, after=5 * MILLISECOND_US)
         driver.advance_clock(SECOND_US)
     for name in list(driver.scheduler.state.messages):
@@ -281,65 +286,67 @@
         driver.run_batch(MessageCancelled(name))
 
 
-@pytest.mark.parametrize("kind", ["plain", "apart"])
-def test_a_cold_window_counts_what_it_has_had(kind: str) -> None:
-    """No more calls in a window of two seconds than the budget allows, over all the times it is let go."""
+@pytest.mark.parametrize("kind", ["shared_limits", "own_limits"])
+def test_slow_start_budget_counts_calls_before_release(kind: str) -> None:
+    """No overload window of two seconds gets more calls than the budget, however often it is released."""
     driver = SchedulerDriver(make_entry("a", kind=kind))
-    back(driver)
-    since = driver.scheduler.state.endpoints["a"].gate.slow_start.started_at
-    assert since is not None
+    run_outage_and_recovery(driver)
+    slow_start_at = driver.scheduler.state.endpoints["a"].gate.slow_start.started_at
+    assert slow_start_at is not None
     destination = driver.scheduler.state.destinations[1]
     rate = demand_rate(driver.scheduler.state, destination.endpoints[0].gate, destination)
     for i in range(400):
         if driver.scheduler.is_idle(driver.now, 1):
-            let_go(driver)
-            listed(driver, make_entry("a", kind=kind))
+            release_destination(driver)
+            apply_delta(driver, make_entry("a", kind=kind))
         driver.submit(f"n{i}", after=20 * MILLISECOND_US)
         destination = driver.scheduler.state.destinations[1]
         rate = max(rate, demand_rate(driver.scheduler.state, destination.endpoints[0].gate, destination))
-        for name in [m for m in driver.scheduler.state.messages if driver.scheduler.state.messages[m].call]:
+        for name in driver.messages_in_flight():
             driver.end_attempt(name, AttemptStatus.OK, after=MILLISECOND_US)
         for name in list(driver.scheduler.state.messages):
             driver.run_batch(MessageCancelled(name))
-    times = [at for at, _ in driver.sent if at > since]
+    times = [at for at, _ in driver.sent if at > slow_start_at]
     assert len(times) > 20
     for at in times:
-        if at < since + 9 * SECOND_US:
-            share = 0.2 + 0.8 * (at - since) / (10 * SECOND_US)
+        if at < slow_start_at + 9 * SECOND_US:
+            share = 0.2 + 0.8 * (at - slow_start_at) / (10 * SECOND_US)
             assert sum(at - 2 * SECOND_US < t <= at for t in times) <= max(1.0, rate * 2 * 2 * share) + 1
 
 
-def test_a_cold_return_ends_when_it_would_have_ended() -> None:
+def test_slow_start_ends_on_time_across_release() -> None:
     driver = SchedulerDriver(make_entry("a"))
-    back(driver)
-    since = driver.scheduler.state.endpoints["a"].gate.slow_start.started_at
-    assert since is not None
-    let_go(driver)
-    listed(driver, make_entry("a"), after=since + 9 * SECOND_US - driver.now)
-    assert driver.scheduler.state.endpoints["a"].gate.slow_start.started_at == since
-    let_go(driver)
+    run_outage_and_recovery(driver)
+    slow_start_at = driver.scheduler.state.endpoints["a"].gate.slow_start.started_at
+    assert slow_start_at is not None
+    release_destination(driver)
+    apply_delta(driver, make_entry("a"), after=slow_start_at + 9 * SECOND_US - driver.now)
+    assert driver.scheduler.state.endpoints["a"].gate.slow_start.started_at == slow_start_at
+    release_destination(driver)
     driver.run_batch(after=LEARNED_STATE_TTL_US)
     assert not driver.scheduler.state.hibernated
     assert not driver.scheduler.state.hibernated_endpoints
 
 
-def test_routes_apart_each_have_their_own() -> None:
-    """Also those that are listed later than their siblings, or not before it is let go once more."""
+def test_endpoints_with_own_limits_are_restored_separately() -> None:
+    """Also if they are listed later than their siblings, or only after a second release."""
     driver = SchedulerDriver(
-        make_entry("a", kind="apart"), make_entry("b", kind="apart"), make_entry("c", kind="apart")
+        make_entry("a", kind="own_limits"),
+        make_entry("b", kind="own_limits"),
+        make_entry("c", kind="own_limits"),
     )
     driver.scheduler.apply_retry_after(driver.now, "a", 50 * SECOND_US)
     driver.scheduler.state.endpoints["b"].gate.breaker.is_open = True
     until = driver.now + 50 * SECOND_US
-    let_go(driver)
-    listed(driver, make_entry("c", kind="apart"), after=SECOND_US)
+    release_destination(driver)
+    apply_delta(driver, make_entry("c", kind="own_limits"), after=SECOND_US)
     assert driver.scheduler.is_blocked(driver.now, "a")
     assert not driver.scheduler.is_blocked(driver.now, "c")
-    listed(driver, make_entry("b", kind="apart"), after=SECOND_US)
+    apply_delta(driver, make_entry("b", kind="own_limits"), after=SECOND_US)
     assert driver.scheduler.state.endpoints["b"].gate.breaker.is_open
     assert not driver.scheduler.state.endpoints["c"].gate.breaker.is_open
-    let_go(driver)
-    listed(driver, *(make_entry(name, kind="apart") for name in "abc"), after=SECOND_US)
+    release_destination(driver)
+    apply_delta(driver, *(make_entry(name, kind="own_limits") for name in "abc"), after=SECOND_US)
     assert driver.scheduler.state.endpoints["b"].gate.breaker.is_open
     assert not driver.scheduler.state.endpoints["c"].gate.breaker.is_open
     assert driver.scheduler.is_blocked(until - 1, "a")
@@ -348,7 +355,7 @@
     assert not driver.scheduler.state.hibernated_endpoints
 
 
-def test_a_learned_pace() -> None:
+def test_learned_rate_limit_is_restored() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
     for i in range(6):
@@ -356,30 +363,30 @@
         driver.end_attempt(f"m{i}", AttemptStatus.REJECTED)
         driver.run_batch(MessageCancelled(f"m{i}"))
     gate = driver.scheduler.state.endpoints["a"].gate
-    pace, opens = gate.rate_limiter.calls_per_second, gate.next_attempt_at
-    assert pace < 10
-    let_go(driver)
-    listed(driver, make_entry("a"))
+    rate, next_call_time = gate.rate_limiter.calls_per_second, gate.next_attempt_at
+    assert rate < 10
+    release_destination(driver)
+    apply_delta(driver, make_entry("a"))
     assert driver.scheduler.state.endpoints["a"].gate is not gate
-    assert driver.scheduler.state.endpoints["a"].gate.rate_limiter.calls_per_second == pace
+    assert driver.scheduler.state.endpoints["a"].gate.rate_limiter.calls_per_second == rate
     driver.submit("n")
-    assert first_send(driver, "n") >= opens
+    assert first_sent_at(driver, "n") >= next_call_time
     sent = driver.now
     driver.end_attempt("n", AttemptStatus.OK)
-    let_go(driver)
-    listed(driver, make_entry("a"))
-    grown = driver.scheduler.state.endpoints["a"].gate
-    opens = sent + grown.rate_limiter.interval(
-        grown.rate_limiter.calls_per_second, driver.scheduler.state.limits
+    release_destination(driver)
+    apply_delta(driver, make_entry("a"))
+    restored = driver.scheduler.state.endpoints["a"].gate
+    next_call_time = sent + restored.rate_limiter.interval(
+        restored.rate_limiter.calls_per_second, driver.scheduler.state.limits
     )
-    assert pace <= grown.rate_limiter.calls_per_second <= 1.12 * pace
-    assert opens > sent + SECOND_US
+    assert rate <= restored.rate_limiter.calls_per_second <= 1.12 * rate
+    assert next_call_time > sent + SECOND_US
     driver.submit("o")
-    assert first_send(driver, "o") == opens
+    assert first_sent_at(driver, "o") == next_call_time
 
 
-@pytest.mark.parametrize("kind", ["plain", "apart"])
-def test_all_that_is_learned_of_a_gate_is_there_again(kind: str) -> None:
+@pytest.mark.parametrize("kind", ["shared_limits", "own_limits"])
+def test_all_learned_state_of_gate_is_restored(kind: str) -> None:
     driver = SchedulerDriver(make_entry("a", kind=kind))
     gate = driver.scheduler.state.endpoints["a"].gate
     learned = GateSnapshot(
@@ -415,8 +422,8 @@
         (driver.now - SECOND_US, 1.25),
         (driver.now - 1, 1.0),
     ]
-    let_go(driver)
-    listed(driver, make_entry("a", kind=kind))
+    release_destination(driver)
+    apply_delta(driver, make_entry("a", kind=kind))
     other = driver.scheduler.state.endpoints["a"].gate
     assert other is not gate
     calls = ((driver.now - SECOND_US, 1.25), (driver.now - 1, 1.0))
@@ -424,76 +431,76 @@
     assert list(other.slow_start.recent_calls) == list(calls)
 
 
-def test_an_endpoint_that_failed_last_gets_no_unsafe_message_past_a_sound_sibling() -> None:
+def test_at_most_once_message_avoids_failed_endpoint_after_release() -> None:
     driver = SchedulerDriver(make_entry("a"), make_entry("b"))
     driver.run_successful_calls()
     driver.submit("m")
-    bad = driver.sent[-1][1].endpoint
+    failed_endpoint = driver.sent[-1][1].endpoint
     driver.end_attempt("m", AttemptStatus.ERROR)
     driver.run_batch(MessageCancelled("m"))
-    let_go(driver, after=SECOND_US)
-    listed(driver, make_entry("a"), make_entry("b"))
-    assert driver.scheduler.state.endpoints[bad].consecutive_failures == 1
+    release_destination(driver, after=SECOND_US)
+    apply_delta(driver, make_entry("a"), make_entry("b"))
+    assert driver.scheduler.state.endpoints[failed_endpoint].consecutive_failures == 1
     for i in range(9):
-        driver.submit(f"u{i}", "unsafe", after=5 * SECOND_US)
+        driver.submit(f"u{i}", "at_most_once", after=5 * SECOND_US)
         assert driver.sent[-1][1].message_id == f"u{i}"
-        assert driver.sent[-1][1].endpoint != bad
+        assert driver.sent[-1][1].endpoint != failed_endpoint
         driver.end_attempt(f"u{i}", AttemptStatus.OK)
 
 
-def test_what_an_operator_took_out_and_brought_back_meanwhile_is_cold() -> None:
-    for while_let_go in ([EndpointDisabled("a"), EndpointEnabled("a")], [EndpointEnabled("a")]):
+def test_endpoint_enabled_while_released_gets_slow_start() -> None:
+    for operator_events in ([EndpointDisabled("a"), EndpointEnabled("a")], [EndpointEnabled("a")]):
         driver = SchedulerDriver(make_entry("a"))
         driver.run_successful_calls()
-        if len(while_let_go) == 1:
+        if len(operator_events) == 1:
             driver.run_batch(EndpointDisabled("a"))
-            let_go(driver)
-            driver.run_batch(after=30 * 24 * 3600 * SECOND_US)  # out for a month
+            release_destination(driver)
+            driver.run_batch(after=30 * 24 * 3600 * SECOND_US)  # disabled for a month
         else:
-            let_go(driver)
-        driver.run_batch(*while_let_go)
-        at = driver.now
-        listed(driver, make_entry("a"), after=SECOND_US)
-        assert driver.scheduler.state.endpoints["a"].gate.slow_start.started_at == at
+            release_destination(driver)
+        driver.run_batch(*operator_events)
+        enabled_at = driver.now
+        apply_delta(driver, make_entry("a"), after=SECOND_US)
+        assert driver.scheduler.state.endpoints["a"].gate.slow_start.started_at == enabled_at
         assert driver.scheduler.state.endpoints["a"].is_available
 
 
-def test_taken_out_it_stays_out() -> None:
+def test_disabled_endpoint_stays_disabled_after_release() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_batch(EndpointDisabled("a"))
-    let_go(driver)
-    listed(driver, make_entry("a"), after=99 * SECOND_US)
+    release_destination(driver)
+    apply_delta(driver, make_entry("a"), after=99 * SECOND_US)
     assert not sent_messages(driver.submit("m"))
 
 
-def test_a_handover_carries_it() -> None:
-    driver = SchedulerDriver(make_entry("a", kind="apart"), make_entry("b", 2))
+def test_hibernated_destinations_survive_handover() -> None:
+    driver = SchedulerDriver(make_entry("a", kind="own_limits"), make_entry("b", 2))
     driver.scheduler.apply_retry_after(driver.now, "a", 50 * SECOND_US)
     driver.scheduler.state.endpoints["b"].gate.breaker.is_open = True
     until = driver.now + 50 * SECOND_US
-    let_go(driver)
-    let_go(driver, number=2)
+    release_destination(driver)
+    release_destination(driver, number=2)
     driver.scheduler, events = snapshot.read(
         snapshot.write(driver.scheduler, [DestinationsReleased((3,))]), seed=1
     )
     assert events == [DestinationsReleased((3,))]
     assert driver.scheduler.is_blocked(until - 1, "a")
     driver.run_batch(after=20 * SECOND_US)
-    listed(driver, make_entry("a", kind="apart"), make_entry("b", 2))
+    apply_delta(driver, make_entry("a", kind="own_limits"), make_entry("b", 2))
     assert driver.scheduler.is_blocked(until - 1, "a")
     assert not driver.scheduler.is_blocked(until, "a")
     assert driver.scheduler.state.endpoints["b"].gate.breaker.is_open
 
 
-# What it costs
+# Cost of hibernated destinations
 
 
-def test_what_binds_no_longer_is_dropped() -> None:
+def test_hibernated_state_is_dropped_when_irrelevant() -> None:
     driver = SchedulerDriver(
-        make_entry("sound", 1), make_entry("told", 2), make_entry("refused", 3), make_entry("down", 4)
+        make_entry("healthy", 1), make_entry("blocked", 2), make_entry("rejected", 3), make_entry("down", 4)
     )
     driver.run_successful_calls()
-    driver.scheduler.apply_retry_after(driver.now, "told", 60 * SECOND_US)
+    driver.scheduler.apply_retry_after(driver.now, "blocked", 60 * SECOND_US)
     driver.submit("m", destination=3)
     driver.end_attempt("m", AttemptStatus.REJECTED)
     driver.run_batch(MessageCancelled("m"))
@@ -511,12 +518,12 @@
     assert not driver.scheduler.state.timers
 
 
-def test_a_turn_costs_the_same_however_many_are_dormant() -> None:
+def test_batch_cost_is_independent_of_hibernated_destinations() -> None:
     costs = []
     for size in (100, 20_000):
-        module = Scheduler(1, SETTINGS)
+        scheduler = Scheduler(1, SETTINGS)
         entries = tuple(make_entry(f"h{i}", i) for i in range(size))
-        module.handle_batch(
+        scheduler.handle_batch(
             START,
             [
                 EndpointListReceived(
@@ -524,38 +531,38 @@
                 )
             ],
         )
-        for endpoint in module.state.endpoints.values():
+        for endpoint in scheduler.state.endpoints.values():
             endpoint.gate.breaker.is_open = True
-        module.handle_batch(START, [DestinationsReleased(tuple(range(size)))])
-        module.handle_batch(START + 60 * SECOND_US, [TimerFired(0)])
-        assert len(module.state.hibernated) == size
-        module.state.hibernated, module.state.hibernated_endpoints = (
-            Walked(module.state.hibernated),
-            Walked(module.state.hibernated_endpoints),
+        scheduler.handle_batch(START, [DestinationsReleased(tuple(range(size)))])
+        scheduler.handle_batch(START + 60 * SECOND_US, [TimerFired(0)])
+        assert len(scheduler.state.hibernated) == size
+        scheduler.state.hibernated, scheduler.state.hibernated_endpoints = (
+            Walked(scheduler.state.hibernated),
+            Walked(scheduler.state.hibernated_endpoints),
         )
         batches: list[list[Event]] = [
             [DestinationsReleased((-1,))],
             [EndpointListReceived(EndpointListKind.DELTA, (make_entry("h7", 7),))],
             [TimerFired(0)],
-            [MessageSubmitted("m", -2, "safe", None, SECOND_US, None)],
+            [make_message("m", destination=-2, time_remaining=SECOND_US)],
         ]
         costs.append(
-            [steps(partial(module.handle_batch, START + 61 * SECOND_US, batch)) for batch in batches]
+            [steps(partial(scheduler.handle_batch, START + 61 * SECOND_US, batch)) for batch in batches]
         )
-        assert module.state.hibernated.walked == 0
-        assert module.state.hibernated_endpoints.walked == 0
+        assert scheduler.state.hibernated.walked == 0
+        assert scheduler.state.hibernated_endpoints.walked == 0
     assert all(0 < many <= 1.5 * few for few, many in zip(*costs, strict=True))
 
 
-def test_what_a_dormant_one_takes_of_memory() -> None:
-    """At the most, in an outage with a told wait and an address of its own."""
+def test_hibernated_destination_uses_bounded_memory() -> None:
+    """Upper bound: an open circuit, a Retry-After and one endpoint per destination."""
     size = 2_000
-    module = Scheduler(1, SETTINGS)
-    module.handle_batch(
+    scheduler = Scheduler(1, SETTINGS)
+    scheduler.handle_batch(
         START,
         [EndpointListReceived(EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size)))],
     )
-    for number, endpoint in enumerate(module.state.endpoints.values()):
+    for number, endpoint in enumerate(scheduler.state.endpoints.values()):
         gate = endpoint.gate
         gate.retry_after_until = START + 99 * SECOND_US + number
         gate.next_attempt_at = START + number
@@ -572,22 +579,22 @@
     gc.collect()
     tracemalloc.start()
     try:
-        module.handle_batch(START, [DestinationsReleased(tuple(range(size)))])
-        module.handle_batch(START + 60 * SECOND_US, [TimerFired(0)])
+        scheduler.handle_batch(START, [DestinationsReleased(tuple(range(size)))])
+        scheduler.handle_batch(START + 60 * SECOND_US, [TimerFired(0)])
         gc.collect()
-        held = tracemalloc.get_traced_memory()[0] / size
+        bytes_per_destination = tracemalloc.get_traced_memory()[0] / size
     finally:
         tracemalloc.stop()
-    assert len(module.state.hibernated) == size
-    print(f"{held:.0f} bytes for each")
-    assert 100 < held < 1_000
+    assert len(scheduler.state.hibernated) == size
+    print(f"{bytes_per_destination:.0f} bytes per hibernated destination")
+    assert 100 < bytes_per_destination < 1_000
 
 
-# Random plays
+# Comparison with a scheduler that keeps all destinations
 
 
-class Even(random.Random):
-    """Draws the same whatever was drawn before."""
+class FixedRandom(random.Random):
+    """Returns `at` from every draw, independently of earlier draws."""
 
     def __init__(self) -> None:
         self.at = 0.5
@@ -602,29 +609,32 @@
         return 1.0
 
 
-class Judge(Scheduler):
-    """Kept all destinations. It sends what the other one sends, and allows it, or fails."""
+class ReferenceScheduler(Scheduler):
+    """Scheduler that keeps all destinations. It sends given attempts and asserts that each is allowed."""
 
     def __init__(self, seed: int, settings: RelaySettings) -> None:
         super().__init__(seed, settings)
-        self.theirs: Sequence[SendAttempt] = ()
+        self.attempts: Sequence[SendAttempt] = ()
 
     def _dispatch(self) -> None:
-        for send in self.theirs:
-            message, endpoint = self.state.messages[send.message_id], self.state.endpoints[send.endpoint]
-            assert may_attempt(self.state, message, endpoint) and is_next(self.state, message), send
-            opens = next_call_at(self.state, endpoint.gate, endpoint.destination)
-            assert opens <= self.state.now, (send, opens - self.state.now, endpoint.gate)
+        for attempt in self.attempts:
+            message, endpoint = (
+                self.state.messages[attempt.message_id],
+                self.state.endpoints[attempt.endpoint],
+            )
+            assert may_attempt(self.state, message, endpoint) and is_next(self.state, message), attempt
+            allowed_at = next_call_at(self.state, endpoint.gate, endpoint.destination)
+            assert allowed_at <= self.state.now, (attempt, allowed_at - self.state.now, endpoint.gate)
             send_call(self.state, message, endpoint)
 
 
-HOSTS = [
+ENDPOINTS = [
     make_entry("a"),
     make_entry("b", zone="there"),
-    make_entry("c", 2, kind="apart"),
-    make_entry("d", 2, "there", kind="apart"),
+    make_entry("c", 2, kind="own_limits"),
+    make_entry("d", 2, "there", kind="own_limits"),
 ]
-BAD = [
+FAILURES = [
     AttemptStatus.REJECTED,
     AttemptStatus.ERROR,
     AttemptStatus.CONNECT_FAILED,
@@ -633,131 +643,151 @@
     AttemptStatus.MALFORMED_RESPONSE,
 ]
 STEP = st.tuples(
-    st.sampled_from(["submit"] * 4 + ["answer"] * 4 + ["let go"] * 2 + ["list", "list some", "told", "pass"]),
+    st.sampled_from(
+        ["submit"] * 4 + ["outcome"] * 4 + ["release"] * 2 + ["list", "list_some", "retry_after", "wait"]
+    ),
     st.integers(0, 99),
     st.sampled_from(
         [0, 5 * MILLISECOND_US, 100 * MILLISECOND_US, 700 * MILLISECOND_US, 3 * SECOND_US, 11 * SECOND_US]
     ),
-    st.sampled_from([AttemptStatus.OK] * 5 + BAD * 2),
+    st.sampled_from([AttemptStatus.OK] * 5 + FAILURES * 2),
 )
 
 
-class Play:
-    """A module whose idle destinations are let go and listed again, before the judge."""
-
-    def __init__(self, instances: int) -> None:
-        told = replace(SETTINGS, relay_count=instances, max_open_messages=10_000, max_attempts=3)
-        self.module, self.judge = Scheduler(1, told), Judge(1, told)
-        self.draw = Even()
-        self.module.state.random = self.judge.state.random = self.draw
-        self.now, self.wake, self.number, self.returns, self.calls = START, START, 0, 0, 0
-        self.out: dict[str, SendAttempt] = {}
-        self.away: dict[str, EndpointEntry] = {}  # hosts of destinations that were let go
-        everything = EndpointListReceived(EndpointListKind.FULL, tuple(HOSTS))
-        self.feed([everything], [everything])
-
-    def feed(self, events: list[Event], kept: list[Event] | None = None) -> None:
-        actions = self.module.handle_batch(self.now, events)
-        self.judge.theirs = [a for a in actions if isinstance(a, SendAttempt)]
+class ComparisonRun:
+    """Runs a scheduler whose idle destinations are released and listed again against a reference."""
+
+    def __init__(self, relay_count: int) -> None:
+        relay_settings = replace(SETTINGS, relay_count=relay_count, max_open_messages=10_000, max_attempts=3)
+        self.scheduler, self.reference = Scheduler(1, relay_settings), ReferenceScheduler(1, relay_settings)
+        self.random_source = FixedRandom()
+        self.scheduler.state.random = self.reference.state.random = self.random_source
+        self.now = self.timer_at = START
+        self.message_count = self.restored_count = self.call_count = 0
+        self.in_flight: dict[str, SendAttempt] = {}
+        # Entries of the endpoints of released destinations.
+        self.released_entries: dict[str, EndpointEntry] = {}
+        full_list = EndpointListReceived(EndpointListKind.FULL, tuple(ENDPOINTS))
+        self.run_batch([full_list], [full_list])
+
+    def run_batch(self, events: list[Event], reference_events: list[Event] | None = None) -> None:
+        actions = self.scheduler.handle_batch(self.now, events)
+        self.reference.attempts = [action for action in actions if isinstance(action, SendAttempt)]
         for action in actions:
             if isinstance(action, SetTimer):
-                self.wake = self.now + action.delay
-        self.judge.handle_batch(self.now, events if kept is None else kept)
-        self.out |= {send.message_id: send for send in self.judge.theirs}
-        self.calls += len(self.judge.theirs)
-        # What ends in one ends in the other: it is the gates that are compared.
-        ended = self.judge.state.messages.keys() ^ self.module.state.messages.keys()
+                self.timer_at = self.now + action.delay
+        self.reference.handle_batch(self.now, events if reference_events is None else reference_events)
+        self.in_flight |= {attempt.message_id: attempt for attempt in self.reference.attempts}
+        self.call_count += len(self.reference.attempts)
+        # Ends in both what has ended in one: only the gates are compared.
+        ended = self.reference.state.messages.keys() ^ self.scheduler.state.messages.keys()
         for name in ended:
-            for module in (self.judge, self.module):
-                if (message := module.state.messages.get(name)) is not None and message.call is None:
-                    lifecycle.finish(module.state, message, None)
+            for scheduler in (self.reference, self.scheduler):
+                if (message := scheduler.state.messages.get(name)) is not None and message.call is None:
+                    lifecycle.finish(scheduler.state, message, None)
 
-    def known(self, host: str) -> bool:
-        """Listed, or let go not long ago."""
-        return host in self.module.state.endpoints or host in self.module.state.hibernated_endpoints
+    def is_known(self, name: str) -> bool:
+        """Returns whether an endpoint is listed or hibernated."""
+        return name in self.scheduler.state.endpoints or name in self.scheduler.state.hibernated_endpoints
 
     def pass_time(self, delay: int) -> None:
         end = self.now + delay
-        while self.now < self.wake <= end:
-            self.now = self.wake
-            self.feed([TimerFired(0)])
+        while self.now < self.timer_at <= end:
+            self.now = self.timer_at
+            self.run_batch([TimerFired(0)])
         self.now = end
 
-    def step(self, what: str, pick: int, delay: int, result: AttemptStatus) -> None:
+    def run_step(self, kind: str, pick: int, delay: int, status: AttemptStatus) -> None:
         self.pass_time(delay)
-        self.draw.at = pick / 100
+        self.random_source.at = pick / 100
         number = 1 + pick % 2
-        match what:
+        match kind:
             case "submit":
-                names = [f"m{self.number + i}" for i in range(1 + pick % 4)]
-                self.number += len(names)
-                self.feed([MessageSubmitted(n, number, "safe", None, 7 * SECOND_US, None) for n in names])
-            case "answer" if self.out:
-                name = sorted(self.out)[pick % len(self.out)]
-                send = self.out.pop(name)
-                wait = 1500 * MILLISECOND_US if result is AttemptStatus.REJECTED and pick % 3 else 0
-                over = result is AttemptStatus.OK
-                heard = AttemptEnded(
-                    name, 0, send.endpoint, result, 5 * MILLISECOND_US, over, wait, None, None, 0
+                names = [f"m{self.message_count + i}" for i in range(1 + pick % 4)]
+                self.message_count += len(names)
+                self.run_batch(
+                    [make_message(name, destination=number, time_remaining=7 * SECOND_US) for name in names]
                 )
-                self.feed([heard, *([] if over or pick % 4 else [MessageCancelled(name)])])
-            case "let go":
-                idle = self.module.is_idle(self.now, number)
-                assert idle == self.judge.is_idle(self.now, number)
-                self.feed([DestinationsReleased((number,))], [])
-                if idle:
-                    self.away |= {e.endpoint: e for e in HOSTS if e.destination == number}
-                    assert number not in self.module.state.destinations
-            case "list" | "list some" if self.away:
-                # Routes apart come together: a route's part of the demand goes by those that are listed.
-                some = sorted(self.away)[: None if what == "list" else 1 + pick % 2]
-                if {"c", "d"} & set(some):
-                    some = sorted({*some, "c", "d"})
-                back = tuple(self.away.pop(name) for name in some)
-                self.returns += len(back)
-                self.feed([EndpointListReceived(EndpointListKind.DELTA, back)], [])
-            case "told":
-                host = HOSTS[pick % len(HOSTS)].endpoint
-                if not self.known(host):
-                    return  # nothing was out for so long that it can tell none
-                for module in (self.module, self.judge):
-                    module.apply_retry_after(self.now, host, 2 * SECOND_US)
-                self.feed([])
-        for name in filter(self.known, (host.endpoint for host in HOSTS)):
-            assert self.module.is_blocked(self.now, name) == self.judge.is_blocked(self.now, name), name
+            case "outcome" if self.in_flight:
+                name = sorted(self.in_flight)[pick % len(self.in_flight)]
+                send = self.in_flight.pop(name)
+                retry_after = 1500 * MILLISECOND_US if status is AttemptStatus.REJECTED and pick % 3 else 0
+                is_final = status is AttemptStatus.OK
+                outcome = AttemptEnded(
+                    name, 0, send.endpoint, status, 5 * MILLISECOND_US, is_final, retry_after, None, None, 0
+                )
+                self.run_batch([outcome, *([] if is_final or pick % 4 else [MessageCancelled(name)])])
+            case "release":
+                is_idle = self.scheduler.is_idle(self.now, number)
+                assert is_idle == self.reference.is_idle(self.now, number)
+                self.run_batch([DestinationsReleased((number,))], [])
+                if is_idle:
+                    self.released_entries |= {
+                        entry.endpoint: entry for entry in ENDPOINTS if entry.destination == number
+                    }
+                    assert number not in self.scheduler.state.destinations
+            case "list" | "list_some" if self.released_entries:
+                # Lists endpoints with own limits together: the demand is split among the listed ones.
+                names = sorted(self.released_entries)[: None if kind == "list" else 1 + pick % 2]
+                if {"c", "d"} & set(names):
+                    names = sorted({*names, "c", "d"})
+                restored = tuple(self.released_entries.pop(name) for name in names)
+                self.restored_count += len(restored)
+                self.run_batch([EndpointListReceived(EndpointListKind.DELTA, restored)], [])
+            case "retry_after":
+                name = ENDPOINTS[pick % len(ENDPOINTS)].endpoint
+                if not self.is_known(name):
+                    return  # no call can still be in flight to report a Retry-After
+                for scheduler in (self.scheduler, self.reference):
+                    scheduler.apply_retry_after(self.now, name, 2 * SECOND_US)
+                self.run_batch([])
+        for name in filter(self.is_known, (entry.endpoint for entry in ENDPOINTS)):
+            assert self.scheduler.is_blocked(self.now, name) == self.reference.is_blocked(self.now, name), (
+                name
+            )
 
 
 @settings(derandomize=True, max_examples=200, deadline=None, database=None)
 @given(st.lists(STEP, max_size=50), st.sampled_from([2, 60]))
-def test_no_call_goes_out_that_one_kept_would_forbid(
-    plan: list[tuple[str, int, int, AttemptStatus]], relays: int
+def test_released_destinations_send_no_call_that_reference_forbids(
+    steps_to_run: list[tuple[str, int, int, AttemptStatus]], relays: int
 ) -> None:
-    """Told waits, pauses, paces, outages, cold returns: all gates. Calls take the same time, so that no
-    window narrows for slow ones: what was usual is not kept."""
-    play = Play(relays)
-    for step in plan:
-        play.step(*step)
-
-
-OFTEN = [*["submit"] * 3, *["answer"] * 12, *["let go"] * 6, *["list"] * 4, "list some", "told"]
+    """Covers Retry-After, pauses, rate limits, open circuits and slow start on all gates.
+
+    All calls take the same time, so that no window is narrowed for slow calls: call times are not kept.
+    """
+    comparison = ComparisonRun(relays)
+    for step in steps_to_run:
+        comparison.run_step(*step)
+
+
+STEP_CHOICES = [
+    *["submit"] * 3,
+    *["outcome"] * 12,
+    *["release"] * 6,
+    *["list"] * 4,
+    "list_some",
+    "retry_after",
+]
 
 
 @pytest.mark.parametrize("relays", [2, 60])
-def test_long_plays(relays: int) -> None:
-    """Weather by the minute: all is well, refusals, or nothing answers."""
-    returns = calls = outages = 0
+def test_long_runs_send_no_call_that_reference_forbids(relays: int) -> None:
+    """Phases of 40 steps each: successes, rejections, failed connections, successes, errors."""
+    restored_count = call_count = outages = 0
     for seed in range(12):
-        draw, play = random.Random(seed), Play(relays)
+        rng, comparison = random.Random(seed), ComparisonRun(relays)
         for i in range(600):
-            weather = [
+            phase_status = [
                 AttemptStatus.OK,
                 AttemptStatus.REJECTED,
                 AttemptStatus.CONNECT_FAILED,
                 AttemptStatus.OK,
                 AttemptStatus.ERROR,
             ][i // 40 % 5]
-            result = weather if draw.random() < 0.9 else draw.choice([AttemptStatus.OK, *BAD])
-            delay = draw.choice(
+            is_phase_status = rng.random() < 0.9
+            status = phase_status if is_phase_status else rng.choice([AttemptStatus.OK, *FAILURES])
+            delay = rng.choice(
                 [
                     0,
                     5 * MILLISECOND_US,
@@ -767,8 +797,13 @@
                     2 * SECOND_US,
                 ]
             )
-            play.step(draw.choice(OFTEN), draw.randrange(100), delay, result)
-            dormant = [kept.gate for kept in play.module.state.hibernated.values()]
-            outages += any(gate is not None and gate.is_open for gate in dormant)
-        returns, calls = returns + play.returns, calls + play.calls
-    assert returns > 500 and calls > 1_000 and outages > 100, (returns, calls, outages)
+            comparison.run_step(rng.choice(STEP_CHOICES), rng.randrange(100), delay, status)
+            hibernated_gates = [record.gate for record in comparison.scheduler.state.hibernated.values()]
+            outages += any(gate is not None and gate.is_open for gate in hibernated_gates)
+        restored_count += comparison.restored_count
+        call_count += comparison.call_count
+    assert restored_count > 500 and call_count > 1_000 and outages > 100, (
+        restored_count,
+        call_count,
+        outages,
+    )
--- a/tests/decisions/test_long_lists.py
+++ b/tests/decisions/test_long_lists.py
@@ -1,4 +1,4 @@
-"""What a change of the list costs goes by the change, however many hosts are listed."""
+"""Endpoint table: the cost of a list change depends on its size, not on the number of listed endpoints."""
 
 from __future__ import annotations
 
@@ -22,61 +22,57 @@
 
 FEW, MANY = 1_000, 50_000
 CHANGES = {
-    "a host drains": (make_entry("h5", 5, state=EndpointState.DRAINING),),
-    "a host goes": (make_entry("h6", 6, state=EndpointState.REMOVED),),
-    "a host comes": (make_entry("new", 7),),
-    "nothing": (),
+    "drain": (make_entry("h5", 5, state=EndpointState.DRAINING),),
+    "remove": (make_entry("h6", 6, state=EndpointState.REMOVED),),
+    "add": (make_entry("new", 7),),
+    "empty": (),
 }
 
 
-def told(module: Scheduler, *entries: EndpointEntry) -> int:
-    """The steps that a change takes."""
+def count_change_steps(scheduler: Scheduler, *entries: EndpointEntry) -> int:
+    """Returns the number of interpreter steps that a list change takes."""
     listing = EndpointListReceived(EndpointListKind.DELTA, entries)
-    return steps(lambda: module.handle_batch(module.state.now + 100_000, [listing]))
+    return steps(lambda: scheduler.handle_batch(scheduler.state.now + 100_000, [listing]))
 
 
 @pytest.fixture(scope="module")
-def modules() -> dict[int, Scheduler]:
+def schedulers() -> dict[int, Scheduler]:
     made = {}
     for size in (FEW, MANY):
-        module = made[size] = Scheduler(1, SETTINGS)
-        module.handle_batch(
+        scheduler = made[size] = Scheduler(1, SETTINGS)
+        scheduler.handle_batch(
             START,
             [EndpointListReceived(EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size)))],
         )
-        module.state.endpoints, module.state.destinations = (
-            Walked(module.state.endpoints),
-            Walked(module.state.destinations),
+        scheduler.state.endpoints, scheduler.state.destinations = (
+            Walked(scheduler.state.endpoints),
+            Walked(scheduler.state.destinations),
         )
     return made
 
 
 @pytest.mark.parametrize("what", CHANGES)
-def test_a_change_costs_what_it_brings(modules: dict[int, Scheduler], what: str) -> None:
-    few, many = (told(modules[size], *CHANGES[what]) for size in (FEW, MANY))
+def test_list_change_cost_is_independent_of_list_length(schedulers: dict[int, Scheduler], what: str) -> None:
+    few, many = (count_change_steps(schedulers[size], *CHANGES[what]) for size in (FEW, MANY))
     assert 0 < many <= 1.5 * few
-    for module in modules.values():
-        assert isinstance(module.state.endpoints, Walked)
-        assert module.state.endpoints.walked == 0
-        assert isinstance(module.state.destinations, Walked)
-        assert module.state.destinations.walked == 0
+    for scheduler in schedulers.values():
+        assert isinstance(scheduler.state.endpoints, Walked)
+        assert scheduler.state.endpoints.walked == 0
+        assert isinstance(scheduler.state.destinations, Walked)
+        assert scheduler.state.destinations.walked == 0
 
 
-def test_the_count_sees_a_walk(modules: dict[int, Scheduler]) -> None:
-    """The check before this one can fail."""
-    few, many = (steps(modules[size].avoided_endpoint_count) for size in (FEW, MANY))
+def test_walk_over_all_endpoints_is_counted(schedulers: dict[int, Scheduler]) -> None:
+    """Shows that the test above can fail: a walk over all endpoints is visible in both counts."""
+    few, many = (steps(schedulers[size].avoided_endpoint_count) for size in (FEW, MANY))
     assert many > 40 * few
-    for size, module in modules.items():
-        assert isinstance(module.state.endpoints, Walked)
-        assert size - 9 < module.state.endpoints.walked < size + 9
-        module.state.endpoints.walked = 0
+    for size, scheduler in schedulers.items():
+        assert isinstance(scheduler.state.endpoints, Walked)
+        assert size - 9 < scheduler.state.endpoints.walked < size + 9
+        scheduler.state.endpoints.walked = 0
 
 
-def gone(driver: SchedulerDriver, *names: str) -> tuple[EndpointEntry, ...]:
-    return tuple(make_entry(name, state=EndpointState.REMOVED) for name in names)
-
-
-def test_one_that_is_gone_is_forgotten_with_the_first_change_after_it_binds_no_more() -> None:
+def test_removed_endpoint_is_dropped_at_first_change_after_it_is_unused() -> None:
     driver = SchedulerDriver(make_entry("a", 1), make_entry("b", 2), make_entry("c", 3))
     driver.scheduler.apply_retry_after(driver.now, "a", 2 * SECOND_US)
     driver.submit("m", destination=2)
@@ -98,7 +94,7 @@
     assert not driver.scheduler.state.removed_endpoints
 
 
-def test_one_that_is_gone_and_listed_again_stays() -> None:
+def test_removed_endpoint_listed_again_is_kept() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.scheduler.apply_retry_after(driver.now, "a", 2 * SECOND_US)
     driver.run_batch(
@@ -112,12 +108,12 @@
     assert driver.sent[-1][1].endpoint == "a"
 
 
-def test_many_that_are_gone_and_bind_for_long_cost_a_change_no_more_than_a_few() -> None:
-    """Routes that went in an outage stay: each change looks at some of them, and at all in turn."""
+def test_list_change_checks_bounded_number_of_removed_endpoints() -> None:
+    """Endpoints removed during an outage are kept; each change checks some of them, and all in turn."""
     costs = []
     for size in (2 * MIN_REMOVAL_CHECKS, 80 * MIN_REMOVAL_CHECKS):
         names = [f"h{i}" for i in range(size)]
-        driver = SchedulerDriver(*(make_entry(name, i, kind="apart") for i, name in enumerate(names)))
+        driver = SchedulerDriver(*(make_entry(name, i, kind="own_limits") for i, name in enumerate(names)))
         for name in names:
             driver.scheduler.state.endpoints[name].gate.breaker.is_open = True
         driver.run_batch(
@@ -127,7 +123,7 @@
             )
         )
         assert len(driver.scheduler.state.removed_endpoints) == size
-        costs.append(told(driver.scheduler))
+        costs.append(count_change_steps(driver.scheduler))
         for endpoint in driver.scheduler.state.endpoints.values():
             endpoint.gate.breaker.is_open = False
         for _ in range(size // MIN_REMOVAL_CHECKS):
@@ -137,7 +133,7 @@
     assert costs[1] <= 1.5 * costs[0]
 
 
-def test_a_whole_list_looks_at_all_that_are_gone() -> None:
+def test_full_list_checks_all_removed_endpoints() -> None:
     names = [f"h{i}" for i in range(3 * MIN_REMOVAL_CHECKS)]
     driver = SchedulerDriver(*(make_entry(name) for name in names))
     driver.run_batch(EndpointListReceived(EndpointListKind.FULL, (make_entry("x"),)))
@@ -145,18 +141,18 @@
     assert not driver.scheduler.state.removed_endpoints
 
 
-def test_what_an_endpoint_takes_of_memory() -> None:
-    """With a destination of its own. Trouble: two fifths of 1.6 KB were an empty deque."""
+def test_listed_endpoint_uses_bounded_memory() -> None:
+    """Each with its own destination. Guards against an empty deque, which was two fifths of 1.6 KB."""
     size = 2_000
     listing = EndpointListReceived(EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size)))
-    module = Scheduler(1, SETTINGS)
+    scheduler = Scheduler(1, SETTINGS)
     gc.collect()
     tracemalloc.start()
     try:
-        module.handle_batch(START, [listing])
-        held = tracemalloc.get_traced_memory()[0] / size
+        scheduler.handle_batch(START, [listing])
+        bytes_per_endpoint = tracemalloc.get_traced_memory()[0] / size
     finally:
         tracemalloc.stop()
-    print(f"{held:.0f} bytes for each")
-    assert len(module.state.endpoints) == size
-    assert 400 < held < 1_200
+    print(f"{bytes_per_endpoint:.0f} bytes per endpoint")
+    assert len(scheduler.state.endpoints) == size
+    assert 400 < bytes_per_endpoint < 1_200
--- a/tests/decisions/test_ordinary_path.py
+++ b/tests/decisions/test_ordinary_path.py
@@ -1,4 +1,4 @@
-"""The design's own path: at once, then base times a growing power of two, inside a window."""
+"""Delivery without special cases: immediate attempts, exponential backoff, concurrency, batches, failures."""
 
 from dataclasses import replace
 from itertools import pairwise
@@ -22,15 +22,16 @@
     SchedulerDriver,
     ended_messages,
     make_entry,
+    make_message,
     sent_messages,
 )
 
 
-def test_first_send_is_immediate() -> None:
+def test_first_attempt_is_immediate() -> None:
     assert sent_messages(SchedulerDriver(make_entry("a")).submit("m")) == ["m"]
 
 
-def test_waits_double_from_half_a_second() -> None:
+def test_retry_delay_doubles_from_half_a_second() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls(40)
     driver.submit("m")
@@ -44,7 +45,7 @@
     assert [0.5 * 2**i <= w <= 0.5 * 2**i * 1.2 for i, w in enumerate(waits)] == [True] * 4, waits
 
 
-def test_gives_up_at_the_told_cap() -> None:
+def test_message_is_rejected_after_max_attempts() -> None:
     driver = SchedulerDriver(make_entry("a"), max_attempts=3)
     driver.run_successful_calls(12)
     driver.submit("m")
@@ -56,11 +57,11 @@
                 if sent_messages(actions := driver.advance_clock(10 * SECOND_US)) == ["m"]:
                     break
             assert sent_messages(actions) == ["m"]
-    assert ended_messages(actions) == [(RejectMessage, "m")]  # safe to come again
-    assert sum(s.message_id == "m" for _, s in driver.sent) == 3
+    assert ended_messages(actions) == [(RejectMessage, "m")]  # safe to send again
+    assert sum(attempt.message_id == "m" for _, attempt in driver.sent) == 3
 
 
-def test_fails_at_once_when_time_left_covers_no_wait() -> None:
+def test_message_fails_immediately_if_backoff_exceeds_deadline() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.submit("m", time_remaining=600 * MILLISECOND_US)
     assert ended_messages(driver.end_attempt("m", AttemptStatus.ERROR, after=200 * MILLISECOND_US)) == [
@@ -68,20 +69,11 @@
     ]
 
 
-def test_window_opens_from_one_and_is_share_capped() -> None:
+def test_concurrency_window_grows_from_one_to_slot_share() -> None:
     driver = SchedulerDriver(make_entry("a"))
-    assert (
-        len(
-            sent_messages(
-                driver.run_batch(
-                    *[MessageSubmitted(f"x{i}", 1, "safe", None, 20 * SECOND_US, None) for i in range(9)]
-                )
-            )
-        )
-        == 1
-    )
+    assert len(sent_messages(driver.run_batch(*[make_message(f"x{i}") for i in range(9)]))) == 1
     for _ in range(30):
-        for name in [n for n in driver.scheduler.state.messages if driver.scheduler.state.messages[n].call]:
+        for name in driver.messages_in_flight():
             driver.end_attempt(name, AttemptStatus.OK)
         driver.submit(f"y{driver.now}")
         driver.submit(f"z{driver.now}")
@@ -89,16 +81,16 @@
     assert driver.scheduler.state.destinations[1].gate.window.size >= 6
 
 
-def test_a_sick_destination_holds_at_most_half() -> None:
+def test_degraded_destination_uses_at_most_half_of_slots() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls(12)
     driver.scheduler.state.destinations[1].gate.slow_start.started_at = driver.now
     driver.scheduler.state.destinations[1].demand.value = 1000.0
-    driver.run_batch(*[MessageSubmitted(f"x{i}", 1, "safe", None, 20 * SECOND_US, None) for i in range(9)])
+    driver.run_batch(*[make_message(f"x{i}") for i in range(9)])
     assert driver.scheduler.state.calls_in_flight == 4
 
 
-def test_refusals_become_a_growing_pause_for_the_destination() -> None:
+def test_consecutive_rejections_lengthen_pause_of_destination() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
     gate, pauses = driver.scheduler.state.destinations[1].gate, []
@@ -106,18 +98,20 @@
         assert sent_messages(driver.submit(f"m{i}")) == [f"m{i}"]
         driver.end_attempt(f"m{i}", AttemptStatus.REJECTED)
         pauses.append(gate.next_attempt_at - driver.now)
-        assert not sent_messages(driver.submit(f"n{i}"))  # a fresh message must wait, too
+        assert not sent_messages(driver.submit(f"n{i}"))  # a new message has to wait, too
         driver.run_batch(MessageCancelled(f"m{i}"), MessageCancelled(f"n{i}"))
         driver.now = max(gate.next_attempt_at, driver.now + 5 * SECOND_US)
     assert pauses[0] >= SECOND_US // 2
     assert all(later > 1.5 * earlier for earlier, later in pairwise(pauses))
 
 
-def test_over_share_traffic_goes_behind() -> None:
+def test_message_over_quota_gets_lower_priority() -> None:
     driver = SchedulerDriver(
         make_entry("a"), tenants={"t": Tenant("t", 2.0, 0.5), "u": Tenant("u", 2.0, 0.5)}, relay_count=1
     )
-    driver.run_batch(*[MessageSubmitted(f"t{i}", 1, "safe", "t", 20 * SECOND_US, None) for i in range(12)])
+    driver.run_batch(
+        *[MessageSubmitted(f"t{i}", 1, "idempotent", "t", 20 * SECOND_US, None) for i in range(12)]
+    )
     driver.submit("u0", tenant="u")
     first = driver.sent[0][1].message_id
     assert sent_messages(driver.end_attempt(first, AttemptStatus.OK))[0] != "t11"
@@ -128,13 +122,9 @@
     )
 
 
-def test_bundles_share_one_call_and_one_slot() -> None:
-    driver = SchedulerDriver(make_entry("a", kind="bundled"))
-    out = sent_messages(
-        driver.run_batch(
-            *[MessageSubmitted(f"x{i}", 1, "safe", None, 20 * SECOND_US, None) for i in range(9)]
-        )
-    )
+def test_batch_uses_one_call_and_one_slot() -> None:
+    driver = SchedulerDriver(make_entry("a", kind="batching"))
+    out = sent_messages(driver.run_batch(*[make_message(f"x{i}") for i in range(9)]))
     assert len(out) == 5
     assert driver.scheduler.state.calls_in_flight == 1
     driver.run_batch(*[driver.make_attempt_ended(name, AttemptStatus.OK) for name in out])
@@ -142,61 +132,63 @@
     assert len(driver.sent) == 9
 
 
-def test_an_unsafe_message_passes_an_endpoint_that_failed_last() -> None:
-    """It went back to a dead endpoint each time the pause was over, though a sibling was sound."""
+def test_at_most_once_message_avoids_endpoint_that_failed_last() -> None:
+    """Guards against returning to a failed endpoint after each pause although its sibling is healthy."""
     for seed in range(10):
         driver = SchedulerDriver(make_entry("a"), make_entry("b"), seed=seed)
         driver.run_successful_calls()
-        driver.submit("m", "unsafe")
+        driver.submit("m", "at_most_once")
         dead = driver.sent[-1][1].endpoint
         driver.end_attempt("m", AttemptStatus.CONNECT_FAILED)
         driver.end_attempt("m", AttemptStatus.OK)
         driver.advance_clock(20 * SECOND_US)
-        driver.submit("n", "unsafe")
-        assert [s.endpoint for _, s in driver.sent if s.message_id in ("m", "n")].count(dead) == 1
+        driver.submit("n", "at_most_once")
+        assert [attempt.endpoint for _, attempt in driver.sent if attempt.message_id in ("m", "n")].count(
+            dead
+        ) == 1
 
 
-def test_a_spoilt_answer_is_no_failure_of_the_destination() -> None:
-    """It may have run, so an unsafe message fails; but the host is up, and the next message goes at once."""
+def test_single_malformed_response_does_not_count_against_destination() -> None:
+    """An at-most-once message fails, since it may have run; the endpoint is up, so the next one is sent."""
     driver = SchedulerDriver(make_entry("a"))
     driver.submit("first")
-    assert ended_messages(driver.submit("m", "unsafe")) == []
+    assert ended_messages(driver.submit("m", "at_most_once")) == []
     driver.end_attempt("first", AttemptStatus.OK)
     assert ended_messages(driver.end_attempt("m", AttemptStatus.MALFORMED_RESPONSE)) == [(FailMessage, "m")]
     assert sent_messages(driver.submit("next")) == ["next"]
     driver.end_attempt("next", AttemptStatus.MALFORMED_RESPONSE)
-    for name in ("third", "fourth"):  # nothing but spoilt answers: from here on they narrow the window
+    for name in ("third", "fourth"):  # only malformed responses: from here on they narrow the window
         assert sent_messages(driver.submit(name)) == [name]
         driver.end_attempt(name, AttemptStatus.MALFORMED_RESPONSE)
     assert sent_messages(driver.submit("last")) == []
 
 
-def test_a_reset_of_a_kept_connection_is_no_failure_of_the_destination() -> None:
+def test_single_reset_of_reused_connection_does_not_count_against_destination() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
     gate = driver.scheduler.state.destinations[1].gate
     window = gate.window.size
     for i in range(3):
-        driver.submit(f"m{i}", "unsafe")
+        driver.submit(f"m{i}", "at_most_once")
         driver.run_batch(
             replace(
                 driver.make_attempt_ended(f"m{i}", AttemptStatus.CONNECTION_LOST),
                 connection_idle=20 * MILLISECOND_US,
             )
         )
-        assert (gate.window.size == window) == (i < 2)  # three in a row do tell of the host
+        assert (gate.window.size == window) == (i < 2)  # three in a row count against the destination
     driver.advance_clock(20 * SECOND_US)
     driver.run_successful_calls()
     window = gate.window.size
-    driver.submit("new", "unsafe")
+    driver.submit("new", "at_most_once")
     driver.run_batch(
         replace(driver.make_attempt_ended("new", AttemptStatus.CONNECTION_LOST), connection_idle=0)
     )
     assert gate.window.size < window
 
 
-def test_resets_right_after_an_answer_teach_no_idle_limit() -> None:
-    """Hosts that close right after an answer made the module open a connection for each call, for good."""
+def test_resets_shortly_after_response_set_no_idle_limit() -> None:
+    """Guards against opening a connection per call, forever, if endpoints close right after a response."""
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls(20)
     for i in range(5):
@@ -207,11 +199,11 @@
     driver.actions.clear()
     driver.submit("next", after=500 * MILLISECOND_US)
     assert sent_messages(driver.actions) == ["next"]
-    assert not any(isinstance(a, CloseIdleConnections) for a in driver.actions)
+    assert not any(isinstance(action, CloseIdleConnections) for action in driver.actions)
 
 
-def test_a_call_cut_off_by_its_deadline_tells_nothing_of_its_host() -> None:
-    """Trials went with the message nearest its deadline, ran out of time at once, and shut it again."""
+def test_call_cut_off_by_deadline_does_not_count_against_endpoint() -> None:
+    """Guards against probes with the message nearest its deadline: their timeouts kept the circuit open."""
     driver = SchedulerDriver(make_entry("a"))
     for i in range(4):
         driver.submit(f"m{i}", time_remaining=SECOND_US // 10)
@@ -219,64 +211,64 @@
     assert sent_messages(driver.submit("next")) == ["next"]
 
 
-def bundle_driver() -> SchedulerDriver:
-    """Calls take 0.4 s; the next one is opened by `away`."""
-    driver = SchedulerDriver(make_entry("a", kind="bundled"))
+def make_batching_driver() -> SchedulerDriver:
+    """Returns a driver of a batching endpoint whose calls take 0.4 s."""
+    driver = SchedulerDriver(make_entry("a", kind="batching"))
     for i in range(8):
         driver.submit(f"warm{i}")
         driver.end_attempt(f"warm{i}", AttemptStatus.OK, after=400 * MILLISECOND_US)
     return driver
 
 
-def away(driver: SchedulerDriver, state: EndpointState) -> list[Action]:
+def set_endpoint_state(driver: SchedulerDriver, state: EndpointState) -> list[Action]:
     return driver.run_batch(
-        EndpointListReceived(EndpointListKind.DELTA, (make_entry("a", kind="bundled", state=state),))
+        EndpointListReceived(EndpointListKind.DELTA, (make_entry("a", kind="batching", state=state),))
     )
 
 
 @pytest.mark.parametrize("leads", [True, False])
-def test_a_message_near_its_end_takes_no_unsafe_ones_with_it(leads: bool) -> None:
-    """A bundle is given up with the first of its messages; one that must not go again fails then."""
-    driver = bundle_driver()
-    away(driver, EndpointState.DRAINING)
+def test_message_near_deadline_is_not_batched_with_at_most_once_messages(leads: bool) -> None:
+    """A batch is abandoned at its first deadline, which fails any at-most-once message in it."""
+    driver = make_batching_driver()
+    set_endpoint_state(driver, EndpointState.DRAINING)
     driver.submit("short", time_remaining=SECOND_US // 2, after=0)
-    driver.submit("order1", "unsafe")
-    driver.submit("order2", "unsafe")
+    driver.submit("order1", "at_most_once")
+    driver.submit("order2", "at_most_once")
     driver.submit("update", time_remaining=20 * SECOND_US)
     driver.scheduler.state.messages["short" if leads else "order1"].priority_weight = 9.0
-    went = sent_messages(away(driver, EndpointState.ACTIVE))
+    went = sent_messages(set_endpoint_state(driver, EndpointState.ACTIVE))
     calls = {m: driver.scheduler.state.messages[m].call for m in went}
     assert "short" in went
     assert calls["short"] is not calls.get("order1")
     assert calls["short"] is not calls.get("order2")
     if leads:
-        assert calls["update"] is calls["short"]  # it can go again
+        assert calls["update"] is calls["short"]  # it can be repeated
     else:
         assert calls["order1"] is calls["order2"] is calls["update"]
 
 
-@pytest.mark.parametrize("result", [AttemptStatus.TIMEOUT, AttemptStatus.CONNECT_FAILED])
-def test_a_bundle_cut_off_by_one_message_tells_nothing_of_its_host(result: AttemptStatus) -> None:
-    """It lived for as long as that one: 140 such calls in 5 s were held against hosts."""
-    driver = bundle_driver()
+@pytest.mark.parametrize("status", [AttemptStatus.TIMEOUT, AttemptStatus.CONNECT_FAILED])
+def test_batch_cut_off_by_one_deadline_does_not_count_against_endpoint(status: AttemptStatus) -> None:
+    """The call is cut off at the earliest deadline: 140 such calls in 5 s were counted against endpoints."""
+    driver = make_batching_driver()
     gate = driver.scheduler.state.endpoints["a"].gate
     window, closed = gate.window.size, len(driver.actions)
-    away(driver, EndpointState.DRAINING)
+    set_endpoint_state(driver, EndpointState.DRAINING)
     driver.submit("short", time_remaining=SECOND_US // 2)
     driver.scheduler.state.messages["short"].priority_weight = 9.0
     driver.submit("update")
-    assert set(sent_messages(away(driver, EndpointState.ACTIVE))) == {"short", "update"}
+    assert set(sent_messages(set_endpoint_state(driver, EndpointState.ACTIVE))) == {"short", "update"}
     driver.run_batch(
-        *(driver.make_attempt_ended(m, result, after=100 * MILLISECOND_US) for m in ("short", "update")),
+        *(driver.make_attempt_ended(m, status, after=100 * MILLISECOND_US) for m in ("short", "update")),
         after=100 * MILLISECOND_US,
     )
     assert gate.window.size == window
     assert gate.breaker.consecutive_failures == 0
-    assert not any(isinstance(a, CloseIdleConnections) for a in driver.actions[closed:])
+    assert not any(isinstance(action, CloseIdleConnections) for action in driver.actions[closed:])
 
 
-def test_a_destination_seldom_used_is_tried_again_in_time() -> None:
-    """The less was known of its demand the longer it was shut: for minutes, and after a restart for good."""
+def test_rarely_used_destination_is_retried_within_15_seconds() -> None:
+    """Guards against pauses that grow as the known demand falls: minutes, and forever after a restart."""
     for seed in range(5):
         driver = SchedulerDriver(make_entry("a"), seed=seed)
         driver.submit("m", after=600 * SECOND_US)
@@ -284,14 +276,17 @@
         assert sent_messages(driver.advance_clock(15 * SECOND_US)) == ["m"]
 
 
-def test_after_a_restart_one_near_its_end_takes_no_unsafe_ones_with_it() -> None:
-    """Seen: sent in one call with one that had 30 ms left, and given up with it at half of its time."""
-    driver = SchedulerDriver(make_entry("a", kind="bundled"))
+def test_recovered_message_near_deadline_is_not_batched_with_at_most_once_message() -> None:
+    """Guards against a batch with a message that had 30 ms left, abandoned at half of the other's time."""
+    driver = SchedulerDriver(make_entry("a", kind="batching"))
     near, order = (
         MessageRecovered(
-            MessageSubmitted(name, 1, of, None, left, None), SECOND_US, 0, None, None, is_ended=False
+            MessageSubmitted(name, 1, class_name, None, left, None), SECOND_US, 0, None, None, is_ended=False
+        )
+        for name, class_name, left in (
+            ("near", "deduplicated", 30 * MILLISECOND_US),
+            ("order", "at_most_once", SECOND_US),
         )
-        for name, of, left in (("near", "keyed", 30 * MILLISECOND_US), ("order", "unsafe", SECOND_US))
     )
     driver.run_batch(near, order)
     calls = {name: driver.scheduler.state.messages[name].call for name in ("near", "order")}
--- a/tests/decisions/test_out_of_service.py
+++ b/tests/decisions/test_out_of_service.py
@@ -1,4 +1,4 @@
-"""A host that operators take out: nothing lifts it but their call back, and then it is cold."""
+"""Disabled endpoints: only the operator enables them again, and then slow start applies."""
 
 from __future__ import annotations
 
@@ -17,38 +17,37 @@
     EndpointListReceived,
     EndpointState,
     Event,
-    MessageSubmitted,
 )
-from tests.decisions.world import MILLISECOND_US, SECOND_US, SchedulerDriver, make_entry
+from tests.decisions.world import MILLISECOND_US, SECOND_US, SchedulerDriver, make_entry, make_message
 
-HOST, OTHER = make_entry("h", kind="apart"), make_entry("other", kind="apart")
+ENDPOINT, OTHER_ENDPOINT = make_entry("h", kind="own_limits"), make_entry("other", kind="own_limits")
 STEPS: dict[str, Event] = {
-    "out": EndpointDisabled("h"),
-    "back": EndpointEnabled("h"),
-    "listed": EndpointListReceived(EndpointListKind.DELTA, (HOST,)),
-    "whole list": EndpointListReceived(EndpointListKind.FULL, (HOST, OTHER)),
-    "drains": EndpointListReceived(EndpointListKind.DELTA, (replace(HOST, state=EndpointState.DRAINING),)),
-    "gone": EndpointListReceived(EndpointListKind.DELTA, (replace(HOST, state=EndpointState.REMOVED),)),
-    "whole list without it": EndpointListReceived(EndpointListKind.FULL, (OTHER,)),
-    "elsewhere": EndpointListReceived(EndpointListKind.DELTA, (replace(HOST, zone="there"),)),
+    "disable": EndpointDisabled("h"),
+    "enable": EndpointEnabled("h"),
+    "list": EndpointListReceived(EndpointListKind.DELTA, (ENDPOINT,)),
+    "full list": EndpointListReceived(EndpointListKind.FULL, (ENDPOINT, OTHER_ENDPOINT)),
+    "drain": EndpointListReceived(EndpointListKind.DELTA, (replace(ENDPOINT, state=EndpointState.DRAINING),)),
+    "remove": EndpointListReceived(EndpointListKind.DELTA, (replace(ENDPOINT, state=EndpointState.REMOVED),)),
+    "full list without it": EndpointListReceived(EndpointListKind.FULL, (OTHER_ENDPOINT,)),
+    "move to another zone": EndpointListReceived(EndpointListKind.DELTA, (replace(ENDPOINT, zone="there"),)),
 }
 
 
 @pytest.mark.parametrize("steps", list(product(STEPS, repeat=3)), ids="-".join)
-def test_no_step_but_the_call_back_lifts_it(steps: tuple[str, ...]) -> None:
-    driver = SchedulerDriver(HOST)  # alone, so that messages would go nowhere else
-    out, listed = False, True
-    for number, step in enumerate(("out", *steps)):
+def test_disabled_endpoint_receives_no_call_until_enabled(steps: tuple[str, ...]) -> None:
+    driver = SchedulerDriver(ENDPOINT)  # the only endpoint, so that messages cannot be sent elsewhere
+    is_disabled, is_listed = False, True
+    for number, step in enumerate(("disable", *steps)):
         driver.run_batch(STEPS[step], after=100 * MILLISECOND_US)
-        out = step == "out" or (out and step != "back")
-        listed = {"drains": False, "gone": False, "whole list without it": False}.get(
-            step, True if step in ("listed", "whole list", "elsewhere") else listed
+        is_disabled = step == "disable" or (is_disabled and step != "enable")
+        is_listed = {"drain": False, "remove": False, "full list without it": False}.get(
+            step, True if step in ("list", "full list", "move to another zone") else is_listed
         )
         before = len(driver.sent)
-        submit = MessageSubmitted(f"m{number}", 1, "safe", None, 20 * SECOND_US, None)
+        submit = make_message(f"m{number}")
         driver.run_batch(submit, after=3 * SECOND_US)
         sent = [send for _, send in driver.sent[before:] if send.endpoint == "h"]
-        if out or not listed:
+        if is_disabled or not is_listed:
             assert sent == [], (steps, step)
         for send in sent:
             driver.run_batch(
@@ -57,14 +56,14 @@
                 ),
                 after=10 * MILLISECOND_US,
             )
-    if not out and listed:
+    if not is_disabled and is_listed:
         driver.advance_clock(10 * SECOND_US)
         assert any(send.endpoint == "h" for _, send in driver.sent)
 
 
-def test_what_is_out_in_a_call_ends_and_goes_on_elsewhere() -> None:
-    driver = SchedulerDriver(HOST, OTHER)
-    driver.run_batch(EndpointDisabled("other"), MessageSubmitted("m", 1, "safe", None, 20 * SECOND_US, None))
+def test_message_in_flight_at_disabled_endpoint_is_retried_elsewhere() -> None:
+    driver = SchedulerDriver(ENDPOINT, OTHER_ENDPOINT)
+    driver.run_batch(EndpointDisabled("other"), make_message("m"))
     ((_, send),) = driver.sent
     assert send.endpoint == "h"
     driver.run_batch(EndpointDisabled("h"), EndpointEnabled("other"), after=10 * MILLISECOND_US)
@@ -73,51 +72,51 @@
         after=10 * MILLISECOND_US,
     )
     driver.advance_clock(10 * SECOND_US)
-    assert [s.endpoint for _, s in driver.sent] == ["h", "other"]
+    assert [attempt.endpoint for _, attempt in driver.sent] == ["h", "other"]
 
 
-def test_when_all_are_out_messages_wait_and_fail_at_their_time() -> None:
-    driver = SchedulerDriver(HOST)
-    driver.run_batch(EndpointDisabled("h"), MessageSubmitted("m", 1, "safe", None, 3 * SECOND_US, None))
+def test_message_fails_at_deadline_if_all_endpoints_are_disabled() -> None:
+    driver = SchedulerDriver(ENDPOINT)
+    driver.run_batch(EndpointDisabled("h"), make_message("m", time_remaining=3 * SECOND_US))
     while not any(isinstance(action, FailMessage | RejectMessage) for action in driver.actions):
         assert driver.timer_at is not None
         driver.run_batch(after=max(0, driver.timer_at - driver.now))
     assert driver.sent == []
 
 
-def test_a_second_call_out_needs_one_call_back() -> None:
-    driver = SchedulerDriver(HOST)
+def test_endpoint_disabled_twice_is_enabled_once() -> None:
+    driver = SchedulerDriver(ENDPOINT)
     driver.run_batch(EndpointDisabled("h"), EndpointDisabled("h"), EndpointEnabled("h"))
-    driver.run_batch(MessageSubmitted("m", 1, "safe", None, 20 * SECOND_US, None), after=SECOND_US)
+    driver.run_batch(make_message("m"), after=SECOND_US)
     driver.advance_clock(5 * SECOND_US)
     assert len(driver.sent) == 1
 
 
-def test_back_it_is_warmed_up_like_a_destination_after_an_outage() -> None:
-    """A restarted host bears a part of its usual load, so what goes there at first is bounded."""
+def test_enabled_endpoint_gets_slow_start() -> None:
+    """A restarted endpoint can handle only a part of its usual load, so the first calls are limited."""
 
     def sent_in(driver: SchedulerDriver, span: int) -> int:
         before, until = len(driver.sent), driver.now + span
         while driver.now < until:
             answers = [
                 AttemptEnded(
-                    s.message_id, 0, "h", AttemptStatus.OK, 5 * MILLISECOND_US, True, 0, None, None, 0
+                    attempt.message_id, 0, "h", AttemptStatus.OK, 5 * MILLISECOND_US, True, 0, None, None, 0
                 )
-                for _, s in driver.sent[seen[0] :]
+                for _, attempt in driver.sent[ended_count[0] :]
             ]
-            seen[0] = len(driver.sent)
+            ended_count[0] = len(driver.sent)
             names.append(f"m{len(names)}")
             driver.run_batch(
                 *answers,
-                MessageSubmitted(names[-1], 1, "safe", None, 20 * SECOND_US, None),
+                make_message(names[-1]),
                 after=50 * MILLISECOND_US,
             )
         return len(driver.sent) - before
 
     names: list[str] = []
-    seen = [0]
+    ended_count = [0]
     driver = SchedulerDriver(
-        HOST, slow_start_duration=10 * SECOND_US, slow_start_initial_fraction=0.2, overload_multiple=1.0
+        ENDPOINT, slow_start_duration=10 * SECOND_US, slow_start_initial_fraction=0.2, overload_multiple=1.0
     )
     warm = sent_in(driver, 20 * SECOND_US) / 10  # in two seconds
     driver.run_batch(EndpointDisabled("h"))
@@ -129,21 +128,21 @@
     assert sent_in(driver, 4 * SECOND_US) >= 1.8 * warm
 
 
-def test_it_is_counted_as_avoided_while_it_is_listed() -> None:
-    driver = SchedulerDriver(HOST, OTHER)
+def test_disabled_endpoint_counts_as_avoided_while_listed() -> None:
+    driver = SchedulerDriver(ENDPOINT, OTHER_ENDPOINT)
     assert driver.scheduler.avoided_endpoint_count() == 0
     driver.run_batch(EndpointDisabled("h"))
     assert driver.scheduler.avoided_endpoint_count() == 1
-    driver.run_batch(EndpointListReceived(EndpointListKind.FULL, (OTHER,)))
+    driver.run_batch(EndpointListReceived(EndpointListKind.FULL, (OTHER_ENDPOINT,)))
     assert driver.scheduler.avoided_endpoint_count() == 0
-    driver.run_batch(EndpointListReceived(EndpointListKind.FULL, (HOST, OTHER)))
+    driver.run_batch(EndpointListReceived(EndpointListKind.FULL, (ENDPOINT, OTHER_ENDPOINT)))
     assert driver.scheduler.avoided_endpoint_count() == 1
     driver.run_batch(EndpointEnabled("h"))
     assert driver.scheduler.avoided_endpoint_count() == 0
 
 
-def test_one_of_several_that_comes_back_does_not_slow_the_others_down() -> None:
-    """The rest bore the load without it; a cold budget for all of them would be less than that."""
+def test_enabled_endpoint_with_available_siblings_gets_no_slow_start() -> None:
+    """Its siblings carried the load without it; a slow start budget for all of them would be below that."""
     driver = SchedulerDriver(make_entry("a"), make_entry("b"))  # one gate for both
     driver.run_batch(EndpointDisabled("a"))
     driver.run_batch(EndpointEnabled("a"), after=5 * SECOND_US)
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences: the rules hold on the actions. Judges invariants only; models no servers."""
+"""Random valid event sequences: checks scheduler invariants on every action, without simulated endpoints."""
 
 from __future__ import annotations
 
@@ -23,190 +23,205 @@
     MessageSubmitted,
 )
 from loftrelay.decisions.settings import DeliverySemantics
-from tests.decisions.world import CLASSES, MILLISECOND_US, SECOND_US, SchedulerDriver, make_entry
+from tests.decisions.world import CLASS_NAMES, CLASSES, MILLISECOND_US, SECOND_US, SchedulerDriver, make_entry
 
-PROVEN = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
+NOT_RUN_STATUSES = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 ENTRIES = [
     make_entry("a"),
     make_entry("b", zone="there"),
-    make_entry("c", 2, kind="apart"),
-    make_entry("d", 2, "there", kind="apart"),
-    make_entry("e", 3, kind="bundled"),
+    make_entry("c", 2, kind="own_limits"),
+    make_entry("d", 2, "there", kind="own_limits"),
+    make_entry("e", 3, kind="batching"),
 ]
-DESTINATION = {e.endpoint: e.destination for e in ENTRIES}
-ZONE = {e.endpoint: e.zone for e in ENTRIES}
+DESTINATION = {entry.endpoint: entry.destination for entry in ENTRIES}
+ZONE = {entry.endpoint: entry.zone for entry in ENTRIES}
 STEP = st.tuples(
-    st.sampled_from(["submit", "answer", "answer", "pass", "list", "withdraw"]),
+    st.sampled_from(["submit", "outcome", "outcome", "wait", "list", "cancel"]),
     st.integers(0, 999),
     st.integers(0, 3 * SECOND_US),
     st.sampled_from(list(AttemptStatus)),
 )
 
 
-class Referee:
-    """Plays steps into a Brain and asserts the rules on every action."""
+class InvariantChecker:
+    """Runs steps against a scheduler and asserts the invariants on every action."""
 
     def __init__(self, steps: list[tuple[str, int, int, AttemptStatus]]) -> None:
         self.driver = SchedulerDriver(*ENTRIES, max_attempts=5)
-        self.about: dict[str, MessageSubmitted] = {}
-        self.due: dict[str, int] = {}
+        self.submissions: dict[str, MessageSubmitted] = {}
+        self.deadlines: dict[str, int] = {}
         self.ended: dict[str, int] = {}
-        self.out: dict[tuple[str, int], tuple[int, SendAttempt]] = {}
-        self.tries: dict[str, int] = {}
-        self.ran: dict[str, tuple[int, str]] = {}
-        self.wait: dict[object, int] = {}
+        self.in_flight: dict[tuple[str, int], tuple[int, SendAttempt]] = {}
+        self.attempt_counts: dict[str, int] = {}
+        self.uncertain: dict[str, tuple[int, str]] = {}
+        self.blocked_until: dict[object, int] = {}
         self.listed = dict.fromkeys(DESTINATION, True)
-        self.rest = 0
         self.trace: list[Action] = []
         for step in steps:
             self.step(*step)
         for _ in range(400):
-            if not self.out and self.driver.timer_at is None:
+            if not self.in_flight and self.driver.timer_at is None:
                 break
-            self.step("answer" if self.out else "pass", 0, 3 * SECOND_US, AttemptStatus.TIMEOUT)
-        missing = set(self.about) - set(self.ended)
-        assert not missing, f"lost: {missing}"
+            self.step("outcome" if self.in_flight else "wait", 0, 3 * SECOND_US, AttemptStatus.TIMEOUT)
+        missing = set(self.submissions) - set(self.ended)
+        assert not missing, f"messages without an end: {missing}"
 
-    def domain(self, endpoint: str) -> object:
+    def limits_scope(self, endpoint: str) -> object:
+        """Returns kind shares its limits with an endpoint: itself, or its destination."""
         return endpoint if endpoint in "cde" else DESTINATION[endpoint]
 
-    def step(self, what: str, pick: int, delay: int, result: AttemptStatus) -> None:
-        limits = [at + s.timeout for at, s in self.out.values()]
-        limits += [self.driver.timer_at] if self.driver.timer_at is not None else []
-        now = min([self.driver.now + delay, *limits])
+    def step(self, kind: str, pick: int, delay: int, status: AttemptStatus) -> None:
+        due_times = [sent_at + attempt.timeout for sent_at, attempt in self.in_flight.values()]
+        due_times += [self.driver.timer_at] if self.driver.timer_at is not None else []
+        now = min([self.driver.now + delay, *due_times])
         events: list[Event] = []
-        for key, (at, sent) in sorted(self.out.items()):
+        for key, (at, sent) in sorted(self.in_flight.items()):
             if at + sent.timeout <= now:
-                events.append(self.answer(key, AttemptStatus.TIMEOUT, now))
-        if what == "submit":
-            name = f"m{len(self.about)}"
-            of = sorted(CLASSES)[pick % len(CLASSES)]
-            self.about[name] = MessageSubmitted(
-                name, pick % 3 + 1, of, None, 500 * MILLISECOND_US + pick * 9 * MILLISECOND_US, f"k{pick % 2}"
+                events.append(self.make_outcome(key, AttemptStatus.TIMEOUT, now))
+        if kind == "submit":
+            name = f"m{len(self.submissions)}"
+            class_name = CLASS_NAMES[pick % len(CLASS_NAMES)]
+            self.submissions[name] = MessageSubmitted(
+                name,
+                pick % 3 + 1,
+                class_name,
+                None,
+                500 * MILLISECOND_US + pick * 9 * MILLISECOND_US,
+                f"k{pick % 2}",
             )
-            self.due[name] = now + self.about[name].time_remaining
-            events.append(self.about[name])
-        elif what == "answer" and self.out:
-            events.append(self.answer(sorted(self.out)[pick % len(self.out)], result, now))
-        elif what == "list":
+            self.deadlines[name] = now + self.submissions[name].time_remaining
+            events.append(self.submissions[name])
+        elif kind == "outcome" and self.in_flight:
+            events.append(self.make_outcome(sorted(self.in_flight)[pick % len(self.in_flight)], status, now))
+        elif kind == "list":
             name = sorted(DESTINATION)[pick % len(DESTINATION)]
             self.listed[name] = pick % 2 == 0
             state = EndpointState.ACTIVE if self.listed[name] else EndpointState.DRAINING
             events.append(
                 EndpointListReceived(
                     EndpointListKind.DELTA,
-                    (replace(next(e for e in ENTRIES if e.endpoint == name), state=state),),
+                    (replace(next(entry for entry in ENTRIES if entry.endpoint == name), state=state),),
                 )
             )
-        elif what == "withdraw" and self.about:
-            name = sorted(self.about)[pick % len(self.about)]
+        elif kind == "cancel" and self.submissions:
+            name = sorted(self.submissions)[pick % len(self.submissions)]
             events.append(MessageCancelled(name))
             self.ended.setdefault(name, now)
         actions = self.driver.run_batch(*events, after=now - self.driver.now)
         self.trace += actions
         for action in actions:
-            self.judge(action, now)
+            self.check_action(action, now)
 
-    def answer(self, key: tuple[str, int], result: AttemptStatus, now: int) -> AttemptEnded:
-        at, sent = self.out.pop(key)
-        if result not in PROVEN:
-            self.ran.setdefault(key[0], (at, sent.endpoint))
-        if result is AttemptStatus.OK:
+    def make_outcome(self, key: tuple[str, int], status: AttemptStatus, now: int) -> AttemptEnded:
+        at, sent = self.in_flight.pop(key)
+        if status not in NOT_RUN_STATUSES:
+            self.uncertain.setdefault(key[0], (at, sent.endpoint))
+        if status is AttemptStatus.OK:
             self.ended.setdefault(key[0], now)
-        wait = SECOND_US if result is AttemptStatus.REJECTED else 0
-        if wait:
-            self.wait[self.domain(sent.endpoint)] = now + wait
+        retry_after = SECOND_US if status is AttemptStatus.REJECTED else 0
+        if retry_after:
+            self.blocked_until[self.limits_scope(sent.endpoint)] = now + retry_after
         if (
-            result in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECTION_LOST, AttemptStatus.CANCELLED)
-            and CLASSES[self.about[key[0]].class_name].is_ordered
+            status in (AttemptStatus.TIMEOUT, AttemptStatus.CONNECTION_LOST, AttemptStatus.CANCELLED)
+            and CLASSES[self.submissions[key[0]].class_name].is_ordered
         ):
-            self.rest_of(key[0], now + 300 * MILLISECOND_US)
+            self.start_cooldown(key[0], now + 300 * MILLISECOND_US)
         return AttemptEnded(
-            key[0], key[1], sent.endpoint, result, now - at, key[0] in self.ended, wait, None, None
+            key[0], key[1], sent.endpoint, status, now - at, key[0] in self.ended, retry_after, None, None
         )
 
-    def rest_of(self, name: str, until: int) -> None:
-        self.wait[("key", self.about[name].ordering_key, name)] = until
+    def start_cooldown(self, name: str, until: int) -> None:
+        self.blocked_until[("key", self.submissions[name].ordering_key, name)] = until
 
-    def judge(self, action: Action, now: int) -> None:
+    def check_action(self, action: Action, now: int) -> None:
         if isinstance(action, FailMessage | RejectMessage):
             name = action.message_id
-            assert name not in self.ended, "answered twice"
-            assert now <= self.due[name] + 20 * MILLISECOND_US, "answered too late"
+            assert name not in self.ended, f"message {name} ended twice"
+            assert now <= self.deadlines[name] + 20 * MILLISECOND_US, (
+                f"message {name} ended after its deadline"
+            )
             self.ended[name] = now
             if isinstance(action, RejectMessage):
-                effect, scope = self.effect(name)
-                harmless = (
-                    name not in self.ran
-                    or effect is DeliverySemantics.IDEMPOTENT
-                    or (effect, scope) == (DeliverySemantics.DEDUPLICATED, "all")
+                semantics, scope = self.semantics_and_scope(name)
+                is_safe_to_resend = (
+                    name not in self.uncertain
+                    or semantics is DeliverySemantics.IDEMPOTENT
+                    or (semantics, scope) == (DeliverySemantics.DEDUPLICATED, "all")
                 )
-                assert harmless, "refused what may have run"
+                assert is_safe_to_resend, f"message {name} was rejected but may have run"
         if isinstance(action, SendAttempt):
-            self.judge_send(action, now)
-
-    def effect(self, name: str) -> tuple[DeliverySemantics, str | None]:
-        about = CLASSES[self.about[name].class_name]
-        return about.semantics, about.dedup_scope
-
-    def judge_send(self, send: SendAttempt, now: int) -> None:
-        name, about = send.message_id, self.about[send.message_id]
-        assert name not in self.ended, "sent after its end"
-        assert not any(key[0] == name for key in self.out), "two attempts at once"
-        assert DESTINATION[send.endpoint] == about.destination
-        assert self.listed[send.endpoint], "sent to a draining endpoint"
-        assert self.wait.get(self.domain(send.endpoint), 0) <= now, "a told wait was not kept"
-        assert 0 < send.timeout <= self.due[name] - now
-        effect, scope = self.effect(name)
-        if name in self.ran:
-            at, where = self.ran[name]
-            assert effect in (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED), (
-                "an effect may happen twice"
+            self.check_send(action, now)
+
+    def semantics_and_scope(self, name: str) -> tuple[DeliverySemantics, str | None]:
+        message_class = CLASSES[self.submissions[name].class_name]
+        return message_class.semantics, message_class.dedup_scope
+
+    def check_send(self, send: SendAttempt, now: int) -> None:
+        name, submission = send.message_id, self.submissions[send.message_id]
+        assert name not in self.ended, f"message {name} was sent after its end"
+        assert not any(key[0] == name for key in self.in_flight), f"message {name} has two attempts in flight"
+        assert DESTINATION[send.endpoint] == submission.destination
+        assert self.listed[send.endpoint], f"{send.endpoint} is draining"
+        assert self.blocked_until.get(self.limits_scope(send.endpoint), 0) <= now, (
+            f"{send.endpoint} is blocked by a Retry-After"
+        )
+        assert 0 < send.timeout <= self.deadlines[name] - now
+        semantics, scope = self.semantics_and_scope(name)
+        if name in self.uncertain:
+            at, where = self.uncertain[name]
+            assert semantics in (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED), (
+                f"message {name} may take effect twice"
             )
-            if effect is DeliverySemantics.DEDUPLICATED:
-                assert now < at + 5 * SECOND_US, "resent after its window"
-                assert scope == "all" or ZONE[where] == ZONE[send.endpoint], "resent outside its zone"
-        if CLASSES[about.class_name].is_ordered:
-            for other in self.about:
+            if semantics is DeliverySemantics.DEDUPLICATED:
+                assert now < at + 5 * SECOND_US, f"message {name} was repeated after its dedup window"
+                assert scope == "all" or ZONE[where] == ZONE[send.endpoint], (
+                    f"message {name} was repeated outside its zone"
+                )
+        if CLASSES[submission.class_name].is_ordered:
+            for other in self.submissions:
                 if other == name or int(other[1:]) > int(name[1:]):
                     continue
                 if (
-                    CLASSES[self.about[other].class_name].is_ordered
-                    and self.about[other].ordering_key == about.ordering_key
+                    CLASSES[self.submissions[other].class_name].is_ordered
+                    and self.submissions[other].ordering_key == submission.ordering_key
                 ):
-                    assert other in self.ended and not any(k[0] == other for k in self.out), "out of order"
-                    if name not in self.tries:
-                        assert self.wait.get(("key", about.ordering_key, other), 0) <= now, (
-                            "the key had to rest"
+                    assert other in self.ended and not any(k[0] == other for k in self.in_flight), (
+                        f"message {name} was sent before {other} ended"
+                    )
+                    if name not in self.attempt_counts:
+                        assert self.blocked_until.get(("key", submission.ordering_key, other), 0) <= now, (
+                            f"message {name} was sent during the cooldown of its ordering key"
                         )
-        number = self.tries.get(name, 0)
-        self.tries[name] = number + 1
-        assert number < 5, "more attempts than allowed"
-        self.out[name, number] = (now, send)
+        number = self.attempt_counts.get(name, 0)
+        self.attempt_counts[name] = number + 1
+        assert number < 5, f"message {name} has too many attempts"
+        self.in_flight[name, number] = (now, send)
 
 
 @settings(derandomize=True, max_examples=150, deadline=None, database=None)
 @given(st.lists(STEP, max_size=60))
-def test_rules_hold_on_random_legal_events(steps: list[tuple[str, int, int, AttemptStatus]]) -> None:
-    assert len(Referee(steps).ended) >= sum(step[0] == "submit" for step in steps)
+def test_scheduler_keeps_invariants_on_random_events(
+    steps: list[tuple[str, int, int, AttemptStatus]],
+) -> None:
+    assert len(InvariantChecker(steps).ended) >= sum(step[0] == "submit" for step in steps)
 
 
 SCRIPT = """
-from tests.decisions.test_properties import AttemptStatus, Referee
-kinds, results = ["submit", "answer", "answer", "pass", "list"], list(AttemptStatus)
-steps = [(kinds[i * 7 % 5], i * 37 % 1000, i * 90001 % 700000, results[i * 5 % 8]) for i in range(200)]
-print(Referee(steps).trace)
+from tests.decisions.test_properties import AttemptStatus, InvariantChecker
+kinds, statuses = ["submit", "outcome", "outcome", "wait", "list"], list(AttemptStatus)
+steps = [(kinds[i * 7 % 5], i * 37 % 1000, i * 90001 % 700000, statuses[i * 5 % 8]) for i in range(200)]
+print(InvariantChecker(steps).trace)
 """
 
 
 @pytest.mark.parametrize("seed", ["1", "4242"])
-def test_same_events_give_the_same_actions_whatever_the_hash_seed(seed: str) -> None:
+def test_scheduler_actions_do_not_depend_on_hash_seed(seed: str) -> None:
     def trace(hash_seed: str) -> str:
         env = {**os.environ, "PYTHONHASHSEED": hash_seed}
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", SCRIPT], env=env, capture_output=True, text=True, check=True
         )
-        return done.stdout
+        return completed.stdout
 
     first = trace("0")
     assert "SendAttempt(" in first
--- a/tests/decisions/test_recorded_decisions.py
+++ b/tests/decisions/test_recorded_decisions.py
@@ -1,8 +1,9 @@
-"""Replays random batches of events and compares the hash of every action with a recorded one.
+"""Replays random batches of events and compares a hash of all actions with a recorded one.
 
-The batches cover the events that the simulator's wire lacks: recovery, release, disputed outcomes, operators'
-calls, new settings and snapshots. `recorded/decisions.json` holds one hash a seed, written by commit 32c0038.
-`python -m tests.decisions.test_recorded_decisions` prints the hashes of the module as it is now.
+The batches include the events that the simulator protocol lacks: recovery, release, disputed outcomes,
+operator commands, new settings and snapshots. `recorded/decisions.json` contains one hash per seed, written
+by commit 32c0038. `python -m tests.decisions.test_recorded_decisions` prints the hashes of the current
+scheduler.
 """
 
 from __future__ import annotations
@@ -59,11 +60,11 @@
 SEEDS = range(1, 41)
 BATCHES = 400
 DESTINATIONS = 6
-KINDS = ("plain", "apart", "bundled", None)
+KINDS = ("shared_limits", "own_limits", "batching", None)
 ZONES = ("here", "there", None)
 TENANTS = ("north", "south", None)
-ORDERED = ("ordered", "strict")
-RESULT_WEIGHTS = {
+ORDERED = ("ordered_idempotent", "ordered_at_most_once")
+STATUS_WEIGHTS = {
     AttemptStatus.OK: 40,
     AttemptStatus.ERROR: 6,
     AttemptStatus.REJECTED: 10,
@@ -76,8 +77,8 @@
 }
 
 
-def settings_for(rng: random.Random) -> RelaySettings:
-    """One of many settings: fleets of 1 to 230 relays, few or many slots, short or long windows."""
+def draw_settings(rng: random.Random) -> RelaySettings:
+    """Draws settings: fleets of 1 to 230 relays, few or many call slots, short or long windows."""
     classes = {
         name: replace(each, dedup_window=rng.choice((None, 1 * SECOND_US, 5 * SECOND_US)))
         for name, each in CLASSES.items()
@@ -104,22 +105,22 @@
 
 
 class Replay:
-    """Draws batches from its seed and feeds them to the module; remembers what is in flight."""
+    """Runs batches drawn from a seed through a scheduler and hashes its actions."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.seed = seed
-        self.settings = settings_for(self.rng)
-        self.module = Scheduler(seed, self.settings)
+        self.settings = draw_settings(self.rng)
+        self.scheduler = Scheduler(seed, self.settings)
         self.now = START
         self.hash = hashlib.sha256()
         self.in_flight: dict[str, tuple[str, int]] = {}
-        self.known: list[str] = []
-        self.hosts: dict[str, EndpointEntry] = {}
+        self.unreported: list[str] = []
+        self.endpoints: dict[str, EndpointEntry] = {}
         self.attempts: dict[str, int] = {}
         self.submitted = 0
 
-    def play(self) -> str:
+    def run(self) -> str:
         for number in range(BATCHES):
             self.now += self.rng.choice(
                 (
@@ -130,13 +131,13 @@
                     1 * SECOND_US,
                 )
             )
-            events = [self._event() for _ in range(self.rng.choice((0, 1, 1, 2, 5, 9)))]
+            events = [self._draw_event() for _ in range(self.rng.choice((0, 1, 1, 2, 5, 9)))]
             if number == 0:
-                events = [self._listing(EndpointListKind.FULL)]
+                events = [self._draw_endpoint_list(EndpointListKind.FULL)]
             self._between_batches()
-            for action in self.module.handle_batch(self.now, events):
+            for action in self.scheduler.handle_batch(self.now, events):
                 self._record(self._row(action))
-                self._heed(action)
+                self._track_action(action)
             if number % 50 == 49:
                 self._pass_through_snapshot()
         return self.hash.hexdigest()[:32]
@@ -145,20 +146,20 @@
         self.hash.update(json.dumps([self.now, row]).encode())
 
     def _pass_through_snapshot(self) -> None:
-        text = snapshot.write(self.module, [])
-        self.module, _ = snapshot.read(text, self.seed)
+        text = snapshot.write(self.scheduler, [])
+        self.scheduler, _ = snapshot.read(text, self.seed)
 
     def _between_batches(self) -> None:
-        if not self.hosts:
+        if not self.endpoints:
             return
-        host = self.rng.choice(sorted(self.hosts))
+        endpoint = self.rng.choice(sorted(self.endpoints))
         if self.rng.random() < 0.05:
-            self.module.apply_retry_after(self.now, host, self.rng.randrange(2 * SECOND_US))
+            self.scheduler.apply_retry_after(self.now, endpoint, self.rng.randrange(2 * SECOND_US))
         number = self.rng.randrange(DESTINATIONS)
         answers = [
-            self.module.is_blocked(self.now, host),
-            self.module.is_idle(self.now, number),
-            self.module.avoided_endpoint_count(),
+            self.scheduler.is_blocked(self.now, endpoint),
+            self.scheduler.is_idle(self.now, number),
+            self.scheduler.avoided_endpoint_count(),
         ]
         self._record(answers)
 
@@ -190,34 +191,32 @@
             case WriteLog():
                 return ["log"]
 
-    def _heed(self, action: Action) -> None:
+    def _track_action(self, action: Action) -> None:
         if isinstance(action, SendAttempt):
             self.attempts[action.message_id] = self.attempts.get(action.message_id, 0) + 1
             self.in_flight[action.message_id] = action.endpoint, self.attempts[action.message_id]
         if isinstance(action, RejectMessage | FailMessage):
-            self.known.append(action.message_id)
+            self.unreported.append(action.message_id)
 
-    # Events
-
-    def _event(self) -> Event:
+    def _draw_event(self) -> Event:
         kinds = {
-            self._submit: 40,
-            self._outcome: 40,
-            self._change_of_list: 5,
-            self._withdrawn: 2,
-            self._recovered: 3,
-            self._key_rest: 1,
-            self._doubted: 2,
-            self._by_operator: 3,
-            self._let_go: 3,
-            self._retuned: 1,
-            self._noticed: 8,
-            self._ignored: 1,
+            self._draw_submission: 40,
+            self._draw_outcome: 40,
+            self._draw_list_update: 5,
+            self._draw_cancellation: 2,
+            self._draw_recovery: 3,
+            self._draw_key_cooldown: 1,
+            self._draw_disputed_outcome: 2,
+            self._draw_operator_command: 3,
+            self._draw_release: 3,
+            self._draw_settings_change: 1,
+            self._draw_final_status: 8,
+            self._draw_ignored_event: 1,
         }
         draw = self.rng.choices(list(kinds), list(kinds.values()))[0]
         return draw()
 
-    def _submit(self, remaining: int | None = None) -> MessageSubmitted:
+    def _draw_submission(self, remaining: int | None = None) -> MessageSubmitted:
         self.submitted += 1
         class_name = self.rng.choice([*CLASSES, "unknown"])
         key = f"key-{self.rng.randrange(4)}" if class_name in ORDERED else None
@@ -227,37 +226,37 @@
             )
         terms = None
         if self.rng.random() < 0.1:
-            terms = MessageTerms(CLASSES["keyed"], self.rng.choice((1, 3, None)))
+            terms = MessageTerms(CLASSES["deduplicated"], self.rng.choice((1, 3, None)))
         name = f"message-{self.submitted}"
         destination = self.rng.randrange(DESTINATIONS)
         return MessageSubmitted(
             name, destination, class_name, self.rng.choice(TENANTS), remaining, key, terms
         )
 
-    def _outcome(self) -> Event:
+    def _draw_outcome(self) -> Event:
         if not self.in_flight:
             return TimerFired(0)
         message = self.rng.choice(sorted(self.in_flight))
         endpoint, attempt = self.in_flight.pop(message)
-        result = self.rng.choices(list(RESULT_WEIGHTS), list(RESULT_WEIGHTS.values()))[0]
-        is_full = result is AttemptStatus.REJECTED
+        status = self.rng.choices(list(STATUS_WEIGHTS), list(STATUS_WEIGHTS.values()))[0]
+        is_rejection = status is AttemptStatus.REJECTED
         return AttemptEnded(
             message,
             attempt,
             endpoint,
-            result,
+            status,
             self.rng.randrange(1, 800 * MILLISECOND_US),
-            result is AttemptStatus.OK,
-            self.rng.choice((0, 200 * MILLISECOND_US, 2 * SECOND_US)) if is_full else 0,
+            status is AttemptStatus.OK,
+            self.rng.choice((0, 200 * MILLISECOND_US, 2 * SECOND_US)) if is_rejection else 0,
             None,
             None,
             self.rng.choice((None, 0, 300 * MILLISECOND_US, 4 * SECOND_US)),
-            result is AttemptStatus.ERROR and self.rng.random() < 0.1,
-            self.rng.choice((0, 20 * MILLISECOND_US)) if result is AttemptStatus.NOT_SENT else 0,
+            status is AttemptStatus.ERROR and self.rng.random() < 0.1,
+            self.rng.choice((0, 20 * MILLISECOND_US)) if status is AttemptStatus.NOT_SENT else 0,
             self.rng.random() < 0.03,
         )
 
-    def _entry(self, number: int, destination: int) -> EndpointEntry:
+    def _draw_entry(self, number: int, destination: int) -> EndpointEntry:
         state = self.rng.choices(
             (EndpointState.ACTIVE, EndpointState.DRAINING, EndpointState.REMOVED), (8, 1, 1)
         )[0]
@@ -265,67 +264,69 @@
         rate = self.rng.choice((None, 0.5, 20.0))
         return EndpointEntry(f"host-{number}", destination, state, self.rng.choice(ZONES), kind, rate)
 
-    def _listing(self, form: EndpointListKind) -> Event:
-        numbers = range(12) if form is EndpointListKind.FULL else self.rng.sample(range(12), 2)
-        entries = tuple(self._entry(number, number % DESTINATIONS) for number in numbers)
-        if form is EndpointListKind.FAILED:
+    def _draw_endpoint_list(self, list_kind: EndpointListKind) -> Event:
+        numbers = range(12) if list_kind is EndpointListKind.FULL else self.rng.sample(range(12), 2)
+        entries = tuple(self._draw_entry(number, number % DESTINATIONS) for number in numbers)
+        if list_kind is EndpointListKind.FAILED:
             entries = ()
         for entry in entries:
-            self.hosts[entry.endpoint] = entry
-        return EndpointListReceived(form, entries)
+            self.endpoints[entry.endpoint] = entry
+        return EndpointListReceived(list_kind, entries)
 
-    def _change_of_list(self) -> Event:
-        form = self.rng.choices(
+    def _draw_list_update(self) -> Event:
+        list_kind = self.rng.choices(
             (EndpointListKind.DELTA, EndpointListKind.FULL, EndpointListKind.CACHED, EndpointListKind.FAILED),
             (6, 2, 1, 2),
         )[0]
-        return self._listing(form)
+        return self._draw_endpoint_list(list_kind)
 
-    def _withdrawn(self) -> Event:
+    def _draw_cancellation(self) -> Event:
         return MessageCancelled(f"message-{self.rng.randrange(1, self.submitted + 2)}")
 
-    def _recovered(self) -> Event:
-        submit = self._submit(self.rng.choice((500 * MILLISECOND_US, 9 * SECOND_US)))
-        ran_ago = self.rng.choice((None, 50 * MILLISECOND_US, 3 * SECOND_US))
-        ran_on = None if ran_ago is None else f"host-{self.rng.randrange(12)}"
+    def _draw_recovery(self) -> Event:
+        submit = self._draw_submission(self.rng.choice((500 * MILLISECOND_US, 9 * SECOND_US)))
+        first_attempt_age = self.rng.choice((None, 50 * MILLISECOND_US, 3 * SECOND_US))
+        first_attempt_endpoint = None if first_attempt_age is None else f"host-{self.rng.randrange(12)}"
         ended = self.rng.random() < 0.2
         if ended:
-            self.known.append(submit.message_id)
+            self.unreported.append(submit.message_id)
         age = self.rng.randrange(1, 8 * SECOND_US)
-        return MessageRecovered(submit, age, self.rng.randrange(3), ran_ago, ran_on, ended)
+        return MessageRecovered(
+            submit, age, self.rng.randrange(3), first_attempt_age, first_attempt_endpoint, ended
+        )
 
-    def _key_rest(self) -> Event:
+    def _draw_key_cooldown(self) -> Event:
         return OrderingKeyCooldown(f"key-{self.rng.randrange(4)}", self.rng.randrange(400 * MILLISECOND_US))
 
-    def _doubted(self) -> Event:
+    def _draw_disputed_outcome(self) -> Event:
         message = f"message-{self.rng.randrange(max(1, self.submitted - 20), self.submitted + 2)}"
         return OutcomeDisputed(message, f"host-{self.rng.randrange(12)}", self.rng.randrange(2 * SECOND_US))
 
-    def _by_operator(self) -> Event:
-        host = f"host-{self.rng.randrange(12)}"
-        return EndpointDisabled(host) if self.rng.random() < 0.4 else EndpointEnabled(host)
+    def _draw_operator_command(self) -> Event:
+        endpoint = f"host-{self.rng.randrange(12)}"
+        return EndpointDisabled(endpoint) if self.rng.random() < 0.4 else EndpointEnabled(endpoint)
 
-    def _let_go(self) -> Event:
+    def _draw_release(self) -> Event:
         return DestinationsReleased(tuple(self.rng.sample(range(DESTINATIONS), 2)))
 
-    def _retuned(self) -> Event:
-        self.settings = settings_for(self.rng)
+    def _draw_settings_change(self) -> Event:
+        self.settings = draw_settings(self.rng)
         return SettingsChanged(self.settings)
 
-    def _noticed(self) -> Event:
-        return FinalStatusReported(self.known.pop(0)) if self.known else TimerFired(1)
+    def _draw_final_status(self) -> Event:
+        return FinalStatusReported(self.unreported.pop(0)) if self.unreported else TimerFired(1)
 
-    def _ignored(self) -> Event:
+    def _draw_ignored_event(self) -> Event:
         if self.rng.random() < 0.5:
             return ResponseStarted("message-1", 1)
         return ProbeResult("host-1", AttemptStatus.OK, 3 * MILLISECOND_US)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_same_batches_give_the_recorded_actions(seed: int) -> None:
+def test_replayed_batches_give_recorded_actions(seed: int) -> None:
     recorded = json.loads(RECORDED.read_text())
-    assert Replay(seed).play() == recorded[str(seed)]
+    assert Replay(seed).run() == recorded[str(seed)]
 
 
 if __name__ == "__main__":
-    print(json.dumps({seed: Replay(seed).play() for seed in SEEDS}, indent=1))
+    print(json.dumps({seed: Replay(seed).run() for seed in SEEDS}, indent=1))
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, each by scripted events; every test fails when its guard is taken out of the module."""
+"""Scheduler rules by scripted events: retry, routing, Retry-After, ordering, recovery, disputed outcomes."""
 
 from __future__ import annotations
 
@@ -26,47 +26,56 @@
     SchedulerDriver,
     ended_messages,
     make_entry,
+    make_message,
     sent_messages,
 )
 
-PROVEN = {AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT}
-FAILURES = [r for r in AttemptStatus if r is not AttemptStatus.OK]
+NOT_RUN_STATUSES = {AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT}
+FAILURES = [status for status in AttemptStatus if status is not AttemptStatus.OK]
 
 
-@pytest.mark.parametrize("result", FAILURES)
-@pytest.mark.parametrize("of", ["safe", "keyed", "zoned", "unsafe", "odd"])
-def test_retry_by_outcome_and_effect(result: AttemptStatus, of: str) -> None:
+@pytest.mark.parametrize("status", FAILURES)
+@pytest.mark.parametrize(
+    "class_name", ["idempotent", "deduplicated", "zone_deduplicated", "at_most_once", "unknown_semantics"]
+)
+def test_failed_attempt_is_retried_unless_at_most_once_message_may_have_run(
+    status: AttemptStatus, class_name: str
+) -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    driver.submit("m", of)
-    actions = driver.end_attempt("m", result)
-    if of in ("unsafe", "odd") and result not in PROVEN:
+    driver.submit("m", class_name)
+    actions = driver.end_attempt("m", status)
+    if class_name in ("at_most_once", "unknown_semantics") and status not in NOT_RUN_STATUSES:
         assert ended_messages(actions) == [(FailMessage, "m")]
         driver.advance_clock(30 * SECOND_US)
-        assert [s.message_id for _, s in driver.sent].count("m") == 1
+        assert [attempt.message_id for _, attempt in driver.sent].count("m") == 1
     else:
         assert not ended_messages(actions)
-        seen = sent_messages(actions)
-        while "m" not in seen and driver.timer_at is not None:
-            seen = sent_messages(driver.advance_clock(30 * SECOND_US))
-        assert "m" in seen
+        sent = sent_messages(actions)
+        while "m" not in sent and driver.timer_at is not None:
+            sent = sent_messages(driver.advance_clock(30 * SECOND_US))
+        assert "m" in sent
 
 
-@pytest.mark.parametrize("result", FAILURES)
-@pytest.mark.parametrize("of", ["safe", "keyed", "zoned", "unsafe", "odd"])
-def test_refusal_at_the_cap_by_outcome_and_effect(result: AttemptStatus, of: str) -> None:
+@pytest.mark.parametrize("status", FAILURES)
+@pytest.mark.parametrize(
+    "class_name", ["idempotent", "deduplicated", "zone_deduplicated", "at_most_once", "unknown_semantics"]
+)
+def test_message_at_max_attempts_is_rejected_only_if_safe_to_resend(
+    status: AttemptStatus, class_name: str
+) -> None:
     driver = SchedulerDriver(make_entry("a"), max_attempts=1)
-    driver.submit("m", of)
-    harmless = of in ("safe", "keyed") or result in PROVEN
-    assert ended_messages(driver.end_attempt("m", result)) == [
-        (RejectMessage if harmless else FailMessage, "m")
+    driver.submit("m", class_name)
+    is_safe_to_resend = class_name in ("idempotent", "deduplicated") or status in NOT_RUN_STATUSES
+    assert ended_messages(driver.end_attempt("m", status)) == [
+        (RejectMessage if is_safe_to_resend else FailMessage, "m")
     ]
 
 
-def test_keyed_is_never_resent_after_its_window() -> None:
+def test_deduplicated_message_is_not_retried_after_dedup_window() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    driver.submit("m", "keyed")
+    driver.submit("m", "deduplicated")
     first = driver.now
     while not ended_messages(actions := driver.end_attempt("m", AttemptStatus.TIMEOUT, after=SECOND_US)):
         while not sent_messages(actions := driver.advance_clock(30 * SECOND_US)) and not ended_messages(
@@ -77,13 +86,13 @@
             break
         assert driver.now < first + 5 * SECOND_US
     assert ended_messages(actions) == [(FailMessage, "m")]
-    assert len([s for _, s in driver.sent if s.message_id == "m"]) > 1
+    assert len([attempt for _, attempt in driver.sent if attempt.message_id == "m"]) > 1
 
 
-def test_zone_keyed_stays_in_its_zone() -> None:
+def test_zone_deduplicated_message_is_retried_only_in_its_zone() -> None:
     driver = SchedulerDriver(make_entry("a", zone="here"), make_entry("b", zone="there"))
     driver.run_successful_calls()
-    driver.submit("m", "zoned")
+    driver.submit("m", "zone_deduplicated")
     zone = {"a": "here", "b": "there"}
     home = driver.sent[-1][1].endpoint
     driver.end_attempt("m", AttemptStatus.TIMEOUT, after=SECOND_US)
@@ -95,11 +104,11 @@
     )
     while driver.advance_clock(20 * SECOND_US):
         pass
-    assert {s.endpoint for _, s in driver.sent if s.message_id == "m"} == {home}
+    assert {attempt.endpoint for _, attempt in driver.sent if attempt.message_id == "m"} == {home}
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_nothing_goes_to_a_draining_endpoint(state: EndpointState) -> None:
+def test_draining_or_removed_endpoint_receives_no_new_call(state: EndpointState) -> None:
     driver = SchedulerDriver(make_entry("a"), make_entry("b"))
     driver.run_successful_calls()
     driver.run_batch(EndpointListReceived(EndpointListKind.DELTA, (make_entry("a", state=state),)))
@@ -107,37 +116,35 @@
     for i in range(6):
         driver.submit(f"m{i}")
         driver.end_attempt(f"m{i}", AttemptStatus.OK)
-    assert {s.endpoint for _, s in driver.sent[before:]} == {"b"}
+    assert {attempt.endpoint for _, attempt in driver.sent[before:]} == {"b"}
 
 
-def test_a_full_list_drops_what_it_does_not_name() -> None:
+def test_full_list_removes_endpoints_not_in_it() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_batch(EndpointListReceived(EndpointListKind.FULL, (make_entry("b"),)))
     driver.submit("m")
     assert driver.sent[-1][1].endpoint == "b"
 
 
-def test_told_wait_halts_every_message_of_the_destination() -> None:
+def test_retry_after_blocks_all_messages_of_the_destination() -> None:
     driver = SchedulerDriver(make_entry("a"), make_entry("b"))
     driver.run_successful_calls()
     driver.submit("m")
-    told = driver.now + 50 * MILLISECOND_US
-    # The wait and fresh messages in one batch: the wait is heeded first.
+    reported_at = driver.now + 50 * MILLISECOND_US
+    # The Retry-After and a new message arrive in one batch: the Retry-After takes effect first.
     event = driver.make_attempt_ended(
         "m", AttemptStatus.REJECTED, retry_after=3 * SECOND_US, after=50 * MILLISECOND_US
     )
-    actions = driver.run_batch(
-        MessageSubmitted("n", 1, "safe", None, 20 * SECOND_US, None), event, after=50 * MILLISECOND_US
-    )
+    actions = driver.run_batch(make_message("n"), event, after=50 * MILLISECOND_US)
     assert not sent_messages(actions)
     driver.submit("o", after=SECOND_US)
     while len(driver.sent) < 8 and driver.timer_at is not None:
         driver.advance_clock(10 * SECOND_US)
-    assert driver.sent[7][0] >= told + 3 * SECOND_US
+    assert driver.sent[7][0] >= reported_at + 3 * SECOND_US
 
 
-def test_told_wait_of_a_route_binds_that_route_alone() -> None:
-    driver = SchedulerDriver(make_entry("a", kind="apart"), make_entry("b", kind="apart"))
+def test_retry_after_of_endpoint_with_own_limits_blocks_only_that_endpoint() -> None:
+    driver = SchedulerDriver(make_entry("a", kind="own_limits"), make_entry("b", kind="own_limits"))
     driver.submit("m")
     first = driver.sent[-1][1].endpoint
     driver.end_attempt("m", AttemptStatus.REJECTED, retry_after=3 * SECOND_US)
@@ -146,26 +153,28 @@
     assert driver.sent[-1][1].endpoint != first
 
 
-def test_wait_runs_from_the_last_member_of_a_bundle() -> None:
-    """Found by the first check: each message of a bundle tells the wait anew, some a tick later."""
-    driver = SchedulerDriver(make_entry("a", kind="bundled"))
-    driver.run_batch(*[MessageSubmitted(f"x{i}", 1, "safe", None, 20 * SECOND_US, None) for i in range(2)])
+def test_retry_after_of_batch_runs_from_its_last_outcome() -> None:
+    """Each message of a batch reports the Retry-After again, some of them one batch interval later."""
+    driver = SchedulerDriver(make_entry("a", kind="batching"))
+    driver.run_batch(*[make_message(f"x{i}") for i in range(2)])
     driver.end_attempt("x0", AttemptStatus.REJECTED, retry_after=2 * SECOND_US)
     driver.end_attempt("x1", AttemptStatus.REJECTED, retry_after=2 * SECOND_US, after=5 * MILLISECOND_US)
-    told = driver.now
+    reported_at = driver.now
     while len(driver.sent) == 2 and driver.timer_at is not None:
         driver.advance_clock(10 * SECOND_US)
-    assert driver.sent[2][0] >= told + 2 * SECOND_US
+    assert driver.sent[2][0] >= reported_at + 2 * SECOND_US
 
 
-def order_key(name: str, of: str = "ordered") -> MessageSubmitted:
-    return MessageSubmitted(name, 1, of, None, 20 * SECOND_US, "k")
+def make_ordered_message(name: str, class_name: str = "ordered_idempotent") -> MessageSubmitted:
+    return MessageSubmitted(name, 1, class_name, None, 20 * SECOND_US, "k")
 
 
-def test_a_key_goes_one_at_a_time_in_order_of_arrival() -> None:
+def test_ordering_key_delivers_one_message_at_a_time_in_arrival_order() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    assert sent_messages(driver.run_batch(order_key("m0"), order_key("m1"), order_key("m2"))) == ["m0"]
+    assert sent_messages(
+        driver.run_batch(make_ordered_message("m0"), make_ordered_message("m1"), make_ordered_message("m2"))
+    ) == ["m0"]
     assert not sent_messages(driver.end_attempt("m0", AttemptStatus.ERROR))
     while "m0" not in sent_messages(actions := driver.advance_clock(10 * SECOND_US)):
         assert not sent_messages(actions)
@@ -174,71 +183,79 @@
 
 
 @pytest.mark.parametrize(
-    "result", [AttemptStatus.TIMEOUT, AttemptStatus.CONNECTION_LOST, AttemptStatus.CANCELLED]
+    "status", [AttemptStatus.TIMEOUT, AttemptStatus.CONNECTION_LOST, AttemptStatus.CANCELLED]
 )
-def test_a_key_rests_after_doubt(result: AttemptStatus) -> None:
-    driver = SchedulerDriver(make_entry("a"), classes={"strict": CLASSES["strict"], "safe": CLASSES["safe"]})
+def test_ordering_key_waits_for_cooldown_after_uncertain_outcome(status: AttemptStatus) -> None:
+    driver = SchedulerDriver(
+        make_entry("a"),
+        classes={
+            "ordered_at_most_once": CLASSES["ordered_at_most_once"],
+            "idempotent": CLASSES["idempotent"],
+        },
+    )
     driver.run_successful_calls()
-    driver.run_batch(order_key("m0", "strict"), order_key("m1", "strict"))
-    assert not sent_messages(driver.end_attempt("m0", result))
-    doubt = driver.now
+    driver.run_batch(
+        make_ordered_message("m0", "ordered_at_most_once"), make_ordered_message("m1", "ordered_at_most_once")
+    )
+    assert not sent_messages(driver.end_attempt("m0", status))
+    uncertain_at = driver.now
     while not sent_messages(driver.advance_clock(10 * SECOND_US)):
         pass
     assert driver.sent[-1][1].message_id == "m1"
-    assert driver.now >= doubt + 300 * MILLISECOND_US
+    assert driver.now >= uncertain_at + 300 * MILLISECOND_US
 
 
-def test_a_key_waits_for_the_whole_call_of_a_message_out_of_time() -> None:
-    driver = SchedulerDriver(make_entry("a", kind="bundled"))
+def test_ordering_key_waits_until_batch_call_of_timed_out_message_ends() -> None:
+    driver = SchedulerDriver(make_entry("a", kind="batching"))
     driver.submit("busy")
     driver.run_batch(
-        MessageSubmitted("short", 1, "strict", None, 2 * SECOND_US, "k"),
-        MessageSubmitted("long", 1, "strict", None, 20 * SECOND_US, "l"),
-        MessageSubmitted("next", 1, "strict", None, 20 * SECOND_US, "k"),
+        make_message("short", "ordered_at_most_once", time_remaining=2 * SECOND_US, ordering_key="k"),
+        make_message("long", "ordered_at_most_once", ordering_key="l"),
+        make_message("next", "ordered_at_most_once", ordering_key="k"),
     )
     assert sent_messages(driver.end_attempt("busy", AttemptStatus.OK)) == ["short", "long"]
     assert ended_messages(driver.end_attempt("short", AttemptStatus.TIMEOUT, after=2 * SECOND_US)) == [
         (FailMessage, "short")
     ]
     driver.advance_clock(SECOND_US)
-    assert [s.message_id for _, s in driver.sent[-2:]] == ["short", "long"]
+    assert [attempt.message_id for _, attempt in driver.sent[-2:]] == ["short", "long"]
     assert sent_messages(driver.end_attempt("long", AttemptStatus.OK)) == []
     assert sent_messages(driver.advance_clock(SECOND_US)) == ["next"]
     assert driver.now >= driver.sent[-3][0] + 3 * SECOND_US
 
 
-def test_a_withdrawn_message_still_blocks_its_key_until_its_outcome() -> None:
+def test_cancelled_message_in_flight_blocks_ordering_key_until_its_outcome() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    driver.run_batch(order_key("m0"), order_key("m1"))
+    driver.run_batch(make_ordered_message("m0"), make_ordered_message("m1"))
     assert not sent_messages(driver.run_batch(MessageCancelled("m0")))
     assert sent_messages(driver.end_attempt("m0", AttemptStatus.OK, is_final=True)) == ["m1"]
 
 
-def test_held_waiting_and_flying_messages_all_end_in_time() -> None:
+def test_undelivered_messages_end_by_their_deadline() -> None:
     driver = SchedulerDriver(make_entry("a"))
-    driver.run_batch(*[MessageSubmitted(f"x{i}", 1, "safe", None, 4 * SECOND_US, None) for i in range(3)])
-    flying = driver.sent[0][1]
-    assert flying.timeout <= 4 * SECOND_US
-    driver.submit("lost", destination=9, time_remaining=2 * SECOND_US)  # no list has named its destination
-    answered: dict[str, int] = {}
+    driver.run_batch(*[make_message(f"x{i}", time_remaining=4 * SECOND_US) for i in range(3)])
+    in_flight = driver.sent[0][1]
+    assert in_flight.timeout <= 4 * SECOND_US
+    driver.submit("lost", destination=9, time_remaining=2 * SECOND_US)  # its destination is in no list
+    ended_at: dict[str, int] = {}
     due = driver.now + 4 * SECOND_US
     while driver.timer_at is not None and driver.now < due:
         if driver.timer_at >= due - MILLISECOND_US:
             break
         for _, name in ended_messages(driver.advance_clock(4 * SECOND_US)):
-            answered[name] = driver.now
+            ended_at[name] = driver.now
     driver.run_batch(
-        replace(driver.make_attempt_ended(flying.message_id, AttemptStatus.TIMEOUT), is_final=False),
+        replace(driver.make_attempt_ended(in_flight.message_id, AttemptStatus.TIMEOUT), is_final=False),
         after=max(0, due - driver.now),
     )
-    finished = [n for _, n in ended_messages(driver.actions)]
-    assert sorted(finished) == ["lost", "x0", "x1", "x2"]
-    assert answered["lost"] <= due - 2 * SECOND_US
+    ended = [n for _, n in ended_messages(driver.actions)]
+    assert sorted(ended) == ["lost", "x0", "x1", "x2"]
+    assert ended_at["lost"] <= due - 2 * SECOND_US
     assert driver.now <= due
 
 
-def test_nothing_follows_an_end() -> None:
+def test_ended_message_causes_no_further_action() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.submit("m")
     driver.run_batch(MessageCancelled("m"))
@@ -250,65 +267,65 @@
     assert not driver.run_batch(MessageCancelled("m"), TimerFired(3))
 
 
-def outage(
-    driver: SchedulerDriver, result: AttemptStatus = AttemptStatus.CONNECT_FAILED, seconds: int = 6
+def run_outage(
+    driver: SchedulerDriver, status: AttemptStatus = AttemptStatus.CONNECT_FAILED, seconds: int = 6
 ) -> None:
     start, n = driver.now, 0
     while driver.now < start + seconds * SECOND_US:
         if not driver.scheduler.state.calls_in_flight:
             driver.submit(f"out{n}")
             n += 1
-        for name in [m for m in driver.scheduler.state.messages if driver.scheduler.state.messages[m].call]:
-            driver.end_attempt(name, result, after=100 * MILLISECOND_US)
+        for name in driver.messages_in_flight():
+            driver.end_attempt(name, status, after=100 * MILLISECOND_US)
         driver.advance_clock(500 * MILLISECOND_US)
 
 
 @pytest.mark.parametrize(
-    "result",
+    "status",
     [AttemptStatus.CONNECT_FAILED, AttemptStatus.REJECTED, AttemptStatus.ERROR, AttemptStatus.TIMEOUT],
 )
-def test_a_returning_destination_gets_a_growing_budget(result: AttemptStatus) -> None:
+def test_recovering_destination_receives_calls_within_growing_budget(status: AttemptStatus) -> None:
     driver = SchedulerDriver(make_entry("a"))
-    for i in range(40):  # ten a second, served
+    for i in range(40):  # ten per second, delivered
         driver.submit(f"w{i}", after=50 * MILLISECOND_US)
         driver.end_attempt(f"w{i}", AttemptStatus.OK)
     destination = driver.scheduler.state.destinations[1]
-    outage(driver, result, seconds=12)
+    run_outage(driver, status, seconds=12)
     assert destination.gate.breaker.is_open
-    driver.run_batch(*[MessageSubmitted(f"b{i}", 1, "safe", None, 20 * SECOND_US, None) for i in range(60)])
-    back: int | None = None
+    driver.run_batch(*[make_message(f"b{i}") for i in range(60)])
+    recovered_at: int | None = None
     rate = demand_rate(driver.scheduler.state, destination.gate, destination)
     times = []
     for _ in range(3000):
         rate = max(rate, demand_rate(driver.scheduler.state, destination.gate, destination))
-        for name in [m for m in driver.scheduler.state.messages if driver.scheduler.state.messages[m].call]:
+        for name in driver.messages_in_flight():
             driver.end_attempt(name, AttemptStatus.OK, after=5 * MILLISECOND_US)
-            back = back or driver.now
+            recovered_at = recovered_at or driver.now
         driver.run_batch(after=5 * MILLISECOND_US)
-        if back:
-            times = [t for t, s in driver.sent if t >= back]
-            if driver.now > back + 10 * SECOND_US:
+        if recovered_at:
+            times = [t for t, s in driver.sent if t >= recovered_at]
+            if driver.now > recovered_at + 10 * SECOND_US:
                 break
-    assert back is not None
-    cold = [t for t in times if t <= back + 9 * SECOND_US]
-    assert len(cold) > 3
-    for t in cold:
+    assert recovered_at is not None
+    slow_start_times = [t for t in times if t <= recovered_at + 9 * SECOND_US]
+    assert len(slow_start_times) > 3
+    for t in slow_start_times:
         burst = sum(t - 2 * SECOND_US < u <= t for u in times)
-        share = 0.2 + 0.8 * (t - back) / (10 * SECOND_US)
-        assert burst <= max(1.0, rate * 2 * 2 * share) + 1, (burst, t - back)
+        share = 0.2 + 0.8 * (t - recovered_at) / (10 * SECOND_US)
+        assert burst <= max(1.0, rate * 2 * 2 * share) + 1, (burst, t - recovered_at)
 
 
-def test_during_an_outage_trials_are_spaced() -> None:
+def test_open_circuit_spaces_probes() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
     before = len(driver.sent)
-    outage(driver, seconds=10)
+    run_outage(driver, seconds=10)
     assert len(driver.sent) - before <= 8
 
 
-def test_a_trial_goes_with_the_message_that_has_most_time() -> None:
+def test_probe_uses_message_with_latest_deadline() -> None:
     driver = SchedulerDriver(make_entry("a"))
-    outage(driver, AttemptStatus.CONNECT_FAILED, seconds=8)
+    run_outage(driver, AttemptStatus.CONNECT_FAILED, seconds=8)
     assert driver.scheduler.state.destinations[1].gate.breaker.is_open
     driver.run_batch(*[MessageCancelled(name) for name in driver.scheduler.state.messages])
     driver.submit("short", time_remaining=9 * SECOND_US)
@@ -318,25 +335,16 @@
     assert driver.sent[-1][1].message_id == "long"
 
 
-def test_a_trial_risks_one_message_not_a_bundle() -> None:
-    """Found on a hang: trial bundles spent the tries and key windows of all their messages."""
-    driver = SchedulerDriver(make_entry("a", kind="bundled"))
+def test_probe_of_batching_endpoint_carries_one_message() -> None:
+    """Guards against probe batches that use up the attempts and dedup windows of all their messages."""
+    driver = SchedulerDriver(make_entry("a", kind="batching"))
     gate = next(iter(driver.scheduler.state.endpoints.values())).gate
     gate.breaker.is_open, gate.window.size = True, 0.5
-    assert (
-        len(
-            sent_messages(
-                driver.run_batch(
-                    *[MessageSubmitted(f"x{i}", 1, "safe", None, 20 * SECOND_US, None) for i in range(4)]
-                )
-            )
-        )
-        == 1
-    )
+    assert len(sent_messages(driver.run_batch(*[make_message(f"x{i}") for i in range(4)]))) == 1
 
 
-def test_told_waits_stretch_when_refusals_repeat() -> None:
-    """Found in incident i716ca5: relays that all return when told keep a counted limit empty for ever."""
+def test_retry_after_is_lengthened_after_repeated_rejections() -> None:
+    """Incident i716ca5: relays that all return when a Retry-After ends keep a rate limit exhausted."""
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
     gate, pauses = driver.scheduler.state.destinations[1].gate, []
@@ -351,8 +359,8 @@
     assert pauses[5] > 5 * SECOND_US
 
 
-def test_connections_that_die_while_idle_are_closed_before_use() -> None:
-    """Found in incident i716ca5: calls on connections idle over half a second were reset."""
+def test_idle_connections_that_are_often_reset_are_closed_before_at_most_once_call() -> None:
+    """Incident i716ca5: calls on connections that had been idle for over half a second were reset."""
     driver = SchedulerDriver(make_entry("a"), connection_idle_timeout=60 * SECOND_US)
     driver.run_successful_calls()
     for i in range(3):
@@ -360,157 +368,154 @@
         driver.end_attempt(f"m{i}", AttemptStatus.CONNECTION_LOST)
         driver.advance_clock(SECOND_US)
         driver.end_attempt(f"m{i}", AttemptStatus.OK)
-    driver.submit("safe", after=4 * SECOND_US)  # it can be repeated, so it may find out whether they still do
-    assert not any(isinstance(a, CloseIdleConnections) for a in driver.actions)
-    driver.end_attempt("safe", AttemptStatus.OK)
-    driver.submit("unsafe", "unsafe", after=4 * SECOND_US)
+    # Repeatable, so it may test whether idle connections are still reset.
+    driver.submit("idempotent", after=4 * SECOND_US)
+    assert not any(isinstance(action, CloseIdleConnections) for action in driver.actions)
+    driver.end_attempt("idempotent", AttemptStatus.OK)
+    driver.submit("at_most_once", "at_most_once", after=4 * SECOND_US)
     assert CloseIdleConnections("a") in driver.actions
     assert driver.sent[-1][1].max_connection_idle is not None
-    driver.end_attempt("unsafe", AttemptStatus.OK)
+    driver.end_attempt("at_most_once", AttemptStatus.OK)
     driver.actions.clear()
-    driver.submit("quick", "unsafe", after=50 * MILLISECOND_US)
+    driver.submit("quick", "at_most_once", after=50 * MILLISECOND_US)
     assert CloseIdleConnections("a") not in driver.actions
 
 
-def test_strewn_failures_are_no_outage() -> None:
-    """Found in incident i65fbf5: two lost calls in a row passed for an outage, with a cold budget after."""
+def test_scattered_failures_do_not_open_circuit() -> None:
+    """Incident i65fbf5: two consecutive lost calls were taken for an outage, followed by slow start."""
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
     gate = driver.scheduler.state.destinations[1].gate
     for i in range(8):
-        result = AttemptStatus.OK if i % 3 else AttemptStatus.TIMEOUT
+        status = AttemptStatus.OK if i % 3 else AttemptStatus.TIMEOUT
         driver.submit(f"m{i}", after=2 * SECOND_US)
-        driver.end_attempt(f"m{i}", result, after=300 * MILLISECOND_US)
+        driver.end_attempt(f"m{i}", status, after=300 * MILLISECOND_US)
         driver.run_batch(MessageCancelled(f"m{i}"))
         assert not gate.breaker.is_open
         assert gate.slow_start.started_at is None
 
 
-def test_keyed_messages_time_out_as_soon_as_safe_ones() -> None:
-    """Found in incident i65fbf5: long waits for lost keyed calls held every slot."""
+def test_deduplicated_message_has_same_timeout_as_idempotent_one() -> None:
+    """Incident i65fbf5: long timeouts of lost calls with deduplicated messages occupied every slot."""
     timeouts = {}
-    for of in ("safe", "keyed", "unsafe"):
+    for class_name in ("idempotent", "deduplicated", "at_most_once"):
         driver = SchedulerDriver(make_entry("a"))
         driver.run_successful_calls()
-        driver.submit("m", of)
-        timeouts[of] = driver.sent[-1][1].timeout
-    assert timeouts["safe"] == timeouts["keyed"] < timeouts["unsafe"]
+        driver.submit("m", class_name)
+        timeouts[class_name] = driver.sent[-1][1].timeout
+    assert timeouts["idempotent"] == timeouts["deduplicated"] < timeouts["at_most_once"]
 
 
-def test_a_backlog_lifts_a_low_pace() -> None:
-    """Found in incident i3e0358: a pace cut to half a call a second took most of a minute to recover."""
-    paces = {}
+def test_low_rate_limit_rises_faster_with_backlog() -> None:
+    """Incident i3e0358: a rate limit lowered to 0.5 calls per second took most of a minute to recover."""
+    rates = {}
     for backlog in (0, 15):
         driver = SchedulerDriver(make_entry("a"))
         driver.run_successful_calls()
         gate = driver.scheduler.state.destinations[1].gate
-        driver.run_batch(
-            *[MessageSubmitted(f"b{i}", 1, "safe", None, 20 * SECOND_US, None) for i in range(backlog)]
-        )
+        driver.run_batch(*[make_message(f"b{i}") for i in range(backlog)])
         gate.rate_limiter.calls_per_second = 0.5
         for i in range(5):
             driver.submit(f"m{i}", after=3 * SECOND_US)
-            for name in [
-                m for m in driver.scheduler.state.messages if driver.scheduler.state.messages[m].call
-            ]:
+            for name in driver.messages_in_flight():
                 driver.end_attempt(name, AttemptStatus.OK)
-        paces[backlog] = gate.rate_limiter.calls_per_second
-    assert 0.5 < paces[0] < paces[15]
+        rates[backlog] = gate.rate_limiter.calls_per_second
+    assert 0.5 < rates[0] < rates[15]
 
 
-def test_refusals_slow_full_bundles_down() -> None:
-    """The pace in calls was held against messages a second, so that each refusal of a bundle raised it."""
-    driver = SchedulerDriver(make_entry("a", kind="bundled"))
+def test_rejections_lower_rate_limit_of_full_batches() -> None:
+    """The limit in calls per second was compared with messages per second, so a rejected batch raised it."""
+    driver = SchedulerDriver(make_entry("a", kind="batching"))
     gate = driver.scheduler.state.endpoints["a"].gate
     for i in range(6):
         driver.run_batch(
-            *[MessageSubmitted(f"m{i}-{k}", 1, "safe", None, 20 * SECOND_US, None) for k in range(50)],
+            *[make_message(f"m{i}-{k}") for k in range(50)],
             after=SECOND_US,
         )
         while not driver.scheduler.state.calls_in_flight:
             driver.advance_clock(SECOND_US)
-        out = [m.name for m in driver.scheduler.state.messages.values() if m.call is not None]
-        driver.run_batch(*[driver.make_attempt_ended(name, AttemptStatus.REJECTED) for name in out])
-    assert gate.rate_limiter.calls_per_second < 50 / 5  # what full bundles need for so many messages
+        in_flight = driver.messages_in_flight()
+        driver.run_batch(*[driver.make_attempt_ended(name, AttemptStatus.REJECTED) for name in in_flight])
+    # Full batches need this many calls per second for the demand.
+    assert gate.rate_limiter.calls_per_second < 50 / 5
 
 
-def test_time_outs_are_longer_while_slots_lie_idle() -> None:
-    """Found on a quiet day: sound calls were cut at one second while most slots were free."""
+def test_timeout_is_doubled_while_half_of_slots_are_free() -> None:
+    """Successful calls were cut off after one second although most slots were free."""
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls(8)
-    driver.run_batch(*[MessageSubmitted(f"m{i}", 1, "safe", None, 20 * SECOND_US, None) for i in range(6)])
-    timeouts = [s.timeout for _, s in driver.sent[-6:]]
+    driver.run_batch(*[make_message(f"m{i}") for i in range(6)])
+    timeouts = [attempt.timeout for _, attempt in driver.sent[-6:]]
     assert timeouts[0] == 2 * timeouts[5]
 
 
-def test_a_wait_told_by_an_earlier_call_is_kept() -> None:
-    """The told wait binds even when the refusal is too old to narrow the window again."""
+def test_retry_after_of_rejection_sent_before_window_narrowed_is_applied() -> None:
+    """The Retry-After applies even if the rejected call was sent before the window was last narrowed."""
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
     driver.submit("m0")
     driver.submit("m1", after=MILLISECOND_US)
     driver.end_attempt("m1", AttemptStatus.REJECTED)
     driver.end_attempt("m0", AttemptStatus.REJECTED, retry_after=6 * SECOND_US)
-    told, before = driver.now, len(driver.sent)
+    reported_at, before = driver.now, len(driver.sent)
     while len(driver.sent) == before and driver.timer_at is not None:
         driver.advance_clock(10 * SECOND_US)
-    assert driver.sent[before][0] >= told + 6 * SECOND_US
+    assert driver.sent[before][0] >= reported_at + 6 * SECOND_US
 
 
-def test_a_doubted_refusal_ends_an_unsafe_message_at_once() -> None:
-    """Its refusal was another call's answer: it may have run, so it must not go again after its wait."""
+def test_disputed_rejection_fails_at_most_once_message_immediately() -> None:
+    """The rejection belonged to another call: the message may have run and must not be retried."""
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    driver.submit("m", "unsafe")
+    driver.submit("m", "at_most_once")
     assert not ended_messages(driver.end_attempt("m", AttemptStatus.REJECTED))
     assert ended_messages(driver.run_batch(OutcomeDisputed("m", "a", 60 * MILLISECOND_US))) == [
         (FailMessage, "m")
     ]
     driver.advance_clock(30 * SECOND_US)
-    assert [s.message_id for _, s in driver.sent].count("m") == 1
+    assert [attempt.message_id for _, attempt in driver.sent].count("m") == 1
 
 
-@pytest.mark.parametrize("of", ["safe", "keyed"])
-def test_a_doubted_refusal_leaves_what_may_be_repeated(of: str) -> None:
+@pytest.mark.parametrize("class_name", ["idempotent", "deduplicated"])
+def test_disputed_rejection_keeps_repeatable_message(class_name: str) -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    driver.submit("m", of)
+    driver.submit("m", class_name)
     driver.end_attempt("m", AttemptStatus.REJECTED)
     assert not ended_messages(driver.run_batch(OutcomeDisputed("m", "a", 60 * MILLISECOND_US)))
     ran_at = driver.scheduler.state.messages["m"].first_attempt_at
-    assert ran_at == driver.now - 60 * MILLISECOND_US  # from where a key's window runs
+    assert ran_at == driver.now - 60 * MILLISECOND_US  # start of the dedup window
     again = driver.advance_clock(30 * SECOND_US)
     assert sent_messages(again) == ["m"]
 
 
-def test_a_refusal_doubted_while_the_message_is_out_again_binds_what_comes_next() -> None:
+def test_rejection_disputed_during_second_attempt_prevents_third_attempt() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    driver.submit("m", "unsafe")
+    driver.submit("m", "at_most_once")
     driver.end_attempt("m", AttemptStatus.REJECTED)
     while "m" not in sent_messages(driver.advance_clock(30 * SECOND_US)):
         pass
     assert not ended_messages(driver.run_batch(OutcomeDisputed("m", "a", SECOND_US)))
-    assert ended_messages(driver.end_attempt("m", AttemptStatus.REJECTED)) == [
-        (FailMessage, "m")
-    ]  # no third time, and no promise
+    # No third attempt, and no rejection.
+    assert ended_messages(driver.end_attempt("m", AttemptStatus.REJECTED)) == [(FailMessage, "m")]
 
 
-def test_a_doubt_of_what_is_over_or_unknown_says_nothing() -> None:
+def test_disputed_outcome_of_ended_or_unknown_message_is_ignored() -> None:
     driver = SchedulerDriver(make_entry("a"))
-    driver.submit("m", "unsafe")
+    driver.submit("m", "at_most_once")
     driver.end_attempt("m", AttemptStatus.OK)
     assert not ended_messages(
         driver.run_batch(OutcomeDisputed("m", "a", SECOND_US), OutcomeDisputed("never", "a", SECOND_US))
     )
 
 
-def test_a_message_whose_destination_holds_its_time_up_is_failed_and_owed_until_noticed() -> None:
-    """Trouble: it was taken to be over, its end was told to nobody, and the next of its key went at once."""
+def test_message_expired_at_destination_fails_and_blocks_key_until_status_reported() -> None:
+    """Guards against treating it as ended without reporting: the next message of its key was sent at once."""
     driver = SchedulerDriver(make_entry("a"), awaits_final_status=True)
     driver.run_successful_calls()
-    driver.submit("m1", "strict", ordering_key="k")
-    driver.submit("m2", "strict", ordering_key="k")
+    driver.submit("m1", "ordered_at_most_once", ordering_key="k")
+    driver.submit("m2", "ordered_at_most_once", ordering_key="k")
     event = replace(
         driver.make_attempt_ended("m1", AttemptStatus.NOT_SENT, after=MILLISECOND_US), is_expired=True
     )
@@ -519,11 +524,11 @@
     assert sent_messages(driver.run_batch(FinalStatusReported("m1"))) == ["m2"]
 
 
-def test_an_attempt_that_the_relay_itself_put_off_costs_no_try_and_waits() -> None:
-    """A store of record that is away for a moment would use up all tries in as many turns."""
+def test_postponed_attempt_is_not_counted_and_is_delayed() -> None:
+    """A short outage of the store of record would otherwise use up all attempts in as many batches."""
     driver = SchedulerDriver(make_entry("a"), max_attempts=2)
     driver.run_successful_calls()
-    driver.submit("m", "unsafe")
+    driver.submit("m", "at_most_once")
     for _ in range(5):
         outcome = replace(
             driver.make_attempt_ended("m", AttemptStatus.NOT_SENT), postponed_for=SECOND_US // 10
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -1,4 +1,4 @@
-"""A module written down and read again goes on as if nothing had happened."""
+"""Snapshots: a scheduler restored from a snapshot decides like the original; malformed ones are rejected."""
 
 from __future__ import annotations
 
@@ -25,116 +25,139 @@
 )
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.snapshot_format import RecordFormat
-from tests.decisions.world import CLASSES, MILLISECOND_US, SECOND_US, SETTINGS, START, make_entry
+from tests.decisions.world import (
+    CLASS_NAMES,
+    CLASSES,
+    MILLISECOND_US,
+    SECOND_US,
+    SETTINGS,
+    START,
+    make_entry,
+    make_message,
+)
 
-RESULTS = list(AttemptStatus)
-HOSTS = [
+STATUSES = list(AttemptStatus)
+ENTRIES = [
     make_entry("a1"),
     make_entry("a2"),
-    make_entry("b1", 2, kind="apart"),
-    make_entry("b2", 2, kind="apart", zone="there"),
-    make_entry("c1", 3, kind="bundled"),
-    make_entry("c2", 3, kind="bundled"),
+    make_entry("b1", 2, kind="own_limits"),
+    make_entry("b2", 2, kind="own_limits", zone="there"),
+    make_entry("c1", 3, kind="batching"),
+    make_entry("c2", 3, kind="batching"),
 ]
 
 
-class Play:
-    """Draws events from a seed; what happens depends on them and on the module's actions alone."""
+class EventGenerator:
+    """Draws events from a seed; they depend only on the seed and on the actions of the scheduler."""
 
     def __init__(self, seed: int) -> None:
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now = START
-        self.out: list[tuple[str, str]] = []  # messages that were sent, and where to
-        self.number = 0
+        self.in_flight: list[tuple[str, str]] = []  # messages in flight and their endpoints
+        self.message_count = 0
 
     def events(self) -> list[Event]:
-        draw, events = self.random, list[Event]()
-        self.now += draw.choice(
-            [5 * MILLISECOND_US, 20 * MILLISECOND_US, 300 * MILLISECOND_US, 2 * SECOND_US]
-        )
-        for _ in range(draw.randrange(4)):
-            self.number += 1
-            name = draw.choice(sorted(CLASSES))
-            key = f"k{draw.randrange(3)}" if CLASSES[name].is_ordered else None
+        rng, events = self.rng, list[Event]()
+        self.now += rng.choice([5 * MILLISECOND_US, 20 * MILLISECOND_US, 300 * MILLISECOND_US, 2 * SECOND_US])
+        for _ in range(rng.randrange(4)):
+            self.message_count += 1
+            name = rng.choice(CLASS_NAMES)
+            key = f"k{rng.randrange(3)}" if CLASSES[name].is_ordered else None
             events.append(
                 MessageSubmitted(
-                    f"m{self.number}", draw.randrange(1, 4), name, "t", draw.randrange(1, 20) * SECOND_US, key
+                    f"m{self.message_count}",
+                    rng.randrange(1, 4),
+                    name,
+                    "t",
+                    rng.randrange(1, 20) * SECOND_US,
+                    key,
                 )
             )
-        for message, host in draw.sample(self.out, draw.randrange(len(self.out) + 1)):
-            self.out.remove((message, host))
-            result = draw.choice([AttemptStatus.OK, *RESULTS])
-            wait = 400 * MILLISECOND_US if result is AttemptStatus.REJECTED and draw.random() < 0.5 else 0
-            over = result is AttemptStatus.OK
+        for message, endpoint in rng.sample(self.in_flight, rng.randrange(len(self.in_flight) + 1)):
+            self.in_flight.remove((message, endpoint))
+            status = rng.choice([AttemptStatus.OK, *STATUSES])
+            retry_after = (
+                400 * MILLISECOND_US if status is AttemptStatus.REJECTED and rng.random() < 0.5 else 0
+            )
+            is_final = status is AttemptStatus.OK
             events.append(
-                AttemptEnded(message, 0, host, result, 30 * MILLISECOND_US, over, wait, None, None, 0)
+                AttemptEnded(
+                    message, 0, endpoint, status, 30 * MILLISECOND_US, is_final, retry_after, None, None, 0
+                )
             )
-        if draw.random() < 0.2:
-            changed = replace(draw.choice(HOSTS), state=draw.choice(list(EndpointState)))
+        if rng.random() < 0.2:
+            changed = replace(rng.choice(ENTRIES), state=rng.choice(list(EndpointState)))
             events.append(EndpointListReceived(EndpointListKind.DELTA, (changed,)))
-        if draw.random() < 0.1:
-            by_hand: list[Event] = [EndpointDisabled("a1"), EndpointEnabled("a1"), TimerFired(0)]
-            events.append(draw.choice(by_hand))
+        if rng.random() < 0.1:
+            operator_events: list[Event] = [EndpointDisabled("a1"), EndpointEnabled("a1"), TimerFired(0)]
+            events.append(rng.choice(operator_events))
         return events
 
-    def heard(self, actions: list[Action]) -> None:
-        self.out += [(a.message_id, a.endpoint) for a in actions if isinstance(a, SendAttempt)]
+    def record_actions(self, actions: list[Action]) -> None:
+        self.in_flight += [
+            (action.message_id, action.endpoint) for action in actions if isinstance(action, SendAttempt)
+        ]
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_it_goes_on_as_the_one_that_was_written(seed: int) -> None:
-    module, play = Scheduler(seed, SETTINGS), Play(seed)
-    module.handle_batch(play.now, [EndpointListReceived(EndpointListKind.FULL, tuple(HOSTS))])
+def test_restored_scheduler_decides_like_original(seed: int) -> None:
+    scheduler, generator = Scheduler(seed, SETTINGS), EventGenerator(seed)
+    scheduler.handle_batch(generator.now, [EndpointListReceived(EndpointListKind.FULL, tuple(ENTRIES))])
     for _ in range(60):
-        play.heard(module.handle_batch(play.now, play.events()))
-    waiting = [MessageSubmitted("last", 1, "safe", None, 9 * SECOND_US, None)]
-    other, events = snapshot.read(snapshot.write(module, waiting), seed=1)
-    assert events == waiting
-    assert module.state.messages
-    assert set(other.state.messages) == set(module.state.messages)
-    module.state.random, other.state.random = random.Random(5), random.Random(5)
-    module.state.timer_set_for = other.state.timer_set_for
+        generator.record_actions(scheduler.handle_batch(generator.now, generator.events()))
+    pending = [make_message("last", time_remaining=9 * SECOND_US)]
+    restored, events = snapshot.read(snapshot.write(scheduler, pending), seed=1)
+    assert events == pending
+    assert scheduler.state.messages
+    assert set(restored.state.messages) == set(scheduler.state.messages)
+    scheduler.state.random, restored.state.random = random.Random(5), random.Random(5)
+    scheduler.state.timer_set_for = restored.state.timer_set_for
     for _ in range(60):
-        events = play.events()
-        actions = module.handle_batch(play.now, events)
-        assert other.handle_batch(play.now, events) == actions
-        play.heard(actions)
-
-
-def test_what_is_shared_stays_shared() -> None:
-    module = Scheduler(1, SETTINGS)
-    module.handle_batch(START, [EndpointListReceived(EndpointListKind.FULL, tuple(HOSTS))])
-    module.handle_batch(
-        START, [MessageSubmitted(f"m{i}", 1, "strict", None, 9 * SECOND_US, "k") for i in range(3)]
+        events = generator.events()
+        actions = scheduler.handle_batch(generator.now, events)
+        assert restored.handle_batch(generator.now, events) == actions
+        generator.record_actions(actions)
+
+
+def test_restored_state_keeps_shared_objects() -> None:
+    scheduler = Scheduler(1, SETTINGS)
+    scheduler.handle_batch(START, [EndpointListReceived(EndpointListKind.FULL, tuple(ENTRIES))])
+    scheduler.handle_batch(
+        START,
+        [
+            make_message(f"m{i}", "ordered_at_most_once", time_remaining=9 * SECOND_US, ordering_key="k")
+            for i in range(3)
+        ],
     )
-    other, _ = snapshot.read(snapshot.write(module), 1)
+    restored, _ = snapshot.read(snapshot.write(scheduler), 1)
     assert (
-        other.state.endpoints["a1"].gate
-        is other.state.endpoints["a2"].gate
-        is other.state.destinations[1].gate
+        restored.state.endpoints["a1"].gate
+        is restored.state.endpoints["a2"].gate
+        is restored.state.destinations[1].gate
     )
     assert (
-        other.state.messages["m1"].ordering_key
-        is other.state.ordering_keys["k"]
-        is other.state.messages["m2"].ordering_key
+        restored.state.messages["m1"].ordering_key
+        is restored.state.ordering_keys["k"]
+        is restored.state.messages["m2"].ordering_key
     )
-    assert [message.name for message in other.state.ordering_keys["k"].pending] == ["m0", "m1", "m2"]
-    assert other.state.messages["m0"].call is not None
+    assert [message.name for message in restored.state.ordering_keys["k"].pending] == ["m0", "m1", "m2"]
+    assert restored.state.messages["m0"].call is not None
     assert (
-        other.state.messages["m0"].call.endpoint
-        is other.state.endpoints[other.state.messages["m0"].call.endpoint.name]
+        restored.state.messages["m0"].call.endpoint
+        is restored.state.endpoints[restored.state.messages["m0"].call.endpoint.name]
     )
 
 
-def written() -> str:
-    module = Scheduler(1, SETTINGS)
-    module.handle_batch(START, [EndpointListReceived(EndpointListKind.FULL, (HOSTS[0],))])
-    module.handle_batch(START, [MessageSubmitted("m", 1, "safe", None, 9 * SECOND_US, None)])
-    return snapshot.write(module)
+def write_small_snapshot() -> str:
+    """Returns the snapshot of a scheduler with one endpoint and one message in flight."""
+    scheduler = Scheduler(1, SETTINGS)
+    scheduler.handle_batch(START, [EndpointListReceived(EndpointListKind.FULL, (ENTRIES[0],))])
+    scheduler.handle_batch(START, [make_message("m", time_remaining=9 * SECOND_US)])
+    return snapshot.write(scheduler)
 
 
-def test_cut_off_anywhere_it_is_no_snapshot() -> None:
-    text = written()
+def test_truncated_snapshot_is_rejected() -> None:
+    text = write_small_snapshot()
     for size in range(0, len(text), 7):
         with pytest.raises(snapshot.SnapshotError):
             snapshot.read(text[:size], 1)
@@ -154,19 +177,19 @@
         {"rows": 7},
     ],
 )
-def test_what_is_no_module_is_turned_away(change: dict[str, object]) -> None:
+def test_malformed_snapshot_is_rejected(change: dict[str, object]) -> None:
     with pytest.raises(snapshot.SnapshotError):
-        snapshot.read(json.dumps({**json.loads(written()), **change}), 1)
+        snapshot.read(json.dumps({**json.loads(write_small_snapshot()), **change}), 1)
 
 
-def test_only_listed_types_can_be_written() -> None:
-    module = Scheduler(1, SETTINGS)
-    module.state.disabled_endpoints = {object()}  # type: ignore[arg-type]
+def test_snapshot_with_unlisted_type_is_not_written() -> None:
+    scheduler = Scheduler(1, SETTINGS)
+    scheduler.state.disabled_endpoints = {object()}  # type: ignore[arg-type]
     with pytest.raises(TypeError, match="cannot be stored in a snapshot"):
-        snapshot.write(module)
+        snapshot.write(scheduler)
 
 
-def test_the_fingerprint_tells_fields_apart(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_fingerprint_changes_with_record_fields(monkeypatch: pytest.MonkeyPatch) -> None:
     before = snapshot.fingerprint()
     more = RecordFormat(dataclasses.make_dataclass("More", ["field"]), {"field": "Any"})
     records = {**snapshot.RECORDS, "more": more}
--- a/tests/decisions/test_snapshot_b94bb80.py
+++ b/tests/decisions/test_snapshot_b94bb80.py
@@ -1,7 +1,7 @@
-"""A snapshot written by the program of b94bb80 is read as a whole, and written with the same bytes.
+"""A snapshot written by commit b94bb80 is read completely and rewritten with the same bytes.
 
-Guards a handover between versions: with a changed fingerprint, a successor drops the state of its
-predecessor, and calls a host before the end of the Retry-After that the host had sent.
+Guards the handover between versions: with a changed fingerprint, a successor drops the state of its
+predecessor and calls an endpoint before the end of the Retry-After that the endpoint had sent.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 SECOND_US = 1_000_000
 
 
-def restored() -> tuple[Scheduler, list[Event]]:
+def restore_snapshot() -> tuple[Scheduler, list[Event]]:
     return snapshot.read(SNAPSHOT, 1)
 
 
@@ -41,18 +41,20 @@
 
 
 def test_rewriting_the_snapshot_gives_the_same_bytes() -> None:
-    scheduler, pending = restored()
+    scheduler, pending = restore_snapshot()
     scheduler.state.timer_set_for = EXPECTED["timer_set_for"]
     assert snapshot.write(scheduler, pending) == SNAPSHOT
 
 
 def test_restored_state_equals_what_b94bb80_held() -> None:
-    scheduler, pending = restored()
+    scheduler, pending = restore_snapshot()
     state = scheduler.state
     assert sorted(state.messages) == EXPECTED["messages"]
     assert [type(event).__name__ for event in pending] == EXPECTED["events"]
     assert state.disabled_endpoints == {"d1"}
-    open_circuits = [number for number, each in state.destinations.items() if each.gate.breaker.is_open]
+    open_circuits = [
+        number for number, destination in state.destinations.items() if destination.gate.breaker.is_open
+    ]
     assert open_circuits == EXPECTED["open_circuits"]
     cooldowns = {name: key.cooldown_until for name, key in state.ordering_keys.items()}
     assert cooldowns == EXPECTED["cooldowns"]
@@ -62,14 +64,18 @@
 
 
 def test_restored_scheduler_waits_until_the_end_of_the_retry_after() -> None:
-    scheduler, _ = restored()
+    scheduler, _ = restore_snapshot()
     now, end = EXPECTED["written_at"], EXPECTED["retry_after_until"]
     scheduler.handle_batch(now, [MessageSubmitted("new", 7, "safe", None, 80 * SECOND_US, None)])
     sent: list[tuple[int, str]] = []
     while now < end + 30 * SECOND_US and not sent:
         now += 50_000
         actions = scheduler.handle_batch(now, [TimerFired(0)])
-        sent += [(now, a.endpoint) for a in actions if isinstance(a, SendAttempt) and a.endpoint == "r1"]
+        sent += [
+            (now, action.endpoint)
+            for action in actions
+            if isinstance(action, SendAttempt) and action.endpoint == "r1"
+        ]
     assert sent
     assert sent[0][0] >= end
 
