--- a/tests/decisions/test_ordinary_path.py
+++ b/tests/decisions/test_delivery.py
@@ -16,7 +16,7 @@
     MessageSubmitted,
 )
 from loftrelay.decisions.settings import Tenant
-from tests.decisions.world import (
+from tests.decisions.harness import (
     MILLISECOND_US,
     SECOND_US,
     SchedulerDriver,
--- a/tests/decisions/test_out_of_service.py
+++ b/tests/decisions/test_disabled_endpoints.py
@@ -18,7 +18,7 @@
     EndpointState,
     Event,
 )
-from tests.decisions.world import MILLISECOND_US, SECOND_US, SchedulerDriver, make_entry, make_message
+from tests.decisions.harness import MILLISECOND_US, SECOND_US, SchedulerDriver, make_entry, make_message
 
 ENDPOINT, OTHER_ENDPOINT = make_entry("h", kind="own_limits"), make_entry("other", kind="own_limits")
 STEPS: dict[str, Event] = {
--- a/tests/decisions/test_long_lists.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -17,7 +17,7 @@
     EndpointState,
 )
 from loftrelay.decisions.scheduler import Scheduler
-from tests.decisions.world import SECOND_US, SETTINGS, START, SchedulerDriver, make_entry
+from tests.decisions.harness import SECOND_US, SETTINGS, START, SchedulerDriver, make_entry
 from tests.standins.work import Walked, steps
 
 FEW, MANY = 1_000, 50_000
--- a/tests/decisions/test_let_go.py
+++ b/tests/decisions/test_hibernation.py
@@ -39,8 +39,7 @@
 from loftrelay.decisions.routing import may_attempt
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import RelaySettings
-from tests.decisions.test_rules import run_outage
-from tests.decisions.world import (
+from tests.decisions.harness import (
     MILLISECOND_US,
     SECOND_US,
     SETTINGS,
@@ -50,6 +49,7 @@
     make_message,
     sent_messages,
 )
+from tests.decisions.test_rules import run_outage
 from tests.standins.work import Walked, steps
 
 
--- a/tests/decisions/test_directory.py
+++ b/tests/decisions/test_list_polling.py
@@ -11,7 +11,7 @@
 from loftrelay.decisions.actions import SetTimer, WatchEndpointList
 from loftrelay.decisions.events import EndpointListKind, EndpointListReceived, Event, TimerFired
 from loftrelay.decisions.scheduler import Scheduler
-from tests.decisions.world import SECOND_US, SETTINGS, make_entry
+from tests.decisions.harness import SECOND_US, SETTINGS, make_entry
 
 RELAY_COUNT = 200
 REQUEST_COST_US = 8 * SECOND_US // RELAY_COUNT  # service time of one request
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -23,7 +23,14 @@
     MessageSubmitted,
 )
 from loftrelay.decisions.settings import DeliverySemantics
-from tests.decisions.world import CLASS_NAMES, CLASSES, MILLISECOND_US, SECOND_US, SchedulerDriver, make_entry
+from tests.decisions.harness import (
+    CLASS_NAMES,
+    CLASSES,
+    MILLISECOND_US,
+    SECOND_US,
+    SchedulerDriver,
+    make_entry,
+)
 
 NOT_RUN_STATUSES = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 ENTRIES = [
--- a/tests/decisions/test_recorded_decisions.py
+++ b/tests/decisions/test_recorded_decisions.py
@@ -54,7 +54,7 @@
 )
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import MessageTerms, RelaySettings, Tenant
-from tests.decisions.world import CLASSES, MILLISECOND_US, SECOND_US, SETTINGS, START
+from tests.decisions.harness import CLASSES, MILLISECOND_US, SECOND_US, SETTINGS, START
 
 RECORDED = Path(__file__).parent / "recorded" / "decisions.json"
 SEEDS = range(1, 41)
--- a/tests/decisions/test_told_waits.py
+++ b/tests/decisions/test_retry_after.py
@@ -14,7 +14,7 @@
     EndpointListReceived,
     SettingsChanged,
 )
-from tests.decisions.world import (
+from tests.decisions.harness import (
     MILLISECOND_US,
     SECOND_US,
     SchedulerDriver,
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -19,7 +19,7 @@
     OutcomeDisputed,
     TimerFired,
 )
-from tests.decisions.world import (
+from tests.decisions.harness import (
     CLASSES,
     MILLISECOND_US,
     SECOND_US,
--- a/tests/decisions/test_scale.py
+++ b/tests/decisions/test_scale.py
@@ -7,7 +7,7 @@
 from loftrelay.decisions.actions import CloseIdleConnections
 from loftrelay.decisions.events import AttemptStatus, Event, MessageCancelled, MessageSubmitted
 from loftrelay.decisions.settings import Tenant
-from tests.decisions.world import (
+from tests.decisions.harness import (
     MILLISECOND_US,
     SECOND_US,
     SchedulerDriver,
--- a/tests/decisions/test_settings_and_list.py
+++ b/tests/decisions/test_settings_and_list.py
@@ -16,7 +16,7 @@
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.settings import DeliverySemantics
 from loftrelay.decisions.simulator import read_settings
-from tests.decisions.world import (
+from tests.decisions.harness import (
     MILLISECOND_US,
     SECOND_US,
     SchedulerDriver,
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -25,7 +25,7 @@
 )
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.snapshot_format import RecordFormat
-from tests.decisions.world import (
+from tests.decisions.harness import (
     CLASS_NAMES,
     CLASSES,
     MILLISECOND_US,
--- a/tests/delivery/test_decided_and_not_begun.py
+++ b/tests/delivery/test_decided_and_not_begun.py
@@ -14,7 +14,7 @@
 from loftrelay.decisions.events import AttemptStatus, MessageSubmitted
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass, MessageTerms
 from loftrelay.relay.message import Message
-from tests.decisions.world import (
+from tests.decisions.harness import (
     MILLISECOND_US,
     SECOND_US,
     SchedulerDriver,
