--- a/loftrelay/decisions/actions.py
+++ b/loftrelay/decisions/actions.py
@@ -16,7 +16,7 @@
     endpoint: str
     timeout: int
     max_connection_idle: int | None = None  # use only connections idle for less than this; None: any
-    send_within: int | None = None  # send its last byte within this time, or do not send it; None: no limit
+    send_within: int | None = None  # send its last byte within this time, or nothing; None: no limit
 
 
 @dataclass(slots=True, frozen=True)
--- a/loftrelay/decisions/circuit_breaker.py
+++ b/loftrelay/decisions/circuit_breaker.py
@@ -28,7 +28,7 @@
     consecutive_failures: int = 0
     failing_since: int = 0
     has_only_rejections: bool = False  # whether all consecutive failures were rejections
-    error_rate: float = 0.0  # smoothed share of calls that failed; rejections do not count as failures
+    error_rate: float = 0.0  # smoothed share of calls that failed, without rejected calls
     failed_at: int = -NEVER
     last_was_rejection: bool = False
     is_open: bool = False
--- a/loftrelay/decisions/entities.py
+++ b/loftrelay/decisions/entities.py
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class OpenMessage:
-    """A message that has no final status yet. Times are in microseconds."""
+    """A message that has not ended, or is still in a call. Times are in microseconds."""
 
     name: str
     message_class: MessageClass
--- a/loftrelay/decisions/feedback.py
+++ b/loftrelay/decisions/feedback.py
@@ -101,7 +101,7 @@
         is_paused=gate.window.is_below_one_call,
     )
     if has_opened:
-        _report_open_circuit(state, endpoint)
+        _start_probing(state, endpoint)
 
 
 def _lower_rate_limit(state: DecisionState, endpoint: Endpoint, demand: float) -> None:
@@ -130,7 +130,7 @@
     """Sets the pause before the next call from the consecutive failures, the Retry-After and the rate."""
     gate, kind = endpoint.gate, endpoint.kind_stats
     is_rejection = event.status is AttemptStatus.REJECTED
-    # A refused connection puts no load on the endpoint, so it is probed sooner.
+    # A call without a connection puts no load on the endpoint, so it is probed sooner.
     longest = (
         MAX_PROBE_INTERVAL_US // 2 if event.status is AttemptStatus.CONNECT_FAILED else MAX_PROBE_INTERVAL_US
     )
@@ -150,7 +150,7 @@
     return int(min(stretched, retry_after + MAX_PROBE_INTERVAL_US * state.limits.relay_count // 2))
 
 
-def _report_open_circuit(state: DecisionState, endpoint: Endpoint) -> None:
+def _start_probing(state: DecisionState, endpoint: Endpoint) -> None:
     endpoint.gate.slow_start.started_at = None
     number = endpoint.destination.number
     state.actions.append(WriteLog(f"destination {number}: circuit open, one probe at a time"))
--- a/loftrelay/decisions/retry.py
+++ b/loftrelay/decisions/retry.py
@@ -1,8 +1,8 @@
 """Retry: exponential backoff with jitter, and the timeout of an attempt.
 
 A retry is delayed by BACKOFF_BASE_US times a growing power of two, or by the Retry-After of the response if
-that is longer. A message is retried until its attempts are used up, too little time is left, or
-it must not be repeated (`lifecycle.enqueue_or_end`).
+that is longer. A message is retried until its attempts are used up, too little time is left, or it must
+not be repeated (`lifecycle.enqueue_or_end`).
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def backoff(state: DecisionState, exponent: int) -> int:
-    """Returns the delay in microseconds before a retry that `exponent` earlier retries preceded."""
+    """Returns the delay in microseconds before a retry, after `exponent` earlier retries."""
     return with_jitter(state, BACKOFF_BASE_US * BACKOFF_FACTOR ** min(exponent, BACKOFF_MAX_EXPONENT))
 
 
--- a/tests/decisions/test_delivery.py
+++ b/tests/decisions/test_delivery.py
@@ -35,23 +35,23 @@
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls(40)
     driver.submit("m")
-    waits = []
+    delays = []
     for _ in range(4):
         driver.end_attempt("m", AttemptStatus.ERROR)
-        failed = driver.now
+        failed_at = driver.now
         while not (actions := driver.advance_clock(30 * SECOND_US)) or sent_messages(actions) != ["m"]:
-            assert driver.now < failed + 30 * SECOND_US
-        waits.append((driver.now - failed) / SECOND_US)
-    assert [0.5 * 2**i <= w <= 0.5 * 2**i * 1.2 for i, w in enumerate(waits)] == [True] * 4, waits
+            assert driver.now < failed_at + 30 * SECOND_US
+        delays.append((driver.now - failed_at) / SECOND_US)
+    assert [0.5 * 2**i <= delay <= 0.5 * 2**i * 1.2 for i, delay in enumerate(delays)] == [True] * 4, delays
 
 
 def test_message_is_rejected_after_max_attempts() -> None:
     driver = SchedulerDriver(make_entry("a"), max_attempts=3)
     driver.run_successful_calls(12)
     driver.submit("m")
-    for left in (2, 1, 0):
+    for remaining in (2, 1, 0):
         actions = driver.end_attempt("m", AttemptStatus.ERROR)
-        if left:
+        if remaining:
             assert not ended_messages(actions)
             for _ in range(20):
                 if sent_messages(actions := driver.advance_clock(10 * SECOND_US)) == ["m"]:
@@ -124,10 +124,10 @@
 
 def test_batch_uses_one_call_and_one_slot() -> None:
     driver = SchedulerDriver(make_entry("a", kind="batching"))
-    out = sent_messages(driver.run_batch(*[make_message(f"x{i}") for i in range(9)]))
-    assert len(out) == 5
+    sent = sent_messages(driver.run_batch(*[make_message(f"x{i}") for i in range(9)]))
+    assert len(sent) == 5
     assert driver.scheduler.state.calls_in_flight == 1
-    driver.run_batch(*[driver.make_attempt_ended(name, AttemptStatus.OK) for name in out])
+    driver.run_batch(*[driver.make_attempt_ended(name, AttemptStatus.OK) for name in sent])
     assert driver.scheduler.state.calls_in_flight == 1  # the next call, with the other four
     assert len(driver.sent) == 9
 
@@ -138,17 +138,17 @@
         driver = SchedulerDriver(make_entry("a"), make_entry("b"), seed=seed)
         driver.run_successful_calls()
         driver.submit("m", "at_most_once")
-        dead = driver.sent[-1][1].endpoint
+        failed_endpoint = driver.sent[-1][1].endpoint
         driver.end_attempt("m", AttemptStatus.CONNECT_FAILED)
         driver.end_attempt("m", AttemptStatus.OK)
         driver.advance_clock(20 * SECOND_US)
         driver.submit("n", "at_most_once")
         assert [attempt.endpoint for _, attempt in driver.sent if attempt.message_id in ("m", "n")].count(
-            dead
+            failed_endpoint
         ) == 1
 
 
-def test_single_malformed_response_does_not_count_against_destination() -> None:
+def test_malformed_responses_count_against_destination_only_after_three_in_a_row() -> None:
     """An at-most-once message fails, since it may have run; the endpoint is up, so the next one is sent."""
     driver = SchedulerDriver(make_entry("a"))
     driver.submit("first")
@@ -163,7 +163,7 @@
     assert sent_messages(driver.submit("last")) == []
 
 
-def test_single_reset_of_reused_connection_does_not_count_against_destination() -> None:
+def test_resets_of_reused_connection_count_against_destination_only_after_three_in_a_row() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
     gate = driver.scheduler.state.destinations[1].gate
@@ -226,8 +226,8 @@
     )
 
 
-@pytest.mark.parametrize("leads", [True, False])
-def test_message_near_deadline_is_not_batched_with_at_most_once_messages(leads: bool) -> None:
+@pytest.mark.parametrize("is_short_first", [True, False])
+def test_message_near_deadline_is_not_batched_with_at_most_once_messages(is_short_first: bool) -> None:
     """A batch is abandoned at its first deadline, which fails any at-most-once message in it."""
     driver = make_batching_driver()
     set_endpoint_state(driver, EndpointState.DRAINING)
@@ -235,13 +235,13 @@
     driver.submit("order1", "at_most_once")
     driver.submit("order2", "at_most_once")
     driver.submit("update", time_remaining=20 * SECOND_US)
-    driver.scheduler.state.messages["short" if leads else "order1"].priority_weight = 9.0
-    went = sent_messages(set_endpoint_state(driver, EndpointState.ACTIVE))
-    calls = {m: driver.scheduler.state.messages[m].call for m in went}
-    assert "short" in went
+    driver.scheduler.state.messages["short" if is_short_first else "order1"].priority_weight = 9.0
+    sent = sent_messages(set_endpoint_state(driver, EndpointState.ACTIVE))
+    calls = {m: driver.scheduler.state.messages[m].call for m in sent}
+    assert "short" in sent
     assert calls["short"] is not calls.get("order1")
     assert calls["short"] is not calls.get("order2")
-    if leads:
+    if is_short_first:
         assert calls["update"] is calls["short"]  # it can be repeated
     else:
         assert calls["order1"] is calls["order2"] is calls["update"]
@@ -252,7 +252,7 @@
     """The call is cut off at the earliest deadline: 140 such calls in 5 s were counted against endpoints."""
     driver = make_batching_driver()
     gate = driver.scheduler.state.endpoints["a"].gate
-    window, closed = gate.window.size, len(driver.actions)
+    window, action_count = gate.window.size, len(driver.actions)
     set_endpoint_state(driver, EndpointState.DRAINING)
     driver.submit("short", time_remaining=SECOND_US // 2)
     driver.scheduler.state.messages["short"].priority_weight = 9.0
@@ -264,7 +264,7 @@
     )
     assert gate.window.size == window
     assert gate.breaker.consecutive_failures == 0
-    assert not any(isinstance(action, CloseIdleConnections) for action in driver.actions[closed:])
+    assert not any(isinstance(action, CloseIdleConnections) for action in driver.actions[action_count:])
 
 
 def test_rarely_used_destination_is_retried_within_15_seconds() -> None:
@@ -281,9 +281,14 @@
     driver = SchedulerDriver(make_entry("a", kind="batching"))
     near, order = (
         MessageRecovered(
-            MessageSubmitted(name, 1, class_name, None, left, None), SECOND_US, 0, None, None, is_ended=False
+            MessageSubmitted(name, 1, class_name, None, remaining, None),
+            SECOND_US,
+            0,
+            None,
+            None,
+            is_ended=False,
         )
-        for name, class_name, left in (
+        for name, class_name, remaining in (
             ("near", "deduplicated", 30 * MILLISECOND_US),
             ("order", "at_most_once", SECOND_US),
         )
--- a/tests/decisions/test_disabled_endpoints.py
+++ b/tests/decisions/test_disabled_endpoints.py
@@ -44,28 +44,27 @@
             step, True if step in ("list", "full list", "move to another zone") else is_listed
         )
         before = len(driver.sent)
-        submit = make_message(f"m{number}")
-        driver.run_batch(submit, after=3 * SECOND_US)
-        sent = [send for _, send in driver.sent[before:] if send.endpoint == "h"]
+        driver.run_batch(make_message(f"m{number}"), after=3 * SECOND_US)
+        sent = [attempt for _, attempt in driver.sent[before:] if attempt.endpoint == "h"]
         if is_disabled or not is_listed:
             assert sent == [], (steps, step)
-        for send in sent:
+        for attempt in sent:
             driver.run_batch(
                 AttemptEnded(
-                    send.message_id, 0, "h", AttemptStatus.OK, 10 * MILLISECOND_US, True, 0, None, None, 0
+                    attempt.message_id, 0, "h", AttemptStatus.OK, 10 * MILLISECOND_US, True, 0, None, None, 0
                 ),
                 after=10 * MILLISECOND_US,
             )
     if not is_disabled and is_listed:
         driver.advance_clock(10 * SECOND_US)
-        assert any(send.endpoint == "h" for _, send in driver.sent)
+        assert any(attempt.endpoint == "h" for _, attempt in driver.sent)
 
 
 def test_message_in_flight_at_disabled_endpoint_is_retried_elsewhere() -> None:
     driver = SchedulerDriver(ENDPOINT, OTHER_ENDPOINT)
     driver.run_batch(EndpointDisabled("other"), make_message("m"))
-    ((_, send),) = driver.sent
-    assert send.endpoint == "h"
+    ((_, attempt),) = driver.sent
+    assert attempt.endpoint == "h"
     driver.run_batch(EndpointDisabled("h"), EndpointEnabled("other"), after=10 * MILLISECOND_US)
     driver.run_batch(
         AttemptEnded("m", 0, "h", AttemptStatus.CONNECT_FAILED, 10 * MILLISECOND_US, False, 0, None, None, 0),
@@ -95,10 +94,10 @@
 def test_enabled_endpoint_gets_slow_start() -> None:
     """A restarted endpoint can handle only a part of its usual load, so the first calls are limited."""
 
-    def sent_in(driver: SchedulerDriver, span: int) -> int:
+    def count_calls(driver: SchedulerDriver, span: int) -> int:
         before, until = len(driver.sent), driver.now + span
         while driver.now < until:
-            answers = [
+            outcomes = [
                 AttemptEnded(
                     attempt.message_id, 0, "h", AttemptStatus.OK, 5 * MILLISECOND_US, True, 0, None, None, 0
                 )
@@ -107,7 +106,7 @@
             ended_count[0] = len(driver.sent)
             names.append(f"m{len(names)}")
             driver.run_batch(
-                *answers,
+                *outcomes,
                 make_message(names[-1]),
                 after=50 * MILLISECOND_US,
             )
@@ -118,14 +117,14 @@
     driver = SchedulerDriver(
         ENDPOINT, slow_start_duration=10 * SECOND_US, slow_start_initial_fraction=0.2, overload_multiple=1.0
     )
-    warm = sent_in(driver, 20 * SECOND_US) / 10  # in two seconds
+    usual_calls = count_calls(driver, 20 * SECOND_US) / 10  # in two seconds
     driver.run_batch(EndpointDisabled("h"))
-    sent_in(driver, SECOND_US)
+    count_calls(driver, SECOND_US)
     driver.run_batch(EndpointEnabled("h"))
-    first = sent_in(driver, 2 * SECOND_US)
-    assert 0 < first < 0.6 * warm
-    sent_in(driver, 12 * SECOND_US)
-    assert sent_in(driver, 4 * SECOND_US) >= 1.8 * warm
+    first_calls = count_calls(driver, 2 * SECOND_US)
+    assert 0 < first_calls < 0.6 * usual_calls
+    count_calls(driver, 12 * SECOND_US)
+    assert count_calls(driver, 4 * SECOND_US) >= 1.8 * usual_calls
 
 
 def test_disabled_endpoint_counts_as_avoided_while_listed() -> None:
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -31,15 +31,15 @@
 
 def count_change_steps(scheduler: Scheduler, *entries: EndpointEntry) -> int:
     """Returns the number of interpreter steps that a list change takes."""
-    listing = EndpointListReceived(EndpointListKind.DELTA, entries)
-    return steps(lambda: scheduler.handle_batch(scheduler.state.now + 100_000, [listing]))
+    endpoint_list = EndpointListReceived(EndpointListKind.DELTA, entries)
+    return steps(lambda: scheduler.handle_batch(scheduler.state.now + 100_000, [endpoint_list]))
 
 
 @pytest.fixture(scope="module")
 def schedulers() -> dict[int, Scheduler]:
-    made = {}
+    created = {}
     for size in (FEW, MANY):
-        scheduler = made[size] = Scheduler(1, SETTINGS)
+        scheduler = created[size] = Scheduler(1, SETTINGS)
         scheduler.handle_batch(
             START,
             [EndpointListReceived(EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size)))],
@@ -48,12 +48,14 @@
             Walked(scheduler.state.endpoints),
             Walked(scheduler.state.destinations),
         )
-    return made
+    return created
 
 
-@pytest.mark.parametrize("what", CHANGES)
-def test_list_change_cost_is_independent_of_list_length(schedulers: dict[int, Scheduler], what: str) -> None:
-    few, many = (count_change_steps(schedulers[size], *CHANGES[what]) for size in (FEW, MANY))
+@pytest.mark.parametrize("change", CHANGES)
+def test_list_change_cost_is_independent_of_list_length(
+    schedulers: dict[int, Scheduler], change: str
+) -> None:
+    few, many = (count_change_steps(schedulers[size], *CHANGES[change]) for size in (FEW, MANY))
     assert 0 < many <= 1.5 * few
     for scheduler in schedulers.values():
         assert isinstance(scheduler.state.endpoints, Walked)
@@ -144,12 +146,14 @@
 def test_listed_endpoint_uses_bounded_memory() -> None:
     """Each with its own destination. Guards against an empty deque, which was two fifths of 1.6 KB."""
     size = 2_000
-    listing = EndpointListReceived(EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size)))
+    endpoint_list = EndpointListReceived(
+        EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size))
+    )
     scheduler = Scheduler(1, SETTINGS)
     gc.collect()
     tracemalloc.start()
     try:
-        scheduler.handle_batch(START, [listing])
+        scheduler.handle_batch(START, [endpoint_list])
         bytes_per_endpoint = tracemalloc.get_traced_memory()[0] / size
     finally:
         tracemalloc.stop()
--- a/tests/decisions/test_scale.py
+++ b/tests/decisions/test_scale.py
@@ -26,28 +26,28 @@
         SchedulerDriver(make_entry("a"), seed=i + 1, relay_count=relays, max_concurrent_calls=3)
         for i in range(relays)
     ]
-    calls, pending = 0, 0
+    calls, submitted = 0, 0
     in_flight: list[tuple[int, SchedulerDriver, str]] = []
     for driver in fleet:
         driver.run_successful_calls(1)
     clocks = {id(driver): driver.now for driver in fleet}
-    for tick in range(seconds * 10):
-        now = tick * 100 * MILLISECOND_US
+    for step in range(seconds * 10):
+        now = step * 100 * MILLISECOND_US
         for number, driver in enumerate(fleet):
             at = clocks[id(driver)] + now
             events: list[Event] = []
-            for due, owner, name in [f for f in in_flight if f[1] is driver]:
+            for due, owner, name in [call for call in in_flight if call[1] is driver]:
                 if due <= now:
                     in_flight.remove((due, owner, name))
                     events.append(driver.make_attempt_ended(name, status, after=at - driver.now))
-            if tick % relays == number:  # one message per tick, to each relay in turn
-                events.append(make_message(f"m{tick}", time_remaining=24 * SECOND_US))
-                pending += 1
+            if step % relays == number:  # one message per step, to each relay in turn
+                events.append(make_message(f"m{step}", time_remaining=24 * SECOND_US))
+                submitted += 1
             if events or (driver.timer_at is not None and driver.timer_at <= at):
                 for name in sent_messages(driver.run_batch(*events, after=at - driver.now)):
                     in_flight.append((now + 100 * MILLISECOND_US, driver, name))
-                    calls += tick >= seconds * 5  # the second half, when all relays have noticed the outage
-    assert pending == seconds * 10
+                    calls += step >= seconds * 5  # the second half, when all relays have noticed the outage
+    assert submitted == seconds * 10
     return calls
 
 
@@ -74,7 +74,7 @@
                 break
         assert driver.now >= reported_at + SECOND_US
         return_delays.append(driver.now - reported_at)
-    assert len({recovered_at // (500 * MILLISECOND_US) for recovered_at in return_delays}) > 8
+    assert len({delay // (500 * MILLISECOND_US) for delay in return_delays}) > 8
 
 
 def test_small_quota_per_relay_counts_within_traffic_share() -> None:
@@ -87,7 +87,7 @@
 
 
 def test_rarely_used_connections_are_closed_after_refused_connection() -> None:
-    """Guards against idle connections of hundreds of relays that fill the connection table of an endpoint."""
+    """Guards against idle connections of hundreds of relays that leave an endpoint no room for new ones."""
     driver = SchedulerDriver(make_entry("a"))
     driver.submit("first")
     # No connection was refused yet.
@@ -113,7 +113,7 @@
 
 
 def test_endpoint_choice_is_spread_over_relays() -> None:
-    """Guards against relays that all choose the first listed endpoint and overload it."""
+    """Guards against relays that all overload the first listed endpoint while its siblings are idle."""
     chosen = []
     for seed in range(40):
         driver = SchedulerDriver(
@@ -125,19 +125,19 @@
 
 
 def test_random_arrivals_within_small_traffic_share_stay_within_quota() -> None:
-    """Guards against too small a burst: with 0.7 messages per second a third was counted as over quota."""
+    """Guards against room for only one or two messages: at 0.7 per second a third counted as over quota."""
     rng = random.Random(3)
     driver = SchedulerDriver(
         make_entry("a"), relay_count=40, tenants={"t": Tenant("t", 28.0, 0.09)}, max_open_messages=10_000
     )
-    over = 0
+    over_quota = 0
     for i in range(200):
         driver.run_batch(
             MessageSubmitted(f"m{i}", 1, "idempotent", "t", 20 * SECOND_US, None),
             after=int(rng.expovariate(0.6) * SECOND_US),
         )
         message = driver.scheduler.state.messages.get(f"m{i}")
-        over += message is not None and message.priority_weight < 1
+        over_quota += message is not None and message.priority_weight < 1
         if message is not None:
             driver.run_batch(MessageCancelled(f"m{i}"))
-    assert over < 20
+    assert over_quota < 20
--- a/tests/decisions/test_settings_and_list.py
+++ b/tests/decisions/test_settings_and_list.py
@@ -53,7 +53,11 @@
 
 
 def test_unknown_setting_values_are_read_as_safest_option() -> None:
-    config = {"classes": [{"name": "c", "effect": "perhaps"}], "discovery": "osmosis", "weight_kind": "live"}
+    config = {
+        "classes": [{"name": "c", "effect": "unknown-effect"}],
+        "discovery": "unknown-discovery",
+        "weight_kind": "live",
+    }
     relay_settings = read_settings(config)
     assert relay_settings.classes["c"].semantics is DeliverySemantics.UNKNOWN
     assert not relay_settings.polls_endpoint_list
@@ -62,20 +66,20 @@
 def test_failed_list_request_is_retried_with_growing_delay() -> None:
     driver = SchedulerDriver(make_entry("a"), polls_endpoint_list=True)
     assert any(isinstance(action, WatchEndpointList) for action in driver.actions)
-    gaps = []
+    delays = []
     for _ in range(12):
         driver.run_batch(EndpointListReceived(EndpointListKind.FAILED, ()))
-        failed = driver.now
+        failed_at = driver.now
         while not any(
             isinstance(action, WatchEndpointList) for action in driver.advance_clock(20 * SECOND_US)
         ):
-            assert driver.now < failed + 20 * SECOND_US
-        gaps.append(driver.now - failed)
-    assert gaps[:3] == sorted(gaps[:3])
-    assert gaps[0] >= 400 * MILLISECOND_US
+            assert driver.now < failed_at + 20 * SECOND_US
+        delays.append(driver.now - failed_at)
+    assert delays[:3] == sorted(delays[:3])
+    assert delays[0] >= 400 * MILLISECOND_US
     # Early enough for the 6 s within which a list change must take effect, and not in step with other relays.
-    assert all(SECOND_US <= gap <= 2 * SECOND_US for gap in gaps[2:])
-    assert max(gaps[2:]) - min(gaps[2:]) > 200 * MILLISECOND_US
+    assert all(SECOND_US <= delay <= 2 * SECOND_US for delay in delays[2:])
+    assert max(delays[2:]) - min(delays[2:]) > 200 * MILLISECOND_US
     assert sent_messages(driver.submit("m")) == ["m"]  # the old list is still used
 
 
