--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -336,7 +336,7 @@
 
 
 def test_probe_of_batching_endpoint_carries_one_message() -> None:
-    """Guards against probe batches that use up the attempts and dedup windows of all their messages."""
+    """Guards against probe batches that cost many messages an attempt and dedup window during a hang."""
     driver = SchedulerDriver(make_entry("a", kind="batching"))
     gate = next(iter(driver.scheduler.state.endpoints.values())).gate
     gate.breaker.is_open, gate.window.size = True, 0.5
