--- a/loftrelay/journal/__init__.py
+++ b/loftrelay/journal/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of a relay: every message that is not completed, and what has happened to it."""
+"""The journal: the durable state of a relay, with every open message and its history."""
--- a/loftrelay/journal/compaction.py
+++ b/loftrelay/journal/compaction.py
@@ -1,8 +1,8 @@
-"""Compaction of a journal: drops the oldest segments once what they hold of the live state is copied.
+"""Compaction of a journal: copies the live entries of the oldest segments, then deletes these segments.
 
-Live entries fill at most half of the budget (see `Journal.admit`), so that a pass over all segments always
-makes room. A pass is cut into slices beside the records that are written, so that no caller waits for a whole
-segment, as long as the room allows.
+Live entries take at most half of the disk budget (see `Journal.admit`), so a pass over all segments always
+frees space. A pass is divided into steps of bounded size, one for each written record, so that no caller
+waits for a whole segment to be copied unless space is short.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 log = logging.getLogger(__name__)
 
-MIN_SLICE_BYTES = 32 << 10  # copied beside one record, at the least: about a millisecond
-SLICE_BYTES_PER_WRITTEN_BYTE = 8
-SLICED_ABOVE_FRACTION = 5 / 8  # of the budget in use: segments are dropped in slices
+MIN_STEP_BYTES = 32 << 10  # smallest limit of the bytes copied in one step: about a millisecond
+STEP_BYTES_PER_WRITTEN_BYTE = 8
+STEPWISE_ABOVE_FRACTION = 5 / 8  # of the budget in use: the oldest segment is dropped in steps
 AT_ONCE_ABOVE_FRACTION = 3 / 4  # of the budget in use: all old segments are dropped at once
 
 
@@ -27,28 +27,38 @@
     """Drops old segments of a journal."""
 
     def __init__(self, files: SegmentFiles, index: JournalIndex, write: Callable[[Record], None]) -> None:
-        """Args: `write` appends a record and applies it; raises JournalFullError."""
+        """Creates the compactor of a journal.
+
+        Args:
+            files: the segments.
+            index: the state in memory.
+            write: appends a record and applies it to the index; raises JournalFullError.
+        """
         self._files = files
         self._index = index
         self._write = write
 
     def reclaim_space(self, written_bytes: int) -> None:
-        """Drops what the use of the budget demands, after so many bytes were written."""
+        """Drops old segments if disk usage is high.
+
+        Args:
+            written_bytes: size of the records that were just written; it determines the size of a step.
+        """
         used, budget = self._files.disk_usage(), self._files.disk_bytes
         if used > int(budget * AT_ONCE_ABOVE_FRACTION):
             self.drop_oldest(len(self._files.segments) - 1)
-        elif used > int(budget * SLICED_ABOVE_FRACTION) and len(self._files.segments) > 1:
-            self.drop_oldest(1, max(MIN_SLICE_BYTES, SLICE_BYTES_PER_WRITTEN_BYTE * written_bytes))
+        elif used > int(budget * STEPWISE_ABOVE_FRACTION) and len(self._files.segments) > 1:
+            self.drop_oldest(1, max(MIN_STEP_BYTES, STEP_BYTES_PER_WRITTEN_BYTE * written_bytes))
 
     def drop_oldest(self, count: int, max_copied_bytes: int | None = None) -> None:
-        """Drops the oldest segments after their live entries are copied.
+        """Copies the live entries of the oldest segments and deletes these segments.
 
-        Stops within a segment once the limit is reached: some of its entries are stored twice then, and the
-        later record holds. Stops, too, where the disk takes no copy.
+        Stops within a segment once the limit is reached. Some of its entries are then stored twice, and the
+        later record is valid. Also stops, with a log line, if a copy can't be written or a file not deleted.
 
         Args:
-            count: How many segments.
-            max_copied_bytes: Limit of what is copied, checked before each entry; None: no limit.
+            count: number of segments.
+            max_copied_bytes: limit of the copied bytes, checked before each entry; None for no limit.
         """
         limit = None if max_copied_bytes is None else self._files.record_bytes + max_copied_bytes
         for number in sorted(self._files.segments)[:count]:
@@ -57,15 +67,17 @@
                     return
                 self._files.remove(number)
             except (OSError, JournalFullError) as error:
-                log.warning("journal segment %d: can't be dropped: %r", number, error)
+                log.warning(
+                    "journal segment %d can't be compacted and deleted, keeping it: %r", number, error
+                )
                 return
             self._index.open.by_segment.pop(number, None)
             self._index.completed.by_segment.pop(number, None)
 
     def _copy_entries(self, number: int, limit: int | None) -> bool:
-        """Writes the live entries of a segment again. Returns False when the limit was reached first."""
+        """Writes the live entries of a segment again; returns False if the limit was reached first."""
         messages = self._index.open.by_segment.get(number, {})
-        while messages:  # each write moves its entry to the current segment
+        while messages:  # each write moves an entry to the current segment
             if self._exceeds(limit):
                 return False
             message = self._index.open.messages[next(iter(messages))]
@@ -76,7 +88,7 @@
             if self._exceeds(limit):
                 return False
             message_id = next(iter(completed))
-            self._write(CompletionCopied(message_id, self._index.completed.entries[message_id].answer))
+            self._write(CompletionCopied(message_id, self._index.completed.entries[message_id].message))
         return True
 
     def _exceeds(self, limit: int | None) -> bool:
--- a/loftrelay/journal/index.py
+++ b/loftrelay/journal/index.py
@@ -1,7 +1,7 @@
-"""What the records of a journal amount to, in memory: messages, completed messages and uncertain keys.
+"""In-memory state that results from the records of a journal: open and completed messages, uncertain keys.
 
-Each entry knows the segment that holds its last whole record, so that a segment can be dropped once its
-entries are written again. Performs no input or output but for the clock that is passed in.
+Each entry refers to the segment with its last complete record, so that a segment can be deleted once its
+entries are written again. Does no input or output, apart from reading the clock that is passed in.
 """
 
 from __future__ import annotations
@@ -24,60 +24,61 @@
 )
 from loftrelay.relay.message import CompletedMessage, Message
 
-STATE_BYTES = 512  # what the later records of one message may add to its copy
-MAX_UNCERTAIN_KEYS = 1_000  # the cooldown of a key takes parts of a second: far fewer are in one at once
+STATE_BYTES = 512  # most bytes that the later records of a message add to its copy
+MAX_UNCERTAIN_KEYS = 1_000  # a cooldown takes less than a second, so far fewer keys have one at the same time
 
-_WITH_ANSWER = (MessageCompleted, CompletionCopied)
+_COMPLETION_RECORDS = (MessageCompleted, CompletionCopied)
 
 
 class Location(NamedTuple):
-    """The segment that holds an entry, and the bytes that a copy of it may take."""
+    """The segment that holds an entry, and the most bytes that a copy of the entry takes."""
 
     segment: int
     size: int
 
 
 class CompletedEntry(NamedTuple):
-    """The answer for a completed message, and where it is stored."""
+    """A completed message, and where its record is stored."""
 
-    answer: CompletedMessage
+    message: CompletedMessage
     location: Location
 
 
 class CompletedIndex:
-    """Answers for completed messages that must not run again, until they expire."""
+    """Completed messages that must not run again, by message id, until they expire."""
 
     def __init__(self, clock: Callable[[], int]) -> None:
-        """Args: `clock` gives the time in wall-clock microseconds."""
+        """Creates an empty index; `clock` returns the time in wall-clock microseconds."""
         self.entries: dict[str, CompletedEntry] = {}
         self.by_segment: dict[int, set[str]] = {}
         self.record_bytes = 0
         self._clock = clock
         self._expirations: list[tuple[int, str]] = []  # a heap of expires_at and message id
 
-    def add(self, message_id: str, answer: CompletedMessage, location: Location) -> None:
-        """Adds an answer, or replaces the one that is there, unless it has expired."""
-        self._remove(message_id)  # an expired one, too: the segment that holds it may be dropped next
-        if answer.expires_at <= self._clock():
+    def add(self, message_id: str, completed: CompletedMessage, location: Location) -> None:
+        """Adds a completed message in place of an earlier entry; an expired one only removes that entry."""
+        # Also for an expired message, because the segment of the earlier entry may be deleted next.
+        self._remove(message_id)
+        if completed.expires_at <= self._clock():
             return
-        self.entries[message_id] = CompletedEntry(answer, location)
+        self.entries[message_id] = CompletedEntry(completed, location)
         self.by_segment.setdefault(location.segment, set()).add(message_id)
         self.record_bytes += location.size
-        heapq.heappush(self._expirations, (answer.expires_at, message_id))
+        heapq.heappush(self._expirations, (completed.expires_at, message_id))
 
-    def answer(self, message_id: str) -> CompletedMessage | None:
-        """The answer for a completed message; None for one that is unknown or has expired."""
+    def get(self, message_id: str) -> CompletedMessage | None:
+        """Returns a completed message; None if it is unknown or has expired."""
         self.remove_expired()
         entry = self.entries.get(message_id)
-        return entry.answer if entry is not None else None
+        return entry.message if entry is not None else None
 
     def remove_expired(self) -> None:
-        """Removes the answers that have expired."""
+        """Removes the entries that have expired."""
         now = self._clock()
         while self._expirations and self._expirations[0][0] <= now:
             _, message_id = heapq.heappop(self._expirations)
             entry = self.entries.get(message_id)
-            if entry is not None and entry.answer.expires_at <= now:
+            if entry is not None and entry.message.expires_at <= now:
                 self._remove(message_id)
 
     def _remove(self, message_id: str) -> None:
@@ -88,20 +89,22 @@
 
 
 class MessageIndex:
-    """Messages that are not completed, and keys whose last attempt may still run."""
+    """Open messages, and ordering keys whose last attempt may still be running."""
 
     def __init__(self) -> None:
         self.messages: dict[str, Message] = {}
-        # Ordering key -> when an attempt ended that may still run (wall-clock microseconds), oldest first.
+        # Ordering key -> when an attempt was given up that may still be running (wall-clock microseconds),
+        # oldest first.
         self.uncertain_keys: dict[str, int] = {}
         self.locations: dict[str, Location] = {}
-        self.by_segment: dict[int, dict[str, None]] = {}  # in the order of their records
+        # Segment number -> ids of its messages, in the order of their records.
+        self.by_segment: dict[int, dict[str, None]] = {}
         self.record_bytes = 0
         self.last_sequence = 0
 
     def add(self, message: Message, location: Location) -> None:
-        """Adds a message, or replaces it where its record was written again."""
-        self._forget_location(message.id)
+        """Adds a message, or replaces it if its record was written again."""
+        self._remove_location(message.id)
         self.messages[message.id] = message
         self.locations[message.id] = location
         self.by_segment.setdefault(location.segment, {})[message.id] = None
@@ -109,12 +112,12 @@
         self.last_sequence = max(self.last_sequence, message.sequence)
 
     def remove(self, message_id: str) -> None:
-        """Removes a message that is completed."""
+        """Removes a completed message."""
         del self.messages[message_id]
-        self._forget_location(message_id)
+        self._remove_location(message_id)
 
     def attempt_ended(self, message: Message, record: AttemptEnded) -> None:
-        """Applies the outcome of an attempt, which may make the ordering key of its message uncertain."""
+        """Applies the result of an attempt, which may make the ordering key of its message uncertain."""
         message.attempts = record.attempts
         if record.status in UNCERTAIN_STATUSES:
             if message.first_attempt_at is None:
@@ -125,12 +128,12 @@
         message.attempt_started_at = message.attempt_host = None
 
     def _mark_uncertain(self, ordering_key: str, ended_at: int) -> None:
-        self.uncertain_keys.pop(ordering_key, None)  # it moves to the end: the oldest is dropped first
+        self.uncertain_keys.pop(ordering_key, None)  # moves it to the end, as the oldest key is removed first
         self.uncertain_keys[ordering_key] = ended_at
         if len(self.uncertain_keys) > MAX_UNCERTAIN_KEYS:
             del self.uncertain_keys[next(iter(self.uncertain_keys))]
 
-    def _forget_location(self, message_id: str) -> None:
+    def _remove_location(self, message_id: str) -> None:
         location = self.locations.pop(message_id, None)
         if location is not None:
             self.record_bytes -= location.size
@@ -138,34 +141,34 @@
 
 
 class JournalIndex:
-    """The state that a journal's records lead to. Records take effect here alone, written or read."""
+    """The state that results from a journal's records; each record, written or read, is applied only here."""
 
     def __init__(self, clock: Callable[[], int]) -> None:
-        """Args: `clock` gives the time in wall-clock microseconds."""
+        """Creates an empty index; `clock` returns the time in wall-clock microseconds."""
         self.open = MessageIndex()
         self.completed = CompletedIndex(clock)
 
     @property
     def live_bytes(self) -> int:
-        """What copies of all entries would take: the part of the journal that can't be dropped."""
+        """Bytes that copies of all entries would take: the part of the journal that compaction can't free."""
         return self.open.record_bytes + self.completed.record_bytes
 
     def apply(self, record: Record, segment: int, size: int) -> None:
         """Applies a record.
 
         Args:
-            record: What was written or read.
-            segment: The number of the segment that holds it.
-            size: Its bytes there; 0 where a full disk took nothing of it.
+            record: the record that was written or read.
+            segment: number of the segment that holds it.
+            size: its size there in bytes; 0 if it could not be written because the disk is full.
         """
         if isinstance(record, MessageAdmitted):
             self.open.add(record.message, Location(segment, size + STATE_BYTES))
             return
-        if isinstance(record, _WITH_ANSWER) and record.answer is not None:
-            self.completed.add(record.message_id, record.answer, Location(segment, size))
+        if isinstance(record, _COMPLETION_RECORDS) and record.completed is not None:
+            self.completed.add(record.message_id, record.completed, Location(segment, size))
         message = self.open.messages.get(record.message_id)
         if message is None:
-            return  # it is completed, and its admission went with a dropped segment
+            return  # it is complete, and the segment with its admission has been deleted
         match record:
             case AttemptStarted():
                 message.attempts = record.attempts
--- a/loftrelay/journal/journal.py
+++ b/loftrelay/journal/journal.py
@@ -1,8 +1,13 @@
-"""The journal of a relay: append-only records in segments, in the folder RELAY_STATE.
+"""The journal of a relay: append-only records in segment files, in the folder RELAY_STATE.
 
-A message is stored whole on its admission, and later records tell what happens to it. Ids of completed
-messages that must not run again are stored, too, with their answers, until these expire. `segments` holds the
-files, `records` their format, `index` the state in memory, `compaction` and `recovery` what their names say.
+All fields of a message are stored on its admission; later records describe its attempts and its end. Ids of
+completed messages that must not run again are also stored, with the response status, until they expire.
+
+segments      the files
+records       the record format
+index         the state in memory
+compaction    frees disk space
+recovery      reads the records back
 """
 
 from __future__ import annotations
@@ -35,7 +40,7 @@
 
 
 class Journal:
-    """The messages that are not completed, in memory and on disk alike."""
+    """The open messages of a relay, in memory and on disk."""
 
     def __init__(
         self,
@@ -44,17 +49,17 @@
         is_read_only: bool = False,
         clock: Callable[[], int] = wall_clock,
     ) -> None:
-        """Reads the journal and, as its owner, writes the live part of it anew.
+        """Reads the journal and, as its owner, copies all live entries to a new segment.
 
         Args:
-            folder: Where the segments are.
-            disk_bytes: The most that they may take together.
-            is_read_only: Whether another process owns it: it is read, and not touched before
-                `take_ownership`.
-            clock: The time in wall-clock microseconds.
+            folder: the folder with the segments.
+            disk_bytes: the most bytes that all segments may take together.
+            is_read_only: whether another process owns the journal; nothing is written before
+                `take_ownership` then.
+            clock: returns the time in wall-clock microseconds.
 
         Raises:
-            OSError: The folder can't be used.
+            OSError: the folder can't be used.
         """
         self.folder = folder
         self.disk_bytes = disk_bytes
@@ -65,92 +70,96 @@
             self.files.begin_segment()
             self._compactor.drop_oldest(old_segments)
 
-    def completed(self, message: str) -> CompletedMessage | None:
-        """The answer for a completed message, until it expires."""
-        return self.index.completed.answer(message)
+    def completed(self, message_id: str) -> CompletedMessage | None:
+        """Returns the result of a completed message; None if its id is unknown or has expired."""
+        return self.index.completed.get(message_id)
 
     def disk_usage(self) -> int:
-        """Upper bound of the bytes that the segments take on the disk."""
+        """Returns an upper bound of the bytes that the segments take on the disk."""
         return self.files.disk_usage()
 
     def catch_up(self) -> None:
-        """Reads what the owner has written since. The owner must not write meanwhile.
+        """Reads the records written since the last read. The owner must not write meanwhile.
 
         Raises:
-            OSError: The folder can't be read.
+            OSError: the folder can't be read.
         """
         if set(self.files.segments) <= set(self.files.paths_on_disk()):
             read_segments(self.files, self.index, is_read_only=True)
-        else:  # a dropped segment may have held the completion of a message that was read before
+        else:  # a deleted segment may have contained the completion of a message that was read before
             self._read(is_read_only=True)
 
     def take_ownership(self) -> None:
-        """Makes this process the owner of a journal that it has read. Raises OSError."""
+        """Makes this process the owner of a journal that it has read.
+
+        Raises:
+            OSError: a new segment can't be created.
+        """
         self.files.begin_segment()
 
     def close(self) -> None:
         """Closes the current segment: nothing more can be written."""
         self.files.close()
 
-    def admit(self, held: Message) -> None:
-        """Stores a new message and gives it its sequence number.
+    def admit(self, message: Message) -> None:
+        """Stores a new message and assigns its sequence number.
 
         Raises:
-            JournalFullError: Nothing is stored.
+            JournalFullError: there is no space, and nothing is stored.
         """
         self.index.open.last_sequence += 1
-        held.sequence = self.index.open.last_sequence
+        message.sequence = self.index.open.last_sequence
         self.index.completed.remove_expired()
-        # Half of the budget is for live entries; the other half for later records, and for copies.
-        if self.index.live_bytes + len(held.body) + 2 * STATE_BYTES > self.disk_bytes // 2:
+        # Half of the budget is for live entries, the other half for later records and for copies.
+        if self.index.live_bytes + len(message.body) + 2 * STATE_BYTES > self.disk_bytes // 2:
             raise JournalFullError
-        before = self.files.record_bytes
-        self._write(MessageAdmitted.copy_of(held))
-        self._compactor.reclaim_space(self.files.record_bytes - before)
+        bytes_before = self.files.record_bytes
+        self._write(MessageAdmitted.copy_of(message))
+        self._compactor.reclaim_space(self.files.record_bytes - bytes_before)
 
-    def record_attempt(self, held: Message, host: str) -> None:
-        """Stores that an attempt starts; to be called before its first byte is sent.
+    def record_attempt(self, message: Message, host: str) -> None:
+        """Stores the start of an attempt; must be called before its first byte is sent.
 
         Raises:
-            JournalFullError: Nothing is stored, and the attempt must not be made.
+            JournalFullError: nothing is stored, and the attempt must not be made.
         """
-        self._write(AttemptStarted(held.id, held.attempts, self._clock(), host))
+        self._write(AttemptStarted(message.id, message.attempts, self._clock(), host))
 
-    def record_attempt_result(self, held: Message, result: AttemptStatus) -> None:
-        """Stores the outcome of an attempt that was no delivery."""
-        self._write_or_apply(AttemptEnded(held.id, held.attempts, self._clock(), result))
+    def record_attempt_result(self, message: Message, status: AttemptStatus) -> None:
+        """Stores the result of an attempt that was not a delivery."""
+        self._write_or_apply(AttemptEnded(message.id, message.attempts, self._clock(), status))
 
-    def record_dispute(self, held: Message, host: str, ran_at: int) -> None:
-        """Stores that a message may have run, though the outcome of its attempt had ruled that out.
+    def record_dispute(self, message: Message, host: str, sent_at: int) -> None:
+        """Stores that a message may have run, although the result of its attempt had ruled that out.
 
         Args:
-            held: The message.
-            host: Where it may have run.
-            ran_at: When that attempt started, in wall-clock microseconds.
+            message: the message.
+            host: the host on which it may have run.
+            sent_at: when that attempt started, in wall-clock microseconds.
         """
-        self._write_or_apply(OutcomeDisputed(held.id, ran_at, host))
+        self._write_or_apply(OutcomeDisputed(message.id, sent_at, host))
 
-    def record_final_status(self, message: str, notice: dict[str, Any]) -> None:
-        """Stores the final status of a message, which is completed once the platform has received it."""
-        self._write_or_apply(FinalStatusDecided(message, notice))
+    def record_final_status(self, message_id: str, final_status: dict[str, Any]) -> None:
+        """Stores the final status of a message, which is complete once the platform has received it."""
+        self._write_or_apply(FinalStatusDecided(message_id, final_status))
 
-    def complete(self, message: str, status: int = 0) -> None:
-        """Stores that nothing more is owed for a message.
+    def complete(self, message_id: str, status: int = 0) -> None:
+        """Stores that a message is complete.
 
         Args:
-            message: Its id. An unknown one is ignored.
-            status: The HTTP status by which its id is answered until its deadline; 0: the id is forgotten.
+            message_id: id of the message; an unknown one is ignored.
+            status: HTTP status of the response to the same id until its deadline; 0: don't remember the id.
         """
-        if (held := self.messages.get(message)) is None:
+        if (message := self.messages.get(message_id)) is None:
             return
-        answer = CompletedMessage(status, held.deadline) if status else None
-        self._write_or_apply(MessageCompleted(message, answer))
+        completed = CompletedMessage(status, message.deadline) if status else None
+        self._write_or_apply(MessageCompleted(message_id, completed))
 
     def _read(self, is_read_only: bool) -> None:
         self.files = SegmentFiles(self.folder, self.disk_bytes)
         self.index = JournalIndex(self._clock)
-        self.messages = self.index.open.messages  # id -> message, in the order of their records
-        self.uncertain_keys = self.index.open.uncertain_keys  # ordering key -> wall-clock microseconds
+        self.messages = self.index.open.messages  # message id -> message, in the order of their records
+        self.uncertain_keys = self.index.open.uncertain_keys  # see MessageIndex
         self._compactor = Compactor(self.files, self.index, self._write)
         read_segments(self.files, self.index, is_read_only)
 
@@ -161,11 +170,15 @@
         self.files.rotate_if_full()
 
     def _write_or_apply(self, record: Record) -> None:
-        """Stores a record that can't be refused: on a full disk, it takes effect in memory alone."""
-        before = self.files.record_bytes
+        """Stores a record that must take effect; if the journal or the disk is full, only in memory."""
+        bytes_before = self.files.record_bytes
         try:
             self._write(record)
         except JournalFullError:
-            log.warning("journal is full: a record of kind %r is not stored", record.KIND)
+            log.warning(
+                "journal is full: record of kind %r for message %s applied in memory only",
+                record.KIND,
+                record.message_id,
+            )
             self.index.apply(record, self.files.current_number, 0)
-        self._compactor.reclaim_space(self.files.record_bytes - before)
+        self._compactor.reclaim_space(self.files.record_bytes - bytes_before)
--- a/loftrelay/journal/records.py
+++ b/loftrelay/journal/records.py
@@ -1,7 +1,7 @@
-"""Journal records: their types, the names under which they are stored, and their encoding.
+"""Journal records: their types, stored names and encoding.
 
-An encoded record is a header (length and CRC-32 of the payload, 4 bytes each, big-endian) and a payload: one
-line of JSON and, for an admitted message, its body. Performs no input or output.
+An encoded record consists of a header (length and CRC-32 of the payload, 4 bytes each, big-endian) and a
+payload: one line of JSON and, for an admitted message, its body. Does no input or output.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.relay.message import CompletedMessage, Message
 
-HEADER = struct.Struct(">II")  # bytes of the payload, CRC-32 of the payload
+HEADER = struct.Struct(">II")  # length of the payload in bytes, CRC-32 of the payload
 
-# Field of a message -> its name in a stored record. A field that has its default is left out there.
+# Field of a message -> its name in a stored record. A field with its default value is not stored.
 MESSAGE_FIELD_NAMES = {
     "id": "id",
     "sequence": "number",
@@ -51,14 +51,14 @@
 
 @dataclass(slots=True)
 class MessageAdmitted:
-    """A message as a whole: on its admission, and again when the segment that holds it is dropped."""
+    """All fields of a message: written on its admission, and again when its segment is compacted."""
 
     KIND: ClassVar = "take"
     message: Message
 
     @classmethod
     def copy_of(cls, message: Message) -> MessageAdmitted:
-        """A record that later changes of the message do not reach."""
+        """Returns a record with a copy of the message, which later changes of the message don't affect."""
         copy = Message(*_field_values(message))
         if copy.packed_terms is not None:
             copy.packed_terms = tuple(copy.packed_terms)
@@ -66,11 +66,11 @@
 
     @property
     def message_id(self) -> str:
-        """Id of the message."""
+        """Id of the admitted message."""
         return self.message.id
 
     def to_stored(self) -> dict[str, Any]:
-        """The kind and the fields of the record, under their stored names."""
+        """Returns the kind and the fields of the record under their stored names."""
         message = self.message
         stored: dict[str, Any] = {"t": self.KIND}
         for name, stored_name, default in _STORED_FIELDS:
@@ -81,7 +81,7 @@
 
     @classmethod
     def from_stored(cls, stored: dict[str, Any], body: bytes) -> MessageAdmitted:
-        """Reads the record from its stored fields and the body of the message."""
+        """Returns the record with the given stored fields and message body."""
         message = Message(
             **{_FIELDS_BY_STORED_NAME[name]: value for name, value in stored.items()}, body=body
         )
@@ -92,16 +92,16 @@
 
 @dataclass(slots=True)
 class AttemptStarted:
-    """An attempt is about to start; written before its first byte is sent."""
+    """Start of an attempt; written before its first byte is sent."""
 
     KIND: ClassVar = "try"
     message_id: str
-    attempts: int  # made so far, this one included
+    attempts: int  # number of attempts so far, including this one
     started_at: int  # wall-clock microseconds
     host: str
 
     def to_stored(self) -> dict[str, Any]:
-        """The kind and the fields of the record, under their stored names."""
+        """Returns the kind and the fields of the record under their stored names."""
         return {
             "t": self.KIND,
             "id": self.message_id,
@@ -112,22 +112,22 @@
 
     @classmethod
     def from_stored(cls, stored: dict[str, Any], _: bytes) -> AttemptStarted:
-        """Reads the record from its stored fields."""
+        """Returns the record with the given stored fields."""
         return cls(stored["id"], stored["n"], stored["at"], stored["on"])
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended otherwise than by a delivery."""
+    """Result of an attempt that was not a delivery."""
 
     KIND: ClassVar = "out"
     message_id: str
-    attempts: int  # made so far
+    attempts: int  # number of attempts so far
     ended_at: int  # wall-clock microseconds
     status: AttemptStatus
 
     def to_stored(self) -> dict[str, Any]:
-        """The kind and the fields of the record, under their stored names."""
+        """Returns the kind and the fields of the record under their stored names."""
         return {
             "t": self.KIND,
             "id": self.message_id,
@@ -138,93 +138,93 @@
 
     @classmethod
     def from_stored(cls, stored: dict[str, Any], _: bytes) -> AttemptEnded:
-        """Reads the record from its stored fields."""
+        """Returns the record with the given stored fields."""
         return cls(stored["id"], stored["n"], stored["at"], AttemptStatus(stored["is"]))
 
 
 @dataclass(slots=True)
 class OutcomeDisputed:
-    """The message may have run, though the recorded outcome of its attempt had ruled that out."""
+    """Note that a message may have run, although the recorded result of its attempt had ruled that out."""
 
     KIND: ClassVar = "doubt"
     message_id: str
-    started_at: int  # of the attempt; wall-clock microseconds
+    started_at: int  # start of the attempt, in wall-clock microseconds
     host: str
 
     def to_stored(self) -> dict[str, Any]:
-        """The kind and the fields of the record, under their stored names."""
+        """Returns the kind and the fields of the record under their stored names."""
         return {"t": self.KIND, "id": self.message_id, "at": self.started_at, "on": self.host}
 
     @classmethod
     def from_stored(cls, stored: dict[str, Any], _: bytes) -> OutcomeDisputed:
-        """Reads the record from its stored fields."""
+        """Returns the record with the given stored fields."""
         return cls(stored["id"], stored["at"], stored["on"])
 
 
 @dataclass(slots=True)
 class FinalStatusDecided:
-    """The final status is decided; the message is completed once the platform has received it."""
+    """Final status of a message, which is complete once the platform has received it."""
 
     KIND: ClassVar = "end"
     message_id: str
-    final_status: dict[str, Any]  # as it is reported
+    final_status: dict[str, Any]  # in the form in which it is reported
 
     def to_stored(self) -> dict[str, Any]:
-        """The kind and the fields of the record, under their stored names."""
+        """Returns the kind and the fields of the record under their stored names."""
         return {"t": self.KIND, "id": self.message_id, "notice": self.final_status}
 
     @classmethod
     def from_stored(cls, stored: dict[str, Any], _: bytes) -> FinalStatusDecided:
-        """Reads the record from its stored fields."""
+        """Returns the record with the given stored fields."""
         return cls(stored["id"], stored["notice"])
 
 
 @dataclass(slots=True)
 class MessageCompleted:
-    """Nothing more is owed for the message. `answer`: what its id is answered until that expires, if any."""
+    """Completion of a message."""
 
     KIND: ClassVar = "over"
     message_id: str
-    answer: CompletedMessage | None
+    completed: CompletedMessage | None  # what is remembered under its id until that expires; None: nothing
 
     def to_stored(self) -> dict[str, Any]:
-        """The kind and the fields of the record, under their stored names."""
-        if self.answer is None:
+        """Returns the kind and the fields of the record under their stored names."""
+        if self.completed is None:
             return {"t": self.KIND, "id": self.message_id}
         return {
             "t": self.KIND,
             "id": self.message_id,
-            "as": self.answer.status,
-            "until": self.answer.expires_at,
+            "as": self.completed.status,
+            "until": self.completed.expires_at,
         }
 
     @classmethod
     def from_stored(cls, stored: dict[str, Any], _: bytes) -> MessageCompleted:
-        """Reads the record from its stored fields."""
-        answer = CompletedMessage(stored["as"], stored["until"]) if "until" in stored else None
-        return cls(stored["id"], answer)
+        """Returns the record with the given stored fields."""
+        completed = CompletedMessage(stored["as"], stored["until"]) if "until" in stored else None
+        return cls(stored["id"], completed)
 
 
 @dataclass(slots=True)
 class CompletionCopied:
-    """The answer for a completed message, written again when the segment that holds it is dropped."""
+    """Result of a completed message, written again when its segment is compacted."""
 
     KIND: ClassVar = "was"
     message_id: str
-    answer: CompletedMessage
+    completed: CompletedMessage
 
     def to_stored(self) -> dict[str, Any]:
-        """The kind and the fields of the record, under their stored names."""
+        """Returns the kind and the fields of the record under their stored names."""
         return {
             "t": self.KIND,
             "id": self.message_id,
-            "as": self.answer.status,
-            "until": self.answer.expires_at,
+            "as": self.completed.status,
+            "until": self.completed.expires_at,
         }
 
     @classmethod
     def from_stored(cls, stored: dict[str, Any], _: bytes) -> CompletionCopied:
-        """Reads the record from its stored fields."""
+        """Returns the record with the given stored fields."""
         return cls(stored["id"], CompletedMessage(stored["as"], stored["until"]))
 
 
@@ -250,20 +250,20 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """The record with its header, as it is appended to a segment."""
+    """Returns the record with its header, ready to append to a segment."""
     body = record.message.body if isinstance(record, MessageAdmitted) else b""
     payload = _encode_json(record.to_stored()).encode() + b"\n" + body
     return HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def decode_records(data: bytes) -> Iterator[tuple[Record | None, int]]:
-    """Reads whole records up to the first that is torn or damaged.
+    """Decodes complete records up to the first that is truncated or damaged.
 
     Args:
-        data: A part of a segment that begins with a record.
+        data: part of a segment that begins with a record.
 
     Yields:
-        Each record, None for one of an unknown kind, and the offset in `data` at which it ends.
+        Each record, or None for a record of an unknown kind, and the offset in `data` at which it ends.
     """
     offset = 0
     while offset + HEADER.size <= len(data):
--- a/loftrelay/journal/recovery.py
+++ b/loftrelay/journal/recovery.py
@@ -1,4 +1,4 @@
-"""Reads the records of a journal's segments back into its index, from the beginning or from where it was."""
+"""Reads the records of a journal's segments into its index, continuing where an earlier read ended."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 def read_segments(files: SegmentFiles, index: JournalIndex, is_read_only: bool) -> None:
-    """Applies all records that were not read before, segment by segment.
+    """Applies all records that have not been read before, segment by segment.
 
     Args:
-        files: The segments; their sizes say up to where each was read, and are brought up to date.
-        index: Where the records are applied.
-        is_read_only: Whether the journal belongs to another process. If not, a torn tail, which a process
-            leaves that ends in the midst of a write, is cut off.
+        files: the segments; the size of each is the offset up to which it was read, and is updated.
+        index: the index to which the records are applied.
+        is_read_only: whether another process owns the journal. Otherwise a truncated record at the end of a
+            segment, left by a process that exited during a write, is cut off.
 
     Raises:
-        OSError: A segment can't be read. FileNotFoundError: its owner has dropped it meanwhile.
+        OSError: a segment can't be read. FileNotFoundError: its owner has deleted it meanwhile.
     """
     files.folder.mkdir(parents=True, exist_ok=True)
     for number, path in files.paths_on_disk().items():
@@ -38,7 +38,7 @@
         files.record_bytes += segment.size - start
         if segment.size < start + len(data) and not is_read_only:
             log.warning(
-                "journal segment %s: torn record, cut at byte %d of %d",
+                "journal segment %s ends with an incomplete or damaged record; truncating at byte %d of %d",
                 path.name,
                 segment.size,
                 start + len(data),
--- a/loftrelay/journal/segments.py
+++ b/loftrelay/journal/segments.py
@@ -1,4 +1,4 @@
-"""The files of a journal: append-only segments, numbered in their order, within a budget of disk space."""
+"""The segment files of a journal: append-only, numbered in order, within a budget of disk space."""
 
 from __future__ import annotations
 
@@ -12,45 +12,50 @@
 
 log = logging.getLogger(__name__)
 
-BLOCK_BYTES = 512  # a file counts in whole blocks
-SEGMENTS_IN_BUDGET = 16  # a segment is closed once it holds this fraction of the budget
+BLOCK_BYTES = 512  # disk usage counts whole blocks
+SEGMENTS_IN_BUDGET = 16  # a new segment begins once the current one holds the budget divided by this
 
 
 @dataclass(slots=True)
 class Segment:
-    """One file. `size`: bytes of it that hold whole records, as far as they were written or read."""
+    """One segment file."""
 
     path: Path
-    size: int = 0
+    size: int = 0  # bytes of complete records that have been written or read so far
 
 
 class SegmentFiles:
-    """All segments in a folder. The one with the highest number is appended to.
+    """All segments in a folder. Records are appended to the segment with the highest number.
 
-    Nothing is synced to the disk: what is written outlasts the process, not a loss of power.
+    Writes are not synced to the disk: records survive the end of the process, but not a power failure.
     """
 
     def __init__(self, folder: Path, disk_bytes: int) -> None:
-        """Args: `folder` holds the segments; `disk_bytes` is the most that they may take together."""
+        """Creates the object without reading the folder.
+
+        Args:
+            folder: the folder with the segments.
+            disk_bytes: the most bytes that all segments may take together.
+        """
         self.folder = folder
         self.disk_bytes = disk_bytes
         self.segments: dict[int, Segment] = {}
-        self.record_bytes = 0  # in all segments
-        self.current_number = 0  # of the latest segment, which is appended to; 0: there is none
+        self.record_bytes = 0  # bytes of records in all segments
+        self.current_number = 0  # number of the segment that records are appended to; 0: none
         self._descriptor = -1
 
     def disk_usage(self) -> int:
-        """Upper bound of the bytes on the disk: the last block of each file counts as full."""
+        """Returns an upper bound of the bytes on the disk: the last block of each file counts as full."""
         return self.record_bytes + BLOCK_BYTES * len(self.segments)
 
     def append(self, data: bytes) -> int:
-        """Appends one encoded record whole, or nothing of it.
+        """Appends one encoded record completely, or not at all.
 
         Returns:
             The number of the segment that holds the record.
 
         Raises:
-            JournalFullError: The budget is used up, or the disk takes no more.
+            JournalFullError: the budget is used up, or the write failed.
         """
         number = self.current_number
         segment = self.segments[number]
@@ -59,7 +64,12 @@
         try:
             written = os.write(self._descriptor, data)
         except OSError as error:
-            log.warning("journal segment %s: write failed: %s", segment.path.name, error)
+            log.warning(
+                "journal segment %s: write of %d bytes failed, record not stored: %s",
+                segment.path.name,
+                len(data),
+                error,
+            )
             written = 0
         if written < len(data):
             with contextlib.suppress(OSError):
@@ -70,13 +80,17 @@
         return number
 
     def rotate_if_full(self) -> None:
-        """Begins a new segment when the current one has its share of the budget."""
+        """Begins a new segment if the current one holds its share of the budget."""
         if self.segments[self.current_number].size > self.disk_bytes // SEGMENTS_IN_BUDGET:
-            with contextlib.suppress(OSError):  # no room for another file: the segment grows on
+            with contextlib.suppress(OSError):  # no space for another file: the current segment grows
                 self.begin_segment()
 
     def begin_segment(self) -> None:
-        """Begins a new segment. Raises OSError."""
+        """Creates a new segment and makes it the current one.
+
+        Raises:
+            OSError: the file can't be created.
+        """
         number = max(self.segments, default=0) + 1
         path = self.folder / f"{number:010d}.log"
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
@@ -86,16 +100,20 @@
         self.current_number = number
 
     def remove(self, number: int) -> None:
-        """Deletes a segment. Raises OSError, and the segment stays."""
+        """Deletes a segment.
+
+        Raises:
+            OSError: the file can't be deleted; the segment stays.
+        """
         self.segments[number].path.unlink()
         self.record_bytes -= self.segments.pop(number).size
 
     def paths_on_disk(self) -> dict[int, Path]:
-        """Path of each segment that is in the folder now, by number, in ascending order."""
+        """Returns the path of each segment in the folder, by number, in ascending order."""
         return {int(path.stem): path for path in sorted(self.folder.glob("[0-9]" * 10 + ".log"))}
 
     def close(self) -> None:
-        """Closes the current segment: nothing can be appended."""
+        """Closes the current segment; nothing can be appended afterwards."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
--- a/loftrelay/metrics/__init__.py
+++ b/loftrelay/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Counters of one process, and the lines in which operators read them."""
+"""Counters and gauges of one process, and their output as metric lines for operators."""
--- a/loftrelay/metrics/counters.py
+++ b/loftrelay/metrics/counters.py
@@ -1,6 +1,6 @@
-"""The counters of one process, and the lines that show them beside the gauges. No input or output.
+"""Counters of one process, and their output as metric lines together with the gauges.
 
-The names in the lines belong to the platform and stay as they are; `Metrics.lines` maps them.
+The platform defines the metric names; `Metrics.lines` maps the attributes to them. Does no input or output.
 """
 
 from __future__ import annotations
@@ -14,49 +14,49 @@
 
 
 class FinalStatus(Enum):
-    """How a message ended, as its client or the platform was informed. Values are the names in the lines."""
+    """Final status of a message as its client or the platform was told. Values are used in metric names."""
 
     SUCCEEDED = "succeeded"  # delivered
-    REJECTED = "declined"  # rejected at admission, or later without an effect
+    REJECTED = "declined"  # rejected at admission, or later without having had an effect
     ABORTED = "aborted"  # failed
 
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """Values of the moment, read from the parts that own them."""
+    """Current values, read from the components that own them."""
 
-    outstanding: int  # messages admitted and not complete
-    discovered: int  # endpoints in the list
-    ejected: int  # of these, not used now: disabled by an operator or avoided by a decision
+    outstanding: int  # admitted messages that are not complete
+    discovered: int  # endpoints in the endpoint list
+    ejected: int  # of these, unused endpoints: disabled by an operator or avoided by the scheduler
 
 
 class Metrics:
-    """Counts what happened since the process began."""
+    """Counters since the start of the process."""
 
     def __init__(self, classes: Iterable[str] = ()) -> None:
         self.final_statuses: Counter[tuple[str, FinalStatus]] = Counter()
-        self.classes: dict[str, None] = {}  # every class that was ever in force, in order
-        self.forwards = 0  # messages written completely to hosts
+        self.classes: dict[str, None] = {}  # all message classes since the start, in order
+        self.forwards = 0  # messages that were completely written to hosts
         self.sighup_applied = 0
         self.sighup_rejected = 0
         self.lists_rejected = 0
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Shows these classes from now on, with 0 too. A class that was dropped keeps its counts."""
+        """Adds classes to the metric lines, even if their counts are 0. A removed class keeps its counts."""
         self.classes.update(dict.fromkeys(classes))
 
     def count_final_status(self, class_name: str, status: FinalStatus) -> None:
-        """Counts one message that ended."""
+        """Counts one message with its final status."""
         self.add_classes((class_name,))
         self.final_statuses[class_name, status] += 1
 
     def count_forwarded(self, messages: int) -> None:
-        """Counts messages written completely to a host."""
+        """Counts messages that were completely written to a host."""
         self.forwards += messages
 
     def lines(self, gauges: Gauges) -> list[str]:
-        """Returns one line `app.NAME=VALUE` for each counter and gauge."""
+        """Returns one metric line `app.NAME=VALUE` for each counter and gauge."""
         values: dict[str, int] = {
             f"{status.value}.{name}": self.final_statuses[name, status]
             for status in FinalStatus
--- a/loftrelay/state/__init__.py
+++ b/loftrelay/state/__init__.py
@@ -1,1 +1,1 @@
-"""Small files beside the journal, in the state folder. Each is replaced whole, or stays as it was."""
+"""Small files in the state folder, in addition to the journal. Each is replaced atomically."""
--- a/loftrelay/state/atomic_file.py
+++ b/loftrelay/state/atomic_file.py
@@ -1,4 +1,4 @@
-"""Replaces a small file as a whole."""
+"""Atomic replacement of a small file."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 import os
 from pathlib import Path
 
-# Of the state folder's budget, what all small files and the lock may take together while the largest of them
-# is replaced. The journal has the rest.
+# Part of the state folder's budget for all small files and the lock together, while the largest of them is
+# being replaced. The rest is for the journal.
 RESERVED_BYTES = 100_000
-RESERVED_WITH_OVERRIDES_BYTES = 360_000  # where operators can disable hosts, here or at another relay
+RESERVED_WITH_OVERRIDES_BYTES = 360_000  # if operators can disable hosts, at this relay or at another one
 
 
 def write_atomically(path: Path, data: bytes, max_bytes: int) -> None:
-    """Replaces the content of a file; its folder is made if it is not there.
+    """Replaces the content of a file atomically; creates its folder if that does not exist.
 
     Args:
-        path: The file.
-        data: Its new content.
-        max_bytes: The most that it may hold.
+        path: the file.
+        data: the new content.
+        max_bytes: largest allowed content.
 
     Raises:
-        OSError: The content is too long or can't be written; the file is as it was.
+        OSError: the content is too long or can't be written; the file is unchanged.
     """
     if len(data) > max_bytes:
         raise OSError(f"{path.name} would hold {len(data)} bytes, {max_bytes} at most")
--- a/loftrelay/state/last_config.py
+++ b/loftrelay/state/last_config.py
@@ -1,6 +1,6 @@
-"""The platform's configuration as it was last in force, in last-config.json.
+"""The last valid configuration of the platform, stored in last-config.json.
 
-A start that finds a malformed configuration uses it.
+The relay starts with it if the platform's configuration file is malformed.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 FILE_NAME = "last-config.json"
 MAX_BYTES = 32_000
-UNSAVED_KEYS = ("known",)  # the cached endpoint list would be outdated, and may be long
+UNSAVED_KEYS = ("known",)  # the cached endpoint list: it would be outdated, and may be long
 
 
 class LastConfigFile:
     """Reads and writes the file in a state folder."""
 
     def __init__(self, folder: Path) -> None:
-        """Args: `folder` is the state folder."""
+        """Uses the file in a state folder; does not read it yet."""
         self.path = folder / FILE_NAME
 
     def load(self) -> dict[str, Any] | None:
-        """The configuration by its names in the platform's file; None where no valid one is stored."""
+        """Returns the configuration with the keys of the platform's file; None if no valid one is stored."""
         try:
             config = json.loads(self.path.read_bytes())
         except (OSError, ValueError, RecursionError):
@@ -36,9 +36,9 @@
         return config if isinstance(config, dict) else None
 
     def save(self, config: Mapping[str, Any]) -> None:
-        """Replaces the file. A failure is logged: a later start needs a valid configuration then."""
+        """Replaces the file. A failure is only logged; the next start then needs a valid configuration."""
         saved = {name: value for name, value in config.items() if name not in UNSAVED_KEYS}
         try:
             write_atomically(self.path, json.dumps(saved, separators=(",", ":")).encode(), MAX_BYTES)
         except OSError as error:
-            log.warning("%s can't be written: %s", self.path, error)
+            log.warning("last valid configuration can't be saved to %s: %s", self.path, error)
--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: records are recovered, torn ones are cut off, and the disk budget is never exceeded."""
+"""Tests of the journal: recovery, truncation of incomplete records, compaction and the disk budget."""
 
 from __future__ import annotations
 
@@ -11,227 +11,242 @@
 import pytest
 
 from loftrelay.decisions.events import AttemptStatus
-from loftrelay.journal.compaction import MIN_SLICE_BYTES, SLICE_BYTES_PER_WRITTEN_BYTE
+from loftrelay.journal.compaction import MIN_STEP_BYTES, STEP_BYTES_PER_WRITTEN_BYTE
 from loftrelay.journal.journal import Journal
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import JournalFullError
 
 MB = 1_000_000
+MINUTE_US = 60_000_000
 
 
-def held(name: str, size: int = 200, key: str | None = None) -> Message:
+def make_message(name: str, size: int = 200, key: str | None = None) -> Message:
     return Message(name, 0, "status", "acme", 1, key, 1, 2, os.urandom(size))
 
 
-def used(folder: Path) -> int:
+def disk_usage(folder: Path) -> int:
+    """Returns the bytes that the files in a folder take, in whole blocks of 512 bytes."""
     return sum(-(-f.stat().st_size // 512) * 512 for f in folder.iterdir())
 
 
-def sizes(journal: Journal) -> dict[int, int]:
+def segment_sizes(journal: Journal) -> dict[int, int]:
     return {number: segment.size for number, segment in journal.files.segments.items()}
 
 
-def reopened(journal: Journal, disk: int = MB) -> Journal:
+def reopen(journal: Journal, disk_bytes: int = MB) -> Journal:
+    """Closes a journal and reads it again, as after a restart."""
     journal.close()
-    return Journal(journal.folder, disk)
+    return Journal(journal.folder, disk_bytes)
 
 
-def test_every_kind_of_record_is_recovered(tmp_path: Path) -> None:
+def test_journal_after_restart_recovers_every_kind_of_record(tmp_path: Path) -> None:
     journal = Journal(tmp_path, MB)
-    for name in ("taken", "tried", "doubtful", "refused", "ended", "over"):
-        journal.admit(held(name, key="k"))
-    for name in ("tried", "doubtful", "refused"):
+    for name in ("admitted", "attempted", "timed out", "rejected", "ended", "complete"):
+        journal.admit(make_message(name, key="k"))
+    for name in ("attempted", "timed out", "rejected"):
         journal.messages[name].attempts = 1
         journal.record_attempt(journal.messages[name], "h1")
-    journal.record_attempt_result(journal.messages["doubtful"], AttemptStatus.TIMEOUT)
-    journal.record_attempt_result(journal.messages["refused"], AttemptStatus.REJECTED)
+    journal.record_attempt_result(journal.messages["timed out"], AttemptStatus.TIMEOUT)
+    journal.record_attempt_result(journal.messages["rejected"], AttemptStatus.REJECTED)
     journal.record_final_status("ended", {"status": "undeliverable"})
-    journal.complete("over")
-    before, doubts = dict(journal.messages), dict(journal.uncertain_keys)
-    journal = reopened(journal)
-    assert journal.messages == before
-    assert list(doubts) == ["k"]
-    assert journal.messages["tried"].attempt_host == "h1"
-    assert journal.messages["doubtful"].first_attempt_host == "h1"
-    assert journal.messages["refused"].first_attempt_at is None
-    assert journal.messages["refused"].attempts == 1
-    journal.admit(held("later"))
-    assert journal.messages["later"].sequence == 7  # after a restart, too, behind those taken before
-
-
-def test_a_record_torn_at_any_byte_is_cut_off(tmp_path: Path) -> None:
-    """A process can end in the middle of a write; what was whole before must not be lost with it."""
+    journal.complete("complete")
+    messages_before, uncertain_keys = dict(journal.messages), dict(journal.uncertain_keys)
+    journal = reopen(journal)
+    assert journal.messages == messages_before
+    assert list(uncertain_keys) == ["k"]
+    assert journal.messages["attempted"].attempt_host == "h1"
+    assert journal.messages["timed out"].first_attempt_host == "h1"
+    assert journal.messages["rejected"].first_attempt_at is None
+    assert journal.messages["rejected"].attempts == 1
+    journal.admit(make_message("later"))
+    assert journal.messages["later"].sequence == 7  # numbering continues after a restart
+
+
+def test_journal_truncated_at_any_byte_of_last_record_keeps_earlier_records(tmp_path: Path) -> None:
+    """A process can exit in the middle of a write; earlier complete records must not be lost."""
     journal = Journal(tmp_path / "a", MB)
-    journal.admit(held("first", 30))
+    journal.admit(make_message("first", 30))
     path = next(iter((tmp_path / "a").iterdir()))
-    whole = path.stat().st_size
-    journal.admit(held("second", 30))
+    first_record_end = path.stat().st_size
+    journal.admit(make_message("second", 30))
     journal.close()
     data = path.read_bytes()
-    for cut in range(whole, len(data)):
+    for cut in range(first_record_end, len(data)):
         shutil.rmtree(tmp_path / "b", ignore_errors=True)
         (tmp_path / "b").mkdir()
         (tmp_path / "b" / path.name).write_bytes(data[:cut])
-        torn = Journal(tmp_path / "b", MB)
-        assert list(torn.messages) == ["first"]
-        torn.close()
-    flipped = bytearray(data)
-    flipped[-1] ^= 1
-    (tmp_path / "b" / path.name).write_bytes(flipped)
+        truncated = Journal(tmp_path / "b", MB)
+        assert list(truncated.messages) == ["first"]
+        truncated.close()
+    damaged = bytearray(data)
+    damaged[-1] ^= 1
+    (tmp_path / "b" / path.name).write_bytes(damaged)
     assert list(Journal(tmp_path / "b", MB).messages) == ["first"]
 
 
-def test_a_segment_is_compacted_in_slices(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Writing one record copies a bounded slice, not a segment. A kill within a segment loses nothing."""
-    disk, written, plain = 16 * MB, [0], os.write
+def test_compaction_copies_bounded_step_per_record_and_loses_nothing_on_kill(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Writing one record copies a bounded number of bytes, not a whole segment.
+
+    A kill in the middle of a segment loses no message.
+    """
+    disk_bytes, written, os_write = 16 * MB, [0], os.write
 
-    def write(file: int, data: bytes) -> int:
+    def counting_write(file: int, data: bytes) -> int:
         written.append(len(data))
-        return plain(file, data)
+        return os_write(file, data)
 
-    monkeypatch.setattr(os, "write", write)
-    journal = Journal(tmp_path, disk)
+    monkeypatch.setattr(os, "write", counting_write)
+    journal = Journal(tmp_path, disk_bytes)
     for i in range(2000):
-        journal.admit(held(f"stays{i}", 2000))
-    most, passing, first = 0, 0, min(journal.files.segments)
-    while min(journal.files.segments) < first + 12:
+        journal.admit(make_message(f"stays{i}", 2000))
+    max_written, completed, first_segment = 0, 0, min(journal.files.segments)
+    while min(journal.files.segments) < first_segment + 12:
         written.clear()
-        journal.admit(held(f"goes{passing}", 2000))
-        most = max(most, sum(written))
+        journal.admit(make_message(f"goes{completed}", 2000))
+        max_written = max(max_written, sum(written))
         written.clear()
-        journal.complete(f"goes{passing}")
-        most = max(most, sum(written))
-        passing += 1
-    assert most < MIN_SLICE_BYTES + SLICE_BYTES_PER_WRITTEN_BYTE * 3000
-    assert used(tmp_path) <= disk
-    told = journal.index.open.by_segment[min(journal.files.segments)]
-    assert 0 < len(told) < 2000
-    assert set(reopened(journal, disk).messages) == {f"stays{i}" for i in range(2000)}
+        journal.complete(f"goes{completed}")
+        max_written = max(max_written, sum(written))
+        completed += 1
+    assert max_written < MIN_STEP_BYTES + STEP_BYTES_PER_WRITTEN_BYTE * 3000
+    assert disk_usage(tmp_path) <= disk_bytes
+    not_copied = journal.index.open.by_segment[min(journal.files.segments)]
+    assert 0 < len(not_copied) < 2000
+    assert set(reopen(journal, disk_bytes).messages) == {f"stays{i}" for i in range(2000)}
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_budget_is_kept_and_no_message_is_lost(tmp_path: Path, seed: int) -> None:
-    """Segments come and go, with restarts between; the copies that dropping one makes count as well."""
-    draw = random.Random(seed)
+def test_journal_with_random_operations_and_restarts_keeps_budget_and_messages(
+    tmp_path: Path, seed: int
+) -> None:
+    """Segments are created and compacted, with restarts between; copies count toward the disk budget too."""
+    rng = random.Random(seed)
     journal = Journal(tmp_path, MB)
-    expected: dict[str, bytes] = {}
-    most = 0
+    expected_bodies: dict[str, bytes] = {}
+    max_usage = 0
     for i in range(2500):
-        if draw.random() < 0.5 or not expected:
-            new = held(f"m{i}", draw.choice([50, 300, 3000, 65536]))
+        if rng.random() < 0.5 or not expected_bodies:
+            message = make_message(f"m{i}", rng.choice([50, 300, 3000, 65536]))
             try:
-                journal.admit(new)
-                expected[new.id] = new.body
+                journal.admit(message)
+                expected_bodies[message.id] = message.body
             except JournalFullError:
-                assert expected
+                assert expected_bodies
         else:
-            known = journal.messages[draw.choice(sorted(expected))]
-            known.attempts += 1
-            journal.record_attempt(known, "host-with-a-name")
-            if draw.random() < 0.4:
-                journal.complete(known.id)
-                del expected[known.id]
+            message = journal.messages[rng.choice(sorted(expected_bodies))]
+            message.attempts += 1
+            journal.record_attempt(message, "host-with-a-name")
+            if rng.random() < 0.4:
+                journal.complete(message.id)
+                del expected_bodies[message.id]
             else:
                 journal.record_attempt_result(
-                    known, draw.choice([AttemptStatus.REJECTED, AttemptStatus.ERROR])
+                    message, rng.choice([AttemptStatus.REJECTED, AttemptStatus.ERROR])
                 )
-        most = max(most, used(tmp_path))
-        if draw.random() < 0.01:
-            journal = reopened(journal)
-    assert most <= MB
-    journal = reopened(journal)
-    assert {name: h.body for name, h in journal.messages.items()} == expected
-    assert journal.index.live_bytes == sum(at.size for at in journal.index.open.locations.values())
+        max_usage = max(max_usage, disk_usage(tmp_path))
+        if rng.random() < 0.01:
+            journal = reopen(journal)
+    assert max_usage <= MB
+    journal = reopen(journal)
+    assert {name: message.body for name, message in journal.messages.items()} == expected_bodies
+    assert journal.index.live_bytes == sum(
+        location.size for location in journal.index.open.locations.values()
+    )
 
 
-def test_a_full_disk_rejects_messages_and_keeps_the_rest_in_memory(
+def test_journal_on_full_disk_rejects_new_messages_and_keeps_results_in_memory(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disk may fill from outside: new messages are refused, the rest goes on from memory."""
+    """Another program may fill the disk: new messages and attempts are refused, results apply in memory."""
     journal = Journal(tmp_path, MB)
-    journal.admit(held("m"))
-    write = os.write
+    journal.admit(make_message("m"))
+    os_write = os.write
 
-    def half(file: int, data: bytes) -> int:
-        write(file, data[: len(data) // 2])
+    def failing_write(file: int, data: bytes) -> int:
+        os_write(file, data[: len(data) // 2])
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "write", half)
+    monkeypatch.setattr(os, "write", failing_write)
     with pytest.raises(JournalFullError):
-        journal.admit(held("n"))
+        journal.admit(make_message("n"))
     with pytest.raises(JournalFullError):
         journal.record_attempt(journal.messages["m"], "h")
     journal.record_attempt_result(journal.messages["m"], AttemptStatus.REJECTED)
     monkeypatch.undo()
-    journal.admit(held("o"))
-    assert list(reopened(journal).messages) == ["m", "o"]
+    journal.admit(make_message("o"))
+    assert list(reopen(journal).messages) == ["m", "o"]
 
 
-def test_a_disputed_outcome_is_recovered(tmp_path: Path) -> None:
-    """Forgotten, an unsafe message would go again after the restart."""
+def test_journal_after_restart_recovers_disputed_outcome(tmp_path: Path) -> None:
+    """Without the dispute, a message that must not run twice would be sent again after a restart."""
     journal = Journal(tmp_path, MB)
-    journal.admit(held("m"))
+    journal.admit(make_message("m"))
     journal.messages["m"].attempts = 1
     journal.record_attempt(journal.messages["m"], "h1")
     journal.record_attempt_result(journal.messages["m"], AttemptStatus.REJECTED)
     assert journal.messages["m"].first_attempt_at is None
     journal.record_dispute(journal.messages["m"], "h1", 77)
-    assert (reopened(journal).messages["m"].first_attempt_at, journal.messages["m"].first_attempt_host) == (
+    assert (reopen(journal).messages["m"].first_attempt_at, journal.messages["m"].first_attempt_host) == (
         77,
         "h1",
     )
 
 
-def order(name: str, lives: int = 60 * 1_000_000) -> Message:
-    return Message(name, 0, "order", "acme", 1, None, 1, wall_clock() + lives, b"x")
+def make_unsafe_message(name: str, time_to_live_us: int = MINUTE_US) -> Message:
+    """Returns a message that must not run twice."""
+    return Message(name, 0, "order", "acme", 1, None, 1, wall_clock() + time_to_live_us, b"x")
 
 
-def test_a_completed_message_is_answered_until_its_deadline(tmp_path: Path) -> None:
+def test_journal_returns_completed_message_until_its_deadline(tmp_path: Path) -> None:
     journal = Journal(tmp_path, MB)
-    for name, lives in (("long", 60 * MB), ("short", 1), ("free", 60 * MB)):
-        journal.admit(order(name, lives))
+    for name, time_to_live in (("long", MINUTE_US), ("short", 1), ("free", MINUTE_US)):
+        journal.admit(make_unsafe_message(name, time_to_live))
         journal.complete(name, 0 if name == "free" else 200)
-    for each in (journal, reopened(journal)):
-        answers = [each.completed(name) for name in ("long", "short", "free")]
-        assert [answer and answer.status for answer in answers] == [200, None, None]
+    for each in (journal, reopen(journal)):
+        results = [each.completed(name) for name in ("long", "short", "free")]
+        assert [result and result.status for result in results] == [200, None, None]
         assert not each.messages
-    again = reopened(reopened(journal))
-    assert again.completed("long") is not None
-    assert len(again.index.completed.entries) == 1
-    assert again.index.live_bytes == sum(e.location.size for e in again.index.completed.entries.values())
+    reopened = reopen(reopen(journal))
+    assert reopened.completed("long") is not None
+    assert len(reopened.index.completed.entries) == 1
+    assert reopened.index.live_bytes == sum(
+        entry.location.size for entry in reopened.index.completed.entries.values()
+    )
 
 
-def test_answers_outlive_their_segment_within_the_budget(tmp_path: Path) -> None:
-    """Segments are dropped all the time: an id that went with its segment would run a second time."""
+def test_journal_compaction_keeps_completed_messages_within_budget(tmp_path: Path) -> None:
+    """If a completed id were lost with its segment, the message could run a second time."""
     journal = Journal(tmp_path, 200_000)
-    journal.admit(order("first"))
+    journal.admit(make_unsafe_message("first"))
     journal.complete("first", 500)
-    begun = min(journal.files.segments)
-    taken = refused = 0
+    first_segment = min(journal.files.segments)
+    admitted = rejected = 0
     for i in range(3000):
         try:
-            journal.admit(order(f"m{i}", 60 * MB if i % 3 else 1))
+            journal.admit(make_unsafe_message(f"m{i}", MINUTE_US if i % 3 else 1))
         except JournalFullError:
-            refused += 1
+            rejected += 1
             continue
-        taken += 1
+        admitted += 1
         journal.complete(f"m{i}", 200)
-        assert used(tmp_path) <= 200_000
-    assert min(journal.files.segments) > begun
-    assert refused > 0 < taken
-    last = reopened(journal, 200_000)
-    was = last.completed("first")
-    assert was is not None
-    assert was.status == 500
+        assert disk_usage(tmp_path) <= 200_000
+    assert min(journal.files.segments) > first_segment
+    assert rejected > 0 < admitted
+    reopened = reopen(journal, 200_000)
+    first_result = reopened.completed("first")
+    assert first_result is not None
+    assert first_result.status == 500
     assert (
-        sum(last.completed(f"m{i}") is not None for i in range(3000))
+        sum(reopened.completed(f"m{i}") is not None for i in range(3000))
         == len(journal.index.completed.entries) - 1
     )
 
 
-def test_an_answer_that_expires_while_its_segment_is_dropped(tmp_path: Path) -> None:
-    """It must not stay listed under a segment that is gone: nothing could be looked up there."""
+def test_journal_removes_completed_message_that_expires_during_compaction(tmp_path: Path) -> None:
+    """An expired id must not stay in the index of a segment that is deleted."""
     clock = {"now": 1_000_000, "step": 0}
 
     def tick() -> int:
@@ -240,11 +255,11 @@
 
     journal = Journal(tmp_path, 1_000_000, clock=tick)
     for i in range(200):
-        held = Message(f"m{i}", 0, "order", "acme", 1, None, clock["now"], 1_000_050 + i)
-        journal.admit(held)
-        journal.complete(held.id, 200)
+        message = Message(f"m{i}", 0, "order", "acme", 1, None, clock["now"], 1_000_050 + i)
+        journal.admit(message)
+        journal.complete(message.id, 200)
     journal.close()
-    clock["step"] = 1  # each look at the clock finds another id out of its time
+    clock["step"] = 1  # with each reading of the clock another id expires
     for _ in range(3):
         journal = Journal(tmp_path, 1_000_000, clock=tick)
         journal.admit(Message("new", 0, "order", "acme", 1, None, clock["now"], clock["now"] + 9))
@@ -259,37 +274,39 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_catching_up_reads_what_a_new_reader_would(tmp_path: Path, seed: int) -> None:
-    """Also where whole segments were dropped in between."""
-    chance = random.Random(seed)
+def test_read_only_journal_catches_up_to_state_of_new_reader(tmp_path: Path, seed: int) -> None:
+    """The owner may have deleted whole segments since the last read."""
+    rng = random.Random(seed)
     owner = Journal(tmp_path, 60_000)
-    number = 0
+    message_count = 0
 
-    def go_on(steps: int) -> None:
-        nonlocal number
+    def admit_and_complete(steps: int) -> None:
+        nonlocal message_count
         for _ in range(steps):
-            number += 1
+            message_count += 1
             now = wall_clock()
-            one = Message(f"m{number}", 0, "status", None, 1, None, now, now + 9_000_000, b"x" * 50)
+            message = Message(
+                f"m{message_count}", 0, "status", None, 1, None, now, now + 9_000_000, b"x" * 50
+            )
             with contextlib.suppress(JournalFullError):
-                owner.admit(one)
-            for message in chance.sample(list(owner.messages), min(len(owner.messages), chance.randrange(3))):
-                owner.complete(message, 200 if chance.random() < 0.3 else 0)
+                owner.admit(message)
+            for message_id in rng.sample(list(owner.messages), min(len(owner.messages), rng.randrange(3))):
+                owner.complete(message_id, 200 if rng.random() < 0.3 else 0)
 
-    go_on(chance.randrange(80))
+    admit_and_complete(rng.randrange(80))
     reader = Journal(tmp_path, 60_000, is_read_only=True)
-    before = set(reader.files.segments)
-    go_on(chance.choice([0, 1, 40, 400]))
+    segments_before = set(reader.files.segments)
+    admit_and_complete(rng.choice([0, 1, 40, 400]))
     reader.catch_up()
-    fresh = Journal(tmp_path, 60_000, is_read_only=True)
-    assert list(reader.messages) == list(fresh.messages)
+    new_reader = Journal(tmp_path, 60_000, is_read_only=True)
+    assert list(reader.messages) == list(new_reader.messages)
     assert set(reader.messages) == set(owner.messages)
     assert set(reader.index.completed.entries) == set(owner.index.completed.entries)
-    assert set(reader.index.completed.entries) == set(fresh.index.completed.entries)
-    assert sizes(reader) == sizes(owner)
+    assert set(reader.index.completed.entries) == set(new_reader.index.completed.entries)
+    assert segment_sizes(reader) == segment_sizes(owner)
     assert reader.files.record_bytes == owner.files.record_bytes
-    assert reader.index.live_bytes == fresh.index.live_bytes
-    assert before - set(reader.files.segments) or len(owner.files.segments) >= len(before)
+    assert reader.index.live_bytes == new_reader.index.live_bytes
+    assert segments_before - set(reader.files.segments) or len(owner.files.segments) >= len(segments_before)
     owner.close()
     reader.take_ownership()
     assert max(reader.files.segments) == max(owner.files.segments) + 1
--- a/tests/journal/test_recorded_bytes.py
+++ b/tests/journal/test_recorded_bytes.py
@@ -1,4 +1,4 @@
-"""Random operations lead to the same files, byte for byte, as with the program of commit 32c0038."""
+"""Tests that random operations write the same files, byte for byte, as the program of commit 32c0038."""
 
 from __future__ import annotations
 
@@ -20,6 +20,8 @@
 
 
 class JournalAdapter:
+    """Runs the operations of `journal_script` on the present journal."""
+
     def open(self, folder: Path, disk_bytes: int, clock: Callable[[], int]) -> None:
         self.journal = Journal(folder, disk_bytes, clock=clock)
 
@@ -65,5 +67,5 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_files_are_as_before(tmp_path: Path, seed: int) -> None:
+def test_journal_with_random_operations_writes_files_of_earlier_version(tmp_path: Path, seed: int) -> None:
     assert play(JournalAdapter(), tmp_path, seed) == HASHES[str(seed)]
--- a/tests/metrics/test_counters.py
+++ b/tests/metrics/test_counters.py
@@ -1,4 +1,4 @@
-"""The counters and the lines that show them."""
+"""Tests of the counters and the metric lines."""
 
 from __future__ import annotations
 
@@ -7,30 +7,31 @@
 GAUGES = Gauges(outstanding=14, discovered=5, ejected=1)
 
 
-def shown(metrics: Metrics) -> dict[str, int]:
+def metric_values(metrics: Metrics) -> dict[str, int]:
+    """Returns the values of the metric lines by metric name."""
     rows = (line.partition("=") for line in metrics.lines(GAUGES))
     return {name: int(value) for name, _, value in rows}
 
 
-def test_every_class_is_shown_from_the_start_and_after_it_was_dropped() -> None:
+def test_metrics_show_every_class_from_start_and_after_removal() -> None:
     metrics = Metrics(["a", "b"])
-    assert shown(metrics)["app.aborted.b"] == 0
+    assert metric_values(metrics)["app.aborted.b"] == 0
     metrics.count_final_status("a", FinalStatus.SUCCEEDED)
     metrics.add_classes(["b", "c"])
     metrics.count_final_status("c", FinalStatus.REJECTED)
-    metrics.count_final_status("dropped-before-the-start", FinalStatus.ABORTED)
+    metrics.count_final_status("removed-before-the-start", FinalStatus.ABORTED)
     metrics.count_forwarded(3)
-    values = shown(metrics)
+    values = metric_values(metrics)
     assert values["app.succeeded.a"] == 1
     assert values["app.declined.c"] == 1
-    assert values["app.aborted.dropped-before-the-start"] == 1
+    assert values["app.aborted.removed-before-the-start"] == 1
     assert values["app.forwards"] == 3
     assert values["app.outstanding"] == 14
     assert values["app.discovered"] == 5
     assert values["app.ejected"] == 1
 
 
-def test_the_lines_are_those_of_the_platform_in_their_order() -> None:
+def test_metrics_lines_have_names_and_order_of_platform() -> None:
     metrics = Metrics(["a"])
     metrics.lists_rejected = 2
     assert metrics.lines(GAUGES) == [
@@ -47,7 +48,7 @@
     ]
 
 
-def test_each_process_counts_from_zero() -> None:
+def test_metrics_of_new_process_start_at_zero() -> None:
     first = Metrics(["a"])
     first.count_final_status("a", FinalStatus.SUCCEEDED)
-    assert shown(Metrics(["a"]))["app.succeeded.a"] == 0
+    assert metric_values(Metrics(["a"]))["app.succeeded.a"] == 0
--- a/tests/state/test_files.py
+++ b/tests/state/test_files.py
@@ -1,4 +1,4 @@
-"""Small files that are replaced whole, or stay as they were."""
+"""Tests of the small files in the state folder, which are replaced atomically."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from loftrelay.state.last_config import MAX_BYTES, LastConfigFile
 
 
-def test_a_failed_write_leaves_the_file_as_it_was(tmp_path: Path) -> None:
+def test_write_atomically_on_failure_leaves_file_unchanged(tmp_path: Path) -> None:
     path = tmp_path / "file.json"
     write_atomically(path, b"first", 10)
     with pytest.raises(OSError, match="11 bytes"):
@@ -25,30 +25,30 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "{}", "[1]", '["a"', "[" * 100_000])
-def test_an_unreadable_file_disables_no_host(tmp_path: Path, text: str) -> None:
-    out = DisabledHostsFile(tmp_path)
-    assert out.load() == set()
-    out.save({"b", "a"})
+def test_disabled_hosts_file_that_is_unreadable_loads_as_empty_set(tmp_path: Path, text: str) -> None:
+    disabled_hosts = DisabledHostsFile(tmp_path)
+    assert disabled_hosts.load() == set()
+    disabled_hosts.save({"b", "a"})
     assert DisabledHostsFile(tmp_path).load() == {"a", "b"}
-    out.path.write_text(text)
-    assert out.load() == set()
+    disabled_hosts.path.write_text(text)
+    assert disabled_hosts.load() == set()
 
 
-def test_too_many_hosts_are_refused_and_the_old_set_stays(tmp_path: Path) -> None:
-    out = DisabledHostsFile(tmp_path)
-    all_of_a_fleet = {f"{n:05}{'host-' * 10}" for n in range(1_024)}
-    out.save(all_of_a_fleet)
+def test_disabled_hosts_file_with_too_many_hosts_raises_and_keeps_old_set(tmp_path: Path) -> None:
+    disabled_hosts = DisabledHostsFile(tmp_path)
+    host_ids = {f"{n:05}{'host-' * 10}" for n in range(1_024)}
+    disabled_hosts.save(host_ids)
     with pytest.raises(OSError):
-        out.save({f"host-{n:05}" for n in range(8_000)})
-    assert out.load() == all_of_a_fleet
-
-
-def test_the_last_config_omits_the_endpoint_list_and_a_huge_one_is_not_saved(tmp_path: Path) -> None:
-    last = LastConfigFile(tmp_path / "not there yet")
-    assert last.load() is None
-    last.save({"name": "n", "known": {"members": ["long"] * 50_000}})
-    assert last.load() == {"name": "n"}
-    last.save({"name": "m", "settings": "x" * MAX_BYTES})
-    assert last.load() == {"name": "n"}
-    last.path.write_text(json.dumps(["n"]))
-    assert last.load() is None
+        disabled_hosts.save({f"host-{n:05}" for n in range(8_000)})
+    assert disabled_hosts.load() == host_ids
+
+
+def test_last_config_file_omits_endpoint_list_and_skips_too_long_config(tmp_path: Path) -> None:
+    last_config = LastConfigFile(tmp_path / "missing folder")
+    assert last_config.load() is None
+    last_config.save({"name": "n", "known": {"members": ["long"] * 50_000}})
+    assert last_config.load() == {"name": "n"}
+    last_config.save({"name": "m", "settings": "x" * MAX_BYTES})
+    assert last_config.load() == {"name": "n"}
+    last_config.path.write_text(json.dumps(["n"]))
+    assert last_config.load() is None
