--- a/loftrelay/relay/attempts.py
+++ b/loftrelay/relay/attempts.py
@@ -27,7 +27,7 @@
 
 # Longest wait for the gates: the state of the destination may change meanwhile and invalidate the decision.
 MAX_GATE_WAIT_S = 0.1
-MAX_GATE_WAIT_UNCHANGED_S = 1.0  # if no change of the destination was noted since the request
+MAX_GATE_WAIT_UNCHANGED_S = 1.0  # if no list entry, failure or Retry-After of the destination came since
 # A call times out this long before the earliest deadline in it, because later responses don't count.
 RESPONSE_MARGIN_US = 20_000
 MIN_GATE_RETRY_MS = 20  # delay before an attempt that a gate refused is scheduled again
@@ -130,10 +130,13 @@
         attempt = message.attempts - 1
         was_sent = not (result.is_stale or result.is_blocked)
         if not was_sent:
-            reason = (
-                "Retry-After received" if result.is_blocked else "stall, drain or end of the dedup window"
+            reason = "a Retry-After" if result.is_blocked else "a stall, a drain or the end of a dedup window"
+            log.info(
+                "message %s not sent to host %s, rescheduling: %s came after the decision",
+                message.id,
+                host,
+                reason,
             )
-            log.info("message %s not sent to host %s: %s; rescheduling", message.id, host, reason)
             message.attempts -= 1  # a call that was not sent does not count as an attempt
         if result.is_final:
             self.final_statuses.message_delivered(message)
--- a/loftrelay/relay/context.py
+++ b/loftrelay/relay/context.py
@@ -56,9 +56,8 @@
         self.changed_at: dict[int, float] = {}
         self.batch_loop = BatchLoop(self.stall_detector, settings.batch_interval)
         self.is_stopping = False  # no batches run; new messages are kept in the journal for the next start
-        self.outcome_forwarder: OutcomeForwarder | None = (
-            None  # set while another process makes the decisions
-        )
+        # Set while another process makes the decisions, or is about to.
+        self.outcome_forwarder: OutcomeForwarder | None = None
         self.is_handed_over = False  # another process owns all messages
 
     @property
--- a/loftrelay/relay/endpoints.py
+++ b/loftrelay/relay/endpoints.py
@@ -33,7 +33,7 @@
         self.batch_sizes: dict[str, int] = {}  # by host: most messages in one call
         self.destinations: set[int] = set()  # destinations with an entry in the list
         self.disabled: set[str] = set()  # hosts disabled by the operator
-        # The first list was rejected as too long and no earlier one exists, so no message can be delivered.
+        # The first list was rejected as too long and no earlier one exists, so no client is served.
         self.has_no_list = False
 
     def list_received(self, update: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
--- a/loftrelay/relay/handover_state.py
+++ b/loftrelay/relay/handover_state.py
@@ -20,7 +20,7 @@
 
 
 class HandoverError(ValueError):
-    """The predecessor's state or an attempt result in it is malformed or of an unsupported version."""
+    """The predecessor's state, or a message of the handover, is malformed or of an unsupported version."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/loftrelay/relay/statuses.py
+++ b/loftrelay/relay/statuses.py
@@ -33,7 +33,7 @@
 
 
 def rejected_or_failed(stored_answer: str | None) -> FinalStatusRecord:
-    """Returns the final status of a message by its recorded answer in the store; None if it has none."""
+    """Returns the final status of a message by its answer in the store; failed if that has none."""
     return {"status": STATUS_REJECTED if stored_answer == STORED_REJECTED else STATUS_FAILED}
 
 
