--- a/loftrelay/relay/attempts.py
+++ b/loftrelay/relay/attempts.py
@@ -100,13 +100,13 @@
             )
             self._request_gate(position + 1, replace(call, options=options))
         else:
-            self._hold_back(position, call)
+            self._reschedule(position, call)
 
     def _is_still_valid(self, call: GatedCall, requested_at: float, waited: float) -> bool:
         changed_at = self.context.changed_at.get(call.messages[0].destination, 0.0)
         return waited < (MAX_GATE_WAIT_UNCHANGED_S if changed_at < requested_at else MAX_GATE_WAIT_S)
 
-    def _hold_back(self, position: int, call: GatedCall) -> None:
+    def _reschedule(self, position: int, call: GatedCall) -> None:
         """Reschedules a call that a gate did not allow in time. It does not count as an attempt."""
         gates = self.context.attempt_gates
         for gate in gates[: position + 1]:
--- a/loftrelay/relay/batch_loop.py
+++ b/loftrelay/relay/batch_loop.py
@@ -97,7 +97,7 @@
         if self.stall_detector.last_stall_at > self.settled_at:
             stall_s = self.stall_detector.last_stall_s
             log.warning("process stalled for %.2f s; reading pending input before the next batch", stall_s)
-            self._settle(PASSES_AFTER_STALL)
+            self._run_pass_after_stall(PASSES_AFTER_STALL)
             return
         self.is_batch_due = False
         if not self.is_enabled():
@@ -109,9 +109,9 @@
         self.posted_at.clear()
         self.run_batch(events)
 
-    def _settle(self, passes: int) -> None:
+    def _run_pass_after_stall(self, passes: int) -> None:
         if passes:
-            asyncio.get_running_loop().call_soon(self._settle, passes - 1)
+            asyncio.get_running_loop().call_soon(self._run_pass_after_stall, passes - 1)
             return
         # Includes stalls noticed during these passes, so that batches still run on a permanently starved
         # machine.
--- a/loftrelay/relay/endpoints.py
+++ b/loftrelay/relay/endpoints.py
@@ -115,7 +115,7 @@
 
         The scheduler keeps what it has learned about them, such as a Retry-After or an open circuit.
         """
-        idle = self._idle(candidates)
+        idle = self._idle_destinations(candidates)
         if not idle:
             return []
         hosts = [host for host, (entry, _) in self.entries.items() if entry.destination in idle]
@@ -128,7 +128,7 @@
         self.context.post(DestinationsReleased(tuple(released)))
         return released
 
-    def _idle(self, candidates: Iterable[int]) -> set[int]:
+    def _idle_destinations(self, candidates: Iterable[int]) -> set[int]:
         scheduler, now = self.context.scheduler, self.context.batch_loop.clock()
         idle = {destination for destination in candidates if scheduler.is_idle(now, destination)}
         for event in self.context.batch_loop.events:
--- a/loftrelay/relay/final_statuses.py
+++ b/loftrelay/relay/final_statuses.py
@@ -26,7 +26,7 @@
     STORED_REJECTED,
     FinalStatusRecord,
     final_status_record,
-    stored_answer,
+    stored_answer_of,
 )
 
 
@@ -90,7 +90,7 @@
             return
         context.message_states.begin_recording_final_status(message_id, final_status)
         done = partial(self._report_recorded, message_id)
-        context.store.record_final_status(message_id, stored_answer(final_status), None, done)
+        context.store.record_final_status(message_id, stored_answer_of(final_status), None, done)
 
     def _report_recorded(self, message_id: str) -> None:
         fault_point("tell")
--- a/loftrelay/relay/intake.py
+++ b/loftrelay/relay/intake.py
@@ -70,7 +70,7 @@
         if self._is_full():
             self._reject(message, respond)
         elif message.destination not in self.endpoints.destinations:
-            self._resolve_first(PendingSubmission(message, respond, loop_deadline))
+            self._await_resolution(PendingSubmission(message, respond, loop_deadline))
         else:
             if self.context.subscription is not None:
                 self.context.subscription.mark_used(message.destination)
@@ -80,7 +80,7 @@
         max_open = self.context.settings.max_open_messages
         return max_open is not None and self.open_messages >= max_open
 
-    def _resolve_first(self, submission: PendingSubmission) -> None:
+    def _await_resolution(self, submission: PendingSubmission) -> None:
         """Subscribes to an unknown destination, or rejects the message where there is no subscription."""
         subscription = self.context.subscription
         if subscription is None or not self.context.is_deciding:
@@ -115,20 +115,20 @@
             self._accept(message, respond, loop_deadline)
             return
         self.context.message_states.begin_storing(message.id, respond)
-        self.context.store.admit(message, partial(self._stored, message, loop_deadline))
+        self.context.store.admit(message, partial(self._handle_store_decision, message, loop_deadline))
 
-    def _stored(self, message: Message, loop_deadline: float, decision: StoreDecision) -> None:
+    def _handle_store_decision(self, message: Message, loop_deadline: float, decision: StoreDecision) -> None:
         """Continues the admission of a message with the decision of the store."""
         fault_point("recorded take")
         respond = self.context.message_states.storing_callback(message.id)
         if decision.status or decision.retry_after_ms:
-            self._respond_by_store(message, respond, decision)
+            self._respond_with_decision(message, respond, decision)
         elif respond is not None:
             self._accept(message, respond, loop_deadline)
         else:
             self.final_statuses.record_cancelled(message.id)  # its client has disconnected meanwhile
 
-    def _respond_by_store(
+    def _respond_with_decision(
         self, message: Message, respond: ResponseCallback | None, decision: StoreDecision
     ) -> None:
         self.context.journal.complete(message.id)
--- a/loftrelay/relay/message_terms.py
+++ b/loftrelay/relay/message_terms.py
@@ -15,7 +15,7 @@
 # priority weight, whether ordered, most attempts.
 PackedTerms = tuple[Any, ...]
 
-REPEATABLE_VALUES = (DeliverySemantics.IDEMPOTENT.value, DeliverySemantics.DEDUPLICATED.value)
+REPEATABLE_SEMANTICS = (DeliverySemantics.IDEMPOTENT.value, DeliverySemantics.DEDUPLICATED.value)
 # Shortest time for which a removed class is accepted: clients use it until they learn of its removal, and
 # submit rejected messages again.
 MIN_RETIREMENT_US = 5_000_000
@@ -49,7 +49,7 @@
 
 def is_repeatable(packed: Sequence[Any] | None) -> bool:
     """Returns whether a message with these terms may run twice; False for unknown terms."""
-    return packed is not None and packed[0] in REPEATABLE_VALUES
+    return packed is not None and packed[0] in REPEATABLE_SEMANTICS
 
 
 def is_idempotent(packed: Sequence[Any] | None) -> bool:
--- a/loftrelay/relay/recovery.py
+++ b/loftrelay/relay/recovery.py
@@ -24,7 +24,7 @@
     STATUS_DELIVERED,
     STORED_DELIVERED,
     STORED_FAILED,
-    rejected_or_failed,
+    final_status_of_answer,
 )
 
 log = logging.getLogger(__name__)
@@ -127,7 +127,7 @@
             self.final_statuses.message_delivered(message)
             return False
         if action is RecoveryAction.REPORT_AGAIN and message.final_status is None:
-            self.context.journal.record_final_status(message.id, rejected_or_failed(recorded_answer))
+            self.context.journal.record_final_status(message.id, final_status_of_answer(recorded_answer))
         # Recorded as a possible run, so that the scheduler fails the message: it must not run twice.
         if action is RecoveryAction.FAIL and message.first_attempt_at is None:
             self.context.journal.record_dispute(message, message.attempt_host or "", wall_clock())
@@ -153,4 +153,4 @@
         if recorded_answer == STORED_DELIVERED:
             store.final_status_reported(message_id)
         else:
-            self.final_statuses.report(message_id, rejected_or_failed(recorded_answer))
+            self.final_statuses.report(message_id, final_status_of_answer(recorded_answer))
--- a/loftrelay/relay/statuses.py
+++ b/loftrelay/relay/statuses.py
@@ -32,11 +32,11 @@
     return record
 
 
-def rejected_or_failed(stored_answer: str | None) -> FinalStatusRecord:
+def final_status_of_answer(stored_answer: str | None) -> FinalStatusRecord:
     """Returns the final status of a message by its answer in the store; failed if that has none."""
     return {"status": STATUS_REJECTED if stored_answer == STORED_REJECTED else STATUS_FAILED}
 
 
-def stored_answer(final_status: FinalStatusRecord) -> str:
+def stored_answer_of(final_status: FinalStatusRecord) -> str:
     """Returns the store's name of a final status that is reported to the platform."""
     return STORED_FAILED if final_status["status"] == STATUS_FAILED else STORED_REJECTED
