--- a/tests/relay/test_long_lists.py
+++ b/tests/relay/test_endpoint_list_cost.py
@@ -25,7 +25,7 @@
 from loftrelay.net.address import Address
 from loftrelay.relay.engine import Engine
 from loftrelay.service.assembly import build
-from tests.relay.test_counts import close_engine, make_config
+from tests.relay.test_message_counts import close_engine, make_config
 from tests.standins.work import Walked, steps
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
