--- a/loftrelay/relay/endpoints.py
+++ b/loftrelay/relay/endpoints.py
@@ -33,7 +33,7 @@
         self.batch_sizes: dict[str, int] = {}  # by host: most messages in one call
         self.destinations: set[int] = set()  # destinations with an entry in the list
         self.disabled: set[str] = set()  # hosts disabled by the operator
-        # The first list was rejected as too long and no earlier one exists, so no message can be delivered.
+        # The first list was rejected as too long and no earlier one exists, so no client is served.
         self.has_no_list = False
 
     def list_received(self, update: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
@@ -115,7 +115,7 @@
 
         The scheduler keeps what it has learned about them, such as a Retry-After or an open circuit.
         """
-        idle = self._idle(candidates)
+        idle = self._idle_destinations(candidates)
         if not idle:
             return []
         hosts = [host for host, (entry, _) in self.entries.items() if entry.destination in idle]
@@ -128,7 +128,7 @@
         self.context.post(DestinationsReleased(tuple(released)))
         return released
 
-    def _idle(self, candidates: Iterable[int]) -> set[int]:
+    def _idle_destinations(self, candidates: Iterable[int]) -> set[int]:
         scheduler, now = self.context.scheduler, self.context.batch_loop.clock()
         idle = {destination for destination in candidates if scheduler.is_idle(now, destination)}
         for event in self.context.batch_loop.events:
