--- a/loftrelay/registry/__init__.py
+++ b/loftrelay/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry: holds discovery's full list and sends each relay the destinations that it serves."""
+"""Registry: holds discovery's full endpoint list and sends each relay the destinations that it serves."""
--- a/loftrelay/registry/catalog.py
+++ b/loftrelay/registry/catalog.py
@@ -1,9 +1,9 @@
-"""The full endpoint list by destination, ready to be sent, and what changed in it after which revision.
+"""Full endpoint list by destination, encoded for responses, with the revision of each change.
 
 Each endpoint has one slot: its row as JSON, its destination and the revision of its last change. An endpoint
-that is no longer listed keeps its slot for a while as a tombstone ("Gone"), so that those who missed the
-change can still be sent it. The cost of a change depends on the change, not on the list. No input or output:
-entries in, rows out.
+that is no longer listed keeps its slot for a while as a tombstone ("Gone"), so that the removal can still be
+sent to relays that missed it. The cost of a change depends on the size of the change, not of the list. The
+module does no I/O: it takes entries and returns rows.
 """
 
 from __future__ import annotations
@@ -17,23 +17,25 @@
 
 from loftrelay.registry.listing import ListEntry, removed_row
 
-MAX_RECENT_CHANGES = 10_000  # endpoints whose changes are indexed by revision
-LARGE_DESTINATION_ENDPOINTS = 64  # beyond which changes are looked up among the recent ones
+MAX_RECENT_CHANGES = 10_000  # endpoints in the index of changes by revision
+LARGE_DESTINATION_ENDPOINTS = 64  # above it, changes are looked up in that index, without a scan
 
 K = TypeVar("K")
 V = TypeVar("V")
 
 
 class RevisionError(ValueError):
-    """A delta does not follow the list that is held."""
+    """A delta does not follow the current list."""
 
     def __init__(self, revision: int, current_revision: int) -> None:
-        super().__init__(f"changes up to {revision} don't follow a list of {current_revision}")
+        super().__init__(
+            f"delta of revision {revision} does not follow the list of revision {current_revision}"
+        )
         self.revision, self.current_revision = revision, current_revision
 
 
 class PartitionedDict(Generic[K, V]):
-    """A dict in partitions: a single one of 870,000 keys takes 30 ms to be copied when it grows."""
+    """Dict in partitions: a single dict of 870,000 keys blocks for 30 ms when it is resized."""
 
     COUNT = 64
 
@@ -41,7 +43,7 @@
         self.partitions: list[dict[K, V]] = [{} for _ in range(self.COUNT)]
 
     def partition(self, key: K) -> dict[K, V]:
-        """Returns the partition that holds the key, if any does."""
+        """Returns the partition for a key, whether or not it holds the key."""
         return self.partitions[hash(key) % self.COUNT]
 
     def get(self, key: K) -> V | None:
@@ -57,21 +59,21 @@
 
 
 class ChangedRows(NamedTuple):
-    """Rows to send, removed ones before listed ones: an endpoint that moved stands in two destinations."""
+    """Rows to send. Removed ones go first, as a moved endpoint has a row in both destinations."""
 
     removed: list[bytes]
     listed: list[bytes]
 
 
 class StagedList:
-    """The differences between a list that is being received and the catalog.
+    """Differences between a list that is being received and the catalog.
 
-    None of it is in force before `Catalog.commit`.
+    The received list becomes current only with `Catalog.commit`.
 
     Attributes:
-        is_first: The catalog is empty: entries go into it directly.
-        changed: Entries that differ, by endpoint.
-        seen_slots: By slot, whether its endpoint was received; None where none was.
+        is_first: Whether no list was received before: entries are then added to the catalog directly.
+        changed: Entries that differ from the catalog, by endpoint.
+        seen_slots: For each slot, whether its endpoint was received; None before the first one.
     """
 
     def __init__(self, catalog: Catalog) -> None:
@@ -102,26 +104,26 @@
         self.seen_slots[slot] = 1
         if self.catalog.rows[slot] != entry.row:
             return False
-        self.changed.pop(entry.endpoint, None)  # of an endpoint that is listed twice the last row counts
+        self.changed.pop(entry.endpoint, None)  # the last row of a duplicate endpoint counts
         return True
 
 
 class Catalog:
-    """The list that is in force.
+    """Current endpoint list.
 
     Attributes:
-        max_tombstones: Removed endpoints that are remembered.
-        is_loaded: A list was received.
-        revision: Discovery's revision of it.
-        changes: Changed endpoints since the start.
-        oldest_revision: Below it, it is unknown whether an endpoint changed.
-        oldest_recent_revision: Below it, changes can only be found by looking at all endpoints.
-        size_bytes: Size of all listed rows.
+        max_tombstones: Largest number of tombstones kept.
+        is_loaded: Whether a list was received.
+        revision: Discovery's revision of the list.
+        changes: Number of endpoint changes since the start.
+        oldest_revision: Changes after any older revision are not known completely.
+        oldest_recent_revision: Changes after any older revision are only found by a scan of all endpoints.
+        size_bytes: Total size of all listed rows.
         slots: Slot of each listed endpoint.
         rows: Row of each slot.
         destination_of: Destination of each slot.
         changed_at: Revision of the last change of each slot.
-        by_destination: Slots of each destination, tombstones among them; the slot itself where it has one.
+        by_destination: Slots of each destination, with tombstones; a plain int for a single slot.
     """
 
     def __init__(self, max_tombstones: int) -> None:
@@ -132,7 +134,7 @@
         self.clear()
 
     def clear(self) -> None:
-        """Forgets all endpoints."""
+        """Removes all endpoints."""
         self.oldest_revision = self.oldest_recent_revision = 0
         self.size_bytes = 0
         self.slots: PartitionedDict[str, int] = PartitionedDict()
@@ -140,11 +142,11 @@
         self.destination_of = array("q")
         self.changed_at = array("q")
         self.by_destination: PartitionedDict[int, int | dict[int, None]] = PartitionedDict()
-        self._last_change: dict[int, int] = {}  # of destinations with several slots
+        self._last_change: dict[int, int] = {}  # only of destinations with several slots
         self._tombstones: OrderedDict[int, str] = OrderedDict()  # slot -> endpoint, oldest first
-        self._tombstone_slots: dict[tuple[str, int], int] = {}  # by endpoint and destination
-        self._recent: OrderedDict[int, None] = OrderedDict()  # slots by their last change, oldest first
-        self._free: list[int] = []
+        self._tombstone_slots: dict[tuple[str, int], int] = {}  # slot by endpoint and destination
+        self._recently_changed: OrderedDict[int, None] = OrderedDict()  # slots, oldest change first
+        self._free_slots: list[int] = []
 
     @property
     def endpoint_count(self) -> int:
@@ -153,13 +155,13 @@
 
     @property
     def tombstone_count(self) -> int:
-        """Number of removed endpoints that are remembered."""
+        """Number of tombstones."""
         return len(self._tombstones)
 
     # Queries
 
     def last_change(self, destination: int) -> int:
-        """Returns the revision of a destination's last change; `oldest_revision` where none is known."""
+        """Returns the revision of a destination's last change, or `oldest_revision` if none is known."""
         slots = self.by_destination.get(destination)
         if isinstance(slots, int):
             return self.changed_at[slots]
@@ -171,7 +173,7 @@
         return [row for slot in slots if slot not in self._tombstones and (row := self.rows[slot])]
 
     def changes_since(self, destination: int, revision: int) -> ChangedRows | None:
-        """Returns what changed in a destination after a revision; None where that is unknown."""
+        """Returns the changes in a destination after a revision, or None if they are not known."""
         if self.last_change(destination) <= revision <= self.revision:
             return ChangedRows([], [])
         if not self.oldest_revision <= revision <= self.revision:
@@ -184,7 +186,7 @@
         return self._split_rows(slot for slot in slots if self.changed_at[slot] > revision)
 
     def all_changes_since(self, revision: int) -> ChangedRows | None:
-        """Returns what changed in all destinations after a revision; None where that is unknown."""
+        """Returns the changes in all destinations after a revision, or None if they are not known."""
         if not max(self.oldest_revision, self.oldest_recent_revision) <= revision <= self.revision:
             return None
         return self._split_rows(self._recent_after(revision))
@@ -198,7 +200,7 @@
         return (slots,) if isinstance(slots, int) else slots or ()
 
     def _recent_after(self, revision: int) -> Iterator[int]:
-        for slot in reversed(self._recent):
+        for slot in reversed(self._recently_changed):
             if self.changed_at[slot] <= revision:
                 return
             yield slot
@@ -223,21 +225,21 @@
         """Applies a delta. Returns the destinations that changed.
 
         Raises:
-            RevisionError: `revision` is below that of the list held.
+            RevisionError: `revision` is below that of the current list, or there is none.
         """
         staged = StagedList(self)
         staged.add(entries)
         return set(self.commit(staged, revision, False))
 
     def commit(self, staged: StagedList, revision: int, is_complete: bool) -> Iterator[int]:
-        """Puts a staged list in force, endpoint by endpoint, and yields the destination of each change.
+        """Applies a staged list endpoint by endpoint and yields the destination of each change.
 
-        The iteration may pause, but has to be run to its end; until then the former revision stands, and the
-        rows are of it or newer. A full list with a lower revision means that discovery restarted its
-        revisions: nothing older can be answered from then on.
+        The iteration may be interrupted by other work but has to be completed. Until then, `revision` is
+        still the previous one, and rows are of it or newer. A full list with a lower revision means that
+        discovery restarted its revisions; changes after older revisions are unknown from then on.
 
         Raises:
-            RevisionError: A delta does not follow the list held.
+            RevisionError: A delta does not follow the current list.
         """
         if not is_complete and (staged.is_first or revision < self.revision):
             raise RevisionError(revision, self.revision)
@@ -270,12 +272,12 @@
 
     def _restart_revisions(self, revision: int) -> None:
         self.changed_at = array("q", (revision,)) * len(self.rows)
-        self._recent.clear()
+        self._recently_changed.clear()
         self._last_change.clear()
         self.revision = self.oldest_revision = self.oldest_recent_revision = revision
 
     def put(self, entry: ListEntry, revision: int) -> Iterator[int]:
-        """Applies one entry and yields the destinations that it changed."""
+        """Applies one entry and yields the destinations that it changes."""
         slot = self.slots.get(entry.endpoint)
         if entry.is_removed:
             if slot is not None:
@@ -288,7 +290,8 @@
                 self._replace_row(slot, entry.row, revision)
                 yield entry.destination
                 return
-            yield self._add_tombstone(entry.endpoint, slot, revision)  # it moved
+            # The endpoint moved to another destination.
+            yield self._add_tombstone(entry.endpoint, slot, revision)
         self._insert(entry, revision)
         yield entry.destination
 
@@ -309,8 +312,8 @@
         self._record_change(slot, revision)
 
     def _allocate(self, entry: ListEntry) -> int:
-        if self._free:
-            slot = self._free.pop()
+        if self._free_slots:
+            slot = self._free_slots.pop()
             self.rows[slot], self.destination_of[slot] = entry.row, entry.destination
         else:
             slot = len(self.rows)
@@ -322,15 +325,15 @@
 
     def _add_to_destination(self, destination: int, slot: int) -> None:
         partition = self.by_destination.partition(destination)
-        present = partition.get(destination)
-        if present is None:
+        slots = partition.get(destination)
+        if slots is None:
             partition[destination] = slot
-        elif isinstance(present, int):
-            partition[destination] = {present: None, slot: None}
+        elif isinstance(slots, int):
+            partition[destination] = {slots: None, slot: None}
             if self.is_loaded:
-                self._last_change[destination] = self.changed_at[present]
+                self._last_change[destination] = self.changed_at[slots]
         else:
-            present[slot] = None
+            slots[slot] = None
 
     def _record_change(self, slot: int, revision: int) -> None:
         self.changed_at[slot] = revision
@@ -340,14 +343,14 @@
         destination = self.destination_of[slot]
         if not isinstance(self.by_destination.get(destination), int):
             self._last_change[destination] = revision
-        self._recent[slot] = None
-        self._recent.move_to_end(slot)
-        if len(self._recent) > MAX_RECENT_CHANGES:
-            oldest, _ = self._recent.popitem(last=False)
+        self._recently_changed[slot] = None
+        self._recently_changed.move_to_end(slot)
+        if len(self._recently_changed) > MAX_RECENT_CHANGES:
+            oldest, _ = self._recently_changed.popitem(last=False)
             self.oldest_recent_revision = max(self.oldest_recent_revision, self.changed_at[oldest])
 
     def _add_tombstone(self, endpoint: str, slot: int, revision: int) -> int:
-        """Makes a listed endpoint a tombstone. Returns its destination."""
+        """Turns a listed endpoint into a tombstone. Returns its destination."""
         row, destination = self.rows[slot], self.destination_of[slot]
         assert row is not None
         del self.slots.partition(endpoint)[endpoint]
@@ -365,15 +368,15 @@
     def _discard_tombstone(self, slot: int) -> None:
         destination = self.destination_of[slot]
         del self._tombstone_slots[self._tombstones.pop(slot), destination]
-        self._recent.pop(slot, None)
+        self._recently_changed.pop(slot, None)
         self.rows[slot] = None
         partition = self.by_destination.partition(destination)
-        present = partition[destination]
-        if isinstance(present, int):
+        slots = partition[destination]
+        if isinstance(slots, int):
             del partition[destination]
         else:
-            del present[slot]
-            if not present:
+            del slots[slot]
+            if not slots:
                 del partition[destination]
                 self._last_change.pop(destination, None)
-        self._free.append(slot)
+        self._free_slots.append(slot)
--- a/loftrelay/registry/client_connection.py
+++ b/loftrelay/registry/client_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection of a relay to a registry: reads requests, writes responses, enforces deadlines."""
+"""HTTP connection of a relay to a registry: reads requests, writes responses, enforces deadlines."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from loftrelay.registry.subscriptions import WaitingWatch
 
 MAX_HEAD_BYTES = 24 << 10  # of a request
-MAX_DISCARDED_BYTES = 64 << 10  # of the body of a request, and of what comes after a rejected one
-MAX_COALESCED_BODY_BYTES = 64 << 10  # a body up to this size is written together with its head
-REQUEST_TIMEOUT_S = 2.0  # from a request's first byte, or from the connection, to its last byte
-WRITE_TIMEOUT_S = 10.0  # in which a response has to be read
-LINGER_S = 0.5  # for which a rejected client may still send
+MAX_DISCARDED_BYTES = 64 << 10  # of a request body, and of data after a rejected request
+MAX_COALESCED_BODY_BYTES = 64 << 10  # bodies up to this size are written together with the head
+REQUEST_TIMEOUT_S = 2.0  # from the connection or the first byte of a request to its last byte
+WRITE_TIMEOUT_S = 10.0  # for the client to read a response
+LINGER_S = 0.5  # for which data is still read and discarded before a close
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its server."""
+    """Interface of the server that a connection uses."""
 
     clients: dict[ClientConnection, None]
     counts: Counter[str]
@@ -30,32 +30,32 @@
     is_stopping: bool
 
     def handle(self, client: ClientConnection, request: h11.Request) -> None:
-        """Answers a request, at once or later."""
+        """Responds to a request, at once or later."""
 
-    def client_left(self, client: ClientConnection) -> None:
-        """Ends the client's watch: nobody reads its response."""
+    def client_disconnected(self, client: ClientConnection) -> None:
+        """Ends the watch of a client that disconnected."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection.
+    """Connection of one client.
 
     Attributes:
         server: The registry's server.
-        wire: State of HTTP on the connection.
-        transport: The connection; None before it is made.
-        request: The request that is read or answered.
-        body_bytes: Bytes of its body, or of what was discarded.
-        is_reading: A request has begun and is incomplete.
-        is_discarding: The connection is about to close: what still comes is discarded.
-        is_write_blocked: A response is not written yet, as the client does not read.
-        watch: The watch that waits on this connection.
-        watch_timer: When that watch ends.
-        deadline: When `time_out` is due, in the event loop's seconds.
+        http: HTTP state of the connection.
+        transport: Transport of the connection; None before it is established.
+        request: The request that is being read or handled.
+        body_bytes: Size of its body, or of the data discarded.
+        is_reading: Whether a request has begun and is incomplete.
+        is_discarding: Whether the connection is closing and further data is discarded.
+        is_write_blocked: Whether a response is not written completely, as the client does not read it.
+        watch: The watch that is waiting on this connection.
+        watch_timer: Timer that ends this watch.
+        deadline: Event loop time at which `time_out` is to be called.
     """
 
     def __init__(self, server: ConnectionOwner) -> None:
         self.server = server
-        self.wire = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.transport: asyncio.Transport | None = None
         self.request: h11.Request | None = None
         self.body_bytes = 0
@@ -69,36 +69,36 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins to wait for the first request."""
+        """Starts the timeout of the first request."""
         assert isinstance(transport, asyncio.Transport)
-        transport.set_write_buffer_limits(high=0)  # pause_writing then reports every byte left
+        transport.set_write_buffer_limits(high=0)  # pause_writing is then called for any unsent byte
         self.transport = transport
         self._set_deadline(REQUEST_TIMEOUT_S)
         self.server.clients[self] = None
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the reason does not matter
-        """Ends the watch that waits on the connection."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - handled alike for any reason
+        """Ends the watch that is waiting on the connection."""
         self.server.clients.pop(self, None)
-        self.server.client_left(self)
+        self.server.client_disconnected(self)
 
     def eof_received(self) -> bool:
-        """Closes the connection: a client that ends its sending gives its call up."""
+        """Closes the connection: a client that closes its sending side cancels its call."""
         return False
 
     def pause_writing(self) -> None:
-        """Limits the time for which a client may leave a response unread."""
+        """Starts the timeout for the client to read the response."""
         self.is_write_blocked = True
         if not self.is_discarding:
             self._set_deadline(WRITE_TIMEOUT_S)
 
     def resume_writing(self) -> None:
-        """Begins to wait for the next request."""
+        """Starts the idle timeout, unless a request is being read."""
         self.is_write_blocked = False
         if not self.is_discarding and not self.is_reading:
             self._set_deadline(self.server.idle_timeout)
 
     def data_received(self, data: bytes) -> None:
-        """Reads a request, or discards what comes after a rejected one."""
+        """Reads a request, or discards data after a rejected one."""
         self.server.counts["bytes_in"] += len(data)
         if self.is_discarding:
             self.body_bytes += len(data)
@@ -106,21 +106,21 @@
                 self.abort()
             return
         if self.watch is not None or self.is_write_blocked:
-            self.server.client_left(self)
+            self.server.client_disconnected(self)
             self.reject(HTTPStatus.BAD_REQUEST, "one call at a time on a connection")
             return
         if not self.is_reading:
             self.is_reading = True
             self._set_deadline(REQUEST_TIMEOUT_S)
         try:
-            self.wire.receive_data(data)
+            self.http.receive_data(data)
             self._read_events()
         except h11.RemoteProtocolError as error:
             self.reject(error.error_status_hint, str(error))
 
     def _read_events(self) -> None:
         while True:
-            event = self.wire.next_event()
+            event = self.http.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.Request):
@@ -131,14 +131,14 @@
                     self.reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "a call has no body")
                     return
             elif isinstance(event, h11.EndOfMessage):
-                self._request_complete()
+                self._handle_request()
                 return
             else:
                 self.close()
                 return
 
-    def _request_complete(self) -> None:
-        if self.wire.trailing_data[0]:
+    def _handle_request(self) -> None:
+        if self.http.trailing_data[0]:
             self.reject(HTTPStatus.BAD_REQUEST, "one call at a time on a connection")
             return
         self.is_reading, self.deadline = False, math.inf
@@ -148,8 +148,8 @@
     # Responses
 
     def reject(self, status: int, reason: str) -> None:
-        """Answers a request that cannot be handled, if a response can still be sent, and closes."""
-        if self.wire.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+        """Sends an error response, if a response can still be sent, and closes the connection."""
+        if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self.respond(status, encode_error(reason), is_last=True)
         else:
             self.abort()
@@ -157,7 +157,7 @@
     def respond(
         self, status: int, body: bytes, content_type: str = "application/json", is_last: bool = False
     ) -> None:
-        """Sends a response. `is_last`: the connection is closed after it."""
+        """Sends a response. `is_last`: the connection is closed afterwards."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return
@@ -169,8 +169,8 @@
             parts = [b"".join(parts)]
         for part in parts:
             transport.write(part)
-        if not is_last and self.wire.our_state is h11.DONE and self.wire.their_state is h11.DONE:
-            self.wire.start_next_cycle()
+        if not is_last and self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
+            self.http.start_next_cycle()
         else:
             self.close()
 
@@ -179,17 +179,17 @@
         if is_last:
             headers.append(("Connection", "close"))
         head = h11.Response(status_code=status, reason=HTTPStatus(status).phrase, headers=headers)
-        parts = [self.wire.send(head) or b""]
+        parts = [self.http.send(head) or b""]
         if self.request is None or self.request.method != b"HEAD":
             parts.append(body)
-            self.wire.send_with_data_passthrough(h11.Data(body))
-        self.wire.send(h11.EndOfMessage())
+            self.http.send_with_data_passthrough(h11.Data(body))
+        self.http.send(h11.EndOfMessage())
         return parts
 
-    # End
+    # Close
 
     def time_out(self) -> None:
-        """Ends what has taken too long: a request, a response or an idle connection."""
+        """Closes the connection after a timeout: of a request, a response or an idle connection."""
         if self.is_discarding or self.is_write_blocked:
             self.abort()
         elif self.is_reading or self.request is None:
@@ -198,9 +198,9 @@
             self.close()
 
     def close(self) -> None:
-        """Closes after a moment in which what still comes is discarded.
+        """Closes the connection after a short time in which further data is discarded.
 
-        A close over unread bytes resets the connection, and the client may never read its response.
+        A close with unread data would reset the connection, and the client might lose its response.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -210,7 +210,7 @@
         transport.write_eof()
 
     def abort(self) -> None:
-        """Closes at once."""
+        """Closes the connection immediately."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/loftrelay/registry/listing.py
+++ b/loftrelay/registry/listing.py
@@ -1,7 +1,7 @@
-"""Parses discovery's list incrementally: a full list may take longer than one turn of the event loop.
+"""Parses discovery's list incrementally, as parsing a full list at once would block the event loop.
 
-The form is discovery's (PROTOCOL, "Discovery"), with any spacing and any order of fields. No input or output:
-bytes in, rows out.
+The format is discovery's (PROTOCOL, "Discovery"), with any whitespace and any order of fields. The module
+does no I/O: it takes bytes and returns rows.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple
 
-from loftrelay.registry.protocol import MAX_DESTINATION_NUMBER
+from loftrelay.registry.protocol import MAX_JSON_INTEGER
 
 try:
     import msgspec
-except ImportError:  # the extra `fleet`
+except ImportError:  # installed by the extra `fleet`
     msgspec = None  # type: ignore[assignment]
 
 REMOVED_PHASE = "Gone"
 PHASE_NAMES = frozenset(("Ready", "Terminating", REMOVED_PHASE))
-MAX_BUFFERED_CHARACTERS = 64 << 10  # of one row, and of the fields beside the rows
-LITERAL_DELIMITERS = frozenset(",}] \t\n\r")  # end a number or a name
-SPACE = " \t\n\r"
-_match_space = re.compile(f"[{SPACE}]*").match
+MAX_BUFFERED_CHARACTERS = 64 << 10  # of one row, and of the other fields together
+LITERAL_DELIMITERS = frozenset(",}] \t\n\r")  # characters that end a number, true, false or null
+WHITESPACE = " \t\n\r"
+_match_whitespace = re.compile(f"[{WHITESPACE}]*").match
 _decoder = json.JSONDecoder(parse_constant=lambda _: None)  # NaN is not JSON
 
 
 class MalformedListError(ValueError):
-    """Discovery's response is not a list."""
+    """Discovery's response is not an endpoint list."""
 
 
 class MalformedEntryError(ValueError):
-    """One row of the list cannot be used."""
+    """A row of the list cannot be used."""
 
 
 def _standard_encoder() -> Callable[[Any], bytes]:
@@ -50,12 +50,12 @@
 
 
 class ListEntry(NamedTuple):
-    """One endpoint of the list.
+    """Endpoint of the list, or its removal.
 
     Attributes:
         endpoint: Its id.
         destination: The destination that it serves.
-        is_removed: It is no longer listed.
+        is_removed: Whether it was removed from the list.
         row: Its row as compact JSON with sorted fields.
     """
 
@@ -66,29 +66,29 @@
 
 
 def decode_entry(row: Any) -> ListEntry:
-    """Decodes the fields that concern the registry; the others are passed on as they are.
+    """Decodes the fields that the registry needs; the others are kept unchanged in the row.
 
     Raises:
         MalformedEntryError: A field is missing or invalid.
     """
     if not isinstance(row, dict):
-        raise MalformedEntryError("is no object")
+        raise MalformedEntryError("expected a JSON object")
     endpoint, destination, phase = row.get("id"), row.get("cell"), row.get("phase")
     if not isinstance(endpoint, str) or not isinstance(destination, int) or isinstance(destination, bool):
         raise MalformedEntryError(
-            f"id = {endpoint!r:.60}, cell = {destination!r:.60}: one is of the wrong type"
+            f"id = {endpoint!r:.60}, cell = {destination!r:.60}: expected a string and an integer"
         )
-    if not 0 <= destination <= MAX_DESTINATION_NUMBER:
-        raise MalformedEntryError(f"cell = {destination!r:.60}: is not from 0 to {MAX_DESTINATION_NUMBER}")
+    if not 0 <= destination <= MAX_JSON_INTEGER:
+        raise MalformedEntryError(f"cell = {destination!r:.60}: expected 0 to {MAX_JSON_INTEGER}")
     if not isinstance(phase, str) or phase not in PHASE_NAMES:
-        raise MalformedEntryError(f"phase = {phase!r:.60}: is none of {', '.join(sorted(PHASE_NAMES))}")
+        raise MalformedEntryError(f"phase = {phase!r:.60}: expected one of {', '.join(sorted(PHASE_NAMES))}")
     return ListEntry(endpoint, destination, phase == REMOVED_PHASE, _encode_row(row))
 
 
 def decode_entries(
     rows: Iterable[Any], on_malformed: Callable[[Any, ValueError], None]
 ) -> Iterator[ListEntry]:
-    """Decodes rows; calls `on_malformed` with each row that cannot be used, and the reason."""
+    """Decodes rows, and calls `on_malformed` with each malformed one and the reason."""
     for row in rows:
         try:
             yield decode_entry(row)
@@ -97,15 +97,15 @@
 
 
 def removed_row(row: bytes) -> bytes:
-    """Returns the row of an endpoint as it is sent once the endpoint is no longer listed."""
+    """Returns the row that reports the removal of an endpoint."""
     return _encode_row({**json.loads(row), "phase": REMOVED_PHASE})
 
 
 class ListParser:
-    """Parses one list. `feed` returns the rows complete so far, `finish` what the list is.
+    """Incremental parser of one list. `feed` returns rows, `finish` the revision and the kind of the list.
 
     Attributes:
-        fields: The fields beside the rows.
+        fields: Values of the other fields than the rows.
     """
 
     def __init__(self) -> None:
@@ -118,22 +118,22 @@
         self._is_finished = False
 
     def feed(self, data: bytes, is_last: bool = False) -> list[Any]:
-        """Parses further bytes.
+        """Parses further bytes and returns the rows that they complete.
 
         Raises:
-            MalformedListError: This is no list.
+            MalformedListError: The bytes are not part of a list.
             UnicodeDecodeError: The bytes are not UTF-8.
         """
         unparsed = self._text[self._position :]
         self._text, self._position = unparsed + self._utf8.decode(data, is_last), 0
         try:
-            next(self._parser)  # runs up to what is incomplete
+            next(self._parser)  # runs until it needs more text
         except StopIteration:
             self._is_finished = True
         except RecursionError as error:
-            raise MalformedListError("the list is nested too deep") from error
-        if self._is_finished and self._text[self._position :].strip(SPACE):
-            raise MalformedListError("something stands behind the list")
+            raise MalformedListError("the list is nested too deeply") from error
+        if self._is_finished and self._text[self._position :].strip(WHITESPACE):
+            raise MalformedListError("unexpected data after the end of the list")
         if len(self._text) - self._position > MAX_BUFFERED_CHARACTERS:
             raise self._error()
         rows, self._rows = self._rows, []
@@ -143,79 +143,79 @@
         """Returns the list's revision and whether it is complete.
 
         Raises:
-            MalformedListError: The list ends early, or a field is missing or invalid.
+            MalformedListError: The list is incomplete, or a field is missing or invalid.
         """
         if not self._is_finished:
             self.feed(b"", is_last=True)
         if not self._is_finished:
-            raise MalformedListError("the list ends early")
+            raise MalformedListError("the list is truncated")
         revision, is_complete = self.fields.get("revision"), self.fields.get("complete")
         if not isinstance(revision, int) or not isinstance(is_complete, bool) or isinstance(revision, bool):
-            raise MalformedListError("the list has no revision, or does not say whether it is complete")
-        if not 0 <= revision <= MAX_DESTINATION_NUMBER:
             raise MalformedListError(
-                f"revision = {revision!r:.60}: is not from 0 to {MAX_DESTINATION_NUMBER}"
+                "revision or complete: missing or of the wrong type; expected an integer and a boolean"
             )
+        if not 0 <= revision <= MAX_JSON_INTEGER:
+            raise MalformedListError(f"revision = {revision!r:.60}: expected 0 to {MAX_JSON_INTEGER}")
         if "members" not in self.fields:
-            raise MalformedListError("the list has no members")
+            raise MalformedListError("members: missing")
         return revision, is_complete
 
     def _error(self) -> MalformedListError:
         found = self._text[self._position : self._position + 40]
-        return MalformedListError(f"the list can't be read at {found!r}")
+        return MalformedListError(f"the list is malformed at {found!r}")
 
-    # Generators that yield wherever more text is needed
+    # Generators that yield when they need more text
 
-    def _skip_space(self) -> Iterator[None]:
+    def _skip_whitespace(self) -> Iterator[None]:
         while True:
-            space = _match_space(self._text, self._position)
+            space = _match_whitespace(self._text, self._position)
             assert space is not None
             self._position = space.end()
             if self._position < len(self._text):
                 return
             yield
 
-    def _expect(self, marks: str) -> Iterator[None]:
-        yield from self._skip_space()
-        if self._text[self._position] not in marks:
+    def _expect(self, characters: str) -> Iterator[None]:
+        yield from self._skip_whitespace()
+        if self._text[self._position] not in characters:
             raise self._error()
 
     def _parse_value(self) -> Iterator[None]:
-        """Parses one value, into `_parsed`."""
+        """Parses one JSON value into `_parsed`."""
         while True:
             try:
                 value, end = _decoder.raw_decode(self._text, self._position)
-            except json.JSONDecodeError:  # incomplete or not JSON: `feed` limits how much is buffered
+            except json.JSONDecodeError:  # incomplete or malformed: `feed` limits the buffered text
                 yield
                 continue
             is_delimited = self._text[end - 1] in '}]"' or self._text[end : end + 1] in LITERAL_DELIMITERS
             if not is_delimited:
-                yield  # a number may go on
+                yield  # more digits may follow
                 continue
             self._parsed, self._position = value, end
             return
 
     def _parse_list(self) -> Iterator[None]:
         yield from self._expect("{")
-        mark = "{"
-        while mark != "}":
+        delimiter = "{"
+        while delimiter != "}":
             self._position += 1
-            yield from self._expect('"}' if mark == "{" else '"')
+            yield from self._expect('"}' if delimiter == "{" else '"')
             if self._text[self._position] == "}":
                 break
             yield from self._parse_field()
             yield from self._expect(",}")
-            mark = self._text[self._position]
+            delimiter = self._text[self._position]
         self._position += 1
 
     def _parse_field(self) -> Iterator[None]:
         yield from self._parse_value()
         name = self._parsed
         if name in self.fields:
-            raise MalformedListError(f"{name!r:.60} stands twice in the list")
+            raise MalformedListError(f"duplicate field {name!r:.60}")
         yield from self._expect(":")
         self._position += 1
-        yield from self._skip_space()
+        yield from self._skip_whitespace()
         if name == "members":
             yield from self._parse_members()
             self.fields[name] = None
@@ -225,17 +225,17 @@
 
     def _parse_members(self) -> Iterator[None]:
         yield from self._expect("[")
-        mark = "["
-        while mark != "]":
+        delimiter = "["
+        while delimiter != "]":
             self._position += 1
-            yield from self._skip_space()
-            if mark == "[" and self._text[self._position] == "]":
+            yield from self._skip_whitespace()
+            if delimiter == "[" and self._text[self._position] == "]":
                 break
             yield from self._parse_value()
             self._rows.append(self._parsed)
-            # Nearly always the mark follows at once; two generators for each row would be slow.
-            mark = self._text[self._position : self._position + 1]
-            if mark not in (",", "]"):
+            # The delimiter nearly always follows immediately; two more generators for each row would be slow.
+            delimiter = self._text[self._position : self._position + 1]
+            if delimiter not in (",", "]"):
                 yield from self._expect(",]")
-                mark = self._text[self._position]
+                delimiter = self._text[self._position]
         self._position += 1
--- a/loftrelay/registry/protocol.py
+++ b/loftrelay/registry/protocol.py
@@ -1,12 +1,12 @@
-"""Protocol between relays and registries: discovery's list and watch, for a subscription to destinations.
+"""Protocol between relays and registries: discovery's list and watch, limited to subscribed destinations.
 
-Both calls are `GET /registry/instances`, as discovery's are (PROTOCOL, "Discovery"), with a query of their
-own; the response is discovery's with further fields. docs/slices.md has the reasons. On the wire a
-destination is a *cell*. No input or output: text in, values out.
+Both calls are `GET /registry/instances`, as discovery's are (PROTOCOL, "Discovery"), with a different query;
+the response is discovery's with further fields. docs/slices.md has the reasons. On the wire a destination is
+a *cell*. The module does no I/O.
 
-A *subscription* is the set of destinations of which a registry sends changes to one process of a relay. It is
-changed by `SubscriptionChange` alone and read by `SubscriptionWatch`. A registry may lose it at any time: it
-then answers 410, and the relay sends the whole set again.
+A *subscription* is the set of destinations of which a registry sends changes to one process of a relay. Only
+`SubscriptionChange` changes it; `SubscriptionWatch` waits for changes of its endpoints. A registry may lose
+it at any time: it then responds with 410, and the relay sends the whole set again.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 LIST_PATH = "/registry/instances"
 MAX_DESTINATIONS_PER_CALL = 1_000  # keeps the request line under 16 KiB
-MAX_DESTINATION_NUMBER = 1 << 53  # JSON numbers up to this are exact everywhere
-MAX_DIGITS = 16
+MAX_JSON_INTEGER = 1 << 53  # all JSON parsers represent integers up to this exactly
+MAX_DIGITS = 16  # of an integer in a query
 MAX_NAME_LENGTH = 64  # characters of a fleet's or a relay's name
-MAX_SUBSCRIBER_LENGTH = 100  # characters of a relay's name with its incarnation
+MAX_SUBSCRIBER_LENGTH = 100  # characters of a relay's name with its incarnation id
 MAX_WAIT_MS = 60_000
 MAX_QUERY_FIELDS = 20
 
-# Statuses of a registry's responses besides 200.
+# Error statuses of a registry's responses.
 BAD_REQUEST, FORBIDDEN, GONE, UNAVAILABLE = 400, 403, 410, 503
 
-# Wire names of the lists of a change, and of the numbers of a response, with the fields that they fill.
+# Fields by wire name: the lists of a change, and the numbers of a response.
 CHANGE_LISTS = {"add": "added", "have": "confirmed", "drop": "dropped"}
 RESPONSE_NUMBERS = {
     "revision": "revision",
@@ -41,26 +41,26 @@
 
 
 class ProtocolError(ValueError):
-    """A request or a response that cannot be decoded; the text names the field and its value."""
+    """A request or response cannot be decoded; the text names the field and its value."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriptionChange:
-    """Changes a subscription; answered at once.
+    """Changes a subscription. The response is sent immediately.
 
-    A change may be repeated without harm. Dropped destinations are removed before others are added.
+    Changes are idempotent. Dropped destinations are removed before others are added.
 
     Attributes:
         fleet: Name of the relay's fleet.
-        subscriber: The relay's name and incarnation, `NAME.INCARNATION`; no two processes share one.
-        sequence: Grows with each change of one subscriber. One below the last is answered 410, since it was
-            overtaken; the last may be repeated.
+        subscriber: The relay's name and incarnation id, `NAME.INCARNATION`, unique for each process.
+        sequence: Number that increases with each change of one subscriber. A number below the last one is
+            rejected with 410, as the change was overtaken; the last one may be repeated.
         since_revision: Revision up to which the relay knows the destinations in `confirmed`.
-        added: Destinations of which the relay knows nothing; each is sent in full.
-        confirmed: Destinations that the relay knows; sent in full only where they changed since, or where
-            that is not known.
+        added: Destinations unknown to the relay; each is sent in full.
+        confirmed: Destinations that the relay knows; sent in full only if they changed since, or if that is
+            not known.
         dropped: Destinations to remove.
-        is_reset: The set is emptied first.
+        is_reset: Whether the set is emptied first.
     """
 
     fleet: str
@@ -77,15 +77,15 @@
 class SubscriptionWatch:
     """Waits for a change in the subscription.
 
-    A newer watch of the same subscriber ends it without changes. It is answered 410 where discovery has
-    restarted its revisions since, and where more than MAX_DESTINATIONS_PER_CALL destinations would have to be
+    A newer watch of the same subscriber ends it without changes. It is rejected with 410 if discovery has
+    restarted its revisions since, or if more than MAX_DESTINATIONS_PER_CALL destinations would have to be
     sent in full.
 
     Attributes:
         fleet: Name of the relay's fleet.
-        subscriber: The subscription.
+        subscriber: Name of the subscription.
         since_revision: Revision up to which the relay knows all destinations.
-        wait_ms: Milliseconds after which it is answered without changes.
+        wait_ms: Milliseconds after which it ends without changes.
     """
 
     fleet: str
@@ -96,18 +96,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscriptionResponse:
-    """A registry's response to either call, with status 200.
+    """Response of a registry to either call, with status 200.
 
     Attributes:
         fleet: Name of the registry's fleet.
         revision: Discovery's revision up to which the registry knows the list.
-        age_ms: Milliseconds since the registry last heard from discovery.
+        age_ms: Milliseconds since discovery's last response to the registry.
         sequence: Number of the last change that was applied.
         size: Number of destinations in the set.
-        checksum: Checksum of the set, by which the relay knows that both hold the same.
-        full_destinations: Destinations sent in full: an endpoint that is not among `rows` is not listed.
-        rows: In discovery's form: of full destinations and, in a response to a watch, of endpoints that
-            changed since. Rows with "Gone" come first: an endpoint may have moved to another destination.
+        checksum: Checksum of the set, by which the relay checks that both have the same set.
+        full_destinations: Destinations sent in full: they have no endpoints other than those in `rows`.
+        rows: Rows in discovery's format: those of full destinations and, in a response to a watch, those of
+            changed endpoints. "Gone" rows come first, as an endpoint may have moved to another destination.
     """
 
     fleet: str
@@ -122,10 +122,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FullListRequest:
-    """A call in discovery's own form, for all destinations.
+    """Call in discovery's own format, for all destinations.
 
     Attributes:
-        since_revision: Revision that the caller knows; None: it wants the full list.
+        since_revision: Revision that the caller has; None requests the full list.
         wait_ms: Milliseconds to wait for a change.
     """
 
@@ -139,7 +139,7 @@
 
 
 def encode_request(call: SubscriptionChange | SubscriptionWatch) -> str:
-    """Returns the target of a request."""
+    """Returns the target of the request for a call."""
     query = {"fleet": call.fleet, "subscriber": call.subscriber}
     if isinstance(call, SubscriptionWatch):
         query |= {"index": str(call.since_revision), "wait": str(call.wait_ms)}
@@ -158,16 +158,16 @@
     """Decodes the target of a request.
 
     Raises:
-        ProtocolError: It is none of the calls.
+        ProtocolError: The target is not one of the calls.
     """
     query = _decode_query(target)
     if "fleet" not in query and "subscriber" not in query:
         since = _decode_number(query, "index") if "index" in query else None
         return FullListRequest(since, _decode_number(query, "wait", MAX_WAIT_MS))
-    for name, longest in (("fleet", MAX_NAME_LENGTH), ("subscriber", MAX_SUBSCRIBER_LENGTH)):
-        if not 1 <= len(query.get(name, "")) <= longest:
+    for name, max_length in (("fleet", MAX_NAME_LENGTH), ("subscriber", MAX_SUBSCRIBER_LENGTH)):
+        if not 1 <= len(query.get(name, "")) <= max_length:
             raise ProtocolError(
-                f"{name} = {query.get(name, '')[:40]!r}: is no text of 1 to {longest} characters"
+                f"{name} = {query.get(name, '')[:40]!r}: is no text of 1 to {max_length} characters"
             )
     since = _decode_number(query, "index")
     if "wait" in query:
@@ -209,7 +209,7 @@
     return fields
 
 
-def _decode_number(query: Mapping[str, str], name: str, maximum: int = MAX_DESTINATION_NUMBER) -> int:
+def _decode_number(query: Mapping[str, str], name: str, maximum: int = MAX_JSON_INTEGER) -> int:
     text = query.get(name, "0")
     if not _is_number(text, maximum):
         raise ProtocolError(f"{name} = {text[:40]!r}: is not a whole number from 0 to {maximum}")
@@ -218,7 +218,7 @@
 
 def _decode_destinations(query: Mapping[str, str], name: str) -> tuple[int, ...]:
     parts = query[name].split(",") if query.get(name) else []
-    if not all(_is_number(part, MAX_DESTINATION_NUMBER) for part in parts):
+    if not all(_is_number(part, MAX_JSON_INTEGER) for part in parts):
         raise ProtocolError(f"{name} = {query[name][:40]!r}: is no list of destinations")
     return tuple(map(int, parts))
 
@@ -228,14 +228,14 @@
 
 
 def encode_response(response: SubscriptionResponse, rows: Iterable[bytes]) -> bytes:
-    """Returns the body of a response. `rows`: its rows as JSON; those of `response` are ignored."""
+    """Returns the body of a response. `rows`: rows as JSON, used in place of those in `response`."""
     document = {"fleet": response.fleet, "revision": response.revision, "complete": False}
     document |= {name: getattr(response, field) for name, field in RESPONSE_NUMBERS.items()}
     return _encode_with_rows({**document, "cells": response.full_destinations}, rows)
 
 
 def encode_full_list(revision: int, is_complete: bool, rows: Iterable[bytes]) -> bytes:
-    """Returns the body of a response in discovery's own form. `rows`: each as JSON."""
+    """Returns the body of a response in discovery's own format. `rows`: rows as JSON."""
     return _encode_with_rows({"revision": revision, "complete": is_complete}, rows)
 
 
@@ -245,33 +245,33 @@
 
 
 def encode_error(reason: str) -> bytes:
-    """Returns the body of a response with another status than 200: one line."""
+    """Returns the body of a response with an error status: one line."""
     return json.dumps({"error": reason}).encode() + b"\n"
 
 
 def decode_response(body: bytes) -> SubscriptionResponse:
-    """Decodes the body of a response; its rows stay as they are.
+    """Decodes the body of a response, except its rows.
 
     Raises:
-        ProtocolError: It is no response of a registry.
+        ProtocolError: The body is not a response of a registry.
     """
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise ProtocolError(f"the answer can't be read: {error}") from error
+        raise ProtocolError(f"body: not valid JSON: {error}") from error
     if not isinstance(document, dict):
-        raise ProtocolError("the answer is no JSON object")
+        raise ProtocolError("body: expected a JSON object")
     numbers: dict[str, int] = {}
     for name, field in RESPONSE_NUMBERS.items():
         value = document.get(name)
         if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-            raise ProtocolError(f"{name} = {value!r}: is no whole number from 0 on")
+            raise ProtocolError(f"{name} = {value!r}: expected a non-negative integer")
         numbers[field] = value
     fleet, cells, members = document.get("fleet"), document.get("cells"), document.get("members")
     if not isinstance(fleet, str):
-        raise ProtocolError(f"fleet = {fleet!r}: is no text")
+        raise ProtocolError(f"fleet = {fleet!r}: expected a string")
     if not isinstance(cells, list) or not all(type(cell) is int and cell >= 0 for cell in cells):
-        raise ProtocolError("cells: is no list of destinations")
+        raise ProtocolError("cells: expected a list of non-negative integers")
     if not isinstance(members, list):
-        raise ProtocolError("members: is no list")
+        raise ProtocolError("members: expected a list")
     return SubscriptionResponse(fleet, **numbers, full_destinations=tuple(cells), rows=members)
--- a/loftrelay/registry/server.py
+++ b/loftrelay/registry/server.py
@@ -1,4 +1,4 @@
-"""Server of a registry: handles relays' calls, and ends their watches when the list changes."""
+"""HTTP server of a registry: handles calls of relays and ends their watches when the list changes."""
 
 from __future__ import annotations
 
@@ -32,26 +32,26 @@
 READY_PATH = "/health/ready"
 METRICS_PATH = "/figures"
 MAX_TARGET_BYTES = 16 << 10
-MAX_FULL_LIST_BYTES = 1 << 20  # the longest list that a relay without a subscription accepts
+MAX_FULL_LIST_BYTES = 1 << 20  # largest list that a relay without a subscription accepts
 SWEEP_INTERVAL_S = 0.2
-MAX_FUTURE_REVISION_WAIT_S = 0.2  # of a watch from a revision that this registry does not have yet
-SHUTDOWN_TIMEOUT_S = 2.0  # in which the last responses have to be read
+MAX_FUTURE_REVISION_WAIT_S = 0.2  # for a watch since a revision that this registry does not have yet
+SHUTDOWN_TIMEOUT_S = 2.0  # for clients to read the last responses
 SHUTDOWN_POLL_S = 0.01
 MAX_ACCEPTS_PER_TURN = 64
 LISTEN_BACKLOG = 1024
-MAX_TURN_S = 0.005  # of responses to watches in one turn of the event loop
+MAX_TURN_S = 0.005  # for responses to watches in one turn of the event loop
 NO_LIST = "no list of discovery yet"
 
 
 class RegistryServer:
-    """The server.
+    """HTTP server of a registry.
 
     Attributes:
         catalog: The endpoint list.
         subscriptions: The relays' subscriptions.
-        clients: All connections.
-        counts: Bytes in and out, calls and responses by kind.
-        is_stopping: The registry is shutting down.
+        clients: All client connections.
+        counts: Counters of bytes, pages and responses.
+        is_stopping: Whether the registry is shutting down.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         catalog: Catalog,
         subscriptions: Subscriptions,
         age: Callable[[], float],
-        metrics_lines: Callable[[], list[str]],
+        metric_lines: Callable[[], list[str]],
         idle_timeout: float,
     ) -> None:
         """Initializes a server that does not listen yet.
@@ -67,42 +67,42 @@
         Args:
             catalog: The endpoint list.
             subscriptions: The relays' subscriptions.
-            age: Returns seconds since discovery last answered.
-            metrics_lines: Returns further lines for the metrics page.
-            idle_timeout: Seconds for which a connection without a call is kept.
+            age: Returns the seconds since discovery's last response.
+            metric_lines: Returns further lines for the metrics page.
+            idle_timeout: Seconds without a call after which a connection is closed.
         """
         self.catalog, self.subscriptions = catalog, subscriptions
-        self.age, self.metrics_lines, self.idle_timeout = age, metrics_lines, idle_timeout
+        self.age, self.metric_lines, self.idle_timeout = age, metric_lines, idle_timeout
         self.clients: dict[ClientConnection, None] = {}
         self.counts: Counter[str] = Counter()
         self.is_stopping = False
         self.listener: asyncio.Server | None = None
         self._full_list_watches: dict[ClientConnection, None] = {}
-        self._due_watches: deque[WaitingWatch | ClientConnection] = deque()  # ended by a change
+        self._due_watches: deque[WaitingWatch | ClientConnection] = deque()  # to be ended after a change
         self._is_ending_watches = False
         self._sweeper: asyncio.Task[None] | None = None
 
     # Lifecycle
 
     async def listen(self, address: Address) -> Address:
-        """Begins to listen. Returns the address in use: port 0 stands for a free one.
+        """Starts to listen and returns the address, with the port chosen in place of port 0.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: Listening on the address failed.
         """
         loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        listening = socket.create_server(address, family=family)
+        listening_socket = socket.create_server(address, family=family)
         self.listener = await loop.create_server(
-            lambda: ClientConnection(self), sock=listening, backlog=MAX_ACCEPTS_PER_TURN
+            lambda: ClientConnection(self), sock=listening_socket, backlog=MAX_ACCEPTS_PER_TURN
         )
-        listening.listen(LISTEN_BACKLOG)
+        listening_socket.listen(LISTEN_BACKLOG)
         self._sweeper = asyncio.create_task(self._sweep())
-        host, port = listening.getsockname()[:2]
+        host, port = listening_socket.getsockname()[:2]
         return host, port
 
     async def stop(self) -> None:
-        """Answers every watch and closes all connections."""
+        """Ends every watch without changes and closes all connections."""
         self.is_stopping = True
         if self.listener is not None:
             self.listener.close()
@@ -137,7 +137,7 @@
     # Calls
 
     def handle(self, client: ClientConnection, request: h11.Request) -> None:
-        """Answers a request, at once or when its watch ends."""
+        """Responds to a request, immediately or when its watch ends."""
         target = request.target.decode("latin-1")
         path = target.partition("?")[0]
         if len(target) > MAX_TARGET_BYTES:
@@ -161,7 +161,7 @@
 
     def _send_metrics(self, client: ClientConnection) -> None:
         self.counts["pages"] += 1
-        lines = [*self.server_metrics_lines(), *self.metrics_lines(), ""]
+        lines = [*self.server_metric_lines(), *self.metric_lines(), ""]
         client.respond(HTTPStatus.OK, "\n".join(lines).encode(), "text/plain")
 
     def _handle_list_request(self, client: ClientConnection, target: str) -> None:
@@ -187,7 +187,7 @@
     def _start_watch(self, client: ClientConnection, call: SubscriptionWatch, now: float) -> None:
         update, older = self.subscriptions.watch(call, client, now)
         if older is not None:
-            self._forget_watch(older.token)
+            self._clear_watch(older.token)
             self._send_update(older.token, self.subscriptions.empty_update(older.subscription))
         if update is not None:
             self._send_update(client, update)
@@ -199,28 +199,28 @@
         client.watch_timer = asyncio.get_running_loop().call_later(wait, self._end_watch, watch)
 
     def _end_watch(self, watch: WaitingWatch) -> None:
-        """Answers a watch after its time or a change."""
+        """Responds to a watch after its wait or a change."""
         if not watch.is_waiting:
             return
         client: ClientConnection = watch.token
-        self._forget_watch(client)
+        self._clear_watch(client)
         try:
-            self._send_update(client, self.subscriptions.end(watch, asyncio.get_running_loop().time()))
+            self._send_update(client, self.subscriptions.end_watch(watch, asyncio.get_running_loop().time()))
         except RequestRejectedError as error:
             self._send_error(client, error.status, str(error))
 
-    def _forget_watch(self, client: ClientConnection) -> None:
+    def _clear_watch(self, client: ClientConnection) -> None:
         client.watch = None
         if client.watch_timer is not None:
             client.watch_timer.cancel()
             client.watch_timer = None
 
-    def client_left(self, client: ClientConnection) -> None:
-        """Ends the client's watch: nobody reads its response."""
+    def client_disconnected(self, client: ClientConnection) -> None:
+        """Ends the watch of a client that disconnected."""
         if isinstance(client.watch, WaitingWatch):
-            self.subscriptions.abandon(client.watch, asyncio.get_running_loop().time())
+            self.subscriptions.abandon_watch(client.watch, asyncio.get_running_loop().time())
         self._full_list_watches.pop(client, None)
-        self._forget_watch(client)
+        self._clear_watch(client)
 
     def _send_update(self, client: ClientConnection, update: SubscriptionUpdate) -> None:
         response = SubscriptionResponse(
@@ -240,7 +240,7 @@
         self.counts[f"answers_{int(status)}"] += 1
         client.respond(status, protocol.encode_error(reason))
 
-    # Calls in discovery's own form, for clients without a subscription
+    # Calls in discovery's own format, for clients without a subscription
 
     def _handle_full_list(self, client: ClientConnection, call: FullListRequest) -> None:
         if call.since_revision is None:
@@ -255,7 +255,7 @@
         )
 
     def _send_full_list_changes(self, client: ClientConnection, since: int) -> bool:
-        """Sends what changed after a revision. Returns whether anything did."""
+        """Sends the changes after a revision. Returns whether there were any."""
         if since == self.catalog.revision:
             return False
         changes = self.catalog.all_changes_since(since)
@@ -285,14 +285,14 @@
             return
         since = client.watch.since_revision
         self._full_list_watches.pop(client, None)
-        self._forget_watch(client)
+        self._clear_watch(client)
         if not self._send_full_list_changes(client, since):
             self._send_rows(client, False, [])
 
     # Changes of the list
 
     def list_changed(self, is_restarted: bool) -> None:
-        """Answers the watches that a change concerns, a part of them in each turn of the event loop."""
+        """Ends the watches affected by a change, some of them in each turn of the event loop."""
         self._due_watches += self.subscriptions.pop_affected_watches(is_restarted)
         self._due_watches += self._full_list_watches
         self._schedule_due_watches()
@@ -304,9 +304,9 @@
 
     def _end_due_watches(self) -> None:
         loop = asyncio.get_running_loop()
-        turn_ends = loop.time() + MAX_TURN_S
+        turn_ends_at = loop.time() + MAX_TURN_S
         self._is_ending_watches = False
-        while self._due_watches and loop.time() < turn_ends:
+        while self._due_watches and loop.time() < turn_ends_at:
             due = self._due_watches.popleft()
             if isinstance(due, WaitingWatch):
                 self._end_watch(due)
@@ -316,7 +316,7 @@
 
     # Metrics
 
-    def server_metrics_lines(self) -> list[str]:
+    def server_metric_lines(self) -> list[str]:
         """Returns the server's lines of the metrics page."""
         counts, subscriptions, catalog = self.counts, self.subscriptions, self.catalog
         values = {
--- a/loftrelay/registry/service.py
+++ b/loftrelay/registry/service.py
@@ -1,4 +1,4 @@
-"""A registry as a process: its parts, the reload of its settings, its shutdown."""
+"""Registry process: assembly, reload of settings and shutdown."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class RegistryService:
-    """One registry."""
+    """Registry with its list, subscriptions, watch on discovery and server."""
 
     def __init__(self, path: Path, settings: RegistrySettings) -> None:
-        """Assembles a registry. `path`: the settings file, which `reload` reads again."""
+        """Assembles a registry that is not running. `path`: the settings file, which `reload` reads again."""
         self.path, self.settings = path, settings
         self.catalog = Catalog(settings.max_tombstones)
         self.subscriptions = Subscriptions(settings.fleet, self.catalog, settings.subscription_timeout)
@@ -37,16 +37,16 @@
             self.catalog,
             self.subscriptions,
             lambda: self.upstream.age,
-            self._metrics_lines,
+            self._metric_lines,
             settings.idle_timeout,
         )
         self._should_exit = asyncio.Event()
 
     async def run(self) -> None:
-        """Serves until `terminate`.
+        """Serves relays until `terminate`.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: Listening on the address failed.
         """
         host, port = await self.server.listen(self.settings.listen)
         log.info("registry of %s listens on %s:%d", self.settings.fleet, host, port)
@@ -56,31 +56,36 @@
         await self.server.stop()
 
     def terminate(self) -> None:
-        """Begins the shutdown."""
+        """Starts the shutdown."""
         self._should_exit.set()
 
     def reload(self) -> None:
         """Reads the settings file again.
 
-        Only `discovery` may change in service; with any error the present settings stay.
+        Only `discovery` may change while the registry runs. After an error the current settings stay.
         """
         try:
             settings = load_registry_settings(self.path)
         except SettingsError as error:
-            log.warning("not taken: %s", error)
+            log.warning("reload failed, keeping the current settings: %s", error)
             return
         changed = self._fixed_keys_changed(settings)
         if changed:
-            log.warning("not taken: %s: %s: can't change in service", self.path, ", ".join(changed))
+            keys = ", ".join(changed)
+            log.warning(
+                "reload failed, keeping the current settings: %s: %s: can only change with a restart",
+                self.path,
+                keys,
+            )
         elif settings.discovery == self.settings.discovery:
-            log.info("%s: read again, nothing changed", self.path)
+            log.info("%s: reloaded, nothing changed", self.path)
         else:
             self.settings = settings
             self.upstream.move_to(settings.discovery)
-            log.info("%s: discovery is at %s:%d now", self.path, *settings.discovery)
+            log.info("%s: reloaded, discovery moved to %s:%d", self.path, *settings.discovery)
 
     def _fixed_keys_changed(self, settings: RegistrySettings) -> list[str]:
-        """Returns the keys of the file that changed and can't in service."""
+        """Returns the changed keys of the file that require a restart."""
         comparable = replace(settings, discovery=self.settings.discovery)
         return [
             key
@@ -92,7 +97,7 @@
         if is_changed or is_restarted:
             self.server.list_changed(is_restarted)
 
-    def _metrics_lines(self) -> list[str]:
+    def _metric_lines(self) -> list[str]:
         return [
             f"discovery_bytes_in {self.upstream.bytes_in}",
             f"discovery_failures {self.upstream.failures}",
--- a/loftrelay/registry/settings.py
+++ b/loftrelay/registry/settings.py
@@ -1,4 +1,4 @@
-"""The operator's settings of a registry (deploy/registry.toml)."""
+"""Operator settings of a registry (deploy/registry.toml)."""
 
 from __future__ import annotations
 
@@ -11,17 +11,15 @@
 
 TABLE = "registry"
 KEYS = (
-    Key("fleet", "fleet", "", "whose relays are served; others are rejected"),
-    Key("listen", "", "", "address and port for relays; port 0: a free one"),
+    Key("fleet", "fleet", "", "name of the fleet whose relays are served; others are rejected"),
+    Key("listen", "", "", "address and port for relays; port 0: any free port"),
     Key("discovery", "", "", "address and port of the platform's discovery"),
-    Key("keep_gone", 20_000, "hosts", "no longer listed that are remembered", maximum=10_000_000),
-    Key(
-        "forget_s", 30.0, "s", "after which a subscription without a call is dropped", minimum=1, maximum=3600
-    ),
-    Key("idle_s", 60.0, "s", "for which a connection without a call is kept", minimum=1, maximum=3600),
-    Key("most_list_mb", 1024, "MB", "of one answer of discovery", minimum=1, maximum=65_536),
+    Key("keep_gone", 20_000, "hosts", "that are kept as tombstones after their removal", maximum=10_000_000),
+    Key("forget_s", 30.0, "s", "without a call until a subscription is dropped", minimum=1, maximum=3600),
+    Key("idle_s", 60.0, "s", "without a call until a connection is closed", minimum=1, maximum=3600),
+    Key("most_list_mb", 1024, "MB", "size of one response of discovery", minimum=1, maximum=65_536),
 )
-# Lowest port that each address may name: a registry may listen on any free one.
+# Lowest valid port of each address. Port 0 makes a registry listen on any free port.
 LOWEST_PORTS = {"listen": 0, "discovery": 1}
 
 
@@ -30,13 +28,13 @@
     """Settings of a registry.
 
     Attributes:
-        fleet: Name of the fleet that it serves.
-        listen: Where it listens.
-        discovery: Where the platform's discovery listens.
-        max_tombstones: Removed endpoints that are remembered.
+        fleet: Name of the fleet that the registry serves.
+        listen: Address that it listens on.
+        discovery: Address of the platform's discovery.
+        max_tombstones: Largest number of removed endpoints that are kept.
         subscription_timeout: Seconds without a call after which a subscription is dropped.
-        idle_timeout: Seconds for which a connection without a call is kept.
-        max_list_bytes: Largest response of discovery.
+        idle_timeout: Seconds without a call after which a connection is closed.
+        max_list_bytes: Largest response of discovery that is accepted.
     """
 
     fleet: str
@@ -64,7 +62,7 @@
     """Reads the settings from a file.
 
     Raises:
-        SettingsError: A value is invalid; the text names the file, the key and the value.
+        SettingsError: The file cannot be read or a value is invalid; the text names file, key and value.
     """
     values = dict(read_toml(path, KEYS, TABLE))
     if not 1 <= len(values["fleet"]) <= MAX_NAME_LENGTH:
@@ -83,5 +81,5 @@
     except ValueError as error:
         raise SettingsError(f"{path}: {name} = {text!r}: {error}") from error
     if address[1] < lowest_port:
-        raise SettingsError(f"{path}: {name} = {text!r}: port 0 is nobody's")
+        raise SettingsError(f"{path}: {name} = {text!r}: port 0 is not allowed")
     return address
--- a/loftrelay/registry/subscriptions.py
+++ b/loftrelay/registry/subscriptions.py
@@ -1,7 +1,7 @@
-"""Relays' subscriptions: which destinations each holds, which watches wait, and whom a change concerns.
+"""Subscriptions of relays: their destinations, their waiting watches, and those affected by a change.
 
-A subscription lasts as long as its relay calls. It may be lost at any time; the relay then sends its set
-again. No input or output: calls and the time in (seconds of any one clock), updates out.
+A subscription expires when its relay makes no calls. It may be lost at any time; the relay then sends its set
+again. The module does no I/O: it takes calls with the time (seconds of any one clock) and returns updates.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class RequestRejectedError(Exception):
-    """A call that is answered with another status than 200 and one line."""
+    """A call is rejected, with an error status and one line for the client."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -34,7 +34,7 @@
 
 
 class UnknownSubscriberError(RequestRejectedError):
-    """The registry has no such subscription, or has lost it."""
+    """The registry does not have the subscription, or has lost it."""
 
     def __init__(self, subscriber: str) -> None:
         super().__init__(GONE, f"subscriber = {subscriber!r}: not known here, tell the whole set")
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscriptionUpdate:
-    """The part of a response that is particular to a subscription (see SubscriptionResponse)."""
+    """Part of a response that is specific to a subscription (see SubscriptionResponse)."""
 
     sequence: int
     size: int
@@ -52,28 +52,28 @@
 
 
 class RevisionEpoch(Enum):
-    """Returns whether a relay's revisions are of discovery's present numbering.
+    """Whether a relay's revisions belong to discovery's current numbering.
 
-    After discovery restarted its revisions and came up to what the relay knows, numbers alone don't say.
+    Numbers alone do not show it: after a restart, discovery's revisions can reach those that the relay has.
     """
 
     CURRENT = auto()
-    RESTARTED = auto()  # the numbering restarted since: the relay has to send its set again
-    RESYNCING = auto()  # it is sending the set: until its next watch, destinations are sent in full
+    RESTARTED = auto()  # discovery has restarted its revisions: the relay has to send its set again
+    RESYNCING = auto()  # the relay is sending its set: until its next watch, destinations are sent in full
 
 
 class Subscription:
-    """The subscription of one process of a relay.
+    """Subscription of one relay process.
 
     Attributes:
         name: Name of the subscriber.
-        destinations: Its set in ascending order, eight bytes each.
-        destination_sum: Sum of the set.
+        destinations: The set, sorted, with eight bytes for each destination.
+        destination_sum: Sum of the destinations, for the checksum.
         sequence: Number of the last change.
-        epoch: Whether the relay's revisions are of the present numbering.
-        newest_change: No change of its destinations is of a later revision.
-        last_call_at: When its last call came or ended.
-        watch: Its watch that waits.
+        epoch: Whether the relay's revisions belong to the current numbering.
+        newest_change: Upper bound of the revisions at which its destinations changed.
+        last_call_at: When its last call began or ended.
+        watch: Its waiting watch.
     """
 
     __slots__ = (
@@ -98,23 +98,23 @@
         self.watch: WaitingWatch | None = None
 
     def contains(self, destination: int) -> bool:
-        """Returns whether the set holds a destination."""
+        """Returns whether the set contains a destination."""
         position = bisect_left(self.destinations, destination)
         return position < len(self.destinations) and self.destinations[position] == destination
 
 
-# Of one destination: most have one subscriber or a few, for which a set would be large.
+# Subscribers of one destination. Most have one or a few, for which a set would use too much memory.
 Subscribers = Subscription | tuple[Subscription, ...] | set[Subscription]
 MAX_TUPLE_SUBSCRIBERS = 8
 
 
 @dataclass(slots=True, eq=False)
 class WaitingWatch:
-    """A watch that waits.
+    """Watch that is waiting for a change.
 
     Attributes:
-        subscription: Whose.
-        since_revision: Revision that the relay knows.
+        subscription: Its subscription.
+        since_revision: Revision that the relay has.
         token: Identifies the connection to the caller.
     """
 
@@ -124,21 +124,21 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether neither `end`, a newer watch nor the caller has ended it yet."""
+        """Whether it has not been ended by `end_watch`, `abandon_watch` or a newer watch."""
         return self.subscription.watch is self
 
 
 class Subscriptions:
-    """All subscriptions of a registry.
+    """Subscriptions of all relays at a registry.
 
     Attributes:
         fleet: Name of the registry's fleet.
         catalog: The endpoint list.
         expire_after: Seconds without a call after which a subscription is dropped.
-        by_subscriber: The subscriptions by name.
-        ended_by_change: Watches that a change ended, since the start.
-        waiting_watches: Watches that wait now.
-        destination_count: Destinations in all subscriptions.
+        by_subscriber: Subscriptions by name of the subscriber.
+        ended_by_change: Number of watches ended by a change since the start.
+        waiting_watches: Number of waiting watches.
+        destination_count: Number of destinations in all subscriptions.
     """
 
     def __init__(self, fleet: str, catalog: Catalog, expire_after: float) -> None:
@@ -153,10 +153,10 @@
     # Calls
 
     def change(self, call: SubscriptionChange, now: float) -> SubscriptionUpdate:
-        """Changes a subscription.
+        """Changes a subscription and returns the update for the response.
 
         Raises:
-            RequestRejectedError: Another fleet, an unknown subscriber or an overtaken change.
+            RequestRejectedError: The call is for another fleet, an unknown subscriber, or was overtaken.
         """
         subscription = self._subscription_for(call)
         subscription.sequence, subscription.last_call_at = call.sequence, now
@@ -194,14 +194,15 @@
     def watch(
         self, call: SubscriptionWatch, token: Any, now: float
     ) -> tuple[SubscriptionUpdate | None, WaitingWatch | None]:
-        """Begins a watch.
+        """Starts a watch.
 
         Returns:
-            The update to answer with at once, or None where the watch waits; and an older watch of this
-            subscriber, which is to be answered without changes.
+            The update to send immediately, or None if the watch is waiting; and an older watch of this
+            subscriber that has to be responded to without changes.
 
         Raises:
-            RequestRejectedError: Another fleet, unknown subscriber, restarted revisions, too many changes.
+            RequestRejectedError: The call is for another fleet or an unknown subscriber, discovery has
+                restarted its revisions, or too many destinations changed.
         """
         self._check_fleet(call.fleet)
         subscription = self.by_subscriber.get(call.subscriber)
@@ -221,19 +222,19 @@
             self.waiting_watches += 1
         return update, older
 
-    def end(self, watch: WaitingWatch, now: float) -> SubscriptionUpdate:
-        """Ends a watch that waits, after a change or its time, and returns the update to answer with.
+    def end_watch(self, watch: WaitingWatch, now: float) -> SubscriptionUpdate:
+        """Ends a waiting watch after a change or its wait, and returns the update for the response.
 
         Raises:
-            RequestRejectedError: Too much would have to be sent in full.
+            RequestRejectedError: Too many destinations would have to be sent in full.
         """
         subscription = watch.subscription
         subscription.last_call_at = now
         self._stop_waiting(watch)
         return self._changes(subscription, watch.since_revision) or self.empty_update(subscription)
 
-    def abandon(self, watch: WaitingWatch, now: float) -> None:
-        """Ends a watch whose caller has left."""
+    def abandon_watch(self, watch: WaitingWatch, now: float) -> None:
+        """Ends a watch whose client disconnected."""
         watch.subscription.last_call_at = now
         self._stop_waiting(watch)
 
@@ -258,7 +259,7 @@
         )
 
     def _changes(self, subscription: Subscription, since: int) -> SubscriptionUpdate | None:
-        """Returns what changed after a revision; None where nothing did."""
+        """Returns the changes after a revision, or None if there are none."""
         catalog = self.catalog
         if since >= subscription.newest_change or since >= catalog.revision:
             return None
@@ -298,16 +299,18 @@
     def _add_subscriber(self, subscription: Subscription, destination: int) -> None:
         self.destination_count += 1
         partition = self._by_destination.partition(destination)
-        present = partition.get(destination)
-        if present is None:
+        subscribers = partition.get(destination)
+        if subscribers is None:
             partition[destination] = subscription
-        elif isinstance(present, set):
-            present.add(subscription)
-        elif isinstance(present, tuple):
-            is_small = len(present) < MAX_TUPLE_SUBSCRIBERS
-            partition[destination] = (*present, subscription) if is_small else {*present, subscription}
+        elif isinstance(subscribers, set):
+            subscribers.add(subscription)
+        elif isinstance(subscribers, tuple):
+            is_small = len(subscribers) < MAX_TUPLE_SUBSCRIBERS
+            partition[destination] = (
+                (*subscribers, subscription) if is_small else {*subscribers, subscription}
+            )
         else:
-            partition[destination] = (present, subscription)
+            partition[destination] = (subscribers, subscription)
 
     def _drop(self, subscription: Subscription, destination: int) -> None:
         position = bisect_left(subscription.destinations, destination)
@@ -321,13 +324,13 @@
     def _remove_subscriber(self, subscription: Subscription, destination: int) -> None:
         self.destination_count -= 1
         partition = self._by_destination.partition(destination)
-        present = partition[destination]
-        if isinstance(present, Subscription):
+        subscribers = partition[destination]
+        if isinstance(subscribers, Subscription):
             del partition[destination]
-        elif isinstance(present, set) and len(present) > MAX_TUPLE_SUBSCRIBERS:
-            present.remove(subscription)
+        elif isinstance(subscribers, set) and len(subscribers) > MAX_TUPLE_SUBSCRIBERS:
+            subscribers.remove(subscription)
         else:
-            others = tuple(other for other in present if other is not subscription)
+            others = tuple(other for other in subscribers if other is not subscription)
             partition[destination] = others if len(others) > 1 else others[0]
 
     def _clear(self, subscription: Subscription) -> None:
@@ -339,18 +342,18 @@
     # Changes of the list
 
     def destination_changed(self, destination: int, revision: int) -> None:
-        """Notes a change; `pop_affected_watches` follows once the list is in force."""
-        present = self._by_destination.get(destination)
-        if present is None:
+        """Records a change. Once the list is committed, `pop_affected_watches` is to be called."""
+        subscribers = self._by_destination.get(destination)
+        if subscribers is None:
             return
-        for subscription in (present,) if isinstance(present, Subscription) else present:
+        for subscription in (subscribers,) if isinstance(subscribers, Subscription) else subscribers:
             subscription.newest_change = max(subscription.newest_change, revision)
             self._changed[subscription] = None
 
     def pop_affected_watches(self, is_restarted: bool = False) -> list[WaitingWatch]:
-        """Returns the watches that changes since the last call concern; each is to be ended by `end`.
+        """Returns the watches affected by changes since the last call; each has to be ended by `end_watch`.
 
-        `is_restarted`: discovery restarted its revisions, which concerns all.
+        `is_restarted`: discovery restarted its revisions, which affects all.
         """
         changed, self._changed = self._changed, {}
         if is_restarted:
@@ -375,7 +378,7 @@
     # Time
 
     def expire(self, now: float) -> int:
-        """Drops subscriptions without a recent call. Returns how many."""
+        """Drops subscriptions without a recent call and returns their number."""
         expired = [
             subscription
             for subscription in self.by_subscriber.values()
--- a/loftrelay/registry/upstream.py
+++ b/loftrelay/registry/upstream.py
@@ -1,7 +1,7 @@
-"""A registry's watch on discovery: responses go into the catalog as they arrive, a part in each turn.
+"""A registry's watch on discovery: stages responses as they arrive, and commits them in short turns.
 
-A change counts as received 6 s after discovery had it and could be reached (PROTOCOL, "Figures"): a watch
-that falls silent is given up after MAX_WATCH_WAIT_S + RESPONSE_TIMEOUT_S, and repeated within
+A change has to be received within 6 s after discovery has it and is reachable (PROTOCOL, "Figures"): a watch
+without a response times out after MAX_WATCH_WAIT_S + RESPONSE_TIMEOUT_S, and is repeated within
 MAX_RETRY_PAUSE_S + CONNECT_TIMEOUT_S.
 """
 
@@ -23,33 +23,33 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WATCH_WAIT_S = 2.0  # for which discovery may hold a watch
-RESPONSE_TIMEOUT_S = 2.2  # for the first byte beyond that wait, and for each further part
+MAX_WATCH_WAIT_S = 2.0  # for which discovery may delay its response to a watch
+RESPONSE_TIMEOUT_S = 2.2  # beyond that wait for the first byte, and for each further read
 CONNECT_TIMEOUT_S = 1.0
 LIST_TIMEOUT_S = 120.0  # for a whole response
-MIN_CALL_INTERVAL_S = 0.05  # watches that are answered at once must not become a busy loop
-MIN_RETRY_PAUSE_S = 0.1  # doubled with each failure, and shortened by up to a half at random
+MIN_CALL_INTERVAL_S = 0.05  # avoids a busy loop when watches are answered at once
+MIN_RETRY_PAUSE_S = 0.1  # doubled with each failure, then reduced by up to a half at random
 MAX_RETRY_PAUSE_S = 0.8
 READ_BYTES = 32 << 10  # read in one turn of the event loop: about 200 rows
-MAX_TURN_S = 0.005  # of changes put in force in one turn
+MAX_TURN_S = 0.005  # for committing changes in one turn of the event loop
 MAX_LOGGED_ENTRIES = 3  # malformed entries of one list that are logged in full
 
 
 class UnexpectedStatusError(ValueError):
-    """Discovery answered with another status than 200."""
+    """Discovery responded with a status other than 200."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"answers {status}")
+        super().__init__(f"responded with status {status}, expected 200")
         self.status = status
 
 
 class ListTooLongError(ValueError):
-    """A response of discovery exceeds the operator's limit."""
+    """A response of discovery exceeds the operator's limit `most_list_mb`."""
 
     def __init__(self, size: int, limit: int) -> None:
         super().__init__(
-            f"an answer of {size >> 20} MB is over most_list_mb = {limit >> 20}, "
-            "nothing of it is taken and what is held stays"
+            f"response of {size >> 20} MB rejected, the limit is most_list_mb = {limit >> 20}; "
+            "keeping the current list"
         )
         self.size, self.limit = size, limit
 
@@ -58,8 +58,8 @@
     """Reads one response into a staged list.
 
     Attributes:
-        staged: The entries received.
-        parser: The list's parser; `finish` returns its revision.
+        staged: Entries received so far.
+        parser: Parser of the list; its `finish` returns the revision.
     """
 
     def __init__(self, catalog: Catalog, max_list_bytes: int) -> None:
@@ -67,53 +67,53 @@
         self.parser = ListParser()
         self.max_list_bytes = max_list_bytes
         self.size = 0
-        self.malformed = 0
+        self.malformed_count = 0
 
     def begin(self, response: h11.Response) -> None:
         """Checks the head of a response.
 
         Raises:
-            UnexpectedStatusError: It is no 200.
-            ListTooLongError: It announces too long a body.
+            UnexpectedStatusError: The status is not 200.
+            ListTooLongError: Content-Length exceeds the limit.
         """
         if response.status_code != 200:
             raise UnexpectedStatusError(response.status_code)
         self._check_size(int(dict(response.headers).get(b"content-length", b"0")))
 
     def add(self, data: bytes) -> None:
-        """Stages the entries that are complete.
+        """Parses further bytes and stages the entries that they complete.
 
         Raises:
-            ValueError: It is no list, or too long (ListTooLongError).
+            ValueError: The body is not a list, or too long (ListTooLongError).
         """
         self.size += len(data)
         self._check_size(self.size)
         self.staged.add(decode_entries(self.parser.feed(data), self._log_malformed))
 
     def finish(self) -> None:
-        """Logs how many entries were malformed."""
-        if self.malformed > MAX_LOGGED_ENTRIES:
-            log.warning("discovery: %d malformed entries of the list skipped in all", self.malformed)
+        """Logs the number of malformed entries if not all of them were logged."""
+        if self.malformed_count > MAX_LOGGED_ENTRIES:
+            log.warning("discovery: %d malformed list entries skipped in total", self.malformed_count)
 
     def _check_size(self, size: int) -> None:
         if size > self.max_list_bytes:
             raise ListTooLongError(size, self.max_list_bytes)
 
     def _log_malformed(self, row: Any, reason: ValueError) -> None:
-        self.malformed += 1
-        if self.malformed <= MAX_LOGGED_ENTRIES:
-            log.warning("discovery: malformed entry of the list skipped: %s in %.300r", reason, row)
+        self.malformed_count += 1
+        if self.malformed_count <= MAX_LOGGED_ENTRIES:
+            log.warning("discovery: malformed list entry skipped: %s in %.300r", reason, row)
 
 
 class Upstream:
-    """Long poll of discovery's list.
+    """Long-polls discovery's list and commits it to the catalog.
 
     Attributes:
-        address: Where discovery listens.
-        catalog: The list in force.
-        last_response_at: When discovery last answered, in the event loop's seconds.
-        bytes_in: Bytes received.
-        failures: Consecutive failed calls.
+        address: Address of discovery.
+        catalog: The current list.
+        last_response_at: Event loop time of discovery's last response.
+        bytes_in: Number of bytes received.
+        failures: Number of consecutive failed calls.
     """
 
     def __init__(
@@ -124,15 +124,15 @@
         on_committed: Callable[[bool, bool], None],
         max_list_bytes: int,
     ) -> None:
-        """Initializes a watch that does nothing until `start`.
+        """Initializes a watch that makes no calls before `start`.
 
         Args:
-            address: Where discovery listens.
-            catalog: The list in force.
+            address: Address of discovery.
+            catalog: The current list.
             on_destination_changed: Called for each change with the destination and the revision.
-            on_committed: Called once a response is in force, with whether anything changed and whether
+            on_committed: Called after a response is committed, with whether anything changed and whether
                 discovery restarted its revisions.
-            max_list_bytes: Largest response.
+            max_list_bytes: Largest response that is accepted.
         """
         self.address, self.catalog, self.max_list_bytes = address, catalog, max_list_bytes
         self.on_destination_changed, self.on_committed = on_destination_changed, on_committed
@@ -146,7 +146,7 @@
 
     @property
     def age(self) -> float:
-        """Seconds since the last response; there must have been one."""
+        """Seconds since the last response; only valid after the first one."""
         return asyncio.get_running_loop().time() - (self.last_response_at or 0.0)
 
     def start(self) -> None:
@@ -154,7 +154,7 @@
         self._task = asyncio.create_task(self._watch())
 
     def move_to(self, address: Address) -> None:
-        """Continues at another address with the full list: its revisions may be numbered differently."""
+        """Continues at another address with the full list, as its revisions may be numbered differently."""
         self.close()
         self.address, self.failures = address, 0
         self._can_long_poll, self._needs_full_list = False, True
@@ -178,23 +178,25 @@
             try:
                 await self._poll()
                 if self.failures:
-                    log.info("discovery answers again, revision %d", self.catalog.revision)
+                    log.info("discovery responds again, revision %d", self.catalog.revision)
                 self.failures, self._can_long_poll = 0, True
                 pause = max(0.0, started + MIN_CALL_INTERVAL_S - loop.time())
             except (OSError, ValueError, h11.RemoteProtocolError, asyncio.IncompleteReadError) as error:
                 pause = self._call_failed(f"{error or type(error).__name__}")
             except Exception:
                 # A fault of the program; without a further call no relay would learn of a change again.
-                log.exception("discovery: the watch failed by a fault of the program")
+                log.exception("discovery: watch failed by a fault of the program, retrying")
                 pause = self._call_failed("a fault of the program")
             await asyncio.sleep(pause)
 
     def _call_failed(self, reason: str) -> float:
-        """Returns seconds until the next call. Logs the first of a run of failures only."""
+        """Returns the seconds until the next call. Logs only the first of consecutive failures."""
         self._disconnect()
         self._can_long_poll = False
         if not self.failures:
-            log.warning("discovery at %s:%d: %s; asked again until it answers", *self.address, reason)
+            log.warning(
+                "discovery at %s:%d: call failed, retrying until it succeeds: %s", *self.address, reason
+            )
         pause = min(MAX_RETRY_PAUSE_S, MIN_RETRY_PAUSE_S * 2.0 ** min(self.failures, 10))
         self.failures += 1
         return pause * random.uniform(0.5, 1.0)
@@ -204,17 +206,17 @@
         if not self._needs_full_list:
             wait = MAX_WATCH_WAIT_S if self._can_long_poll else 0.0
             target += f"?index={self.catalog.revision}&wait={int(wait * 1000)}"
-        reader = await self._receive(target, wait)
-        revision, is_complete = reader.parser.finish()
+        response = await self._receive(target, wait)
+        revision, is_complete = response.parser.finish()
         self.last_response_at = asyncio.get_running_loop().time()
-        if not is_complete and (reader.staged.is_first or revision < self.catalog.revision):
-            self._needs_full_list = True  # discovery restarted its revisions: a delta of another list
+        if not is_complete and (response.staged.is_first or revision < self.catalog.revision):
+            self._needs_full_list = True  # discovery restarted its revisions: the delta is of another list
             return
         self._needs_full_list = False
-        await self._commit(reader.staged, revision, is_complete)
+        await self._commit(response.staged, revision, is_complete)
 
     async def _receive(self, target: str, wait: float) -> ResponseReader:
-        """Receives one response, for the first list without garbage collection: it would look at each row."""
+        """Receives one response, the first one without garbage collection, which would traverse each row."""
         is_first = not self.catalog.is_loaded
         if is_first:
             gc.disable()
@@ -234,51 +236,51 @@
         return self._streams
 
     async def _call(self, target: str, timeout: float) -> ResponseReader:
-        source, sink = await self._connect()
-        wire = h11.Connection(h11.CLIENT)
+        reader, writer = await self._connect()
+        http = h11.Connection(h11.CLIENT)
         head = h11.Request(method="GET", target=target, headers=[("Host", "discovery")])
-        sink.write((wire.send(head) or b"") + (wire.send(h11.EndOfMessage()) or b""))
-        reader = ResponseReader(self.catalog, self.max_list_bytes)
+        writer.write((http.send(head) or b"") + (http.send(h11.EndOfMessage()) or b""))
+        response = ResponseReader(self.catalog, self.max_list_bytes)
         while True:
-            event = wire.next_event()
+            event = http.next_event()
             if event is h11.NEED_DATA:
                 async with asyncio.timeout(timeout):
-                    data = await source.read(READ_BYTES)
+                    data = await reader.read(READ_BYTES)
                 self.bytes_in += len(data)
-                wire.receive_data(data)
+                http.receive_data(data)
                 timeout = RESPONSE_TIMEOUT_S
             elif isinstance(event, h11.Response):
-                reader.begin(event)
+                response.begin(event)
             elif isinstance(event, h11.Data):
-                reader.add(bytes(event.data))
+                response.add(bytes(event.data))
                 await asyncio.sleep(0)
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif not isinstance(event, h11.InformationalResponse):
-                raise ConnectionError("the connection ended")
-        reader.finish()
-        if wire.their_state is not h11.DONE or wire.trailing_data[0]:
+                raise ConnectionError("connection closed before the end of the response")
+        response.finish()
+        if http.their_state is not h11.DONE or http.trailing_data[0]:
             self._disconnect()
-        return reader
+        return response
 
     async def _commit(self, staged: StagedList, revision: int, is_complete: bool) -> None:
-        """Puts a list in force; other work of the event loop runs in between."""
+        """Commits a list in short turns of the event loop."""
         is_restarted = revision < self.catalog.revision
         self._log_revision(staged, revision, is_restarted)
         change_revision = self.catalog.revision + 1 if is_restarted else revision
         is_changed = False
         changes = self.catalog.commit(staged, revision, is_complete)
         loop = asyncio.get_running_loop()
-        turn_began = loop.time()
+        turn_began_at = loop.time()
         try:
             for destination in changes:
                 is_changed = True
                 self.on_destination_changed(destination, change_revision)
-                if loop.time() - turn_began > MAX_TURN_S:
+                if loop.time() - turn_began_at > MAX_TURN_S:
                     await asyncio.sleep(0)
-                    turn_began = loop.time()
+                    turn_began_at = loop.time()
         finally:
-            for destination in changes:  # also when this is cancelled: no part of a list may stay
+            for destination in changes:  # also after a cancellation: a list must not stay partly committed
                 is_changed = True
                 self.on_destination_changed(destination, change_revision)
             if staged.is_first:
@@ -288,10 +290,10 @@
     def _log_revision(self, staged: StagedList, revision: int, is_restarted: bool) -> None:
         current = self.catalog.revision
         if is_restarted:
-            log.warning("discovery counts anew: revision %d after %d", revision, current)
+            log.warning("discovery restarted its revisions: revision %d after %d", revision, current)
         elif not staged.is_first and revision == current and staged.changed:
-            log.warning("discovery sent changes under revision %d, which it had sent before", revision)
+            log.warning("discovery sent changes without a new revision, it is still %d", revision)
 
     def _first_list_committed(self, revision: int) -> None:
-        gc.freeze()  # keeps garbage collections short: these rows need none
+        gc.freeze()  # keeps garbage collections short: the rows are in no reference cycles
         log.info("the list of discovery: %d hosts, revision %d", self.catalog.endpoint_count, revision)
--- a/tests/discovery/registries.py
+++ b/tests/discovery/registries.py
@@ -84,9 +84,7 @@
         self.is_down = False  # connections are refused
         self.unread_requests: list[tuple[str, Respond]] = []
         self.request_targets: list[str] = []
-        self.max_response_rows = (
-            1 << 30
-        )  # in the response to a change; a longer one is too long for the relay
+        self.max_response_rows = 1 << 30  # to a change; the relay rejects a longer response
 
     def sync(self, now: float, endpoint_list: FakeEndpointList) -> None:
         """Receives the list from discovery, unless the process is stopped."""
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -481,9 +481,8 @@
 def test_connection_extends_the_deadline_only_for_a_long_response(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, extra_bytes: int
 ) -> None:
-    monkeypatch.setattr(
-        http, "MIN_TRANSFER_RATE_BYTES_PER_S", 0.1
-    )  # 9 extra bytes extend the deadline by 90 s
+    # 9 extra bytes extend the deadline by 90 s.
+    monkeypatch.setattr(http, "MIN_TRANSFER_RATE_BYTES_PER_S", 0.1)
 
     async def scenario(w: World) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/registry/test_listing.py
+++ b/tests/registry/test_listing.py
@@ -1,4 +1,4 @@
-"""Discovery's response is parsed in chunks of any size, and a part of one is never accepted as a whole."""
+"""Incremental parser of discovery's list: chunks of any size, truncated lists and malformed rows."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 MEMBERS = st.lists(st.dictionaries(TEXT, VALUES, max_size=4) | VALUES, max_size=6)
 
 
-def read(body: bytes, cuts: list[int]) -> tuple[list[Any], int, bool]:
-    reader = ListParser()
-    at = [0, *sorted(cut % (len(body) + 1) for cut in cuts), len(body)]
+def parse_in_chunks(body: bytes, cuts: list[int]) -> tuple[list[Any], int, bool]:
+    parser = ListParser()
+    offsets = [0, *sorted(cut % (len(body) + 1) for cut in cuts), len(body)]
     rows: list[Any] = []
-    for first, last in pairwise(at):
-        rows += reader.feed(body[first:last])
-    return rows, *reader.finish()
+    for first, last in pairwise(offsets):
+        rows += parser.feed(body[first:last])
+    return rows, *parser.finish()
 
 
 @settings(deadline=None, derandomize=True)
@@ -43,9 +43,9 @@
     VALUES,
     st.booleans(),
 )
-def test_list_is_parsed_with_any_chunks_spacing_and_order_of_fields(
+def test_parser_accepts_any_chunks_whitespace_and_order_of_fields(
     revision: int,
-    complete: bool,
+    is_complete: bool,
     members: list[Any],
     indent: int | None,
     order: list[int],
@@ -53,22 +53,22 @@
     other: Any,
     ascii_only: bool,
 ) -> None:
-    fields = [("revision", revision), ("complete", complete), ("members", members), ("more", other)]
-    told = dict(fields[i] for i in order)
-    body = json.dumps(told, indent=indent, ensure_ascii=ascii_only).encode("utf-8", "replace")
+    fields = [("revision", revision), ("complete", is_complete), ("members", members), ("other", other)]
+    document = dict(fields[i] for i in order)
+    body = json.dumps(document, indent=indent, ensure_ascii=ascii_only).encode("utf-8", "replace")
     if json.loads(body)["members"] != members:
-        return  # a lone surrogate has no UTF-8
-    assert read(body, cuts) == (members, revision, complete)
-    assert read(body, list(range(len(body)))) == (members, revision, complete)
+        return  # a lone surrogate cannot be encoded in UTF-8
+    assert parse_in_chunks(body, cuts) == (members, revision, is_complete)
+    assert parse_in_chunks(body, list(range(len(body)))) == (members, revision, is_complete)
 
 
-WHOLE = json.dumps({"revision": 4, "complete": True, "members": [row("a", 1), row("b", 2)]}).encode()
+LIST_BODY = json.dumps({"revision": 4, "complete": True, "members": [row("a", 1), row("b", 2)]}).encode()
 
 
-def test_every_truncation_is_detected() -> None:
-    for length in range(len(WHOLE)):
+def test_parser_rejects_a_list_truncated_at_any_length() -> None:
+    for length in range(len(LIST_BODY)):
         with pytest.raises(ValueError):
-            read(WHOLE[:length], [])
+            parse_in_chunks(LIST_BODY[:length], [])
 
 
 @pytest.mark.parametrize(
@@ -99,37 +99,38 @@
         b'{"revision":' + b"9" * 5000 + b',"complete":true,"members":[]}',
     ],
 )
-def test_what_is_no_list_is_rejected(body: bytes) -> None:
+def test_parser_rejects_a_body_that_is_not_a_list(body: bytes) -> None:
     for cuts in ([], list(range(min(len(body), 300)))):
         with pytest.raises(ValueError):
-            read(body, cuts)
+            parse_in_chunks(body, cuts)
 
 
 @settings(deadline=None, derandomize=True)
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_list_or_raise_value_error(data: bytes) -> None:
+def test_parser_with_any_bytes_returns_the_list_or_raises_value_error(data: bytes) -> None:
     for body in (data, b'{"revision":1,"complete":true,"members":[' + data):
         try:
-            rows, revision, complete = read(body, [7, 60])
+            rows, revision, is_complete = parse_in_chunks(body, [7, 60])
         except ValueError:
             continue
-        told = json.loads(body)
-        assert (told["members"], told["revision"], told["complete"]) == (rows, revision, complete)
+        document = json.loads(body)
+        parsed = (rows, revision, is_complete)
+        assert (document["members"], document["revision"], document["complete"]) == parsed
 
 
-def test_row_has_one_encoding() -> None:
-    told = row("a", 1, more=["x", None])
-    backwards = dict(reversed(told.items()))
-    assert decode_entry(told) == decode_entry(backwards)
-    entry = decode_entry(told)
+def test_decode_entry_encodes_equal_rows_identically() -> None:
+    fields = row("a", 1, other=["x", None])
+    reversed_fields = dict(reversed(fields.items()))
+    assert decode_entry(fields) == decode_entry(reversed_fields)
+    entry = decode_entry(fields)
     assert (entry.endpoint, entry.destination, entry.is_removed) == ("a", 1, False)
-    assert json.loads(entry.row) == told
+    assert json.loads(entry.row) == fields
     assert b" " not in entry.row
-    assert json.loads(listing.removed_row(entry.row)) == {**told, "phase": "Gone"}
+    assert json.loads(listing.removed_row(entry.row)) == {**fields, "phase": "Gone"}
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         None,
         7,
@@ -147,14 +148,15 @@
         {**row("a", 1), "cell": 1.0},
     ],
 )
-def test_only_the_malformed_row_is_skipped(bad: Any) -> None:
-    passed: list[Any] = []
-    taken = list(decode_entries([row("x", 1), bad, row("y", 2)], lambda told, why: passed.append(told)))
-    assert [entry.endpoint for entry in taken] == ["x", "y"]
-    assert passed == [bad]
-
-
-def test_rows_are_encoded_alike_without_msgspec() -> None:
-    told = row("ä", 3, size=0.5, more={"b": [1, 2.5, "\n"], "a": None})
-    assert listing._standard_encoder()(told) == decode_entry(told).row
-    assert ListEntry("ä", 3, False, listing._standard_encoder()(told)) == decode_entry(told)
+def test_decode_entries_skips_only_the_malformed_row(malformed: Any) -> None:
+    skipped: list[Any] = []
+    rows = [row("x", 1), malformed, row("y", 2)]
+    entries = list(decode_entries(rows, lambda skipped_row, reason: skipped.append(skipped_row)))
+    assert [entry.endpoint for entry in entries] == ["x", "y"]
+    assert skipped == [malformed]
+
+
+def test_standard_encoder_encodes_rows_as_msgspec_does() -> None:
+    fields = row("ä", 3, size=0.5, other={"b": [1, 2.5, "\n"], "a": None})
+    assert listing._standard_encoder()(fields) == decode_entry(fields).row
+    assert ListEntry("ä", 3, False, listing._standard_encoder()(fields)) == decode_entry(fields)
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -1,4 +1,4 @@
-"""A registry as its relays and its operator meet it: the real command, over loopback."""
+"""Registry process on loopback sockets, as used by relays and by its operator."""
 
 from __future__ import annotations
 
@@ -24,92 +24,94 @@
 from tests.standins.platform import HANG, free_port
 from tests.standins.registry import RegistryConnection, RegistryProcess, run
 
-WAIT = 60_000
+WATCH_WAIT_MS = 60_000
 
 
 @asynccontextmanager
-async def served(
-    folder: Path, cells: int = 20, **keys: str
+async def running_registry(
+    folder: Path, destinations: int = 20, **keys: str
 ) -> AsyncIterator[tuple[Discovery, RegistryProcess]]:
+    """Starts a discovery with one endpoint per destination at revision 5, and a registry with its list."""
     async with (
-        Discovery([row(f"h{i}", i) for i in range(cells)], 5) as discovery,
+        Discovery([row(f"h{i}", i) for i in range(destinations)], 5) as discovery,
         RegistryProcess(folder, discovery.address, **keys) as registry,
     ):
         await registry.ready()
         yield discovery, registry
 
 
-async def subscribe(registry: RegistryProcess, name: str, *cells: int) -> RegistryConnection:
-    line = await registry.connect()
-    answer = await line.call(SubscriptionChange("f", name, 1, added=cells, is_reset=True))
-    assert answer.size == len(cells)
-    assert set(answer.full_destinations) == set(cells)
-    return line
+async def subscribe(registry: RegistryProcess, name: str, *destinations: int) -> RegistryConnection:
+    client = await registry.connect()
+    response = await client.call(SubscriptionChange("f", name, 1, added=destinations, is_reset=True))
+    assert response.size == len(destinations)
+    assert set(response.full_destinations) == set(destinations)
+    return client
 
 
-def test_change_is_sent_to_its_subscribers(tmp_path: Path) -> None:
+def test_registry_sends_a_change_to_its_subscribers_only(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (discovery, registry):
-            lines = [await subscribe(registry, f"r{i}.1", i, i + 1) for i in range(6)]
-            for number, line in enumerate(lines):
-                line.send(encode_request(SubscriptionWatch("f", f"r{number}.1", 5, WAIT)))
-            await registry.until(lambda figures: figures["watches"] == 6)
+        async with running_registry(tmp_path) as (discovery, registry):
+            clients = [await subscribe(registry, f"r{i}.1", i, i + 1) for i in range(6)]
+            for number, client in enumerate(clients):
+                client.send(encode_request(SubscriptionWatch("f", f"r{number}.1", 5, WATCH_WAIT_MS)))
+            await registry.until(lambda metrics: metrics["watches"] == 6)
             discovery.change(row("h3", 3, "Terminating"))
             for number in (2, 3):
-                answer = await lines[number].response()
-                assert (answer.revision, answer.fleet, answer.full_destinations) == (6, "f", ())
-                assert [(r["id"], r["phase"]) for r in answer.rows] == [("h3", "Terminating")]
-                assert answer.age_ms < 5000
-                assert (answer.sequence, answer.size) == (1, 2)
-            figures = await registry.metrics()
-            assert (figures["watches"], figures["woken"]) == (4, 2)
+                response = await clients[number].response()
+                assert (response.revision, response.fleet, response.full_destinations) == (6, "f", ())
+                assert [(fields["id"], fields["phase"]) for fields in response.rows] == [
+                    ("h3", "Terminating")
+                ]
+                assert response.age_ms < 5000
+                assert (response.sequence, response.size) == (1, 2)
+            metrics = await registry.metrics()
+            assert (metrics["watches"], metrics["woken"]) == (4, 2)
 
     run(scenario)
 
 
-def test_watch_ends_without_changes_after_its_wait(tmp_path: Path) -> None:
+def test_watch_without_changes_ends_after_its_wait(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (_, registry):
-            line = await subscribe(registry, "a.1", 3)
-            answer = await line.call(SubscriptionWatch("f", "a.1", 5, 50))
-            assert (answer.revision, answer.rows, answer.full_destinations) == (5, [], ())
-            answer = await line.call(
-                SubscriptionWatch("f", "a.1", 9, WAIT)
-            )  # a revision that is not known here yet
-            assert (answer.revision, answer.rows) == (5, [])
+        async with running_registry(tmp_path) as (_, registry):
+            client = await subscribe(registry, "a.1", 3)
+            response = await client.call(SubscriptionWatch("f", "a.1", 5, 50))
+            assert (response.revision, response.rows, response.full_destinations) == (5, [], ())
+            # Watches since a revision that the registry does not have yet end early.
+            response = await client.call(SubscriptionWatch("f", "a.1", 9, WATCH_WAIT_MS))
+            assert (response.revision, response.rows) == (5, [])
 
     run(scenario)
 
 
-def test_malformed_request_is_answered_with_one_line(tmp_path: Path) -> None:
+def test_registry_responds_to_an_invalid_call_with_a_one_line_error(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (_, registry):
-            line = await registry.connect()
-            for call, status, word in (
+        async with running_registry(tmp_path) as (_, registry):
+            client = await registry.connect()
+            for call, status, field in (
                 (SubscriptionChange("f", "a.1", 1, added=(1,)), 410, "subscriber"),
                 (SubscriptionWatch("f", "a.1", 1, 0), 410, "subscriber"),
                 (SubscriptionChange("g", "a.1", 1, added=(1,), is_reset=True), 403, "fleet"),
             ):
-                got, body = await line.request(encode_request(call))
-                assert got == status
-                assert body["error"].startswith(word)
-            for what, status in (
+                received_status, body = await client.request(encode_request(call))
+                assert received_status == status
+                assert body["error"].startswith(field)
+            for target, status in (
                 (f"{LIST_PATH}?fleet=f", 400),
                 (f"{LIST_PATH}?fleet=f&subscriber=a.1&seq=x", 400),
                 ("/nowhere", 404),
             ):
-                got, body = await line.request(what)
-                assert got == status
+                received_status, body = await client.request(target)
+                assert received_status == status
                 assert body["error"]
                 assert "\n" not in body["error"]
-            figures = await registry.metrics()
-            assert [figures[f"answers_{n}"] for n in (400, 403, 410)] == [2, 1, 2]
-            assert (await line.request("/health/ready"))[0] == 200  # on the same connection still
-            line.send("/figures", "HEAD")
-            head = await line.reader.readuntil(b"\r\n\r\n")
+            metrics = await registry.metrics()
+            assert [metrics[f"answers_{n}"] for n in (400, 403, 410)] == [2, 1, 2]
+            assert (await client.request("/health/ready"))[0] == 200  # the connection is still usable
+            client.send("/figures", "HEAD")
+            head = await client.reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200 OK")
             assert b"Content-Length: 0" not in head
-            assert (await line.request("/health/ready"))[0] == 200
+            assert (await client.request("/health/ready"))[0] == 200
 
     run(scenario)
 
@@ -127,127 +129,129 @@
         (b"GET / HTTP/1.1\r\nHost: r\r\nContent-Length: 70000\r\n\r\n" + b"b" * 70_000, 413),
     ],
 )
-def test_invalid_http_is_answered_and_the_connection_closed(tmp_path: Path, data: bytes, status: int) -> None:
+def test_registry_responds_to_invalid_http_and_closes_the_connection(
+    tmp_path: Path, data: bytes, status: int
+) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (_, registry):
-            line = await registry.connect()
-            line.writer.write(data)
-            got, headers, body = await line.read()
-            assert (got, headers["connection"]) == (status, "close")
+        async with running_registry(tmp_path) as (_, registry):
+            client = await registry.connect()
+            client.writer.write(data)
+            received_status, headers, body = await client.read()
+            assert (received_status, headers["connection"]) == (status, "close")
             assert "\n" not in json.loads(body)["error"]
-            assert await line.read_until_closed() == b""
+            assert await client.read_until_closed() == b""
             assert (await (await registry.connect()).request("/health/ready"))[0] == 200
 
     run(scenario)
 
 
-def test_request_line_of_nearly_16_kib_is_accepted(tmp_path: Path) -> None:
+def test_registry_accepts_a_request_target_of_nearly_16_kib(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (_, registry):
-            cells = tuple((1 << 50) + i for i in range(900))
-            call = SubscriptionChange("f", "a.1", 1, added=cells, is_reset=True)
+        async with running_registry(tmp_path) as (_, registry):
+            destinations = tuple((1 << 50) + i for i in range(900))
+            call = SubscriptionChange("f", "a.1", 1, added=destinations, is_reset=True)
             assert 14_000 < len(encode_request(call)) < server.MAX_TARGET_BYTES
-            answer = await (await registry.connect()).call(call)
-            assert answer.size == 900
-            assert answer.rows == []
-            assert answer.full_destinations == cells
+            response = await (await registry.connect()).call(call)
+            assert response.size == 900
+            assert response.rows == []
+            assert response.full_destinations == destinations
 
     run(scenario)
 
 
-def test_slow_client_is_disconnected_and_delays_nobody(tmp_path: Path) -> None:
+def test_registry_disconnects_a_slow_client_and_serves_others_without_delay(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (discovery, registry):
-            silent, slow, halved = [await registry.connect() for _ in range(3)]
-            began = time.monotonic()
+        async with running_registry(tmp_path) as (discovery, registry):
+            silent, slow, half_closed = [await registry.connect() for _ in range(3)]
+            started_at = time.monotonic()
             slow.writer.write(b"GET /health")
-            halved.send("/health/ready")
-            halved.writer.write_eof()  # it gave its call up, or did not: nothing must come of it
-            line = await subscribe(registry, "a.1", 3)
-            line.send(encode_request(SubscriptionWatch("f", "a.1", 5, WAIT)))
-            await registry.until(lambda figures: figures["watches"] == 1)
+            half_closed.send("/health/ready")
+            half_closed.writer.write_eof()  # whether or not this cancels the call, others must be served
+            client = await subscribe(registry, "a.1", 3)
+            client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
+            await registry.until(lambda metrics: metrics["watches"] == 1)
             discovery.change(row("h3", 3, "Terminating"))
-            assert (await line.response()).revision == 6
-            for late in (silent, slow):
-                status, headers, _ = await late.read()
+            assert (await client.response()).revision == 6
+            for late_client in (silent, slow):
+                status, headers, _ = await late_client.read()
                 assert (status, headers["connection"]) == (408, "close")
-                assert await late.read_until_closed() == b""
-            assert time.monotonic() - began > client_connection.REQUEST_TIMEOUT_S - 0.1
-            await halved.read_until_closed()
+                assert await late_client.read_until_closed() == b""
+            assert time.monotonic() - started_at > client_connection.REQUEST_TIMEOUT_S - 0.1
+            await half_closed.read_until_closed()
 
     run(scenario)
 
 
-def test_client_that_does_not_read_is_disconnected_and_others_are_answered(tmp_path: Path) -> None:
+def test_registry_disconnects_a_client_that_does_not_read_and_serves_others(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path, cells=3, idle_s="3600") as (discovery, registry):
-            many = [row(f"x{i}", 1, locality="z" * 200) for i in range(20_000)]
-            discovery.change(*many)
-            await registry.until(lambda figures: figures["revision"] == 6)
-            deaf = socket.socket()
-            with deaf:
-                deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-                deaf.connect(registry.address)
-                call = SubscriptionChange("f", "deaf.1", 1, added=(1,), is_reset=True)
-                deaf.sendall(f"GET {encode_request(call)} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
-                await registry.until(lambda figures: figures["subscribers"] == 1)
-                hears = await registry.connect()
-                answer = await hears.call(SubscriptionChange("f", "b.1", 1, added=(1,), is_reset=True))
-                assert len(answer.rows) == 20_001
-                # Besides these two there is the one that asks for figures. The deaf one goes by its limit.
-                await registry.until(lambda figures: figures["connections"] == 3)
-                await registry.until(lambda figures: figures["connections"] == 2)
-                assert (await hears.request("/health/ready"))[0] == 200
+        async with running_registry(tmp_path, destinations=3, idle_s="3600") as (discovery, registry):
+            rows = [row(f"x{i}", 1, locality="z" * 200) for i in range(20_000)]
+            discovery.change(*rows)
+            await registry.until(lambda metrics: metrics["revision"] == 6)
+            unread = socket.socket()
+            with unread:
+                unread.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+                unread.connect(registry.address)
+                call = SubscriptionChange("f", "unread.1", 1, added=(1,), is_reset=True)
+                unread.sendall(f"GET {encode_request(call)} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
+                await registry.until(lambda metrics: metrics["subscribers"] == 1)
+                reader = await registry.connect()
+                response = await reader.call(SubscriptionChange("f", "b.1", 1, added=(1,), is_reset=True))
+                assert len(response.rows) == 20_001
+                # Two clients and the connection for metrics; then without the client that does not read.
+                await registry.until(lambda metrics: metrics["connections"] == 3)
+                await registry.until(lambda metrics: metrics["connections"] == 2)
+                assert (await reader.request("/health/ready"))[0] == 200
 
     run(scenario)
 
 
-def test_1100_watches_wait_at_once(tmp_path: Path) -> None:
+def test_registry_with_1100_waiting_watches_ends_only_affected_ones(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path, cells=1200) as (discovery, registry):
-            lines: list[RegistryConnection] = []
+        async with running_registry(tmp_path, destinations=1200) as (discovery, registry):
+            clients: list[RegistryConnection] = []
             for number in range(1100):
-                lines.append(await subscribe(registry, f"r{number}.1", number, 1150))
-                lines[-1].send(encode_request(SubscriptionWatch("f", f"r{number}.1", 5, WAIT)))
-            figures = await registry.until(lambda figures: figures["watches"] == 1100)
-            assert (figures["subscribers"], figures["subscribed"]) == (1100, 2200)
+                clients.append(await subscribe(registry, f"r{number}.1", number, 1150))
+                clients[-1].send(encode_request(SubscriptionWatch("f", f"r{number}.1", 5, WATCH_WAIT_MS)))
+            metrics = await registry.until(lambda metrics: metrics["watches"] == 1100)
+            assert (metrics["subscribers"], metrics["subscribed"]) == (1100, 2200)
             discovery.change(row("h7", 7, "Terminating"))
-            assert len((await lines[7].response()).rows) == 1
+            assert len((await clients[7].response()).rows) == 1
             assert (await registry.metrics())["watches"] == 1099
             discovery.change(row("h1150", 1150, "Gone"))
-            for number, line in enumerate(lines):
+            for number, client in enumerate(clients):
                 if number != 7:
-                    assert [r["phase"] for r in (await line.response()).rows] == ["Gone"]
+                    assert [fields["phase"] for fields in (await client.response()).rows] == ["Gone"]
             assert (await registry.metrics())["woken"] == 1100
 
     run(scenario)
 
 
-def test_newer_watch_of_a_relay_ends_its_older_one(tmp_path: Path) -> None:
+def test_newer_watch_of_a_subscriber_ends_its_older_one(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (discovery, registry):
-            first, second = await subscribe(registry, "a.1", 3), await registry.connect()
-            first.send(encode_request(SubscriptionWatch("f", "a.1", 5, WAIT)))
-            await registry.until(lambda figures: figures["watches"] == 1)
-            second.send(encode_request(SubscriptionWatch("f", "a.1", 5, WAIT)))
-            assert (await first.response()).rows == []
-            await registry.until(lambda figures: figures["watches"] == 1)
+        async with running_registry(tmp_path) as (discovery, registry):
+            older, newer = await subscribe(registry, "a.1", 3), await registry.connect()
+            older.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
+            await registry.until(lambda metrics: metrics["watches"] == 1)
+            newer.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
+            assert (await older.response()).rows == []
+            await registry.until(lambda metrics: metrics["watches"] == 1)
             discovery.change(row("h3", 3, "Terminating"))
-            assert len((await second.response()).rows) == 1
+            assert len((await newer.response()).rows) == 1
 
     run(scenario)
 
 
-def test_watch_ends_with_its_connection_and_later_the_subscription(tmp_path: Path) -> None:
+def test_closed_connection_ends_its_watch_and_later_the_subscription(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path, forget_s="1.0") as (_, registry):
-            line = await subscribe(registry, "a.1", 3)
-            line.send(encode_request(SubscriptionWatch("f", "a.1", 5, WAIT)))
-            await registry.until(lambda figures: figures["watches"] == 1)
-            line.close()
-            figures = await registry.until(lambda figures: figures["watches"] == 0)
-            figures = await registry.until(lambda figures: figures["subscribers"] == 0)
-            assert figures["subscribed"] == 0
+        async with running_registry(tmp_path, forget_s="1.0") as (_, registry):
+            client = await subscribe(registry, "a.1", 3)
+            client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
+            await registry.until(lambda metrics: metrics["watches"] == 1)
+            client.close()
+            metrics = await registry.until(lambda metrics: metrics["watches"] == 0)
+            metrics = await registry.until(lambda metrics: metrics["subscribers"] == 0)
+            assert metrics["subscribed"] == 0
             status, _ = await (await registry.connect()).request(
                 encode_request(SubscriptionWatch("f", "a.1", 5, 0))
             )
@@ -256,162 +260,164 @@
     run(scenario)
 
 
-def test_second_call_beside_a_waiting_watch_ends_both(tmp_path: Path) -> None:
+def test_second_call_during_a_watch_is_rejected_and_ends_the_watch(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (discovery, registry):
-            line = await subscribe(registry, "a.1", 3)
-            line.send(encode_request(SubscriptionWatch("f", "a.1", 5, WAIT)))
-            await registry.until(lambda figures: figures["watches"] == 1)
-            line.send("/health/ready")
-            status, headers, body = await line.read()
+        async with running_registry(tmp_path) as (discovery, registry):
+            client = await subscribe(registry, "a.1", 3)
+            client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
+            await registry.until(lambda metrics: metrics["watches"] == 1)
+            client.send("/health/ready")
+            status, headers, body = await client.read()
             assert (status, headers["connection"]) == (400, "close")
             assert b"one call at a time" in body
-            assert await line.read_until_closed() == b""
+            assert await client.read_until_closed() == b""
             assert (await registry.metrics())["watches"] == 0
             discovery.change(row("h3", 3, "Terminating"))
-            figures = await registry.until(lambda figures: figures["revision"] == 6)
-            assert figures["woken"] == 0
+            metrics = await registry.until(lambda metrics: metrics["revision"] == 6)
+            assert metrics["woken"] == 0
 
     run(scenario)
 
 
-def test_shutdown_answers_every_watch(tmp_path: Path) -> None:
+def test_shutdown_ends_every_watch_and_closes_connections(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (_, registry):
-            lines = [await subscribe(registry, f"r{i}.1", i) for i in range(10)]
-            for number, line in enumerate(lines):
-                line.send(encode_request(SubscriptionWatch("f", f"r{number}.1", 5, WAIT)))
+        async with running_registry(tmp_path) as (_, registry):
+            clients = [await subscribe(registry, f"r{i}.1", i) for i in range(10)]
+            for number, client in enumerate(clients):
+                client.send(encode_request(SubscriptionWatch("f", f"r{number}.1", 5, WATCH_WAIT_MS)))
             plain, idle = await registry.connect(), await subscribe(registry, "idle.1", 1)
-            plain.send(f"{LIST_PATH}?index=5&wait={WAIT}")
-            await registry.until(lambda figures: figures["watches"] == 11)
-            began = time.monotonic()
+            plain.send(f"{LIST_PATH}?index=5&wait={WATCH_WAIT_MS}")
+            await registry.until(lambda metrics: metrics["watches"] == 11)
+            started_at = time.monotonic()
             assert registry.process is not None
             registry.process.send_signal(signal.SIGTERM)
-            for line in lines:
-                status, headers, body = await line.read()
+            for client in clients:
+                status, headers, body = await client.read()
                 assert (status, headers["connection"]) == (200, "close")
                 assert decode_response(body).rows == []
-                assert await line.read_until_closed() == b""
-                line.close()
+                assert await client.read_until_closed() == b""
+                client.close()
             status, _, body = await plain.read()
             assert (status, json.loads(body)["members"]) == (200, [])
             assert await idle.read_until_closed() == b""
             plain.close()
             idle.close()
             assert await registry.wait() == 0
-            assert time.monotonic() - began < HANG / 2
+            assert time.monotonic() - started_at < HANG / 2
 
     run(scenario)
 
 
-def test_registry_without_discovery_listens_and_retries(tmp_path: Path) -> None:
+def test_registry_without_discovery_responds_with_503_and_retries(tmp_path: Path) -> None:
     async def scenario() -> None:
         discovery = Discovery([row("a", 1)], 9)
         await discovery.start()
         await discovery.stop()
         async with RegistryProcess(tmp_path, discovery.address) as registry:
-            line = await registry.connect()
-            for what in (
+            client = await registry.connect()
+            for target in (
                 "/health/ready",
                 LIST_PATH,
                 encode_request(SubscriptionChange("f", "a.1", 1, is_reset=True)),
             ):
-                status, body = await line.request(what)
+                status, body = await client.request(target)
                 assert status == 503
                 assert body["error"]
-            await registry.wait_for_log("asked again until it answers")
+            await registry.wait_for_log("retrying until it succeeds")
             await discovery.start()
             await registry.ready()
-            answer = await (await registry.connect()).call(
+            response = await (await registry.connect()).call(
                 SubscriptionChange("f", "a.1", 1, added=(1,), is_reset=True)
             )
-            assert (answer.revision, len(answer.rows)) == (9, 1)
-            assert sum("asked again until" in said for said in registry.log) == 1
+            assert (response.revision, len(response.rows)) == (9, 1)
+            assert sum("retrying until" in log_line for log_line in registry.log) == 1
             await discovery.stop()
 
     run(scenario)
 
 
-def test_discovery_outage_and_recovery(tmp_path: Path) -> None:
+def test_registry_serves_its_list_during_a_discovery_outage_and_catches_up(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (discovery, registry):
-            line = await subscribe(registry, "a.1", 3)
+        async with running_registry(tmp_path) as (discovery, registry):
+            client = await subscribe(registry, "a.1", 3)
             await discovery.stop()
-            await registry.wait_for_log("asked again until it answers")
-            answer = await line.call(
-                SubscriptionChange("f", "a.1", 2, added=(4,))
-            )  # what is held is told meanwhile
-            assert answer.size == 2
-            assert [r["id"] for r in answer.rows] == ["h4"]
-            line.send(encode_request(SubscriptionWatch("f", "a.1", 5, WAIT)))
+            await registry.wait_for_log("retrying until it succeeds")
+            # The current list is used during the outage.
+            response = await client.call(SubscriptionChange("f", "a.1", 2, added=(4,)))
+            assert response.size == 2
+            assert [fields["id"] for fields in response.rows] == ["h4"]
+            client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
             discovery.change(row("h3", 3, "Terminating"))
-            asked = len(discovery.requests)
+            request_count = len(discovery.requests)
             await discovery.start()
-            assert [r["phase"] for r in (await line.response()).rows] == ["Terminating"]
-            assert discovery.requests[asked] == f"{LIST_PATH}?index=5&wait=0"  # at once: what was missed
-            await registry.wait_for_log("answers again, revision 6")
+            assert [fields["phase"] for fields in (await client.response()).rows] == ["Terminating"]
+            # The first call requests missed changes without a wait.
+            assert discovery.requests[request_count] == f"{LIST_PATH}?index=5&wait=0"
+            await registry.wait_for_log("responds again, revision 6")
 
     run(scenario)
 
 
-def test_silent_discovery_is_called_again(tmp_path: Path) -> None:
+def test_registry_repeats_a_call_to_a_silent_discovery(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (discovery, registry):
-            line = await subscribe(registry, "a.1", 3)
-            line.send(encode_request(SubscriptionWatch("f", "a.1", 5, WAIT)))
+        async with running_registry(tmp_path) as (discovery, registry):
+            client = await subscribe(registry, "a.1", 3)
+            client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
             discovery.is_silent = True
-            asked = len(discovery.requests)
+            request_count = len(discovery.requests)
             discovery.notify()
-            began = time.monotonic()
+            started_at = time.monotonic()
             discovery.change(row("h3", 3, "Terminating"))
-            await registry.wait_for_log("asked again until it answers")
+            await registry.wait_for_log("retrying until it succeeds")
             age = (await registry.metrics())["age_ms"]
             assert age > 1000 * upstream.RESPONSE_TIMEOUT_S
             discovery.is_silent = False
             discovery.notify()
-            assert [r["phase"] for r in (await line.response()).rows] == ["Terminating"]
-            assert len(discovery.requests) > asked
-            assert time.monotonic() - began < HANG / 2
+            assert [fields["phase"] for fields in (await client.response()).rows] == ["Terminating"]
+            assert len(discovery.requests) > request_count
+            assert time.monotonic() - started_at < HANG / 2
 
     run(scenario)
 
 
-def test_discovery_restarts_its_revisions(tmp_path: Path) -> None:
+def test_registry_with_restarted_revisions_requires_subscriptions_to_be_reset(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (discovery, registry):
-            line, other = await subscribe(registry, "a.1", 3), await subscribe(registry, "b.1", 4)
-            line.send(encode_request(SubscriptionWatch("f", "a.1", 5, WAIT)))
-            await registry.until(lambda figures: figures["watches"] == 1)
+        async with running_registry(tmp_path) as (discovery, registry):
+            client, other = await subscribe(registry, "a.1", 3), await subscribe(registry, "b.1", 4)
+            client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
+            await registry.until(lambda metrics: metrics["watches"] == 1)
             discovery.restart_revisions(2, [row("h3", 3), row("h9", 4)])
-            answer = await line.response()
-            assert (answer.revision, answer.rows, answer.full_destinations) == (2, [], ())
-            answer = await other.call(SubscriptionChange("f", "b.1", 2, 5, confirmed=(4,)))
-            assert (answer.revision, answer.full_destinations) == (2, (4,))
-            assert [r["id"] for r in answer.rows] == ["h9"]
-            assert sum("counts anew" in said for said in registry.log) == 1
-            status, body = await line.request(encode_request(SubscriptionWatch("f", "a.1", 2, WAIT)))
+            response = await client.response()
+            assert (response.revision, response.rows, response.full_destinations) == (2, [], ())
+            response = await other.call(SubscriptionChange("f", "b.1", 2, 5, confirmed=(4,)))
+            assert (response.revision, response.full_destinations) == (2, (4,))
+            assert [fields["id"] for fields in response.rows] == ["h9"]
+            assert sum("restarted its revisions" in log_line for log_line in registry.log) == 1
+            status, body = await client.request(
+                encode_request(SubscriptionWatch("f", "a.1", 2, WATCH_WAIT_MS))
+            )
             assert status == 410
             assert "counts anew" in body["error"]
-            answer = await line.call(SubscriptionChange("f", "a.1", 2, 2, confirmed=(3,), is_reset=True))
-            assert answer.full_destinations == (3,)
-            assert [r["id"] for r in answer.rows] == ["h3"]
-            line.send(encode_request(SubscriptionWatch("f", "a.1", 2, WAIT)))
-            await registry.until(lambda figures: figures["watches"] == 1)
+            response = await client.call(SubscriptionChange("f", "a.1", 2, 2, confirmed=(3,), is_reset=True))
+            assert response.full_destinations == (3,)
+            assert [fields["id"] for fields in response.rows] == ["h3"]
+            client.send(encode_request(SubscriptionWatch("f", "a.1", 2, WATCH_WAIT_MS)))
+            await registry.until(lambda metrics: metrics["watches"] == 1)
             discovery.change(row("h3", 3, "Terminating"))
-            assert (await line.response()).revision == 3
+            assert (await client.response()).revision == 3
 
     run(scenario)
 
 
-def test_indented_list_is_sent_in_compact_form(tmp_path: Path) -> None:
+def test_registry_sends_rows_of_an_indented_list_in_compact_form(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Discovery([row(f"h{i}", i) for i in range(3000)]) as discovery:
             discovery.indent = 4
             async with RegistryProcess(tmp_path, discovery.address) as registry:
                 await registry.ready()
-                line = await registry.connect()
-                line.send(encode_request(SubscriptionChange("f", "a.1", 1, added=(7,), is_reset=True)))
-                status, _, body = await line.read()
+                client = await registry.connect()
+                client.send(encode_request(SubscriptionChange("f", "a.1", 1, added=(7,), is_reset=True)))
+                status, _, body = await client.read()
                 assert status == 200
                 assert b" " not in body
                 assert b"\n" not in body
@@ -420,60 +426,67 @@
     run(scenario)
 
 
-def test_list_with_a_malformed_row_is_used_without_it(tmp_path: Path) -> None:
+def test_registry_skips_a_malformed_row_of_a_list(tmp_path: Path) -> None:
     async def scenario() -> None:
         rows = [row("a", 1), {**row("b", 2), "cell": "2"}, row("c", 3)]
         async with Discovery(rows) as discovery, RegistryProcess(tmp_path, discovery.address) as registry:
             await registry.ready()
             assert (await registry.metrics())["hosts"] == 2
-            await registry.wait_for_log("malformed entry of the list skipped: .*cell = '2'")
+            await registry.wait_for_log("malformed list entry skipped: .*cell = '2'")
 
     run(scenario)
 
 
-def test_oversize_list_is_rejected_in_one_log_line_and_the_old_one_stays(tmp_path: Path) -> None:
+def test_registry_rejects_an_oversize_list_with_one_log_line_and_keeps_its_list(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path, most_list_mb="1") as (discovery, registry):
-            line = await subscribe(registry, "a.1", 3)
+        async with running_registry(tmp_path, most_list_mb="1") as (discovery, registry):
+            client = await subscribe(registry, "a.1", 3)
             discovery.change(*(row(f"x{i}", i, locality="z" * 1000) for i in range(2000)))
-            await registry.wait_for_log(r"an answer of 2 MB is over most_list_mb = 1, .*what is held stays")
-            answer = await line.call(SubscriptionChange("f", "a.1", 2, added=(4,)))
-            assert answer.revision == 5
-            assert [r["id"] for r in answer.rows] == ["h4"]
+            await registry.wait_for_log(
+                r"response of 2 MB rejected, the limit is most_list_mb = 1; keeping the current list"
+            )
+            response = await client.call(SubscriptionChange("f", "a.1", 2, added=(4,)))
+            assert response.revision == 5
+            assert [fields["id"] for fields in response.rows] == ["h4"]
             discovery.restart_revisions(7, [row("h4", 4, "Terminating")])
-            await registry.until(lambda figures: figures["revision"] == 7)
-            assert sum("most_list_mb" in said for said in registry.log) == 1
+            await registry.until(lambda metrics: metrics["revision"] == 7)
+            assert sum("most_list_mb" in log_line for log_line in registry.log) == 1
 
     run(scenario)
 
 
-def test_relay_without_a_subscription_is_served_as_by_discovery(tmp_path: Path) -> None:
+def test_registry_serves_a_relay_without_subscription_in_discovery_format(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (discovery, registry):
-            line = await registry.connect()
-            status, told = await line.request(LIST_PATH)
-            assert (status, told["revision"], told["complete"], len(told["members"])) == (200, 5, True, 20)
-            line.send(f"{LIST_PATH}?index=5&wait={WAIT}")
-            await registry.until(lambda figures: figures["watches"] == 1)
+        async with running_registry(tmp_path) as (discovery, registry):
+            client = await registry.connect()
+            status, document = await client.request(LIST_PATH)
+            assert (status, document["revision"], document["complete"], len(document["members"])) == (
+                200,
+                5,
+                True,
+                20,
+            )
+            client.send(f"{LIST_PATH}?index=5&wait={WATCH_WAIT_MS}")
+            await registry.until(lambda metrics: metrics["watches"] == 1)
             discovery.change(row("h3", 3, "Terminating"), row("h4", 9))
-            _, _, body = await line.read()
-            told = json.loads(body)
-            assert (told["revision"], told["complete"]) == (6, False)
-            rows = [(r["id"], r["cell"], r["phase"]) for r in told["members"]]
+            _, _, body = await client.read()
+            document = json.loads(body)
+            assert (document["revision"], document["complete"]) == (6, False)
+            rows = [(fields["id"], fields["cell"], fields["phase"]) for fields in document["members"]]
             assert rows[0] == ("h4", 4, "Gone")
             assert sorted(rows[1:]) == [("h3", 3, "Terminating"), ("h4", 9, "Ready")]
-            status, told = await line.request(f"{LIST_PATH}?index=6&wait=20")
-            assert (told["revision"], told["complete"], told["members"]) == (6, False, [])
-            for index in (2, 99):  # not known what changed since
-                status, told = await line.request(f"{LIST_PATH}?index={index}&wait={WAIT}")
-                assert (told["revision"], told["complete"], len(told["members"])) == (6, True, 20)
+            status, document = await client.request(f"{LIST_PATH}?index=6&wait=20")
+            assert (document["revision"], document["complete"], document["members"]) == (6, False, [])
+            for index in (2, 99):  # the changes since are not known
+                status, document = await client.request(f"{LIST_PATH}?index={index}&wait={WATCH_WAIT_MS}")
+                assert (document["revision"], document["complete"], len(document["members"])) == (6, True, 20)
 
     run(scenario)
 
 
-def test_full_list_too_long_for_a_relay_is_rejected(tmp_path: Path) -> None:
+def test_registry_rejects_a_request_for_a_full_list_over_the_limit(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path, cells=9000) as (_, registry):
+        async with running_registry(tmp_path, destinations=9000) as (_, registry):
             status, body = await (await registry.connect()).request(LIST_PATH)
             assert status == 413
             assert f"at most {server.MAX_FULL_LIST_BYTES} are told" in body["error"]
@@ -483,74 +496,79 @@
     run(scenario)
 
 
-# The operator
+# Operator
 
 
-def test_sighup_changes_discovery_and_nothing_else(tmp_path: Path) -> None:
+def test_sighup_moves_discovery_and_rejects_other_changes(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with (
-            served(tmp_path) as (discovery, registry),
-            Discovery([row("h3", 3, "Terminating")], 2) as other,
+            running_registry(tmp_path) as (discovery, registry),
+            Discovery([row("h3", 3, "Terminating")], 2) as new_discovery,
         ):
-            line = await subscribe(registry, "a.1", 3)
+            client = await subscribe(registry, "a.1", 3)
             assert registry.process is not None
 
-            async def read_again(says: str, **keys: str) -> None:
-                before, since = registry.keys, len(registry.log)
-                registry.keys = {**before, **keys}
+            async def reload(expected_log: str, **keys: str) -> None:
+                previous_keys, since = registry.keys, len(registry.log)
+                registry.keys = {**previous_keys, **keys}
                 registry.write()
                 assert registry.process is not None
                 registry.process.send_signal(signal.SIGHUP)
-                await registry.wait_for_log(says, since)
+                await registry.wait_for_log(expected_log, since)
                 assert len(registry.log) == since + 1
-                registry.keys = before
-
-            await read_again(r"not taken: .*registry.toml: fleet: can't change", fleet='"g"')
-            await read_again(r"not taken: .*keep_gone = -1", keep_gone="-1")
-            await read_again(r"not taken: .*discovery = 'x'", discovery='"x"')
-            await read_again(r"not taken: .*colour = 1: no such key", colour="1")
-            await read_again(r"nothing changed")
-            assert (await line.call(SubscriptionChange("f", "a.1", 2, added=(4,)))).revision == 5
-            line.send(encode_request(SubscriptionWatch("f", "a.1", 5, WAIT)))
-            registry.keys["discovery"] = f'"{other.address}"'
+                registry.keys = previous_keys
+
+            await reload(
+                r"reload failed, keeping the current settings: .*registry.toml: fleet: can only change",
+                fleet='"g"',
+            )
+            await reload(r"reload failed, .*keep_gone = -1", keep_gone="-1")
+            await reload(r"reload failed, .*discovery = 'x'", discovery='"x"')
+            await reload(r"reload failed, .*colour = 1: no such key", colour="1")
+            await reload(r"nothing changed")
+            assert (await client.call(SubscriptionChange("f", "a.1", 2, added=(4,)))).revision == 5
+            client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
+            registry.keys["discovery"] = f'"{new_discovery.address}"'
             registry.write()
             registry.process.send_signal(signal.SIGHUP)
-            assert (await line.response()).revision == 2
-            answer = await line.call(SubscriptionChange("f", "a.1", 3, 5, confirmed=(3, 4), is_reset=True))
-            assert answer.full_destinations == (3, 4)
-            assert [r["phase"] for r in answer.rows] == ["Terminating"]
-            asked = len(discovery.requests)
-            other.change(row("h3", 3, "Gone"))
-            assert (await line.call(SubscriptionWatch("f", "a.1", 2, WAIT))).revision == 3
-            assert len(discovery.requests) == asked
+            assert (await client.response()).revision == 2
+            response = await client.call(
+                SubscriptionChange("f", "a.1", 3, 5, confirmed=(3, 4), is_reset=True)
+            )
+            assert response.full_destinations == (3, 4)
+            assert [fields["phase"] for fields in response.rows] == ["Terminating"]
+            request_count = len(discovery.requests)
+            new_discovery.change(row("h3", 3, "Gone"))
+            assert (await client.call(SubscriptionWatch("f", "a.1", 2, WATCH_WAIT_MS))).revision == 3
+            assert len(discovery.requests) == request_count
 
     run(scenario)
 
 
-def test_invalid_settings_file_exits_with_one_line(tmp_path: Path) -> None:
+def test_registry_with_an_invalid_settings_file_exits_with_one_line(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Discovery() as discovery:
             registry = RegistryProcess(tmp_path, discovery.address, keep_gone="-1")
             await registry.start(listens=False)
             assert await registry.wait() == 2
             await registry.wait_for_log("^loftrelay registry: ")
-            why = "is not from 0 to 1e+07 hosts"
-            assert registry.log == [f"loftrelay registry: {registry.file}: keep_gone = -1: {why}"]
+            reason = "is not from 0 to 1e+07 hosts"
+            assert registry.log == [f"loftrelay registry: {registry.file}: keep_gone = -1: {reason}"]
             assert not discovery.requests
 
     run(scenario)
 
 
-def test_address_in_use_exits(tmp_path: Path) -> None:
+def test_registry_with_an_address_in_use_exits(tmp_path: Path) -> None:
     async def scenario() -> None:
-        place = f"127.0.0.1:{free_port()}"
+        address = f"127.0.0.1:{free_port()}"
         async with (
             Discovery() as discovery,
-            RegistryProcess(tmp_path, discovery.address, listen=f'"{place}"'),
+            RegistryProcess(tmp_path, discovery.address, listen=f'"{address}"'),
         ):
-            folder = tmp_path / "other"
-            folder.mkdir()
-            second = RegistryProcess(folder, discovery.address, listen=f'"{place}"')
+            other_folder = tmp_path / "other"
+            other_folder.mkdir()
+            second = RegistryProcess(other_folder, discovery.address, listen=f'"{address}"')
             await second.start(listens=False)
             assert await second.wait() == 1
             await second.wait_for_log("^loftrelay registry: can't start: .*in use")
@@ -558,42 +576,44 @@
     run(scenario)
 
 
-def test_two_registries_need_only_discovery(tmp_path: Path) -> None:
+def test_subscription_moves_to_another_registry_after_the_first_is_killed(tmp_path: Path) -> None:
     async def scenario() -> None:
-        other = tmp_path / "other"
-        other.mkdir()
+        other_folder = tmp_path / "other"
+        other_folder.mkdir()
         async with (
-            served(tmp_path) as (discovery, first),
-            RegistryProcess(other, discovery.address) as second,
+            running_registry(tmp_path) as (discovery, first),
+            RegistryProcess(other_folder, discovery.address) as second,
         ):
             await second.ready()
-            line = await subscribe(first, "a.1", 3, 4)
+            client = await subscribe(first, "a.1", 3, 4)
             discovery.change(row("h3", 3, "Terminating"))
-            assert (await line.call(SubscriptionWatch("f", "a.1", 5, WAIT))).revision == 6
-            await second.until(lambda figures: figures["revision"] == 6)
+            assert (await client.call(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS))).revision == 6
+            await second.until(lambda metrics: metrics["revision"] == 6)
             assert await first.terminate(signal.SIGKILL) == -signal.SIGKILL
-            line = await second.connect()
-            status, _ = await line.request(encode_request(SubscriptionWatch("f", "a.1", 6, 0)))
+            client = await second.connect()
+            status, _ = await client.request(encode_request(SubscriptionWatch("f", "a.1", 6, 0)))
             assert status == 410
-            answer = await line.call(SubscriptionChange("f", "a.1", 2, 6, confirmed=(3, 4), is_reset=True))
-            assert (answer.full_destinations, answer.rows, answer.size) == ((), [], 2)
+            response = await client.call(
+                SubscriptionChange("f", "a.1", 2, 6, confirmed=(3, 4), is_reset=True)
+            )
+            assert (response.full_destinations, response.rows, response.size) == ((), [], 2)
             discovery.change(row("h4", 4, "Gone"))
-            assert (await line.call(SubscriptionWatch("f", "a.1", 6, WAIT))).revision == 7
+            assert (await client.call(SubscriptionWatch("f", "a.1", 6, WATCH_WAIT_MS))).revision == 7
 
     run(scenario)
 
 
-def test_resumed_registry_reports_its_age_and_catches_up(tmp_path: Path) -> None:
+def test_registry_resumed_after_a_stop_sends_missed_changes(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with served(tmp_path) as (discovery, registry):
-            line = await subscribe(registry, "a.1", 3)
+        async with running_registry(tmp_path) as (discovery, registry):
+            client = await subscribe(registry, "a.1", 3)
             assert registry.process is not None
             registry.process.send_signal(signal.SIGSTOP)
-            line.send(encode_request(SubscriptionWatch("f", "a.1", 5, WAIT)))
+            client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
             discovery.change(row("h3", 3, "Terminating"))
-            asked = len(discovery.requests)
+            request_count = len(discovery.requests)
             registry.process.send_signal(signal.SIGCONT)
-            assert [r["phase"] for r in (await line.response()).rows] == ["Terminating"]
-            await discovery.wait_for_requests(asked + 1)
+            assert [fields["phase"] for fields in (await client.response()).rows] == ["Terminating"]
+            await discovery.wait_for_requests(request_count + 1)
 
     run(scenario)
--- a/tests/registry/test_subscriptions.py
+++ b/tests/registry/test_subscriptions.py
@@ -1,4 +1,4 @@
-"""Subscriptions: the order of calls, lost and repeated ones, and the watches that a change ends."""
+"""Subscriptions: the order of calls, lost and repeated calls, and the watches that a change ends."""
 
 from __future__ import annotations
 
@@ -27,306 +27,324 @@
 from tests.standins.discovery import row
 
 
-class World:
-    """A registry's two pure parts, and a clock."""
+class FakeRegistry:
+    """Catalog and subscriptions of a registry, with a fake clock."""
 
-    def __init__(self, cells: int = 20, keep_gone: int = 100) -> None:
-        self.catalog = Catalog(keep_gone)
-        self.catalog.load(1, [decode_entry(row(f"h{i}", i)) for i in range(cells)])
-        self.of = Subscriptions("f", self.catalog, 30.0)
+    def __init__(self, destinations: int = 20, max_tombstones: int = 100) -> None:
+        self.catalog = Catalog(max_tombstones)
+        self.catalog.load(1, [decode_entry(row(f"h{i}", i)) for i in range(destinations)])
+        self.subscriptions = Subscriptions("f", self.catalog, 30.0)
         self.now = 0.0
 
     def change(
-        self, seq: int, name: str = "a.1", reset: bool = False, index: int = 0, **cells: Any
+        self,
+        sequence: int,
+        name: str = "a.1",
+        is_reset: bool = False,
+        since: int = 0,
+        **destinations: Any,
     ) -> SubscriptionUpdate:
-        return self.of.change(SubscriptionChange("f", name, seq, index, is_reset=reset, **cells), self.now)
-
-    def watch(self, index: int, name: str = "a.1", token: Any = None) -> SubscriptionUpdate | WaitingWatch:
-        """The answer at once, or what waits."""
-        told, _ = self.of.watch(SubscriptionWatch("f", name, index, 2000), token, self.now)
-        waits = self.of.by_subscriber[name].watch
-        assert (told is None) != (waits is None)
-        return told or waits  # type: ignore[return-value]
-
-    def list_changes(self, *rows: dict[str, Any]) -> list[WaitingWatch]:
-        """Gives the watches that it wakes."""
+        return self.subscriptions.change(
+            SubscriptionChange("f", name, sequence, since, is_reset=is_reset, **destinations), self.now
+        )
+
+    def watch(self, since: int, name: str = "a.1", token: Any = None) -> SubscriptionUpdate | WaitingWatch:
+        """Returns the immediate update or the waiting watch."""
+        update, _ = self.subscriptions.watch(SubscriptionWatch("f", name, since, 2000), token, self.now)
+        watch = self.subscriptions.by_subscriber[name].watch
+        assert (update is None) != (watch is None)
+        return update or watch  # type: ignore[return-value]
+
+    def apply_delta(self, *rows: dict[str, Any]) -> list[WaitingWatch]:
+        """Applies changed rows as the next revision and returns the affected watches."""
         revision = self.catalog.revision + 1
-        for cell in self.catalog.apply(revision, [decode_entry(told) for told in rows]):
-            self.of.destination_changed(cell, revision)
-        return self.of.pop_affected_watches()
+        for destination in self.catalog.apply(revision, [decode_entry(changed) for changed in rows]):
+            self.subscriptions.destination_changed(destination, revision)
+        return self.subscriptions.pop_affected_watches()
 
 
-def ids(told: SubscriptionUpdate | WaitingWatch) -> list[tuple[str, str]]:
-    assert isinstance(told, SubscriptionUpdate)
-    return [(r["id"], r["phase"]) for r in map(json.loads, told.rows)]
+def endpoints_of(update: SubscriptionUpdate | WaitingWatch) -> list[tuple[str, str]]:
+    assert isinstance(update, SubscriptionUpdate)
+    return [(fields["id"], fields["phase"]) for fields in map(json.loads, update.rows)]
 
 
-def refused(w: World, call: SubscriptionChange | SubscriptionWatch) -> int:
+def rejection_status(registry: FakeRegistry, call: SubscriptionChange | SubscriptionWatch) -> int:
     with pytest.raises(RequestRejectedError) as caught:
         if isinstance(call, SubscriptionChange):
-            w.of.change(call, w.now)
+            registry.subscriptions.change(call, registry.now)
         else:
-            w.of.watch(call, None, w.now)
+            registry.subscriptions.watch(call, None, registry.now)
     assert "\n" not in str(caught.value)
     return caught.value.status
 
 
-def test_added_destinations_are_full_and_others_are_not() -> None:
-    w = World()
-    told = w.change(1, reset=True, added=(3, 5, 99))
-    assert told.full_destinations == (3, 5, 99)
-    assert ids(told) == [("h3", "Ready"), ("h5", "Ready")]
-    assert (told.sequence, told.size, told.checksum) == (1, 3, checksum((3, 5, 99)))
-    told = w.change(2, added=(7,), dropped=(3, 4))
-    assert told.full_destinations == (7,)
-    assert ids(told) == [("h7", "Ready")]
-    assert (told.sequence, told.size, told.checksum) == (2, 3, checksum((5, 99, 7)))
-
-
-def test_confirmed_destinations_are_sent_only_where_they_changed() -> None:
-    w = World()
-    w.list_changes(row("h3", 3, "Terminating"))
-    told = w.change(1, reset=True, index=1, confirmed=(3, 5, 99))
-    assert told.full_destinations == (3,)
-    assert ids(told) == [("h3", "Terminating")]
-    assert told.size == 3
-    told = w.change(2, index=0, confirmed=(5,))  # older than all that is known
-    assert told.full_destinations == (5,)
-    told = w.change(3, index=7, confirmed=(5,))  # newer than this registry: it can't tell
-    assert told.full_destinations == (5,)
-
-
-def test_overtaken_change_is_rejected_and_a_repeated_one_is_harmless() -> None:
-    w = World()
-    w.change(5, reset=True, added=(1,))
-    told = w.change(7, added=(2,))
-    assert told == w.change(7, added=(2,))  # its answer was lost
-    assert refused(w, SubscriptionChange("f", "a.1", 6, added=(3,))) == GONE
-    assert refused(w, SubscriptionChange("f", "a.1", 6, added=(3,), is_reset=True)) == GONE
-    assert w.change(8).size == 2
-
-
-def test_unknown_subscriber_and_other_fleet_are_rejected() -> None:
-    w = World()
-    assert refused(w, SubscriptionChange("f", "a.1", 1, added=(3,))) == GONE
-    assert refused(w, SubscriptionWatch("f", "a.1", 1, 0)) == GONE
-    assert refused(w, SubscriptionChange("g", "a.1", 1, added=(3,), is_reset=True)) == FORBIDDEN
-    assert refused(w, SubscriptionWatch("g", "a.1", 1, 0)) == FORBIDDEN
-    assert not w.of.by_subscriber
-
-
-def test_reset_empties_the_set() -> None:
-    w = World()
-    w.change(1, reset=True, added=(1, 2, 3))
-    told = w.change(2, reset=True, added=(4,))
-    assert (told.size, told.checksum, w.of.destination_count) == (1, 4, 1)
-    assert isinstance(w.watch(1), WaitingWatch)
-    assert w.list_changes(row("h1", 1, "Terminating")) == []
-
-
-def test_change_ends_only_the_watches_it_concerns() -> None:
-    w = World()
+def test_change_response_contains_added_destinations_in_full_and_no_others() -> None:
+    registry = FakeRegistry()
+    update = registry.change(1, is_reset=True, added=(3, 5, 99))
+    assert update.full_destinations == (3, 5, 99)
+    assert endpoints_of(update) == [("h3", "Ready"), ("h5", "Ready")]
+    assert (update.sequence, update.size, update.checksum) == (1, 3, checksum((3, 5, 99)))
+    update = registry.change(2, added=(7,), dropped=(3, 4))
+    assert update.full_destinations == (7,)
+    assert endpoints_of(update) == [("h7", "Ready")]
+    assert (update.sequence, update.size, update.checksum) == (2, 3, checksum((5, 99, 7)))
+
+
+def test_change_response_contains_only_changed_confirmed_destinations() -> None:
+    registry = FakeRegistry()
+    registry.apply_delta(row("h3", 3, "Terminating"))
+    update = registry.change(1, is_reset=True, since=1, confirmed=(3, 5, 99))
+    assert update.full_destinations == (3,)
+    assert endpoints_of(update) == [("h3", "Terminating")]
+    assert update.size == 3
+    update = registry.change(2, since=0, confirmed=(5,))  # changes after revision 0 are not known
+    assert update.full_destinations == (5,)
+    update = registry.change(3, since=7, confirmed=(5,))  # a revision that this registry does not have yet
+    assert update.full_destinations == (5,)
+
+
+def test_overtaken_change_is_rejected_and_a_repeated_one_has_no_effect() -> None:
+    registry = FakeRegistry()
+    registry.change(5, is_reset=True, added=(1,))
+    update = registry.change(7, added=(2,))
+    assert update == registry.change(7, added=(2,))  # repeated, as its response was lost
+    assert rejection_status(registry, SubscriptionChange("f", "a.1", 6, added=(3,))) == GONE
+    assert rejection_status(registry, SubscriptionChange("f", "a.1", 6, added=(3,), is_reset=True)) == GONE
+    assert registry.change(8).size == 2
+
+
+def test_call_of_unknown_subscriber_or_other_fleet_is_rejected() -> None:
+    registry = FakeRegistry()
+    assert rejection_status(registry, SubscriptionChange("f", "a.1", 1, added=(3,))) == GONE
+    assert rejection_status(registry, SubscriptionWatch("f", "a.1", 1, 0)) == GONE
+    assert (
+        rejection_status(registry, SubscriptionChange("g", "a.1", 1, added=(3,), is_reset=True)) == FORBIDDEN
+    )
+    assert rejection_status(registry, SubscriptionWatch("g", "a.1", 1, 0)) == FORBIDDEN
+    assert not registry.subscriptions.by_subscriber
+
+
+def test_change_with_reset_empties_the_set_first() -> None:
+    registry = FakeRegistry()
+    registry.change(1, is_reset=True, added=(1, 2, 3))
+    update = registry.change(2, is_reset=True, added=(4,))
+    assert (update.size, update.checksum, registry.subscriptions.destination_count) == (1, 4, 1)
+    assert isinstance(registry.watch(1), WaitingWatch)
+    assert registry.apply_delta(row("h1", 1, "Terminating")) == []
+
+
+def test_list_change_affects_only_the_watches_of_its_subscribers() -> None:
+    registry = FakeRegistry()
     for number in range(10):
-        w.change(1, name=f"r{number}.1", reset=True, added=(number, number + 1))
-        w.watch(1, name=f"r{number}.1", token=number)
-    woken = w.list_changes(row("h4", 4, "Terminating"))
-    assert sorted(parked.token for parked in woken) == [3, 4]
-    assert w.of.ended_by_change == 2
-    for parked in woken:
-        assert ids(w.of.end(parked, w.now)) == [("h4", "Terminating")]
-    assert w.of.waiting_watches == 8
-    assert w.list_changes(row("x", 19)) == []
-    assert w.of.ended_by_change == 2
+        registry.change(1, name=f"r{number}.1", is_reset=True, added=(number, number + 1))
+        registry.watch(1, name=f"r{number}.1", token=number)
+    affected = registry.apply_delta(row("h4", 4, "Terminating"))
+    assert sorted(watch.token for watch in affected) == [3, 4]
+    assert registry.subscriptions.ended_by_change == 2
+    for watch in affected:
+        assert endpoints_of(registry.subscriptions.end_watch(watch, registry.now)) == [("h4", "Terminating")]
+    assert registry.subscriptions.waiting_watches == 8
+    assert registry.apply_delta(row("x", 19)) == []
+    assert registry.subscriptions.ended_by_change == 2
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 8, 9, 10, 40])
-def test_destination_has_any_number_of_subscribers(count: int) -> None:
-    w = World()
+def test_destination_with_any_number_of_subscribers_affects_those_that_remain(count: int) -> None:
+    registry = FakeRegistry()
     for number in range(count):
-        w.change(1, name=f"r{number}.1", reset=True, added=(3, 4))
-    for left in range(count, -1, -1):  # one after the other lets go of it
+        registry.change(1, name=f"r{number}.1", is_reset=True, added=(3, 4))
+    for remaining in range(count, -1, -1):  # the subscribers drop it one by one
         for number in range(count):
-            w.watch(w.catalog.revision, name=f"r{number}.1", token=number)
-        woken = w.list_changes(row("h3", 3, locality=f"at {left}"))
-        assert sorted(parked.token for parked in woken) == list(range(count - left, count))
-        if left:
-            w.change(2, name=f"r{count - left}.1", dropped=(3,))
-    assert w.of.destination_count == count
-
-
-def test_watch_is_answered_at_once_with_newer_changes() -> None:
-    w = World()
-    w.change(1, reset=True, added=(3, 4))
-    w.list_changes(row("h3", 3, "Terminating"))
-    w.list_changes(row("h9", 9, "Gone"))
-    assert ids(w.watch(1)) == [("h3", "Terminating")]
-    assert isinstance(w.watch(2), WaitingWatch)
-
-
-def test_endpoint_that_moved_is_sent_as_removed_first() -> None:
-    w = World()
-    w.change(1, reset=True, added=(3, 8))
-    w.list_changes(row("h8", 3))
-    assert ids(w.watch(1)) == [("h8", "Gone"), ("h8", "Ready")]
-
-
-def test_discarded_tombstones_make_their_destination_full() -> None:
-    w = World(keep_gone=0)
-    w.change(1, reset=True, added=(3, 4, 5))
-    w.list_changes(row("h3", 3, "Gone"), row("h4", 4, "Terminating"))
-    told = w.watch(1)
-    assert isinstance(told, SubscriptionUpdate)
-    assert told.full_destinations == (3, 4)
-    assert ids(told) == [("h4", "Terminating")]
-
-
-def test_newer_watch_ends_the_older_without_changes() -> None:
-    w = World()
-    w.change(1, reset=True, added=(3,))
-    first = w.watch(1, token="first")
+            registry.watch(registry.catalog.revision, name=f"r{number}.1", token=number)
+        affected = registry.apply_delta(row("h3", 3, locality=f"at {remaining}"))
+        assert sorted(watch.token for watch in affected) == list(range(count - remaining, count))
+        if remaining:
+            registry.change(2, name=f"r{count - remaining}.1", dropped=(3,))
+    assert registry.subscriptions.destination_count == count
+
+
+def test_watch_since_an_older_revision_returns_changes_immediately() -> None:
+    registry = FakeRegistry()
+    registry.change(1, is_reset=True, added=(3, 4))
+    registry.apply_delta(row("h3", 3, "Terminating"))
+    registry.apply_delta(row("h9", 9, "Gone"))
+    assert endpoints_of(registry.watch(1)) == [("h3", "Terminating")]
+    assert isinstance(registry.watch(2), WaitingWatch)
+
+
+def test_watch_response_to_a_moved_endpoint_contains_its_removal_first() -> None:
+    registry = FakeRegistry()
+    registry.change(1, is_reset=True, added=(3, 8))
+    registry.apply_delta(row("h8", 3))
+    assert endpoints_of(registry.watch(1)) == [("h8", "Gone"), ("h8", "Ready")]
+
+
+def test_watch_response_without_tombstones_contains_full_destinations() -> None:
+    registry = FakeRegistry(max_tombstones=0)
+    registry.change(1, is_reset=True, added=(3, 4, 5))
+    registry.apply_delta(row("h3", 3, "Gone"), row("h4", 4, "Terminating"))
+    update = registry.watch(1)
+    assert isinstance(update, SubscriptionUpdate)
+    assert update.full_destinations == (3, 4)
+    assert endpoints_of(update) == [("h4", "Terminating")]
+
+
+def test_newer_watch_of_a_subscriber_replaces_the_older_one() -> None:
+    registry = FakeRegistry()
+    registry.change(1, is_reset=True, added=(3,))
+    first = registry.watch(1, token="first")
     assert isinstance(first, WaitingWatch)
-    told, older = w.of.watch(SubscriptionWatch("f", "a.1", 1, 0), "second", w.now)
-    assert told is None
+    update, older = registry.subscriptions.watch(SubscriptionWatch("f", "a.1", 1, 0), "second", registry.now)
+    assert update is None
     assert older is first
     assert not first.is_waiting
-    assert w.of.waiting_watches == 1
-    woken = w.list_changes(row("h3", 3, "Terminating"))
-    assert [parked.token for parked in woken] == ["second"]
+    assert registry.subscriptions.waiting_watches == 1
+    affected = registry.apply_delta(row("h3", 3, "Terminating"))
+    assert [watch.token for watch in affected] == ["second"]
 
 
-def test_watch_during_a_commit_misses_no_change() -> None:
-    """Its cell was touched already, but the revision that tells so does not hold yet."""
-    w = World()
-    w.change(1, reset=True, added=(3,))
-    staged = StagedList(w.catalog)
+def test_watch_started_during_a_commit_misses_no_change() -> None:
+    """The watch starts after a change of its destination is applied and before the revision is committed."""
+    registry = FakeRegistry()
+    registry.change(1, is_reset=True, added=(3,))
+    staged = StagedList(registry.catalog)
     staged.add([decode_entry(row("h3", 3, "Terminating")), decode_entry(row("h4", 4, "Gone"))])
-    steps = w.catalog.commit(staged, 2, False)
-    w.of.destination_changed(next(steps), 2)
-    parked = w.watch(1)
-    assert isinstance(parked, WaitingWatch)  # no busy loop at the revision that is held
-    for cell in steps:
-        w.of.destination_changed(cell, 2)
-    assert w.of.pop_affected_watches() == [parked]
-    assert ids(w.of.end(parked, 0.0)) == [("h3", "Terminating")]
-
-
-def test_restarted_revisions_end_all_watches() -> None:
-    w = World()
-    w.catalog.apply(900, [])
-    w.change(1, reset=True, added=(3,))
-    parked = w.watch(900)
-    assert isinstance(parked, WaitingWatch)
-    w.catalog.load(2, [decode_entry(row("h3", 3))])
-    assert w.of.pop_affected_watches(is_restarted=True) == [parked]
-    told = w.of.end(parked, w.now)
-    assert not told.rows
-    assert not told.full_destinations
-    assert w.catalog.revision == 2
-    assert w.change(2, index=900, confirmed=(3,)).full_destinations == (3,)
-    assert refused(w, SubscriptionWatch("f", "a.1", 2, 0)) == GONE
-    assert w.change(3, reset=True, index=2, confirmed=(3,)).full_destinations == (3,)
-    assert isinstance(w.watch(2), WaitingWatch)
-    assert w.change(4, index=2, confirmed=(3,)).full_destinations == ()
-
-
-def test_restarted_revisions_that_reach_the_old_number_are_detected() -> None:
-    """The relay did not call meanwhile: from the numbers it can't see that these are others."""
-    w = World()
-    w.change(1, reset=True, added=(3, 4))
-    w.list_changes()
-    w.catalog.load(1, [decode_entry(row("h3", 3, "Terminating")), decode_entry(row("h4", 4))])
-    w.of.pop_affected_watches(is_restarted=True)
-    w.list_changes(row("h9", 9))
-    assert w.catalog.revision == 2
-    assert refused(w, SubscriptionWatch("f", "a.1", 2, 0)) == GONE
-    told = w.change(2, reset=True, index=2, confirmed=(3,))
-    assert told.full_destinations == (3,)
-    assert ids(told) == [("h3", "Terminating")]
-    assert w.change(3, index=2, confirmed=(4,)).full_destinations == (4,)  # the set came in two calls
-    assert isinstance(w.watch(2), WaitingWatch)
-
-
-def test_subscription_expires_without_calls_but_not_while_a_watch_waits() -> None:
-    w = World()
-    w.change(1, reset=True, added=(3, 4))
-    w.change(1, name="b.1", reset=True, added=(3,))
-    parked = w.watch(1, name="b.1")
-    assert isinstance(parked, WaitingWatch)
-    w.now = 29.0
-    assert w.of.expire(w.now) == 0
-    w.now = 31.0
-    assert w.of.expire(w.now) == 1
-    assert set(w.of.by_subscriber) == {"b.1"}
-    assert w.of.destination_count == 1
-    assert refused(w, SubscriptionWatch("f", "a.1", 1, 0)) == GONE
-    w.now = 100.0
-    assert w.of.expire(w.now) == 0
-    w.of.end(parked, w.now)
-    w.now = 129.0
-    assert w.of.expire(w.now) == 0
-    w.now = 131.0
-    assert w.of.expire(w.now) == 1
-    assert not w.of.destination_count
-    w.change(1, reset=True, added=(3,))
-    left = w.watch(1)
-    assert isinstance(left, WaitingWatch)
-    w.of.abandon(left, 200.0)  # its connection ended
-    assert not left.is_waiting
-    assert w.of.waiting_watches == 0
-    assert w.list_changes(row("h3", 3, "Gone")) == []
-    assert w.of.expire(229.0) == 0
-    assert w.of.expire(231.0) == 1
+    commit = registry.catalog.commit(staged, 2, False)
+    registry.subscriptions.destination_changed(next(commit), 2)
+    watch = registry.watch(1)
+    # It waits: an immediate response with the old revision would cause a busy loop.
+    assert isinstance(watch, WaitingWatch)
+    for destination in commit:
+        registry.subscriptions.destination_changed(destination, 2)
+    assert registry.subscriptions.pop_affected_watches() == [watch]
+    assert endpoints_of(registry.subscriptions.end_watch(watch, 0.0)) == [("h3", "Terminating")]
+
+
+def test_restarted_revisions_affect_all_watches_and_require_a_reset() -> None:
+    registry = FakeRegistry()
+    registry.catalog.apply(900, [])
+    registry.change(1, is_reset=True, added=(3,))
+    watch = registry.watch(900)
+    assert isinstance(watch, WaitingWatch)
+    registry.catalog.load(2, [decode_entry(row("h3", 3))])
+    assert registry.subscriptions.pop_affected_watches(is_restarted=True) == [watch]
+    update = registry.subscriptions.end_watch(watch, registry.now)
+    assert not update.rows
+    assert not update.full_destinations
+    assert registry.catalog.revision == 2
+    assert registry.change(2, since=900, confirmed=(3,)).full_destinations == (3,)
+    assert rejection_status(registry, SubscriptionWatch("f", "a.1", 2, 0)) == GONE
+    assert registry.change(3, is_reset=True, since=2, confirmed=(3,)).full_destinations == (3,)
+    assert isinstance(registry.watch(2), WaitingWatch)
+    assert registry.change(4, since=2, confirmed=(3,)).full_destinations == ()
+
+
+def test_restarted_revisions_that_reach_the_old_revision_require_a_reset() -> None:
+    """The relay made no call in between and cannot detect the restart from the numbers."""
+    registry = FakeRegistry()
+    registry.change(1, is_reset=True, added=(3, 4))
+    registry.apply_delta()
+    registry.catalog.load(1, [decode_entry(row("h3", 3, "Terminating")), decode_entry(row("h4", 4))])
+    registry.subscriptions.pop_affected_watches(is_restarted=True)
+    registry.apply_delta(row("h9", 9))
+    assert registry.catalog.revision == 2
+    assert rejection_status(registry, SubscriptionWatch("f", "a.1", 2, 0)) == GONE
+    update = registry.change(2, is_reset=True, since=2, confirmed=(3,))
+    assert update.full_destinations == (3,)
+    assert endpoints_of(update) == [("h3", "Terminating")]
+    assert registry.change(3, since=2, confirmed=(4,)).full_destinations == (4,)  # second part of the set
+    assert isinstance(registry.watch(2), WaitingWatch)
+
+
+def test_subscription_expires_without_calls_and_stays_while_a_watch_waits() -> None:
+    registry = FakeRegistry()
+    registry.change(1, is_reset=True, added=(3, 4))
+    registry.change(1, name="b.1", is_reset=True, added=(3,))
+    watch = registry.watch(1, name="b.1")
+    assert isinstance(watch, WaitingWatch)
+    registry.now = 29.0
+    assert registry.subscriptions.expire(registry.now) == 0
+    registry.now = 31.0
+    assert registry.subscriptions.expire(registry.now) == 1
+    assert set(registry.subscriptions.by_subscriber) == {"b.1"}
+    assert registry.subscriptions.destination_count == 1
+    assert rejection_status(registry, SubscriptionWatch("f", "a.1", 1, 0)) == GONE
+    registry.now = 100.0
+    assert registry.subscriptions.expire(registry.now) == 0
+    registry.subscriptions.end_watch(watch, registry.now)
+    registry.now = 129.0
+    assert registry.subscriptions.expire(registry.now) == 0
+    registry.now = 131.0
+    assert registry.subscriptions.expire(registry.now) == 1
+    assert not registry.subscriptions.destination_count
+    registry.change(1, is_reset=True, added=(3,))
+    disconnected = registry.watch(1)
+    assert isinstance(disconnected, WaitingWatch)
+    registry.subscriptions.abandon_watch(disconnected, 200.0)  # its connection was closed
+    assert not disconnected.is_waiting
+    assert registry.subscriptions.waiting_watches == 0
+    assert registry.apply_delta(row("h3", 3, "Gone")) == []
+    assert registry.subscriptions.expire(229.0) == 0
+    assert registry.subscriptions.expire(231.0) == 1
 
 
 def test_watch_with_too_many_full_destinations_is_rejected() -> None:
-    w = World(cells=2 * MAX_DESTINATIONS_PER_CALL)
-    cells = tuple(range(MAX_DESTINATIONS_PER_CALL + 1))
-    w.change(1, reset=True, added=cells[:MAX_DESTINATIONS_PER_CALL])
-    w.change(2, added=cells[MAX_DESTINATIONS_PER_CALL:])
-    assert refused(w, SubscriptionWatch("f", "a.1", 0, 0)) == GONE
-    w.change(3, dropped=(0,))
-    told = w.watch(0)
-    assert isinstance(told, SubscriptionUpdate)
-    assert len(told.full_destinations) == MAX_DESTINATIONS_PER_CALL
-
-
-def test_cost_of_a_change_does_not_depend_on_the_list() -> None:
-    """Counted in looks at cells: no walk through what did not change."""
-    looks: list[int] = []
-
-    class Counting(Catalog):
-        def last_change(self, cell: int) -> int:
-            looks.append(cell)
-            return super().last_change(cell)
-
-    w = World(cells=2000)
-    w.catalog.__class__ = Counting
+    registry = FakeRegistry(destinations=2 * MAX_DESTINATIONS_PER_CALL)
+    destinations = tuple(range(MAX_DESTINATIONS_PER_CALL + 1))
+    registry.change(1, is_reset=True, added=destinations[:MAX_DESTINATIONS_PER_CALL])
+    registry.change(2, added=destinations[MAX_DESTINATIONS_PER_CALL:])
+    assert rejection_status(registry, SubscriptionWatch("f", "a.1", 0, 0)) == GONE
+    registry.change(3, dropped=(0,))
+    update = registry.watch(0)
+    assert isinstance(update, SubscriptionUpdate)
+    assert len(update.full_destinations) == MAX_DESTINATIONS_PER_CALL
+
+
+def test_list_change_looks_up_only_destinations_of_affected_watches() -> None:
+    """Counts the lookups of destinations in the catalog: unchanged ones are not visited."""
+    lookups: list[int] = []
+
+    class CountingCatalog(Catalog):
+        def last_change(self, destination: int) -> int:
+            lookups.append(destination)
+            return super().last_change(destination)
+
+    registry = FakeRegistry(destinations=2000)
+    registry.catalog.__class__ = CountingCatalog
     for number in range(100):
-        w.change(1, name=f"r{number}.1", reset=True, added=tuple(range(20 * number, 20 * number + 20)))
-        w.watch(1, name=f"r{number}.1")
-    looks.clear()
-    woken = w.list_changes(row("h45", 45, "Terminating"))
-    assert len(woken) == 1
-    assert looks == []
-    w.of.end(woken[0], w.now)
-    assert set(looks) == set(range(40, 60))
-    assert len(looks) <= 2 * 20
-    looks.clear()
+        registry.change(
+            1, name=f"r{number}.1", is_reset=True, added=tuple(range(20 * number, 20 * number + 20))
+        )
+        registry.watch(1, name=f"r{number}.1")
+    lookups.clear()
+    affected = registry.apply_delta(row("h45", 45, "Terminating"))
+    assert len(affected) == 1
+    assert lookups == []
+    registry.subscriptions.end_watch(affected[0], registry.now)
+    assert set(lookups) == set(range(40, 60))
+    assert len(lookups) <= 2 * 20
+    lookups.clear()
     for number in range(100):
-        parked = w.of.by_subscriber[f"r{number}.1"].watch
-        if parked is not None:
-            w.of.end(parked, w.now)  # its time is up: nothing is newer, and no cell is looked at
-    assert looks == []
+        watch = registry.subscriptions.by_subscriber[f"r{number}.1"].watch
+        if watch is not None:
+            # Expired without changes: no destination is looked up.
+            registry.subscriptions.end_watch(watch, registry.now)
+    assert lookups == []
+
 
+def test_subscription_to_363_destinations_uses_under_64_kib() -> None:
+    """Measures subscriptions to 363 destinations each, without other subscribers.
 
-def test_subscription_is_small() -> None:
-    """Of 363 destinations that nobody else is subscribed to. The whole process: benchmarks/registry.py."""
-    w = World(cells=100 * 363)
+    benchmarks/registry.py measures the whole process.
+    """
+    registry = FakeRegistry(destinations=100 * 363)
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
         for number in range(100):
-            w.change(1, name=f"r{number}.1", reset=True, added=tuple(range(363 * number, 363 * (number + 1))))
+            registry.change(
+                1, name=f"r{number}.1", is_reset=True, added=tuple(range(363 * number, 363 * (number + 1)))
+            )
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
