--- a/tests/registry/test_upstream.py
+++ b/tests/registry/test_upstream.py
@@ -1,4 +1,4 @@
-"""The watch on discovery, in this process: interrupted responses are ignored, a long list blocks nobody."""
+"""Watch on discovery: interrupted responses are ignored, and a long list does not block the event loop."""
 
 from __future__ import annotations
 
@@ -18,213 +18,229 @@
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
 
 
-class World:
-    def __init__(self, address: Address, most: int = 1 << 30) -> None:
+class UpstreamHarness:
+    """An Upstream with its catalog, which records changes and commits."""
+
+    def __init__(self, address: Address, max_list_bytes: int = 1 << 30) -> None:
         self.catalog = Catalog(100)
-        self.touched: list[tuple[int, int]] = []
-        self.settled: list[tuple[bool, bool]] = []
-        self.news = asyncio.Event()
+        self.changes: list[tuple[int, int]] = []
+        self.commits: list[tuple[bool, bool]] = []
+        self.committed = asyncio.Event()
         self.upstream = Upstream(
-            address, self.catalog, lambda cell, at: self.touched.append((cell, at)), self._settled, most
+            address, self.catalog, self._record_change, self._record_commit, max_list_bytes
         )
 
-    def _settled(self, changed: bool, anew: bool) -> None:
-        self.settled.append((changed, anew))
-        self.news.set()
+    def _record_change(self, destination: int, revision: int) -> None:
+        self.changes.append((destination, revision))
+
+    def _record_commit(self, is_changed: bool, is_restarted: bool) -> None:
+        self.commits.append((is_changed, is_restarted))
+        self.committed.set()
 
     async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(HANG):
             while not condition():
-                self.news.clear()
-                await self.news.wait()
+                self.committed.clear()
+                await self.committed.wait()
 
 
-def whole(revision: int, *hosts: str) -> bytes:
-    rows = [row(host, i) for i, host in enumerate(hosts)]
+def make_list(revision: int, *endpoints: str) -> bytes:
+    rows = [row(endpoint, i) for i, endpoint in enumerate(endpoints)]
     return json.dumps({"revision": revision, "complete": True, "members": rows}).encode()
 
 
-def scripted(*answers: bytes | None) -> Callable[[], Awaitable[tuple[World, list[bytes]]]]:
-    """A discovery that gives each call the next of these bytes and ends its connection then; to further ones
-    it says nothing."""
+def scripted_discovery(
+    *responses: bytes | None,
+) -> Callable[[], Awaitable[tuple[UpstreamHarness, list[bytes]]]]:
+    """Returns a function that starts a fake discovery, and with it a harness and the targets requested.
+
+    Discovery sends the next response to each call and closes the connection. It does not respond to None or
+    to further calls.
+    """
 
-    async def start() -> tuple[World, list[bytes]]:
-        left, asked = list(answers), list[bytes]()
+    async def start() -> tuple[UpstreamHarness, list[bytes]]:
+        remaining, targets = list(responses), list[bytes]()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append((await reader.readuntil(b"\r\n\r\n")).split()[1])
-            if left and (answer := left.pop(0)) is not None:
-                writer.write(answer)
+            targets.append((await reader.readuntil(b"\r\n\r\n")).split()[1])
+            if remaining and (response := remaining.pop(0)) is not None:
+                writer.write(response)
                 writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        return World(server.sockets[0].getsockname()[:2]), asked
+        return UpstreamHarness(server.sockets[0].getsockname()[:2]), targets
 
     return start
 
 
-GOOD = whole(7, "a", "b")
-EMPTY = b'{"revision":7,"complete":false,"members":[]}'  # changes, where the whole list was asked for
+FULL_LIST = make_list(7, "a", "b")
+EMPTY_DELTA = b'{"revision":7,"complete":false,"members":[]}'  # invalid in place of the full list
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "incomplete",
     [
         b"",
         b"HTTP/1.1 200 OK\r\n",
-        HEAD % (len(GOOD), GOOD[:-30]),
-        HEAD % (len(GOOD) - 30, GOOD[:-30]),
+        HEAD % (len(FULL_LIST), FULL_LIST[:-30]),
+        HEAD % (len(FULL_LIST) - 30, FULL_LIST[:-30]),
         b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
         b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{"rev\r\n',
         b"nonsense",
-        HEAD % (len(EMPTY), EMPTY),
+        HEAD % (len(EMPTY_DELTA), EMPTY_DELTA),
     ],
 )
-def test_incomplete_response_is_ignored_and_repeated(bad: bytes) -> None:
+def test_upstream_ignores_an_incomplete_response_and_repeats_the_call(incomplete: bytes) -> None:
     async def scenario() -> None:
-        w, asked = await scripted(bad, bad, HEAD % (len(GOOD), GOOD))()
-        w.upstream.start()
+        harness, targets = await scripted_discovery(
+            incomplete, incomplete, HEAD % (len(FULL_LIST), FULL_LIST)
+        )()
+        harness.upstream.start()
         try:
-            await w.until(lambda: w.catalog.is_loaded)
-            assert (w.catalog.revision, w.catalog.endpoint_count) == (7, 2)
-            assert w.settled == [(True, False)]
-            assert asked[:3] == [b"/registry/instances"] * 3
-            assert w.upstream.last_response_at is not None
+            await harness.until(lambda: harness.catalog.is_loaded)
+            assert (harness.catalog.revision, harness.catalog.endpoint_count) == (7, 2)
+            assert harness.commits == [(True, False)]
+            assert targets[:3] == [b"/registry/instances"] * 3
+            assert harness.upstream.last_response_at is not None
         finally:
-            w.upstream.close()
+            harness.upstream.close()
 
     asyncio.run(scenario())
 
 
-def test_garbage_collection_is_off_only_during_the_first_list(
+def test_upstream_freezes_objects_and_enables_garbage_collection_after_the_first_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What is frozen is never collected: it must not grow while a registry waits for discovery for days."""
-    frozen: list[int] = []
+    """Frozen objects are never collected, and must not accumulate while a registry retries for days."""
+    calls_at_freeze: list[int] = []
 
     async def scenario() -> None:
-        w, asked = await scripted(b"", b"nonsense", HEAD % (len(GOOD), GOOD))()
-        monkeypatch.setattr(gc, "freeze", lambda: frozen.append(len(asked)))
-        w.upstream.start()
+        harness, targets = await scripted_discovery(b"", b"nonsense", HEAD % (len(FULL_LIST), FULL_LIST))()
+        monkeypatch.setattr(gc, "freeze", lambda: calls_at_freeze.append(len(targets)))
+        harness.upstream.start()
         try:
-            await w.until(lambda: w.catalog.is_loaded)
-            assert frozen == [3]
+            await harness.until(lambda: harness.catalog.is_loaded)
+            assert calls_at_freeze == [3]
             assert gc.isenabled()
         finally:
-            w.upstream.close()
+            harness.upstream.close()
 
     asyncio.run(scenario())
 
 
-def test_interrupted_watch_changes_nothing() -> None:
+def test_upstream_with_an_interrupted_watch_applies_its_changes_only_once_complete() -> None:
     async def scenario() -> None:
-        changes = json.dumps(
+        delta = json.dumps(
             {"revision": 8, "complete": False, "members": [row("a", 0, "Gone"), row("c", 2)]}
         ).encode()
-        cut = HEAD % (len(changes), changes[:-20])
-        w, asked = await scripted(HEAD % (len(GOOD), GOOD), cut, HEAD % (len(changes), changes))()
-        w.upstream.start()
+        truncated = HEAD % (len(delta), delta[:-20])
+        harness, targets = await scripted_discovery(
+            HEAD % (len(FULL_LIST), FULL_LIST), truncated, HEAD % (len(delta), delta)
+        )()
+        harness.upstream.start()
         try:
-            await w.until(lambda: w.catalog.revision == 8)
-            assert w.settled == [(True, False), (True, False)]
-            assert w.touched == [(0, 8), (2, 8)]
-            assert asked[2] == b"/registry/instances?index=7&wait=0"
+            await harness.until(lambda: harness.catalog.revision == 8)
+            assert harness.commits == [(True, False), (True, False)]
+            assert harness.changes == [(0, 8), (2, 8)]
+            assert targets[2] == b"/registry/instances?index=7&wait=0"
         finally:
-            w.upstream.close()
+            harness.upstream.close()
 
     asyncio.run(scenario())
 
 
-def test_watch_without_changes_refreshes_the_age() -> None:
+def test_upstream_watch_without_changes_updates_the_age() -> None:
     async def scenario() -> None:
-        answers = [HEAD % (len(body), body) for body in (GOOD, EMPTY)]
-        w, asked = await scripted(*answers)()
-        w.upstream.start()
+        responses = [HEAD % (len(body), body) for body in (FULL_LIST, EMPTY_DELTA)]
+        harness, targets = await scripted_discovery(*responses)()
+        harness.upstream.start()
         try:
-            await w.until(lambda: len(w.settled) == 1)
-            first = w.upstream.last_response_at
-            await w.until(lambda: len(w.settled) == 2)
-            assert w.settled[1] == (False, False)
-            assert w.touched == []
-            assert first is not None
-            assert w.upstream.last_response_at is not None
-            assert w.upstream.last_response_at > first
-            assert w.upstream.age < HANG
-            assert asked[1].startswith(b"/registry/instances?index=7&wait=")
+            await harness.until(lambda: len(harness.commits) == 1)
+            first_response_at = harness.upstream.last_response_at
+            await harness.until(lambda: len(harness.commits) == 2)
+            assert harness.commits[1] == (False, False)
+            assert harness.changes == []
+            assert first_response_at is not None
+            assert harness.upstream.last_response_at is not None
+            assert harness.upstream.last_response_at > first_response_at
+            assert harness.upstream.age < HANG
+            assert targets[1].startswith(b"/registry/instances?index=7&wait=")
         finally:
-            w.upstream.close()
+            harness.upstream.close()
 
     asyncio.run(scenario())
 
 
-def test_delta_of_restarted_revisions_triggers_a_full_request() -> None:
+def test_upstream_with_a_delta_of_restarted_revisions_requests_the_full_list() -> None:
     async def scenario() -> None:
-        changes = b'{"revision":2,"complete":false,"members":[]}'
-        anew = whole(2, "b")
-        w, asked = await scripted(*(HEAD % (len(body), body) for body in (GOOD, changes, anew)))()
-        w.upstream.start()
+        delta = b'{"revision":2,"complete":false,"members":[]}'
+        restarted_list = make_list(2, "b")
+        harness, targets = await scripted_discovery(
+            *(HEAD % (len(body), body) for body in (FULL_LIST, delta, restarted_list))
+        )()
+        harness.upstream.start()
         try:
-            await w.until(lambda: w.catalog.revision == 2)
-            assert asked[2] == b"/registry/instances"
-            assert w.settled[-1] == (True, True)
-            assert (w.catalog.endpoint_count, w.catalog.oldest_revision) == (1, 2)
+            await harness.until(lambda: harness.catalog.revision == 2)
+            assert targets[2] == b"/registry/instances"
+            assert harness.commits[-1] == (True, True)
+            assert (harness.catalog.endpoint_count, harness.catalog.oldest_revision) == (1, 2)
         finally:
-            w.upstream.close()
+            harness.upstream.close()
 
     asyncio.run(scenario())
 
 
-def test_event_loop_is_free_while_a_long_list_is_received() -> None:
-    """Counted in turns of the loop; how long one lasts: benchmarks/registry.py."""
+def test_upstream_does_not_block_the_event_loop_while_it_receives_a_long_list() -> None:
+    """Counts turns of the event loop; benchmarks/registry.py measures their duration."""
 
     async def scenario() -> None:
         turns = 0
 
-        async def others() -> None:
+        async def count_turns() -> None:
             nonlocal turns
             while True:
                 turns += 1
                 await asyncio.sleep(0)
 
         async with Discovery([row(f"h{i}", i) for i in range(20_000)]) as discovery:
-            w = World(parse_address(discovery.address))
-            w.upstream.start()
-            others_task = asyncio.create_task(others())
+            harness = UpstreamHarness(parse_address(discovery.address))
+            harness.upstream.start()
+            counter = asyncio.create_task(count_turns())
             try:
-                await w.until(lambda: w.catalog.is_loaded)
-                assert w.catalog.endpoint_count == 20_000
-                assert turns >= w.upstream.bytes_in / READ_BYTES > 50
+                await harness.until(lambda: harness.catalog.is_loaded)
+                assert harness.catalog.endpoint_count == 20_000
+                assert turns >= harness.upstream.bytes_in / READ_BYTES > 50
             finally:
-                others_task.cancel()
-                w.upstream.close()
+                counter.cancel()
+                harness.upstream.close()
 
     asyncio.run(scenario())
 
 
-def test_interrupted_commit_is_completed(
+def test_upstream_completes_a_commit_when_it_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("loftrelay.registry.upstream.MAX_TURN_S", 0.0)  # a turn for each host
+    monkeypatch.setattr("loftrelay.registry.upstream.MAX_TURN_S", 0.0)  # one change in each turn
 
     async def scenario() -> None:
         async with Discovery([row(f"h{i}", i) for i in range(50)], 5) as discovery:
-            w = World(parse_address(discovery.address))
-            w.upstream.start()
-            await w.until(lambda: w.catalog.is_loaded)
-            moved = asyncio.Event()
-
-            def touch(cell: int, revision: int) -> None:
-                w.touched.append((cell, revision))
-                if len(w.touched) == 10:
-                    w.upstream.close()
-                    moved.set()
-
-            w.upstream.on_destination_changed = touch
+            harness = UpstreamHarness(parse_address(discovery.address))
+            harness.upstream.start()
+            await harness.until(lambda: harness.catalog.is_loaded)
+            interrupted = asyncio.Event()
+
+            def interrupt_at_tenth_change(destination: int, revision: int) -> None:
+                harness.changes.append((destination, revision))
+                if len(harness.changes) == 10:
+                    harness.upstream.close()
+                    interrupted.set()
+
+            harness.upstream.on_destination_changed = interrupt_at_tenth_change
             discovery.change(*(row(f"h{i}", i, "Terminating") for i in range(50)))
             async with asyncio.timeout(HANG):
-                await moved.wait()
-            await w.until(lambda: len(w.settled) > 1 and w.settled[-1][0])
-            assert len(w.touched) == 50
-            assert w.catalog.revision == 6
+                await interrupted.wait()
+            await harness.until(lambda: len(harness.commits) > 1 and harness.commits[-1][0])
+            assert len(harness.changes) == 50
+            assert harness.catalog.revision == 6
 
     asyncio.run(scenario())
