--- a/tests/delivery/test_hard_cases.py
+++ b/tests/delivery/test_connection_failures.py
@@ -16,7 +16,7 @@
 from loftrelay.net.address import Address
 from loftrelay.net.http import Connection
 from loftrelay.relay.ports import CallOptions
-from tests.delivery.sender import Sender
+from tests.delivery.host_client_fixture import Sender
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
 NEVER_RAN = (AttemptStatus.REJECTED, AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED)
--- a/tests/delivery/test_misattribution.py
+++ b/tests/delivery/test_misattribution.py
@@ -17,7 +17,7 @@
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.relay import fault_points
 from loftrelay.relay.ports import AttemptResult
-from tests.delivery.sender import Sender
+from tests.delivery.host_client_fixture import Sender
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
 LATE = (0.005, 0.015, 0.05, 0.2, 1.0)
--- a/tests/delivery/test_pools.py
+++ b/tests/delivery/test_pools.py
@@ -10,7 +10,7 @@
 from loftrelay.delivery.connection_pool.actions import ConnectFailure, PoolErrorKind
 from loftrelay.delivery.connection_pool.idle_reset import IdleResetEstimator
 from loftrelay.delivery.connection_pool.settings import MS, SECOND, DistrustScope, ReuseOrder
-from tests.delivery.driver import PoolHarness
+from tests.delivery.pool_fixture import PoolHarness
 
 
 def make_harness(**settings: Any) -> PoolHarness:
--- a/tests/delivery/test_pools_properties.py
+++ b/tests/delivery/test_pools_properties.py
@@ -9,7 +9,7 @@
 from loftrelay.delivery.connection_pool.actions import ConnectFailure, PoolErrorKind
 from loftrelay.delivery.connection_pool.connection import ConnectionState
 from loftrelay.delivery.connection_pool.settings import MS, SECOND, ReuseOrder
-from tests.delivery.driver import PoolHarness
+from tests.delivery.pool_fixture import PoolHarness
 
 HOSTS = st.sampled_from(["a", "b", "c"])
 DURATIONS = st.sampled_from([0, MS, 8 * MS, 30 * MS, 200 * MS, SECOND, 5 * SECOND, 40 * SECOND])
--- a/tests/delivery/test_waits.py
+++ b/tests/delivery/test_retry_after.py
@@ -14,7 +14,7 @@
 from loftrelay.net.http import Connection
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult
-from tests.delivery.sender import Sender
+from tests.delivery.host_client_fixture import Sender
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
 HANG = 60  # seconds after which a test that waits has failed
--- a/tests/delivery/test_decided_and_not_begun.py
+++ b/tests/delivery/test_stale_calls.py
@@ -22,8 +22,8 @@
     make_entry,
     sent_messages,
 )
-from tests.delivery.sender import Sender
-from tests.delivery.test_waits import Gate, run
+from tests.delivery.host_client_fixture import Sender
+from tests.delivery.test_retry_after import Gate, run
 from tests.standins.partner import Partner
 
 WINDOW = 0.15  # seconds
--- a/tests/delivery/test_cut_answers.py
+++ b/tests/delivery/test_truncated_responses.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loftrelay.decisions.events import AttemptStatus
-from tests.delivery.sender import Sender
+from tests.delivery.host_client_fixture import Sender
 from tests.standins.partner import ABORT
 from tests.standins.platform import reply
 
