--- a/tests/delivery/host_client_fixture.py
+++ b/tests/delivery/host_client_fixture.py
@@ -1,4 +1,4 @@
-"""Hands calls to the delivery side over loopback sockets, and records how each message of them ended."""
+"""Harness that makes calls with a host client over loopback sockets and records the results."""
 
 from __future__ import annotations
 
@@ -15,64 +15,80 @@
 from loftrelay.relay.ports import AttemptResult, CallOptions
 
 
-class Sender:
-    def __init__(self, places: Mapping[str, Address], most: int = 100, **limits: Any) -> None:
-        self.ended: dict[str, asyncio.Future[AttemptResult]] = {}
-        self.doubted: list[str] = []
-        self.tried: list[str] = []
-        self.waits: dict[str, float] = {}  # host -> until when (the loop's seconds)
-        self.shared = True  # the routes of the one destination: a wait binds all its hosts
-        self.told = asyncio.Event()
-        self.hosts = HostClient(
+class ClientHarness:
+    """Owns a host client and stands in for the engine behind its callbacks. Use as an async context.
+
+    Attributes:
+        client: The host client under test.
+        results: Message id -> the result of its attempt.
+        disputed: Ids of messages whose result was disputed.
+        attempted: Ids of messages whose attempt was recorded.
+        blocked_until: Host -> end of its Retry-After, in seconds on the clock of the event loop.
+        is_retry_after_shared: Whether a Retry-After applies to all hosts; else to the one that sent it.
+        retry_after_received: Set once a Retry-After was received.
+    """
+
+    def __init__(self, addresses: Mapping[str, Address], max_connections: int = 100, **settings: Any) -> None:
+        self.results: dict[str, asyncio.Future[AttemptResult]] = {}
+        self.disputed: list[str] = []
+        self.attempted: list[str] = []
+        self.blocked_until: dict[str, float] = {}
+        self.is_retry_after_shared = True
+        self.retry_after_received = asyncio.Event()
+        self.client = HostClient(
             200_000,
             15_000_000,
-            most,
-            PoolSettings(**limits),
+            max_connections,
+            PoolSettings(**settings),
             1,
-            lambda held, host: self.tried.append(held.id),
-            self._ended,
-            lambda name, host, at: self.doubted.append(name),
-            on_retry_after=self.tell,
-            is_blocked=self._bound,
+            lambda message, host: self.attempted.append(message.id),
+            self._record_result,
+            lambda message_id, host, sent_at: self.disputed.append(message_id),
+            on_retry_after=self.apply_retry_after,
+            is_blocked=self.is_blocked,
         )
-        for name, address in places.items():
-            self.hosts.add_host(name, address, 1)
+        for host, address in addresses.items():
+            self.client.add_host(host, address, 1)
 
-    async def __aenter__(self) -> Sender:
+    async def __aenter__(self) -> ClientHarness:
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.hosts.close()
-        await asyncio.gather(*self.hosts.calls, return_exceptions=True)
+        self.client.close()
+        await asyncio.gather(*self.client.calls, return_exceptions=True)
 
-    def tell(self, host: str, wait: int) -> None:
-        until = asyncio.get_running_loop().time() + wait / 1e6
-        for name in self.hosts.driver.addresses if self.shared else (host,):
-            self.waits[name] = max(self.waits.get(name, 0.0), until)
-        self.hosts.withdraw_blocked_calls()
-        self.told.set()
+    def apply_retry_after(self, host: str, delay: int) -> None:
+        """Applies a Retry-After of `delay` microseconds, as the engine does."""
+        until = asyncio.get_running_loop().time() + delay / 1e6
+        for name in self.client.driver.addresses if self.is_retry_after_shared else (host,):
+            self.blocked_until[name] = max(self.blocked_until.get(name, 0.0), until)
+        self.client.withdraw_blocked_calls()
+        self.retry_after_received.set()
 
-    def _bound(self, host: str) -> bool:
-        return self.waits.get(host, 0.0) > asyncio.get_running_loop().time()
+    def is_blocked(self, host: str) -> bool:
+        """Whether a Retry-After applies to the host now."""
+        return self.blocked_until.get(host, 0.0) > asyncio.get_running_loop().time()
 
-    def _ended(self, held: Message, host: str, ending: AttemptResult) -> None:
-        self.ended[held.id].set_result(ending)
+    def _record_result(self, message: Message, host: str, result: AttemptResult) -> None:
+        self.results[message.id].set_result(result)
 
     def send(
         self,
-        *names: str,
+        *message_ids: str,
         host: str = "h",
-        unsafe: bool = False,
-        batch: bool = False,
+        is_at_most_once: bool = False,
+        is_batch: bool = False,
         timeout: float = 5.0,
         body: bytes = b"hello",
-        begin_within: float = math.inf,
+        send_within: float = math.inf,
     ) -> asyncio.Future[AttemptResult]:
-        """One call. Gives the ending of its first message."""
+        """Starts one call with these messages and returns the result of the first."""
         now = wall_clock()
         messages = []
-        for name in names:
-            self.ended[name] = asyncio.get_running_loop().create_future()
-            messages.append(Message(name, 0, "x", None, 1, None, now, now + int(timeout * 1e6), body))
-        self.hosts.send_call(host, messages, CallOptions(timeout, batch, unsafe, None, begin_within))
-        return self.ended[names[0]]
+        for message_id in message_ids:
+            self.results[message_id] = asyncio.get_running_loop().create_future()
+            messages.append(Message(message_id, 0, "x", None, 1, None, now, now + int(timeout * 1e6), body))
+        self.client.send_call(
+            host, messages, CallOptions(timeout, is_batch, is_at_most_once, None, send_within)
+        )
+        return self.results[message_ids[0]]
--- a/tests/delivery/test_misattribution.py
+++ b/tests/delivery/test_misattribution.py
@@ -1,8 +1,8 @@
-"""No answer for another's request: second copies of answers, early and late, over loopback sockets.
+"""Duplicate responses, early and late, must not be taken for the response to another request.
 
-The measured case: a partner answers four quick calls and a message, and sends that answer once more a while
-later. A work order handed in meanwhile travels on the same connection; it is not run, and its own answer
-comes later still.
+Runs over loopback sockets. The failure that was measured: a host responds to four quick calls and a message,
+and sends that last response again a while later. A work order sent meanwhile uses the same connection, is
+not run, and its own response arrives later still, so that the duplicate is taken for it.
 """
 
 from __future__ import annotations
@@ -17,36 +17,40 @@
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.relay import fault_points
 from loftrelay.relay.ports import AttemptResult
-from tests.delivery.host_client_fixture import Sender
+from tests.delivery.host_client_fixture import ClientHarness
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
-LATE = (0.005, 0.015, 0.05, 0.2, 1.0)
-CASES = list(itertools.product(LATE, (200, 503), (1, 3), (False, True), (False, True)))
+DUPLICATE_DELAYS_S = (0.005, 0.015, 0.05, 0.2, 1.0)
+SCENARIOS = list(itertools.product(DUPLICATE_DELAYS_S, (200, 503), (1, 3), (False, True), (False, True)))
 
 
-async def settle() -> None:
-    """What was written on loopback can be read at once: some passes of the loop do."""
+async def run_loop_iterations() -> None:
+    """Lets the event loop read what was written on loopback; a few iterations are enough."""
     for _ in range(20):
         await asyncio.sleep(0)
 
 
-async def begun(
-    sender: Sender, partner: Partner, name: str, batch: bool, unsafe: bool = False
+async def send_until_written(
+    harness: ClientHarness, partner: Partner, message_id: str, is_batch: bool, is_at_most_once: bool = False
 ) -> AttemptResult:
-    """On a starved machine a connect may take longer than it is waited for: sent anew, as the engine does."""
+    """Sends the message again, as the engine does, if a connect times out on a starved machine."""
     while True:
-        ending = await sender.send(name, unsafe=unsafe, batch=batch)
+        result = await harness.send(message_id, is_at_most_once=is_at_most_once, is_batch=is_batch)
         if (
-            ending.status not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
-            or partner.effects[name]
+            result.status not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
+            or partner.effects[message_id]
         ):
-            return ending
+            return result
 
 
-async def stale(status: int, batch: bool = False) -> tuple[bool, bool, Sender, AttemptResult]:
-    """A late copy that comes just when an order waits for its answer on that connection, whatever the clock
-    does and however long that rested. Whether the order was misattributed, whether the copy was noticed, and
-    how the order ended."""
+async def run_late_duplicate(
+    status: int, is_batch: bool = False
+) -> tuple[bool, bool, ClientHarness, AttemptResult]:
+    """Sends a late duplicate exactly while an order awaits its response on that connection.
+
+    This depends neither on the clock nor on the idle time of the connection. Returns whether the duplicate
+    was taken for the response to the order, whether it was noticed, the harness, and the result of the order.
+    """
 
     def script(call: Call) -> Doing:
         if call.ids == ["order"]:
@@ -55,163 +59,185 @@
 
     async with (
         Partner(Behaviour(script)) as partner,
-        Sender({"h": partner.address}, at_most_once_reuse_delay=0) as sender,
+        ClientHarness({"h": partner.address}, at_most_once_reuse_delay=0) as harness,
     ):
-        await sender.send("first", batch=batch)
-        await sender.send("second", batch=batch)
-        ending = await sender.send("order", unsafe=True, batch=batch)
+        await harness.send("first", is_batch=is_batch)
+        await harness.send("second", is_batch=is_batch)
+        result = await harness.send("order", is_at_most_once=True, is_batch=is_batch)
         await partner.until(lambda: partner.answered["order"] > 0)
-        await settle()
-        false = Case(0, status, 1, batch, True).false(partner, "order", ending)
-        return false, sender.hosts.driver.pools.trust.unsolicited_at is not None, sender, ending
+        await run_loop_iterations()
+        misattributed = DuplicateScenario(0, status, 1, is_batch, True).is_misattributed(
+            partner, "order", result
+        )
+        return misattributed, harness.client.driver.pools.trust.unsolicited_at is not None, harness, result
+
 
+class DuplicateScenario:
+    """A host that responds at once and duplicates one response `delay` seconds later.
 
-class Case:
-    """Its partner answers at once and copies one answer `late` seconds after; an order's own answer is the
-    opposite of the copied one and comes after the copy (busy) or at once (at rest)."""
+    The response to an order is the opposite of the duplicated one. It is sent after the duplicate if
+    `is_call_pending`, else at once.
+    """
 
-    def __init__(self, late: float, status: int, pieces: int, batch: bool, busy: bool) -> None:
-        self.late, self.status, self.pieces, self.batch, self.busy = late, status, pieces, batch, busy
+    def __init__(self, delay: float, status: int, pieces: int, is_batch: bool, is_call_pending: bool) -> None:
+        self.delay, self.status, self.pieces = delay, status, pieces
+        self.is_batch, self.is_call_pending = is_batch, is_call_pending
 
     def script(self, call: Call) -> Doing:
         if call.ids[0].startswith("plain"):
             return Doing()
         if call.ids[0].startswith("copied"):
-            return Doing(self.status, copies=(self.late,), pieces=self.pieces)
-        return Doing(503 if self.status == 200 else 200, delay=self.late + 0.15 if self.busy else 0.0)
+            return Doing(self.status, copies=(self.delay,), pieces=self.pieces)
+        return Doing(
+            503 if self.status == 200 else 200, delay=self.delay + 0.15 if self.is_call_pending else 0.0
+        )
 
-    def false(self, partner: Partner, name: str, ending: AttemptResult) -> bool:
-        """The relay holds it to have run when it has not, or to be sure not to have run when it has."""
-        ran = partner.effects[name] > 0
-        says_not = ending.status in (
+    def is_misattributed(self, partner: Partner, message_id: str, result: AttemptResult) -> bool:
+        """Whether the relay takes a message as run that has not run, or as not run that has run."""
+        ran = partner.effects[message_id] > 0
+        claims_not_run = result.status in (
             AttemptStatus.REJECTED,
             AttemptStatus.NOT_SENT,
             AttemptStatus.CONNECT_FAILED,
         )
-        return (ending.is_final and not ran) or (says_not and ran)
+        return (result.is_final and not ran) or (claims_not_run and ran)
+
+    async def run_round(self, partner: Partner, harness: ClientHarness, number: int) -> bool:
+        """Sends an order beside a duplicate and returns whether the order was misattributed.
 
-    async def round(self, partner: Partner, sender: Sender, number: int) -> bool:
-        """Whether the order's answer was another's. Ends when the copy is over, too."""
+        Ends after the duplicate was sent.
+        """
         for i in range(4):
-            await sender.send(f"plain{number}-{i}")
-        await begun(sender, partner, f"copied{number}", self.batch)
-        await asyncio.sleep(min(0.025, self.late / 2))
-        ending = await begun(sender, partner, f"order{number}", self.batch, unsafe=True)
+            await harness.send(f"plain{number}-{i}")
+        await send_until_written(harness, partner, f"copied{number}", self.is_batch)
+        await asyncio.sleep(min(0.025, self.delay / 2))
+        result = await send_until_written(
+            harness, partner, f"order{number}", self.is_batch, is_at_most_once=True
+        )
         await partner.until(lambda: partner.copied > number and partner.answered[f"order{number}"] > 0)
-        await settle()
-        return self.false(partner, f"order{number}", ending)
+        await run_loop_iterations()
+        return self.is_misattributed(partner, f"order{number}", result)
 
-    async def play(self, rounds: int, strict: bool) -> tuple[list[bool], bool, Sender]:
+    async def run(self, rounds: int, is_strict: bool) -> tuple[list[bool], bool, ClientHarness]:
         async with (
             Partner(Behaviour(self.script)) as partner,
-            Sender({"h": partner.address}, is_strict=strict) as sender,
+            ClientHarness({"h": partner.address}, is_strict=is_strict) as harness,
         ):
-            falsified = [await self.round(partner, sender, n) for n in range(rounds)]
-            known = sender.hosts.driver.pools.trust.unsolicited_count > 0
-            return falsified, known, sender
+            misattributed = [await self.run_round(partner, harness, n) for n in range(rounds)]
+            is_noticed = harness.client.driver.pools.trust.unsolicited_count > 0
+            return misattributed, is_noticed, harness
 
 
-def play_all(strict: bool) -> list[tuple[list[bool], bool, Sender]]:
-    async def main() -> list[tuple[list[bool], bool, Sender]]:
-        return list(await asyncio.gather(*(Case(*case).play(2, strict) for case in CASES)))
+def run_scenarios(is_strict: bool) -> list[tuple[list[bool], bool, ClientHarness]]:
+    async def main() -> list[tuple[list[bool], bool, ClientHarness]]:
+        return list(await asyncio.gather(*(DuplicateScenario(*case).run(2, is_strict) for case in SCENARIOS)))
 
     return asyncio.run(main())
 
 
-def test_by_default_no_order_is_misattributed_once_its_server_was_seen_to_copy() -> None:
-    for case, (falsified, known, _) in zip(CASES, play_all(strict=False), strict=True):
-        assert known, case  # the first copy is never overlooked
-        assert not falsified[1], case
+def test_default_settings_misattribute_no_response_after_first_duplicate() -> None:
+    for case, (misattributed, is_noticed, _) in zip(SCENARIOS, run_scenarios(is_strict=False), strict=True):
+        assert is_noticed, case  # the first duplicate is always noticed
+        assert not misattributed[1], case
 
 
-@pytest.mark.parametrize("strict", [False, True])
-def test_copies_right_behind_an_answer_are_seen_and_cost_no_trust(strict: bool) -> None:
-    """They end their connection, so that they can reach no other request. Harm: each cost a new connection
-    for every order afterwards, and a relay with few slots a quarter of what it delivered."""
+@pytest.mark.parametrize("is_strict", [False, True])
+def test_duplicate_right_after_response_is_counted_and_costs_no_trust(is_strict: bool) -> None:
+    """Such a duplicate closes its connection, so it cannot be taken for another response.
+
+    Guards against a loss of trust: every later order then needed a new connection, and a relay with few call
+    slots delivered a quarter less.
+    """
 
     async def main() -> None:
         partner = Partner(Behaviour(lambda call: Doing(503 if call.ids == ["last"] else 200, behind=1)))
-        async with partner, Sender({"h": partner.address}, is_strict=strict) as sender:
+        async with partner, ClientHarness({"h": partner.address}, is_strict=is_strict) as harness:
             for i in range(5):
-                ending = await sender.send(f"order{i}", unsafe=True)
-                assert ending.status is AttemptStatus.OK
+                result = await harness.send(f"order{i}", is_at_most_once=True)
+                assert result.status is AttemptStatus.OK
                 assert partner.effects[f"order{i}"] == 1
-            assert sender.hosts.driver.pools.trust.unsolicited_count == 5
+            assert harness.client.driver.pools.trust.unsolicited_count == 5
             assert partner.accepted == 5
-            assert sender.hosts.driver.pools.requires_unused("h") == strict
-            assert (await sender.send("last", unsafe=True)).status is AttemptStatus.REJECTED
+            assert harness.client.driver.pools.requires_unused("h") == is_strict
+            assert (await harness.send("last", is_at_most_once=True)).status is AttemptStatus.REJECTED
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("step", ["heard", "journal try"])
-def test_a_copy_that_comes_while_the_loop_is_at_work_is_counted(
-    step: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Between an answer and its judging, and between a connection's check and the request's first byte. Harm:
-    on a busy machine both passed for an ordinary end of the connection."""
+def test_duplicate_received_while_loop_is_busy_is_counted(step: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Between a response and its processing, and between the connection check and the first request byte.
+
+    Guards against taking both for an ordinary close of the connection, as happened on a busy machine.
+    """
 
     async def main() -> None:
-        async with Partner() as partner, Sender({"h": partner.address}, at_most_once_reuse_delay=0) as sender:
-            await sender.send("first")
+        async with (
+            Partner() as partner,
+            ClientHarness({"h": partner.address}, at_most_once_reuse_delay=0) as harness,
+        ):
+            await harness.send("first")
 
             def listen(at: str) -> None:
                 if at == step:
                     monkeypatch.setattr(fault_points, "listener", None)
                     transport = partner.open[0].transport
                     transport.write(partner.open[0].last)
-                    (line,) = sender.hosts.driver.connections.values()
-                    assert line.connection.transport is not None
+                    (opened,) = harness.client.driver.connections.values()
+                    assert opened.connection.transport is not None
                     poll = select.poll()
-                    poll.register(line.connection.transport.get_extra_info("socket"), select.POLLIN)
+                    poll.register(opened.connection.transport.get_extra_info("socket"), select.POLLIN)
                     assert poll.poll(60_000)
 
             monkeypatch.setattr(fault_points, "listener", listen)
-            assert (await sender.send("second", unsafe=True)).status is AttemptStatus.OK
-            assert sender.hosts.driver.pools.trust.unsolicited_count == 1
+            assert (await harness.send("second", is_at_most_once=True)).status is AttemptStatus.OK
+            assert harness.client.driver.pools.trust.unsolicited_count == 1
             assert partner.effects["second"] == 1
 
     asyncio.run(main())
 
 
-def test_strict_never_misattributes_an_order() -> None:
-    for case, (falsified, _, _) in zip(CASES, play_all(strict=True), strict=True):
-        assert falsified == [False, False], case
+def test_strict_setting_misattributes_no_response() -> None:
+    for case, (misattributed, _, _) in zip(SCENARIOS, run_scenarios(is_strict=True), strict=True):
+        assert misattributed == [False, False], case
+
 
+def test_first_late_duplicate_is_misattributed_but_noticed() -> None:
+    """No client can tell the first duplicate apart; it is noticed, but too late.
 
-def test_the_first_copy_is_what_no_client_can_tell_apart() -> None:
-    """So that the two tests above are known to be able to fail: but the copy is noticed, if late."""
-    false, known, sender, ending = asyncio.run(stale(200))
-    assert false
-    assert known
-    assert ending.is_final
-    assert not sender.doubted  # it can't be taken back
+    Also shows that the two tests above are able to fail.
+    """
+    misattributed, is_noticed, harness, result = asyncio.run(run_late_duplicate(200))
+    assert misattributed
+    assert is_noticed
+    assert result.is_final
+    assert not harness.disputed  # a final result cannot be disputed
 
 
-def test_a_surplus_answer_says_in_the_log_which_may_be_false(caplog: pytest.LogCaptureFixture) -> None:
+def test_unsolicited_response_logs_messages_with_doubtful_results(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.ERROR):
-        asyncio.run(stale(200))
+        asyncio.run(run_late_duplicate(200))
     assert any("order (OK)" in line and "unsolicited" in line for line in caplog.messages)
 
 
-def test_a_refusal_that_may_have_been_anothers_is_doubted_before_the_message_goes_again() -> None:
-    """The order ran, and its 200 came behind the late copy of a 503 that was read as its refusal."""
-    false, known, sender, ending = asyncio.run(stale(503))
-    assert false
-    assert known
-    assert ending.status is AttemptStatus.REJECTED
-    assert "order" in sender.doubted
+def test_misattributed_rejection_is_disputed_before_next_attempt() -> None:
+    """The order ran, but its 200 arrived after a late duplicate of a 503 that was taken as its rejection."""
+    misattributed, is_noticed, harness, result = asyncio.run(run_late_duplicate(503))
+    assert misattributed
+    assert is_noticed
+    assert result.status is AttemptStatus.REJECTED
+    assert "order" in harness.disputed
 
 
-def test_a_copy_of_a_batch_answer_is_believed_for_no_other_batch() -> None:
-    false, known, _, ending = asyncio.run(stale(200, batch=True))
-    assert not false
-    assert known
-    assert ending.status is AttemptStatus.MALFORMED_RESPONSE
+def test_duplicate_batch_response_is_malformed_for_other_batch() -> None:
+    misattributed, is_noticed, _, result = asyncio.run(run_late_duplicate(200, is_batch=True))
+    assert not misattributed
+    assert is_noticed
+    assert result.status is AttemptStatus.MALFORMED_RESPONSE
 
 
-def test_an_answer_sooner_than_ever_waits_for_the_true_one() -> None:
-    """A server that takes 60 ms for each: its late copy reaches an order as soon as that is sent."""
+def test_early_response_is_rejected_if_another_follows() -> None:
+    """The host takes 60 ms per call, but its late duplicate arrives as soon as the order is sent."""
 
     def script(call: Call) -> Doing:
         if call.ids == ["order"]:
@@ -221,83 +247,85 @@
     async def main() -> None:
         async with (
             Partner(Behaviour(script)) as partner,
-            Sender({"h": partner.address}, at_most_once_reuse_delay=0) as sender,
+            ClientHarness({"h": partner.address}, at_most_once_reuse_delay=0) as harness,
         ):
             for i in range(36):
-                await sender.send(f"plain{i}")
-            ending = await sender.send("order", unsafe=True)
+                await harness.send(f"plain{i}")
+            result = await harness.send("order", is_at_most_once=True)
             assert partner.calls[-1].connection == partner.calls[-2].connection
-            assert ending.status is AttemptStatus.MALFORMED_RESPONSE
-            assert not ending.is_final
-            assert sender.hosts.driver.pools.trust.unsolicited_at is not None
+            assert result.status is AttemptStatus.MALFORMED_RESPONSE
+            assert not result.is_final
+            assert harness.client.driver.pools.trust.unsolicited_at is not None
 
     asyncio.run(main())
 
 
-def test_an_answer_sooner_than_ever_stands_when_none_follows() -> None:
+def test_early_response_is_accepted_if_none_follows() -> None:
     async def main() -> None:
         def script(call: Call) -> Doing:
             return Doing(delay=0.0 if call.ids == ["order"] else 0.03)
 
         async with (
             Partner(Behaviour(script)) as partner,
-            Sender({"h": partner.address}, at_most_once_reuse_delay=0) as sender,
+            ClientHarness({"h": partner.address}, at_most_once_reuse_delay=0) as harness,
         ):
             for i in range(36):
-                await sender.send(f"plain{i}")
-            ending = await sender.send("order", unsafe=True)
-            assert ending.status is AttemptStatus.OK
-            await sender.send("next")
-            assert partner.accepted == 1  # and its connection is kept
+                await harness.send(f"plain{i}")
+            result = await harness.send("order", is_at_most_once=True)
+            assert result.status is AttemptStatus.OK
+            await harness.send("next")
+            assert partner.accepted == 1  # the connection is kept
 
     asyncio.run(main())
 
 
-def test_an_answer_before_the_request_is_whole_is_none() -> None:
-    """A server that writes before it has read: nobody can have answered what was not asked whole."""
+def test_response_before_request_is_written_fails_call() -> None:
+    """A host cannot have answered a request that it has not received completely."""
 
     async def main() -> None:
-        async def rude(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond_before_request(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readexactly(1)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-        server = await asyncio.start_server(rude, "127.0.0.1", 0, limit=1024)
+        server = await asyncio.start_server(respond_before_request, "127.0.0.1", 0, limit=1024)
         address = server.sockets[0].getsockname()[:2]
-        async with Sender({"h": address}) as sender:
-            ending = await sender.send("big", unsafe=True, body=bytes(32 << 20))
-            assert ending.status is AttemptStatus.CONNECT_FAILED
-            assert not ending.is_final
+        async with ClientHarness({"h": address}) as harness:
+            result = await harness.send("big", is_at_most_once=True, body=bytes(32 << 20))
+            assert result.status is AttemptStatus.CONNECT_FAILED
+            assert not result.is_final
         server.close()
 
     asyncio.run(main())
 
 
-def test_bytes_on_a_connection_that_nothing_was_asked_on_end_it() -> None:
-    """Before the first request, too: an answer that waits there would be taken for the first one's."""
+def test_response_on_unused_connection_closes_it() -> None:
+    """It would otherwise be taken for the response to the first request on that connection."""
 
     async def main() -> None:
-        greeted = 0
+        connection_count = 0
 
-        async def greet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal greeted
-            greeted += 1
-            if greeted == 1:
+        async def respond_on_connect(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            nonlocal connection_count
+            connection_count += 1
+            if connection_count == 1:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 return
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 
-        server = await asyncio.start_server(greet, "127.0.0.1", 0)
+        server = await asyncio.start_server(respond_on_connect, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()[:2]
-        async with Sender({"h": address}) as sender:
-            hosts = sender.hosts
-            driver = hosts.driver
-            driver.execute(driver.pools.acquire(-1, "h", False, None, driver.now_us()))  # opens one ...
+        async with ClientHarness({"h": address}) as harness:
+            client = harness.client
+            driver = client.driver
+            driver.execute(
+                driver.pools.acquire(-1, "h", False, None, driver.now_us())
+            )  # opens a connection ...
             driver.execute(driver.pools.cancel(-1, driver.now_us()))  # ... that stays idle
             async with asyncio.timeout(60):
-                while hosts.driver.pools.trust.unsolicited_at is None:
+                while client.driver.pools.trust.unsolicited_at is None:
                     await asyncio.sleep(0.001)
-            assert (await sender.send("order", unsafe=True)).status is AttemptStatus.REJECTED
+            assert (await harness.send("order", is_at_most_once=True)).status is AttemptStatus.REJECTED
         server.close()
 
     asyncio.run(main())
--- a/tests/delivery/test_retry_after.py
+++ b/tests/delivery/test_retry_after.py
@@ -1,4 +1,7 @@
-"""A wait told between a call's decision and its last byte takes it back, over loopback sockets."""
+"""A Retry-After received between the decision for a call and its last byte withdraws the call.
+
+Runs over loopback sockets.
+"""
 
 from __future__ import annotations
 
@@ -14,195 +17,202 @@
 from loftrelay.net.http import Connection
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult
-from tests.delivery.host_client_fixture import Sender
+from tests.delivery.host_client_fixture import ClientHarness
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 
-HANG = 60  # seconds after which a test that waits has failed
-LONG = 3_600_000  # ms: over the whole test, however busy the machine
+TEST_TIMEOUT_S = 60  # seconds after which a test that waits has failed
+RETRY_AFTER_MS = 3_600_000  # longer than any test, however busy the machine
 
 
-def full(call: Call) -> Doing:
-    """Messages named so are turned away, and the wait is told."""
-    return Doing(429, wait_ms=LONG) if call.ids[0].startswith("full") else Doing()
+def reject_full(call: Call) -> Doing:
+    """Rejects messages whose id begins with "full", with a Retry-After."""
+    return Doing(429, wait_ms=RETRY_AFTER_MS) if call.ids[0].startswith("full") else Doing()
 
 
-def run(scenario: Callable[[Partner, Sender], Awaitable[None]], do: Any = full, **limits: Any) -> None:
+def run(
+    scenario: Callable[[Partner, ClientHarness], Awaitable[None]], do: Any = reject_full, **settings: Any
+) -> None:
     async def main() -> None:
         async with Partner(Behaviour(do)) as partner:
-            places = {"h": partner.address, "g": partner.address}
-            async with Sender(places, **limits) as sender:
-                await scenario(partner, sender)
+            addresses = {"h": partner.address, "g": partner.address}
+            async with ClientHarness(addresses, **settings) as harness:
+                await scenario(partner, harness)
 
     asyncio.run(main())
 
 
-def outcome(ending: AttemptResult) -> tuple[AttemptStatus, bool]:
-    return ending.status, ending.is_blocked
+def status_and_blocked(result: AttemptResult) -> tuple[AttemptStatus, bool]:
+    return result.status, result.is_blocked
 
 
-HELD = (AttemptStatus.NOT_SENT, True)
+BLOCKED = (AttemptStatus.NOT_SENT, True)
 
 
-class Gate:
-    """Connections come up only when they are let, as many as were let."""
+class ConnectGate:
+    """Delays each connect until a permit is released."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.room = asyncio.Semaphore(0)
-        self.asked = 0
-        open_at_once = Connection.open
+        self.permits = asyncio.Semaphore(0)
+        self.requests = 0
+        original_open = Connection.open
 
-        async def late(address: Address, timeout: float) -> Connection:
-            self.asked += 1
-            await self.room.acquire()
-            return await open_at_once(address, timeout)
+        async def open_when_permitted(address: Address, timeout: float) -> Connection:
+            self.requests += 1
+            await self.permits.acquire()
+            return await original_open(address, timeout)
 
-        monkeypatch.setattr(Connection, "open", late)
+        monkeypatch.setattr(Connection, "open", open_when_permitted)
 
 
 @pytest.mark.parametrize("host", ["h", "g"])
-@pytest.mark.parametrize("shared", [True, False])
-def test_while_another_call_waits_for_its_connection(
-    monkeypatch: pytest.MonkeyPatch, host: str, shared: bool
+@pytest.mark.parametrize("is_shared", [True, False])
+def test_retry_after_blocks_call_that_waits_for_connect(
+    monkeypatch: pytest.MonkeyPatch, host: str, is_shared: bool
 ) -> None:
-    """It is held where its host shares routes with the one that told, and sent where routes are apart."""
-
-    async def scenario(partner: Partner, sender: Sender) -> None:
-        sender.shared = shared
-        gate = Gate(monkeypatch)
-        gate.room.release()
-        first = sender.send("full")
-        while not partner.calls:  # its connection is up, and carries it
+    """The call is blocked if its host shares the Retry-After of the host that sent it, else sent."""
+
+    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+        harness.is_retry_after_shared = is_shared
+        gate = ConnectGate(monkeypatch)
+        gate.permits.release()
+        first = harness.send("full")
+        while not partner.calls:  # its connection is open and carries it
             await asyncio.sleep(0)
-        ending = sender.send("m", host=host)
-        while gate.asked < 2:
+        result = harness.send("m", host=host)
+        while gate.requests < 2:
             await asyncio.sleep(0)
-        assert outcome(await first) == (AttemptStatus.REJECTED, False)
-        gate.room.release()
-        if shared or host == "h":
-            assert outcome(await ending) == HELD
+        assert status_and_blocked(await first) == (AttemptStatus.REJECTED, False)
+        gate.permits.release()
+        if is_shared or host == "h":
+            assert status_and_blocked(await result) == BLOCKED
             assert partner.ids == ["full"]
-            assert sender.tried == ["full"]
+            assert harness.attempted == ["full"]
         else:
-            assert outcome(await ending) == (AttemptStatus.OK, False)
+            assert status_and_blocked(await result) == (AttemptStatus.OK, False)
 
-    run(scenario, lambda call: Doing(429, wait_ms=LONG, delay=0.1) if call.ids == ["full"] else Doing())
+    run(
+        scenario,
+        lambda call: Doing(429, wait_ms=RETRY_AFTER_MS, delay=0.1) if call.ids == ["full"] else Doing(),
+    )
 
 
-def test_while_another_call_waits_for_a_place_in_the_pool() -> None:
-    async def scenario(partner: Partner, sender: Sender) -> None:
-        first, second, third = sender.send("full"), sender.send("m"), sender.send("n")
+def test_retry_after_blocks_calls_that_wait_at_host_limit() -> None:
+    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+        first, second, third = harness.send("full"), harness.send("m"), harness.send("n")
         assert (await first).status is AttemptStatus.REJECTED
-        assert outcome(await second) == HELD
-        assert outcome(await third) == HELD
+        assert status_and_blocked(await second) == BLOCKED
+        assert status_and_blocked(await third) == BLOCKED
         assert partner.ids == ["full"]
-        sender.waits.clear()
-        assert (await sender.send("o")).status is AttemptStatus.OK
+        harness.blocked_until.clear()
+        assert (await harness.send("o")).status is AttemptStatus.OK
         assert partner.accepted == 1
 
     run(scenario, max_per_host=1)
 
 
-@pytest.mark.parametrize("why", ["held", "denied"])
-def test_a_call_that_is_recalled_in_the_same_pass_has_no_second_outcome(
-    monkeypatch: pytest.MonkeyPatch, why: str
+@pytest.mark.parametrize("reason", ["blocked", "host removed"])
+def test_withdrawn_call_gets_no_result_from_failed_lease(
+    monkeypatch: pytest.MonkeyPatch, reason: str
 ) -> None:
-    """Before a handover: whoever took it back has it, and must not hear of it again."""
+    """Before a handover, a message that was withdrawn must not get a result as well."""
 
-    async def scenario(partner: Partner, sender: Sender) -> None:
-        gate = Gate(monkeypatch)
-        ending = sender.send("m")
-        while not gate.asked:
+    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+        gate = ConnectGate(monkeypatch)
+        result = harness.send("m")
+        while not gate.requests:
             await asyncio.sleep(0)
-        (task,) = sender.hosts.calls
-        if why == "held":
-            sender.tell("g", LONG * 1000)
+        (task,) = harness.client.calls
+        if reason == "blocked":
+            harness.apply_retry_after("g", RETRY_AFTER_MS * 1000)
         else:
-            sender.hosts.remove_host("h")
-        assert [held.id for held, _ in sender.hosts.withdraw_unsent_calls()] == ["m"]
+            harness.client.remove_host("h")
+        assert [message.id for message, _ in harness.client.withdraw_unsent_calls()] == ["m"]
         await asyncio.wait([task])
-        assert not ending.done()
+        assert not result.done()
 
     run(scenario)
 
 
-def test_during_the_rest_of_its_connection() -> None:
-    async def scenario(partner: Partner, sender: Sender) -> None:
-        assert (await sender.send("a")).status is AttemptStatus.OK
-        ending = sender.send("m")
-        while sender.hosts.driver.waiting or not sender.hosts.calls:  # it has its connection, which rests
+def test_retry_after_blocks_call_during_reuse_delay() -> None:
+    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+        assert (await harness.send("a")).status is AttemptStatus.OK
+        result = harness.send("m")
+        # Until the call holds its connection, which is in the reuse delay.
+        while harness.client.driver.waiting or not harness.client.calls:
             await asyncio.sleep(0)
-        assert (await sender.send("full", host="g")).status is AttemptStatus.REJECTED
-        assert outcome(await ending) == HELD
+        assert (await harness.send("full", host="g")).status is AttemptStatus.REJECTED
+        assert status_and_blocked(await result) == BLOCKED
         assert partner.ids == ["a", "full"]
 
     run(scenario, reuse_delay=300_000, max_reuse_delay=300_000, max_per_host=1)
 
 
-def test_while_its_journal_record_is_written() -> None:
-    async def scenario(partner: Partner, sender: Sender) -> None:
-        def tried(held: Message, host: str) -> None:
-            sender.tell("g", LONG * 1000)
+def test_retry_after_blocks_call_while_attempt_is_recorded() -> None:
+    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+        def on_attempt(message: Message, host: str) -> None:
+            harness.apply_retry_after("g", RETRY_AFTER_MS * 1000)
 
-        sender.hosts.on_attempt = tried
-        assert outcome(await sender.send("m")) == HELD
+        harness.client.on_attempt = on_attempt
+        assert status_and_blocked(await harness.send("m")) == BLOCKED
         assert not partner.calls
 
     run(scenario)
 
 
-def test_while_it_is_begun_anew_on_a_second_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(partner: Partner, sender: Sender) -> None:
-        assert (await sender.send("a")).status is AttemptStatus.OK
-        usable, looks = Connection.is_usable, [True, False]  # it ends between the look and the first byte
+def test_retry_after_blocks_call_that_changes_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+        assert (await harness.send("a")).status is AttemptStatus.OK
+        # The connection is closed between the check and the first byte.
+        is_usable, results = Connection.is_usable, [True, False]
 
-        def ended(connection: Connection) -> bool:
-            sound = looks.pop(0) if looks else usable(connection)
-            if not sound:
-                sender.tell("g", LONG * 1000)
-            return sound
+        def check_usable(connection: Connection) -> bool:
+            usable = results.pop(0) if results else is_usable(connection)
+            if not usable:
+                harness.apply_retry_after("g", RETRY_AFTER_MS * 1000)
+            return usable
 
-        monkeypatch.setattr(Connection, "is_usable", ended)
-        assert outcome(await sender.send("m")) == HELD
+        monkeypatch.setattr(Connection, "is_usable", check_usable)
+        assert status_and_blocked(await harness.send("m")) == BLOCKED
         assert partner.ids == ["a"]
 
     run(scenario)
 
 
-@pytest.mark.parametrize("bound", [True, False])
-def test_the_last_byte_goes_out_slowly(bound: bool) -> None:
-    """A host that has not the whole of a call can't have begun it: it goes back, and its rest is not sent."""
+@pytest.mark.parametrize("is_blocked", [True, False])
+def test_retry_after_withdraws_request_before_last_byte(is_blocked: bool) -> None:
+    """A host cannot have run a call that it has not received completely: the rest is not sent."""
 
     async def main() -> None:
-        body, came = b"x" * (32 << 20), bytearray()
-        begun, read, ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        body, received = b"x" * (32 << 20), bytearray()
+        first_bytes_received, may_read, ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            came.extend(await reader.read(100))
-            begun.set()
-            await read.wait()
-            while len(came) < len(body) and (data := await reader.read(1 << 20)):
-                came.extend(data)
+            received.extend(await reader.read(100))
+            first_bytes_received.set()
+            await may_read.wait()
+            while len(received) < len(body) and (data := await reader.read(1 << 20)):
+                received.extend(data)
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n")
             writer.close()
             ended.set()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        async with Sender({"h": server.sockets[0].getsockname()[:2]}) as sender:
-            ending = sender.send("m", body=body, timeout=30.0)
-            await begun.wait()
-            if bound:
-                sender.tell("h", LONG * 1000)
-            read.set()
-            assert outcome(await ending) == (HELD if bound else (AttemptStatus.OK, False))
+        async with ClientHarness({"h": server.sockets[0].getsockname()[:2]}) as harness:
+            result = harness.send("m", body=body, timeout=30.0)
+            await first_bytes_received.wait()
+            if is_blocked:
+                harness.apply_retry_after("h", RETRY_AFTER_MS * 1000)
+            may_read.set()
+            assert status_and_blocked(await result) == (BLOCKED if is_blocked else (AttemptStatus.OK, False))
             await ended.wait()
-            assert (len(came) < len(body)) is bound
-            assert not sender.hosts.driver.pools.table.connections or not bound
+            assert (len(received) < len(body)) is is_blocked
+            assert not harness.client.driver.pools.table.connections or not is_blocked
         server.close()
 
     asyncio.run(main())
 
 
-ANSWERS = {
+RESPONSE_ENDS = {
     "whole": b"Content-Length: 0\r\n\r\n",
     "spoilt": b"Content-Length: 4\r\n\r\n[{]}",
     "never ends": b"Content-Length: 9\r\n\r\n[",
@@ -213,52 +223,52 @@
 
 
 @pytest.mark.parametrize("status", [200, 429, 500, 503])
-@pytest.mark.parametrize("rest", ANSWERS)
-def test_a_wait_in_the_head_binds_whatever_comes_after_it(status: int, rest: str) -> None:
-    """At once, and each message's ending tells it, too, also where the call times out in the midst of it."""
+@pytest.mark.parametrize("rest", RESPONSE_ENDS)
+def test_retry_after_applies_from_headers_whatever_follows(status: int, rest: str) -> None:
+    """It applies at once and is part of each result, even if the call times out during the response."""
 
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"]")
-            head = f"HTTP/1.1 {status} X\r\nX-Come-Back-Ms: {LONG}\r\n".encode()
-            writer.write(head + ANSWERS[rest])
+            head = f"HTTP/1.1 {status} X\r\nX-Come-Back-Ms: {RETRY_AFTER_MS}\r\n".encode()
+            writer.write(head + RESPONSE_ENDS[rest])
             if rest == "cut":
                 writer.write_eof()
             await reader.read()
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        async with Sender({"h": server.sockets[0].getsockname()[:2]}) as sender:
-            sender.send("a", "b", batch=True, timeout=30.0)
-            await asyncio.wait_for(sender.told.wait(), HANG)
-            assert sender._bound("h")
-            assert [(await sender.ended[name]).retry_after for name in "ab"] == [LONG * 1000] * 2
+        async with ClientHarness({"h": server.sockets[0].getsockname()[:2]}) as harness:
+            harness.send("a", "b", is_batch=True, timeout=30.0)
+            await asyncio.wait_for(harness.retry_after_received.wait(), TEST_TIMEOUT_S)
+            assert harness.is_blocked("h")
+            assert [(await harness.results[name]).retry_after for name in "ab"] == [RETRY_AFTER_MS * 1000] * 2
         server.close()
 
     asyncio.run(main())
 
 
-def test_an_answer_that_has_come_when_the_call_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The loop was late: the time is up before it reads what came long since."""
+def test_response_received_before_late_timeout_check_is_processed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A late event loop runs the deadline timer before it reads a response that arrived long ago."""
 
-    async def scenario(partner: Partner, sender: Sender) -> None:
-        ending = sender.send("full", timeout=60.0)
+    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+        result = harness.send("full", timeout=60.0)
         while not partner.calls:
             await asyncio.sleep(0)
-        (call,) = sender.hosts.calls.values()
+        (call,) = harness.client.calls.values()
         assert call.sent_on is not None
         connection = call.sent_on.connection
         assert connection.transport is not None
-        # In the pass in which the answer is written.
+        # In the same loop iteration in which the response is written.
         connection._deadline_timer._check(3, connection.transport, connection._deadline_passed)
-        assert (await ending).retry_after == LONG * 1000
-        assert sender._bound("g")
+        assert (await result).retry_after == RETRY_AFTER_MS * 1000
+        assert harness.is_blocked("g")
 
     run(scenario)
 
 
 @pytest.mark.parametrize(
-    ("values", "wait"),
+    ("values", "delay_us"),
     [
         ([b"250"], 250_000),
         ([b"0"], 0),
@@ -279,5 +289,5 @@
         ([b"\xd9\xa2"], 0),
     ],
 )
-def test_what_a_told_wait_says(values: list[bytes], wait: int) -> None:
-    assert parse_retry_after([(b"x", b"7"), *((b"x-come-back-ms", value) for value in values)]) == wait
+def test_parse_retry_after_returns_longest_valid_value(values: list[bytes], delay_us: int) -> None:
+    assert parse_retry_after([(b"x", b"7"), *((b"x-come-back-ms", value) for value in values)]) == delay_us
--- a/tests/delivery/test_stale_calls.py
+++ b/tests/delivery/test_stale_calls.py
@@ -1,7 +1,8 @@
-"""What was decided holds no more, and the host has not the whole of the call: it goes back, over loopback.
+"""A call whose decision is outdated before the host has received it completely is not sent.
 
-A drain, a host that is gone, and the end of the window in which a destination drops repeats: each told while
-the call waits for its connection, while that rests, in the journal's record and in the midst of its bytes.
+The causes are a drain, the removal of the host, and the end of the deduplication window of the destination.
+Each occurs while the call waits for its connection, during the reuse delay, and while the attempt is
+recorded; the end of the window also while the request is being written. Runs over loopback sockets.
 """
 
 from __future__ import annotations
@@ -22,94 +23,96 @@
     make_entry,
     sent_messages,
 )
-from tests.delivery.host_client_fixture import Sender
-from tests.delivery.test_retry_after import Gate, run
+from tests.delivery.host_client_fixture import ClientHarness
+from tests.delivery.test_retry_after import ConnectGate, run
 from tests.standins.partner import Partner
 
-WINDOW = 0.15  # seconds
+WINDOW_S = 0.15  # deduplication window
 
-TOLD: dict[str, Callable[[Sender], None]] = {
-    "drain": lambda sender: sender.hosts.drain_host("h"),
-    "gone": lambda sender: sender.hosts.remove_host("h"),
-    "window": lambda sender: None,  # it ends by itself
+EVENTS: dict[str, Callable[[ClientHarness], None]] = {
+    "drain": lambda harness: harness.client.drain_host("h"),
+    "removed": lambda harness: harness.client.remove_host("h"),
+    "window": lambda harness: None,  # ends without an event
 }
 
 
-def within(why: str) -> float:
-    return WINDOW if why == "window" else 60.0
+def send_within(event: str) -> float:
+    return WINDOW_S if event == "window" else 60.0
 
 
-@pytest.mark.parametrize("why", TOLD)
-def test_while_it_waits_for_its_connection(monkeypatch: pytest.MonkeyPatch, why: str) -> None:
-    async def scenario(partner: Partner, sender: Sender) -> None:
-        gate = Gate(monkeypatch)
-        ending = sender.send("m", begin_within=within(why))
-        while not gate.asked:
+@pytest.mark.parametrize("event", EVENTS)
+def test_stale_call_waiting_for_connect_is_not_sent(monkeypatch: pytest.MonkeyPatch, event: str) -> None:
+    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+        gate = ConnectGate(monkeypatch)
+        result = harness.send("m", send_within=send_within(event))
+        while not gate.requests:
             await asyncio.sleep(0)
-        TOLD[why](sender)
-        told = await ending
-        assert told.status is (AttemptStatus.CONNECT_FAILED if why == "gone" else AttemptStatus.NOT_SENT)
-        assert told.is_stale == (why != "gone")
-        gate.room.release()
+        EVENTS[event](harness)
+        outcome = await result
+        assert outcome.status is (
+            AttemptStatus.CONNECT_FAILED if event == "removed" else AttemptStatus.NOT_SENT
+        )
+        assert outcome.is_stale == (event != "removed")
+        gate.permits.release()
         await asyncio.sleep(0.05)
         assert not partner.calls
-        assert not sender.tried
+        assert not harness.attempted
 
     run(scenario)
 
 
-@pytest.mark.parametrize("why", TOLD)
-def test_while_its_connection_rests(why: str) -> None:
-    async def scenario(partner: Partner, sender: Sender) -> None:
-        assert (await sender.send("a")).status is AttemptStatus.OK
-        ending = sender.send("m", begin_within=within(why))
-        while sender.hosts.driver.waiting or not sender.hosts.calls:
+@pytest.mark.parametrize("event", EVENTS)
+def test_stale_call_in_reuse_delay_is_not_sent(event: str) -> None:
+    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+        assert (await harness.send("a")).status is AttemptStatus.OK
+        result = harness.send("m", send_within=send_within(event))
+        while harness.client.driver.waiting or not harness.client.calls:
             await asyncio.sleep(0)
-        TOLD[why](sender)
-        assert (await ending).status in (AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED)
+        EVENTS[event](harness)
+        assert (await result).status in (AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED)
         assert partner.ids == ["a"]
-        assert sender.tried == ["a"]
+        assert harness.attempted == ["a"]
 
     run(scenario, reuse_delay=300_000, max_reuse_delay=300_000, max_per_host=1)
 
 
-@pytest.mark.parametrize("why", TOLD)
-def test_while_its_record_is_written(why: str) -> None:
-    async def scenario(partner: Partner, sender: Sender) -> None:
-        def tried(held: Message, host: str) -> None:
-            TOLD[why](sender)
-            if why == "window":
-                until = asyncio.get_running_loop().time() + WINDOW
+@pytest.mark.parametrize("event", EVENTS)
+def test_stale_call_whose_attempt_is_being_recorded_is_not_sent(event: str) -> None:
+    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+        def on_attempt(message: Message, host: str) -> None:
+            EVENTS[event](harness)
+            if event == "window":
+                until = asyncio.get_running_loop().time() + WINDOW_S
                 while asyncio.get_running_loop().time() < until:
                     pass
 
-        sender.hosts.on_attempt = tried
-        ending = await sender.send("m", begin_within=within(why))
-        assert (ending.status, ending.is_stale) == (AttemptStatus.NOT_SENT, True)
+        harness.client.on_attempt = on_attempt
+        result = await harness.send("m", send_within=send_within(event))
+        assert (result.status, result.is_stale) == (AttemptStatus.NOT_SENT, True)
         assert not partner.calls
 
     run(scenario)
 
 
-def test_while_its_last_byte_is_not_out() -> None:
-    """A window that ends under it: the rest is not sent, and the host never has it whole."""
+def test_stale_call_with_unwritten_bytes_is_withdrawn() -> None:
+    """The deduplication window ends meanwhile: the rest is not sent and the host never has the whole call."""
 
     async def main() -> None:
         ended = asyncio.Event()
 
-        class Unread(asyncio.Protocol):
+        class SlowReader(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
                 assert isinstance(transport, asyncio.Transport)
                 transport.pause_reading()
-                asyncio.get_running_loop().call_later(3 * WINDOW, transport.resume_reading)
+                asyncio.get_running_loop().call_later(3 * WINDOW_S, transport.resume_reading)
 
             def connection_lost(self, exc: Exception | None) -> None:
                 ended.set()
 
-        server = await asyncio.get_running_loop().create_server(Unread, "127.0.0.1", 0)
-        async with Sender({"h": server.sockets[0].getsockname()[:2]}) as sender:
-            ending = await sender.send("m", body=b"x" * (32 << 20), begin_within=WINDOW)
-            assert (ending.status, ending.is_stale) == (AttemptStatus.NOT_SENT, True)
+        server = await asyncio.get_running_loop().create_server(SlowReader, "127.0.0.1", 0)
+        async with ClientHarness({"h": server.sockets[0].getsockname()[:2]}) as harness:
+            result = await harness.send("m", body=b"x" * (32 << 20), send_within=WINDOW_S)
+            assert (result.status, result.is_stale) == (AttemptStatus.NOT_SENT, True)
             await ended.wait()
         server.close()
 
@@ -117,15 +120,17 @@
 
 
 @pytest.mark.parametrize("window", [SECOND_US, 5 * SECOND_US])
-def test_the_module_bounds_each_repeat_by_its_window(window: int) -> None:
-    """The first call has no bound; each later one goes out whole before the window is over, or not at all."""
+def test_decisions_bound_repeated_calls_by_deduplication_window(window: int) -> None:
+    """The first call has no bound; each later one is sent completely within the window, or not at all."""
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    about = MessageClass(
+    message_class = MessageClass(
         "k", DeliverySemantics.DEDUPLICATED, "all", window, SECOND_US, 20 * SECOND_US, 1.0, 0.4, False
     )
-    driver.run_batch(MessageSubmitted("m", 1, "k", None, 20 * SECOND_US, None, MessageTerms(about, 12)))
-    first = driver.now
+    driver.run_batch(
+        MessageSubmitted("m", 1, "k", None, 20 * SECOND_US, None, MessageTerms(message_class, 12))
+    )
+    first_sent_at = driver.now
     while not ended_messages(
         actions := driver.end_attempt("m", AttemptStatus.CONNECTION_LOST, after=20 * MILLISECOND_US)
     ):
@@ -138,4 +143,4 @@
     assert len(calls) > 1
     for at, send in calls[1:]:
         assert send.send_within is not None
-        assert at < at + send.send_within < first + window
+        assert at < at + send.send_within < first_sent_at + window
