--- a/tests/delivery/test_idempotency_key.py
+++ b/tests/delivery/test_idempotency_key.py
@@ -1,4 +1,4 @@
-"""The key by which a destination drops repeats goes on unchanged: with a call, in a batch, after a kill."""
+"""Idempotency keys reach the host unchanged: in single calls, in batches and after a crash."""
 
 from __future__ import annotations
 
@@ -26,37 +26,37 @@
 
 
 @pytest.mark.parametrize("kind", ["plain", "bulk"])
-@pytest.mark.parametrize("killed", [False, True])
-def test_it_goes_on_unchanged(tmp_path: Path, kind: str, killed: bool) -> None:
-    async def scenario(w: World) -> None:
-        if killed:
-            w.name(kind=kind)
-            await w.start()
-            assert await w.hand_in("m", "alarm", Idempotency_Key=KEY) == 202
-            await w.kill()
-            w.members.clear()
-        host = await w.host(deliver, kind=kind)
-        await w.start()
-        if not killed:
-            assert await w.hand_in("m", "alarm", Idempotency_Key=KEY) == 202
-        await w.until(lambda: len(host.requests) == 1)
+@pytest.mark.parametrize("is_killed", [False, True])
+def test_idempotency_key_is_forwarded_unchanged(tmp_path: Path, kind: str, is_killed: bool) -> None:
+    async def scenario(world: World) -> None:
+        if is_killed:
+            world.name(kind=kind)
+            await world.start()
+            assert await world.hand_in("m", "alarm", Idempotency_Key=KEY) == 202
+            await world.kill()
+            world.members.clear()
+        host = await world.host(deliver, kind=kind)
+        await world.start()
+        if not is_killed:
+            assert await world.hand_in("m", "alarm", Idempotency_Key=KEY) == 202
+        await world.until(lambda: len(host.requests) == 1)
         call = host.requests[0]
-        told = json.loads(call.body)[0]["key"] if kind == "bulk" else call.headers["idempotency-key"]
-        assert told == KEY
+        key = json.loads(call.body)[0]["key"] if kind == "bulk" else call.headers["idempotency-key"]
+        assert key == KEY
 
     run(scenario, tmp_path, classes=CLASSES)
 
 
-def test_each_try_carries_it(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+def test_idempotency_key_is_sent_with_each_attempt(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         async def script(request: Request) -> bytes | None:
             return reply(503 if len(host.requests) < 3 else 200)
 
-        host = await w.host(script)
-        await w.start()
-        assert await w.hand_in("m", "alarm", Idempotency_Key=KEY) == 202
-        assert await w.hand_in("without", "alarm") == 202
-        await w.until(lambda: host.ids.count("m") >= 2 and "without" in host.ids)
+        host = await world.host(script)
+        await world.start()
+        assert await world.hand_in("m", "alarm", Idempotency_Key=KEY) == 202
+        assert await world.hand_in("without", "alarm") == 202
+        await world.until(lambda: host.ids.count("m") >= 2 and "without" in host.ids)
         keys = {(r.id, r.headers.get("idempotency-key")) for r in host.requests}
         assert keys == {("m", KEY), ("without", None)}
 
@@ -71,11 +71,11 @@
         message("m", Idempotency_Key="caf\u00e9").decode().encode("latin-1"),
     ],
 )
-def test_one_that_can_not_be_passed_on_is_answered_so(tmp_path: Path, raw: bytes) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        await w.start()
-        assert (await w.ask(raw))[0] == 400
+def test_invalid_idempotency_key_is_rejected_with_400(tmp_path: Path, raw: bytes) -> None:
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
+        await world.start()
+        assert (await world.ask(raw))[0] == 400
         await asyncio.sleep(0)
         assert not host.requests
 
--- a/tests/delivery/test_outcomes.py
+++ b/tests/delivery/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What comes back from a host, or does not, and what may then be done with a message."""
+"""Outcomes of calls to hosts, and whether a message is delivered, retried or failed after each."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 from tests.standins.platform import HANG, Request, World, deliver, failed, never, reply, run
 
 
-@pytest.mark.parametrize("answer", [None, b"HTTP/1.1 2", b"\0noise\r\n\r\n", reply(500), reply(418)])
-def test_an_attempt_that_may_have_run(tmp_path: Path, answer: bytes | None) -> None:
-    """No answer, half a line, noise and errors alike: what is safe goes again, what is not never does."""
+@pytest.mark.parametrize("response", [None, b"HTTP/1.1 2", b"\0noise\r\n\r\n", reply(500), reply(418)])
+def test_attempt_that_may_have_run_is_retried_only_if_safe(tmp_path: Path, response: bytes | None) -> None:
+    """After no response, half a line, noise or an error, only an idempotent message is retried."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         async def script(request: Request) -> bytes | None:
             if host.ids.count("safe") > 1:
                 return reply(200)
-            return answer
-
-        host = await w.host(script)
-        await w.start()
-        await w.warm(host)
-        assert await w.hand_in("once", "order") == 202
-        if answer == b"HTTP/1.1 2":
-            await w.until(lambda: host.ids == ["once"])
+            return response
+
+        host = await world.host(script)
+        await world.start()
+        await world.warm(host)
+        assert await world.hand_in("once", "order") == 202
+        if response == b"HTTP/1.1 2":
+            await world.until(lambda: host.ids == ["once"])
             host.close_connections()
-        await w.until(lambda: w.notices == [failed("once")])
-        assert await w.hand_in("safe") == 202
-        if answer == b"HTTP/1.1 2":
-            await w.until(lambda: host.ids == ["once", "safe"])
+        await world.until(lambda: world.notices == [failed("once")])
+        assert await world.hand_in("safe") == 202
+        if response == b"HTTP/1.1 2":
+            await world.until(lambda: host.ids == ["once", "safe"])
             host.close_connections()
-        await w.until(lambda: host.ids == ["once", "safe", "safe"])
+        await world.until(lambda: host.ids == ["once", "safe", "safe"])
 
     run(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"HTTP/1.1 200 OK\r\nConte",
         b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort",
@@ -52,27 +52,27 @@
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nCont",
     ],
 )
-def test_a_first_line_with_200_delivers(tmp_path: Path, answer: bytes) -> None:
-    """The rest of the answer may be broken off or nonsense; sending again would double the effect."""
+def test_status_line_with_200_delivers_message_if_rest_is_invalid(tmp_path: Path, response: bytes) -> None:
+    """The rest may be truncated or invalid; a retry would run the message twice."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         async def script(request: Request) -> bytes | None:
-            return answer if request.id == "half" else reply(200)
+            return response if request.id == "half" else reply(200)
 
-        host = await w.host(script)
-        await w.start()
-        assert await w.hand_in("half", "order") == 202
-        await w.until(lambda: host.ids == ["half"])
+        host = await world.host(script)
+        await world.start()
+        assert await world.hand_in("half", "order") == 202
+        await world.until(lambda: host.ids == ["half"])
         host.close_connections()
-        assert await w.hand_in("next", "order") == 202  # of the same key: goes once the first is over
-        await w.until(lambda: host.ids == ["half", "next"])
-        assert not w.notices
+        assert await world.hand_in("next", "order") == 202  # same ordering key: sent once the first is final
+        await world.until(lambda: host.ids == ["half", "next"])
+        assert not world.notices
 
     run(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"HTTP/1.1 200 OK\r\nX: never ends",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + bytes(99_000),
@@ -82,175 +82,175 @@
         b"noise with no line end",
     ],
 )
-def test_a_spoilt_answer_ends_its_call_at_once(tmp_path: Path, answer: bytes) -> None:
-    """Its connection stays open and silent. Waiting for the rest would hold the slot until the time-out."""
+def test_invalid_response_ends_call_before_timeout(tmp_path: Path, response: bytes) -> None:
+    """The connection stays open and silent; waiting would hold the call slot until the timeout."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         async def script(request: Request) -> bytes | None:
-            return answer if request.id == "m1" else reply(200)
-
-        host = await w.host(script)
-        await w.start()
-        await w.warm(host)
-        assert await w.hand_in("m1", "order", Request_Timeout_Ms="24000") == 202
-        await w.until(lambda: bool(host.requests) and host.requests[0].connection in host.ended)
-        assert await w.hand_in("m2", "order") == 202  # of the same key
-        await w.until(lambda: host.ids == ["m1", "m2"])
-        assert w.notices == ([] if b" 200 " in answer else [failed("m1")])
+            return response if request.id == "m1" else reply(200)
+
+        host = await world.host(script)
+        await world.start()
+        await world.warm(host)
+        assert await world.hand_in("m1", "order", Request_Timeout_Ms="24000") == 202
+        await world.until(lambda: bool(host.requests) and host.requests[0].connection in host.ended)
+        assert await world.hand_in("m2", "order") == 202  # same ordering key
+        await world.until(lambda: host.ids == ["m1", "m2"])
+        assert world.notices == ([] if b" 200 " in response else [failed("m1")])
         assert host.requests[1].connection != host.requests[0].connection
 
     run(scenario, tmp_path)
 
 
-def test_a_second_copy_of_an_answer_answers_nothing(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+def test_duplicate_response_completes_no_other_message(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         async def script(request: Request) -> bytes | None:
             if request.id == "m1":
                 return b"HTTP/1.1 100 Continue\r\n\r\n" + 2 * reply(200, Server_Load="x0=\xa7,=")
             return reply(500)
 
-        host = await w.host(script)
-        await w.start()
-        await w.warm(host)
+        host = await world.host(script)
+        await world.start()
+        await world.warm(host)
         for name in ("m1", "m2"):
-            assert await w.hand_in(name, "order") == 202
-        await w.until(lambda: w.notices == [failed("m2")])
+            assert await world.hand_in(name, "order") == 202
+        await world.until(lambda: world.notices == [failed("m2")])
         assert host.ids == ["m1", "m2"]
 
     run(scenario, tmp_path)
 
 
-def test_a_host_that_moved_is_not_called_where_it_was(tmp_path: Path) -> None:
-    """Its id is listed with another address while a call is out: that connection leads to someone else."""
+def test_host_with_new_address_is_not_called_at_old_address(tmp_path: Path) -> None:
+    """The id is listed with another address during a call: the old connection leads to another host."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         released = asyncio.Event()
 
         async def script(request: Request) -> bytes | None:
             await released.wait()
             return reply(200)
 
-        old = await w.host(deliver)
-        await w.start()
-        await w.warm(old)
+        old = await world.host(deliver)
+        await world.start()
+        await world.warm(old)
         old.script = script
-        assert await w.hand_in("m1") == 202
-        await w.until(lambda: old.ids == ["m1"])
-        new = await w.peer(deliver)
-        w.members[0]["host_port"] = new.address
-        w.list_host(2, "plain", "Ready", new.address)  # so that its list is known to have come
-        await w.hand_in_once_listed("seen", 2)
+        assert await world.hand_in("m1") == 202
+        await world.until(lambda: old.ids == ["m1"])
+        new = await world.peer(deliver)
+        world.members[0]["host_port"] = new.address
+        world.list_host(2, "plain", "Ready", new.address)  # shows that the list was received
+        await world.hand_in_once_listed("seen", 2)
         released.set()
-        await w.until(lambda: old.answered == 21)
-        assert await w.hand_in("m2") == 202
-        await w.until(lambda: new.ids[-1:] == ["m2"])
+        await world.until(lambda: old.answered == 21)
+        assert await world.hand_in("m2") == 202
+        await world.until(lambda: new.ids[-1:] == ["m2"])
         assert old.ids == ["m1"]
 
     run(scenario, tmp_path)
 
 
-def test_a_refused_connection_proves_that_nothing_ran(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        gone = await w.host(deliver)
-        await w.start()
-        await w.warm(gone)
-        assert gone.server is not None
-        gone.server.close()
-        gone.close_connections()
-        await w.until(lambda: len(gone.ended) == len(gone.connections))
-        port = int(w.members[0]["host_port"].partition(":")[2])
-        assert await w.hand_in("m", "order") == 202
+def test_refused_connection_is_retried_for_at_most_once_message(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
+        await world.start()
+        await world.warm(host)
+        assert host.server is not None
+        host.server.close()
+        host.close_connections()
+        await world.until(lambda: len(host.ended) == len(host.connections))
+        port = int(world.members[0]["host_port"].partition(":")[2])
+        assert await world.hand_in("m", "order") == 202
         async with asyncio.timeout(HANG):
             while not any(b"NO_CONNECTION" in f.read_bytes() for f in (tmp_path / "state").iterdir()):
                 await asyncio.sleep(0.01)
-        await gone.start(port)
-        await w.until(lambda: gone.ids == ["m"])
-        assert not w.notices
+        await host.start(port)
+        await world.until(lambda: host.ids == ["m"])
+        assert not world.notices
 
     run(scenario, tmp_path)
 
 
-def test_a_told_wait_is_heeded_and_nothing_ran(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+def test_rejected_message_is_retried_after_retry_after(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
         times: list[float] = []
 
         async def script(request: Request) -> bytes | None:
             times.append(asyncio.get_running_loop().time())
             return reply(429, X_Come_Back_Ms="700") if len(times) == 1 else reply(200)
 
-        await w.host(script)
-        await w.start()
-        assert await w.hand_in("m", "order") == 202
-        await w.until(lambda: len(times) == 2)
+        await world.host(script)
+        await world.start()
+        assert await world.hand_in("m", "order") == 202
+        await world.until(lambda: len(times) == 2)
         assert times[1] - times[0] >= 0.7
 
     run(scenario, tmp_path)
 
 
-def test_a_silent_host_is_given_up_and_its_connection_closed(tmp_path: Path) -> None:
-    """A call that timed out must not stay open: the host would see a second copy beside it."""
+def test_call_to_silent_host_times_out_and_closes_connection(tmp_path: Path) -> None:
+    """A call that timed out must not stay open, or the host would run it beside a second copy."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         async def script(request: Request) -> bytes | None:
             return await never(request) if len(host.requests) == 1 else reply(200)
 
-        host = await w.host(script)
-        await w.start()
-        await w.warm(host)
-        assert await w.hand_in("m", Request_Timeout_Ms="9000") == 202
-        await w.until(lambda: host.ids == ["m", "m"])
+        host = await world.host(script)
+        await world.start()
+        await world.warm(host)
+        assert await world.hand_in("m", Request_Timeout_Ms="9000") == 202
+        await world.until(lambda: host.ids == ["m", "m"])
         assert host.requests[0].connection in host.ended
 
     run(scenario, tmp_path)
 
 
-def test_messages_out_of_time_do_not_shut_their_destination(tmp_path: Path) -> None:
-    """Calls that deadlines cut off after 0.3 s were taken for failures of the host."""
+def test_calls_cut_off_by_deadlines_do_not_disable_destination(tmp_path: Path) -> None:
+    """Calls that were cut off by deadlines after 0.3 s were once counted as failures of the host."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         async def script(request: Request) -> bytes:
             return await (never if request.id.startswith("short") else deliver)(request)
 
-        host = await w.host(script)
-        await w.start()
+        host = await world.host(script)
+        await world.start()
         async with asyncio.timeout(HANG):
             for i in itertools.count():
                 if len(host.requests) >= 5:
                     break
-                before = len(w.notices)
-                status = await w.hand_in(f"short{i}", Request_Timeout_Ms="300")
-                if status == 202:  # on a busy machine its time may be up before it is taken on
-                    await w.until(lambda n=before: len(w.notices) > n)  # type: ignore[misc]
+                before = len(world.notices)
+                status = await world.hand_in(f"short{i}", Request_Timeout_Ms="300")
+                if status == 202:  # on a busy machine the deadline may pass before admission
+                    await world.until(lambda n=before: len(world.notices) > n)  # type: ignore[misc]
                 else:
                     assert status in (500, 503)
-        assert await w.hand_in("next") == 202
-        await w.until(lambda: host.answered == 1)
-        assert not any("failing" in line for line in w.log)
+        assert await world.hand_in("next") == 202
+        await world.until(lambda: host.answered == 1)
+        assert not any("failing" in line for line in world.log)
 
     run(scenario, tmp_path)
 
 
-def test_a_stale_kept_connection_costs_no_message(tmp_path: Path) -> None:
-    """A request written to a connection that the host has closed ends as a reset, and may have run."""
+def test_connection_closed_by_host_while_idle_loses_no_message(tmp_path: Path) -> None:
+    """A request written to a connection that the host has closed ends with a reset, and may have run."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        await w.start()
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
+        await world.start()
         for i in range(8):
-            assert await w.hand_in(f"m{i}", "order") == 202
-            await w.until(lambda n=i + 1: len(host.requests) == n)  # type: ignore[misc]
+            assert await world.hand_in(f"m{i}", "order") == 202
+            await world.until(lambda n=i + 1: len(host.requests) == n)  # type: ignore[misc]
             host.close_connections()
-            await w.until(lambda n=i + 1: len(host.ended) == n)  # type: ignore[misc]
-        assert not w.notices
+            await world.until(lambda n=i + 1: len(host.ended) == n)  # type: ignore[misc]
+        assert not world.notices
         assert len(host.connections) == 8
 
     run(scenario, tmp_path)
 
 
-def test_unsafe_messages_do_without_connections_that_are_often_reset(tmp_path: Path) -> None:
-    """A host that resets what comes on a connection left idle shows it to messages that can be repeated."""
+def test_at_most_once_messages_avoid_idle_connections_that_are_reset(tmp_path: Path) -> None:
+    """The host resets idle connections on the next request; idempotent messages reveal the idle limit."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         loop = asyncio.get_running_loop()
         answered: dict[int, float] = {}
 
@@ -260,37 +260,42 @@
             answered[request.connection] = loop.time()
             return reply(200)
 
-        host = await w.host(script)
-        await w.start()
-        await w.warm(host)
+        host = await world.host(script)
+        await world.start()
+        await world.warm(host)
         for i in range(8):
             done = host.answered
-            assert await w.hand_in(f"m{i}") == 202
-            await w.until(lambda n=done: host.answered > n)  # type: ignore[misc]
-            await asyncio.sleep(0.15)  # so long the connection is left idle
-        assert len(host.requests) > 8 + 2  # some were sent again
+            assert await world.hand_in(f"m{i}") == 202
+            await world.until(lambda n=done: host.answered > n)  # type: ignore[misc]
+            await asyncio.sleep(0.15)  # idle time of the connection
+        assert len(host.requests) > 8 + 2  # some were retried
         for i in range(4):
-            assert await w.hand_in(f"o{i}", "order", path=f"/order/{i}") == 202
-            await w.until(lambda n=i: f"o{n}" in host.ids)  # type: ignore[misc]
+            assert await world.hand_in(f"o{i}", "order", path=f"/order/{i}") == 202
+            await world.until(lambda n=i: f"o{n}" in host.ids)  # type: ignore[misc]
             await asyncio.sleep(0.6)
-        assert await w.hand_in("last", "order") == 202
-        await w.until(lambda: "last" in host.ids)
-        assert not w.notices
-        assert not any("failing" in line for line in w.log)
+        assert await world.hand_in("last", "order") == 202
+        await world.until(lambda: "last" in host.ids)
+        assert not world.notices
+        assert not any("failing" in line for line in world.log)
 
     run(scenario, tmp_path)
 
 
-def test_a_batch_is_given_up_as_a_whole_when_its_first_message_runs_out_of_time(tmp_path: Path) -> None:
-    """Trouble: that message was told of while the call stayed out for the rest, and the platform counted
-    nothing of what the call's answer then called delivered. Its connection is closed before the notice."""
+def test_batch_call_ends_as_a_whole_at_first_deadline(tmp_path: Path) -> None:
+    """Guards against reporting the first message while the call goes on for the others.
+
+    The platform then ignored the deliveries in the response to that call. The connection must be closed
+    before the final status is reported.
+    """
 
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         async def phase(name: str) -> None:
-            w.members[0]["phase"] = name
-            w.revision += 1
-            w.bump()
-            await w.until(lambda: any(f"index={w.revision}&" in r.target for r in w.discovery.requests))
+            world.members[0]["phase"] = name
+            world.revision += 1
+            world.bump()
+            await world.until(
+                lambda: any(f"index={world.revision}&" in r.target for r in world.discovery.requests)
+            )
 
         async def script(request: Request) -> bytes:
             if b"urgent" in request.body:
@@ -299,32 +304,32 @@
             rows = [{"id": row["id"], "state": "delivered"} for row in json.loads(request.body)]
             return reply(200, json.dumps(rows).encode())
 
-        async def hear(request: Request) -> bytes:
-            await w.until(lambda: set(connections) <= set(host.ended))
+        async def receive_notice(request: Request) -> bytes:
+            await world.until(lambda: set(connections) <= set(host.ended))
             return b""
 
         connections: list[int] = []
-        host = await w.host(script, kind="bulk")
-        w.hear = hear
-        await w.start()
-        assert await w.hand_in("warm") == 202
-        await w.until(lambda: host.answered == 1)
-        await phase("Terminating")  # so that both wait and go together
-        assert await w.hand_in("patient", "order", path="/order/a") == 202
-        assert await w.hand_in("urgent", "order", path="/order/b", Request_Timeout_Ms="2000") == 202
-        assert await w.hand_in("behind", "order", path="/order/b") == 202
+        host = await world.host(script, kind="bulk")
+        world.hear = receive_notice
+        await world.start()
+        assert await world.hand_in("warm") == 202
+        await world.until(lambda: host.answered == 1)
+        await phase("Terminating")  # so that both messages wait and are sent together
+        assert await world.hand_in("patient", "order", path="/order/a") == 202
+        assert await world.hand_in("urgent", "order", path="/order/b", Request_Timeout_Ms="2000") == 202
+        assert await world.hand_in("behind", "order", path="/order/b") == 202
         await phase("Ready")
-        await w.until(lambda: host.answered == 2)
+        await world.until(lambda: host.answered == 2)
         sent = [{row["id"] for row in json.loads(request.body)} for request in host.requests]
         assert sent == [{"warm"}, {"patient", "urgent"}, {"behind"}]
-        await w.until(lambda: len(w.notices) == 2)
-        assert sorted(w.notices, key=lambda n: n["id"]) == [failed("patient"), failed("urgent")]
+        await world.until(lambda: len(world.notices) == 2)
+        assert sorted(world.notices, key=lambda n: n["id"]) == [failed("patient"), failed("urgent")]
 
     run(scenario, tmp_path, safety={"ask_every": 10_000_000, "settle_after_doubt": 1})
 
 
 @pytest.mark.parametrize(
-    "states",
+    "rows_json",
     [
         b"not JSON",
         b"{}",
@@ -338,21 +343,21 @@
         b'[{"id":"b1","state":"delivered"},{"id":"b2","state":"delivered"},',
     ],
 )
-def test_a_batch_answer_that_is_not_sound(tmp_path: Path, states: bytes) -> None:
-    """It is believed whole or not at all: all its messages may have run."""
+def test_invalid_batch_response_fails_all_messages(tmp_path: Path, rows_json: bytes) -> None:
+    """An invalid batch response is ignored as a whole, so all its messages may have run."""
 
-    async def scenario(w: World) -> None:
-        w.name(kind="bulk")
-        await w.start()
-        for name in ("b1", "b2"):  # no host takes any yet, so both wait and go together
-            assert await w.hand_in(name, "order", path=f"/order/{name}") == 202
+    async def scenario(world: World) -> None:
+        world.name(kind="bulk")
+        await world.start()
+        for name in ("b1", "b2"):  # no host is active, so both messages wait and are sent together
+            assert await world.hand_in(name, "order", path=f"/order/{name}") == 202
 
         async def script(request: Request) -> bytes | None:
-            return reply(200, states)
+            return reply(200, rows_json)
 
-        host = await w.host(script, kind="bulk")
-        await w.until(lambda: sorted(n["id"] for n in w.notices) == ["b1", "b2"])
-        assert {n["status"] for n in w.notices} == {"undeliverable"}
+        host = await world.host(script, kind="bulk")
+        await world.until(lambda: sorted(n["id"] for n in world.notices) == ["b1", "b2"])
+        assert {n["status"] for n in world.notices} == {"undeliverable"}
         assert all(r.target == "/v1/messages:batch" for r in host.requests)
         rows = [row for r in host.requests for row in json.loads(r.body)]
         assert sorted(row["id"] for row in rows) == ["b1", "b2"]
@@ -361,106 +366,114 @@
     run(scenario, tmp_path)
 
 
-def test_each_message_of_a_batch_has_its_own_end(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        w.name(kind="bulk")
-        await w.start()
+def test_batch_response_gives_each_message_its_own_result(tmp_path: Path) -> None:
+    async def scenario(world: World) -> None:
+        world.name(kind="bulk")
+        await world.start()
         names = ["b1", "b2", "b3", "b4"]
         for name in names:
-            assert await w.hand_in(name, "order", path=f"/order/{name}") == 202
+            assert await world.hand_in(name, "order", path=f"/order/{name}") == 202
 
         async def script(request: Request) -> bytes | None:
             rows = [row["id"] for row in json.loads(request.body)]
-            told = {"b1": "delivered", "b2": "failed", "b3": "over", "b4": "refused"}
+            states = {"b1": "delivered", "b2": "failed", "b3": "over", "b4": "refused"}
             if len(host.requests) > 1:
-                told["b4"] = "delivered"
-            return reply(200, json.dumps([{"id": r, "state": told[r]} for r in rows]).encode())
+                states["b4"] = "delivered"
+            return reply(200, json.dumps([{"id": r, "state": states[r]} for r in rows]).encode())
 
-        host = await w.host(script, kind="bulk")
-        await w.until(lambda: len(host.requests) == 2 and bool(w.notices))
+        host = await world.host(script, kind="bulk")
+        await world.until(lambda: len(host.requests) == 2 and bool(world.notices))
         assert [row["id"] for row in json.loads(host.requests[0].body)] == names
         assert [row["id"] for row in json.loads(host.requests[1].body)] == ["b4"]
-        assert w.notices == [failed("b2"), failed("b3")]  # what is over there is owed its end here
+        # The relay also reports the message that expired at the host.
+        assert world.notices == [failed("b2"), failed("b3")]
 
     run(scenario, tmp_path)
 
 
-@pytest.mark.parametrize("batch", [False, True])
-def test_a_host_that_holds_a_messages_time_up_does_not_end_what_is_owed(tmp_path: Path, batch: bool) -> None:
-    """410, or a row 'over': its clock runs a little before the relay's. The end was told to nobody, so the
-    message was lost, and the next of its key went before it was over (incident r1ecba7: 19 of one bundle)."""
+@pytest.mark.parametrize("is_batch", [False, True])
+def test_message_expired_by_host_still_gets_final_status(tmp_path: Path, is_batch: bool) -> None:
+    """The host responds with 410 or a row 'over', because its clock is slightly ahead of the relay's.
 
-    async def scenario(w: World) -> None:
-        heard = asyncio.Event()
+    Guards against incident r1ecba7 (19 messages of one batch): the final status was not reported, so the
+    message was lost, and the next message of its ordering key was sent before it was final.
+    """
+
+    async def scenario(world: World) -> None:
+        notice_allowed = asyncio.Event()
 
         async def script(request: Request) -> bytes | None:
-            if not batch:
+            if not is_batch:
                 return reply(410 if request.id == "m1" else 200)
             names = [row["id"] for row in json.loads(request.body)]
             rows = [{"id": n, "state": "over" if n == "m1" else "delivered"} for n in names]
             return reply(200, json.dumps(rows).encode())
 
-        async def hear(request: Request) -> bytes | None:
-            await heard.wait()
+        async def receive_notice(request: Request) -> bytes | None:
+            await notice_allowed.wait()
             return b""
 
-        host = await w.host(script, kind="bulk" if batch else "plain")
-        w.hear = hear
-        await w.start()
-        assert await w.hand_in("m1", "order") == 202
-        assert await w.hand_in("m2", "order") == 202  # of the same key
-        await w.until(lambda: host.answered == 1)
-        assert await w.hand_in("other") == 202
-        await w.until(lambda: host.answered == 2)
+        host = await world.host(script, kind="bulk" if is_batch else "plain")
+        world.hear = receive_notice
+        await world.start()
+        assert await world.hand_in("m1", "order") == 202
+        assert await world.hand_in("m2", "order") == 202  # same ordering key
+        await world.until(lambda: host.answered == 1)
+        assert await world.hand_in("other") == 202
+        await world.until(lambda: host.answered == 2)
         assert not any(b"m2" in request.body or request.id == "m2" for request in host.requests)
-        heard.set()
-        await w.until(lambda: host.answered == 3)
-        assert w.notices == [failed("m1")]
+        notice_allowed.set()
+        await world.until(lambda: host.answered == 3)
+        assert world.notices == [failed("m1")]
         assert b"m2" in host.requests[-1].body or host.requests[-1].id == "m2"
 
     run(scenario, tmp_path)
 
 
-def test_an_answer_in_the_instant_in_which_the_time_is_up(tmp_path: Path) -> None:
-    """It comes right after a message's time, while the relay's loop is late by a moment: the platform counts
-    no such answer, so that the end is told by a notice."""
+def test_response_right_after_deadline_is_reported_as_failure(tmp_path: Path) -> None:
+    """The response arrives right after the deadline, while the event loop of the relay is briefly late.
+
+    The platform ignores such a response, so the relay must report the failure.
+    """
 
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         loop = asyncio.get_running_loop()
-        wall = loop.time() - time.time()
-        ends: dict[str, float] = {}
+        wall_offset = loop.time() - time.time()
+        deadlines: dict[str, float] = {}
         answered: dict[str, float] = {}
 
         async def script(request: Request) -> bytes | None:
-            if request.id in ends:
-                await asyncio.sleep(max(0.0, ends[request.id] + 0.005 - loop.time()))
+            if request.id in deadlines:
+                await asyncio.sleep(max(0.0, deadlines[request.id] + 0.005 - loop.time()))
                 answered[request.id] = loop.time()
             return reply(200)
 
-        host = await w.host(script)
-        await w.start()
-        assert w.process is not None
-        await w.warm(host)
-        seen = 0
+        host = await world.host(script)
+        await world.start()
+        assert world.process is not None
+        await world.warm(host)
+        completed_rounds = 0
         for i in range(200):
             name = f"m{i}"
-            ends[name] = loop.time() + 0.5
-            assert await w.hand_in(name, Request_Timeout_Ms="500") == 202
-            await w.until(lambda n=name: n in host.ids)  # type: ignore[misc]
-            await asyncio.sleep(max(0.0, ends[name] - 0.045 - loop.time()))
-            w.process.send_signal(signal.SIGSTOP)
-            stopped = loop.time()
-            await asyncio.sleep(max(0.0, ends[name] + 0.02 - loop.time()))
-            w.process.send_signal(signal.SIGCONT)
-            went_on = loop.time()
-            early, late = stopped < ends[name] - 0.03, went_on < ends[name] + 0.1
-            in_time = ends[name] + 0.004 < answered.get(name, 0.0) < went_on  # as far as this process goes
-            if early and late and in_time:
-                await w.until(lambda n=name: n in w.noticed_at)  # type: ignore[misc]
-                assert w.noticed_at[name] + wall < ends[name] + 0.35
-                seen += 1
-            if seen == 3:
+            deadlines[name] = loop.time() + 0.5
+            assert await world.hand_in(name, Request_Timeout_Ms="500") == 202
+            await world.until(lambda n=name: n in host.ids)  # type: ignore[misc]
+            await asyncio.sleep(max(0.0, deadlines[name] - 0.045 - loop.time()))
+            world.process.send_signal(signal.SIGSTOP)
+            stopped_at = loop.time()
+            await asyncio.sleep(max(0.0, deadlines[name] + 0.02 - loop.time()))
+            world.process.send_signal(signal.SIGCONT)
+            continued_at = loop.time()
+            # As measured in this process.
+            is_stopped_early = stopped_at < deadlines[name] - 0.03
+            is_continued_soon = continued_at < deadlines[name] + 0.1
+            is_answered_in_stop = deadlines[name] + 0.004 < answered.get(name, 0.0) < continued_at
+            if is_stopped_early and is_continued_soon and is_answered_in_stop:
+                await world.until(lambda n=name: n in world.noticed_at)  # type: ignore[misc]
+                assert world.noticed_at[name] + wall_offset < deadlines[name] + 0.35
+                completed_rounds += 1
+            if completed_rounds == 3:
                 return
-        raise AssertionError("this process was never in time")
+        raise AssertionError("fewer than 3 of 200 rounds kept the required timing in this process")
 
     run(scenario, tmp_path)
--- a/tests/delivery/test_retry_after_properties.py
+++ b/tests/delivery/test_retry_after_properties.py
@@ -1,6 +1,8 @@
-"""A whole engine in virtual time, between hosts that do whatever a seed says.
+"""Simulation of an engine in virtual time, with hosts that behave at random from a seed.
 
-No call's first byte goes to a host inside a wait read before it; nothing is lost, doubled or out of order."""
+No call is sent to a host while a Retry-After received before applies to it, and no message is lost, run twice
+at once or sent out of order.
+"""
 
 from __future__ import annotations
 
@@ -35,8 +37,9 @@
 from loftrelay.relay.ports import AttemptResult
 from tests.standins.platform import SETTINGS
 
-HOSTS = {"a": (1, "plain"), "b": (1, "plain"), "c": (2, "apart"), "d": (2, "apart")}  # and its destination
-TOLD = {
+# Host -> its destination and its kind; hosts of kind "apart" share no Retry-After.
+HOST_ROUTES = {"a": (1, "plain"), "b": (1, "plain"), "c": (2, "apart"), "d": (2, "apart")}
+SETTINGS_FILE = {
     **SETTINGS,
     "flavors": ["plain", "apart"],
     "extra": {
@@ -47,194 +50,210 @@
 }
 
 
-class Selector(selectors.SelectSelector):
-    """Nothing is waited for: the time that would pass is told."""
+class VirtualTimeSelector(selectors.SelectSelector):
+    """Selector that returns at once and reports the time that it would have waited."""
 
-    passed: Callable[[float], None]
+    on_time_passed: Callable[[float], None]
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        assert timeout is not None, "nothing would ever happen again"
-        self.passed(max(0.0, timeout))
+        assert timeout is not None, "the event loop has no timer left"
+        self.on_time_passed(max(0.0, timeout))
         return []
 
 
-class Loop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """Event loop whose clock advances by the time that the selector would have waited."""
+
     def __init__(self) -> None:
-        super().__init__(selector := Selector())
+        super().__init__(selector := VirtualTimeSelector())
         self.now = 1000.0
-        selector.passed = self._pass
+        selector.on_time_passed = self._advance_clock
 
-    def _pass(self, seconds: float) -> None:
+    def _advance_clock(self, seconds: float) -> None:
         self.now += seconds
 
     def time(self) -> float:
         return self.now
 
 
-class Still:
-    """A directory or a board of notices that says nothing by itself."""
+class StubPeer:
+    """Discovery client or status reporter that sends no events, except that it confirms reports."""
 
     address, revision, pending = ("", 0), 1, 0
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
-        self.told: list[str] = []
+        self.reported: list[str] = []
 
     def report(self, message: str, notice: dict[str, Any]) -> None:
-        self.told.append(message)
+        self.reported.append(message)
         asyncio.get_running_loop().call_later(0.01, self.engine.final_statuses.report_acknowledged, message)
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *given: None
 
 
-class Day:
-    """One relay, its hosts, and the book of what went to them. `asks`: whether calls ask for waits at all."""
+class Simulation:
+    """One relay with its hosts, which records what is sent to them.
+
+    Attributes:
+        blocked_until: Host -> end of its Retry-After, in seconds on the clock of the event loop.
+        sent_while_blocked: Ids of messages sent to a host while a Retry-After applied.
+        blocked_count: Number of attempts that were blocked by a Retry-After.
+        in_progress: Ids of messages in calls in progress.
+        executed: Ids of messages that may have run.
+        violations: Descriptions of messages run twice or sent out of order.
+    """
 
-    def __init__(self, folder: Path, seed: int, asks: bool = True) -> None:
+    def __init__(self, folder: Path, seed: int, checks_retry_after: bool = True) -> None:
         self.random = random.Random(seed)
-        self.settings = replace(read_settings(TOLD), awaits_final_status=True)
+        self.settings = replace(read_settings(SETTINGS_FILE), awaits_final_status=True)
         self.journal = Journal(folder, 3_000_000)
         self.engine = engine = Engine(seed, self.settings, self.journal)
-        limits = PoolSettings(
+        pool_settings = PoolSettings(
             reuse_delay=self.random.choice([0, 50_000]), max_per_host=self.random.choice([0, 1, 2])
         )
-        self.hosts = HostClient(
+        self.client = HostClient(
             600_000,
             15_000_000,
             100,
-            limits,
+            pool_settings,
             seed,
             self.journal.record_attempt,
-            self.ended,
+            self.attempt_ended,
             engine.attempts.outcome_disputed,
             stall_detector=engine.context.stall_detector,
-            on_retry_after=self.told,
-            is_blocked=engine.attempts.is_blocked if asks else lambda host: False,
+            on_retry_after=self.retry_after_received,
+            is_blocked=engine.attempts.is_blocked if checks_retry_after else lambda host: False,
         )
-        self.board = Still(engine)
-        engine.context.delivery = self.hosts
-        engine.context.discovery = cast(Any, Still(engine))
-        engine.context.status_reporter = cast(Any, self.board)
-        self.waits: dict[str, float] = {}
-        self.early: list[str] = []
-        self.held = 0
-        self.out: set[str] = set()
-        self.ran: set[str] = set()
-        self.faults: list[str] = []
-        self.taken: dict[str, Message] = {}
+        self.status_reporter = StubPeer(engine)
+        engine.context.delivery = self.client
+        engine.context.discovery = cast(Any, StubPeer(engine))
+        engine.context.status_reporter = cast(Any, self.status_reporter)
+        self.blocked_until: dict[str, float] = {}
+        self.sent_while_blocked: list[str] = []
+        self.blocked_count = 0
+        self.in_progress: set[str] = set()
+        self.executed: set[str] = set()
+        self.violations: list[str] = []
+        self.messages: dict[str, Message] = {}
         self.keys: dict[str, list[str]] = {}
-        self.place(EndpointListKind.FULL, *HOSTS)
+        self.list_endpoints(EndpointListKind.FULL, *HOST_ROUTES)
 
-    def place(self, form: EndpointListKind, *names: str, state: EndpointState = EndpointState.ACTIVE) -> None:
+    def list_endpoints(
+        self, kind: EndpointListKind, *names: str, state: EndpointState = EndpointState.ACTIVE
+    ) -> None:
         port = self.random.randrange(1, 1000)
-        rows = [EndpointEntry(name, HOSTS[name][0], state, None, HOSTS[name][1], None) for name in names]
+        rows = [
+            EndpointEntry(name, HOST_ROUTES[name][0], state, None, HOST_ROUTES[name][1], None)
+            for name in names
+        ]
         self.engine.endpoints.list_received(
-            EndpointListReceived(form, tuple(rows)), {name: (name, port) for name in names}
+            EndpointListReceived(kind, tuple(rows)), {name: (name, port) for name in names}
         )
 
-    def told(self, host: str, wait: int) -> None:
-        until = asyncio.get_running_loop().time() + wait / 1e6
-        shared = HOSTS[host][1] == "plain"
-        for name in [n for n in HOSTS if shared and HOSTS[n] == HOSTS[host]] or [host]:
-            self.waits[name] = max(self.waits.get(name, 0.0), until)
-        self.engine.attempts.retry_after_received(host, wait)
-
-    def ended(self, held: Message, host: str, ending: AttemptResult) -> None:
-        self.held += ending.is_blocked
-        before = held.attempts
-        self.engine.attempts.attempt_ended(held, host, ending)
-        assert held.attempts == before - (ending.is_blocked or ending.is_stale)
-
-    def first_byte(self, host: str, ids: list[str]) -> None:
-        if asyncio.get_running_loop().time() < self.waits.get(host, 0.0) - 1e-6:
-            self.early += ids
+    def retry_after_received(self, host: str, delay: int) -> None:
+        until = asyncio.get_running_loop().time() + delay / 1e6
+        shared = HOST_ROUTES[host][1] == "plain"
+        for name in [n for n in HOST_ROUTES if shared and HOST_ROUTES[n] == HOST_ROUTES[host]] or [host]:
+            self.blocked_until[name] = max(self.blocked_until.get(name, 0.0), until)
+        self.engine.attempts.retry_after_received(host, delay)
+
+    def attempt_ended(self, message: Message, host: str, result: AttemptResult) -> None:
+        self.blocked_count += result.is_blocked
+        before = message.attempts
+        self.engine.attempts.attempt_ended(message, host, result)
+        assert message.attempts == before - (result.is_blocked or result.is_stale)
+
+    def first_byte_sent(self, host: str, ids: list[str]) -> None:
+        if asyncio.get_running_loop().time() < self.blocked_until.get(host, 0.0) - 1e-6:
+            self.sent_while_blocked += ids
         for name in ids:
-            held = self.taken[name]
-            if name in self.out:
-                self.faults.append(f"{name}: two copies at once")
-            if held.class_name == "order" and name in self.ran:
-                self.faults.append(f"{name}: an effect twice")
-            line = self.keys[held.ordering_key] if held.ordering_key is not None else [name]
-            if earlier := [m for m in line[: line.index(name)] if m in self.journal.messages]:
-                self.faults.append(f"{name}: sent before {earlier}")
-        self.out.update(ids)
-
-    async def live(self, seconds: float) -> None:
+            message = self.messages[name]
+            if name in self.in_progress:
+                self.violations.append(f"{name}: sent while another attempt is in progress")
+            if message.class_name == "order" and name in self.executed:
+                self.violations.append(f"{name}: at-most-once message sent after it may have run")
+            same_key = self.keys[message.ordering_key] if message.ordering_key is not None else [name]
+            if earlier := [m for m in same_key[: same_key.index(name)] if m in self.journal.messages]:
+                self.violations.append(f"{name}: sent before {earlier} of the same ordering key")
+        self.in_progress.update(ids)
+
+    async def run(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
-        ends, number = loop.time() + seconds, 0
-        while loop.time() < ends:
+        end, number = loop.time() + seconds, 0
+        while loop.time() < end:
             await asyncio.sleep(self.random.expovariate(12))
             match self.random.randrange(14):
                 case 0:
-                    name = self.random.choice(list(HOSTS))
+                    name = self.random.choice(list(HOST_ROUTES))
                     state = self.random.choice(
                         [EndpointState.DRAINING, EndpointState.REMOVED, EndpointState.ACTIVE]
                     )
-                    self.place(EndpointListKind.DELTA, name, state=state)
+                    self.list_endpoints(EndpointListKind.DELTA, name, state=state)
                 case 1:
-                    self.place(EndpointListKind.DELTA, *HOSTS)
+                    self.list_endpoints(EndpointListKind.DELTA, *HOST_ROUTES)
                 case 2 if self.random.random() < 0.2:
                     self.engine.apply_settings(self.settings, ("", 0))
                 case _:
                     number += 1
-                    self.hand_in(f"m{number}")
-        self.place(EndpointListKind.DELTA, *HOSTS)
+                    self.submit(f"m{number}")
+        self.list_endpoints(EndpointListKind.DELTA, *HOST_ROUTES)
         while self.journal.messages:
             await asyncio.sleep(0.5)
-            assert loop.time() < ends + 60, "lost"
-
-    def hand_in(self, name: str) -> None:
-        now, draw = int(asyncio.get_running_loop().time() * 1e6), self.random
-        of = draw.choice(["status", "order"])
-        key = f"k{draw.randrange(3)}" if of == "order" else None
-        ends = now + draw.randrange(400_000, 9_000_000)
-        held = Message(name, 0, of, "acme", draw.choice([1, 2]), key, now, ends)
-        self.taken[name] = held
+            assert loop.time() < end + 60, f"not final after 60 s: {list(self.journal.messages)}"
+
+    def submit(self, name: str) -> None:
+        now, rng = int(asyncio.get_running_loop().time() * 1e6), self.random
+        class_name = rng.choice(["status", "order"])
+        key = f"k{rng.randrange(3)}" if class_name == "order" else None
+        deadline = now + rng.randrange(400_000, 9_000_000)
+        message = Message(name, 0, class_name, "acme", rng.choice([1, 2]), key, now, deadline)
+        self.messages[name] = message
         if key is not None:
             self.keys.setdefault(key, []).append(name)
-        self.engine.intake.submit(held, lambda status, again: None)
-        if draw.random() < 0.1 and self.engine.intake.is_client_waiting(name):
+        self.engine.intake.submit(message, lambda status, again: None)
+        if rng.random() < 0.1 and self.engine.intake.is_client_waiting(name):
             self.engine.intake.cancel(name)
 
 
-class Host:
-    """A connection to one of the hosts: in place of net.http.Connection."""
+class FakeConnection:
+    """Connection to a simulated host, in place of net.http.Connection."""
 
-    day: Day
+    simulation: Simulation
 
     def __init__(self, host: str) -> None:
         self.host = host
-        self.sound = True
+        self.is_open = True
         self.is_request_written, self.request_written_at, self.first_byte_at = True, 0.0, 0.0
         self.is_status_ok = False
         self.unsolicited_data = self.on_unsolicited = None
-        self.taken_back: asyncio.Future[None] | None = None
+        self.withdrawn: asyncio.Future[None] | None = None
 
     @classmethod
-    async def open(cls, address: Address, timeout: float) -> Host:
-        draw = cls.day.random
-        delay = draw.choice([0.0, 0.01, draw.uniform(0, 0.7)])
+    async def open(cls, address: Address, timeout: float) -> FakeConnection:
+        rng = cls.simulation.random
+        delay = rng.choice([0.0, 0.01, rng.uniform(0, 0.7)])
         await asyncio.sleep(min(delay, timeout))
         if delay >= timeout:
             raise TimeoutError
-        if draw.random() < 0.05:
+        if rng.random() < 0.05:
             raise ConnectionRefusedError
         return cls(address[0])
 
     def is_usable(self) -> bool:
-        return self.sound
+        return self.is_open
 
     def check_unsolicited_data(self) -> None:
         pass
 
     def close(self) -> None:
-        self.sound = False
+        self.is_open = False
 
-    def withdraw(self, why: Exception) -> bool:
-        if self.is_request_written or self.taken_back is None or self.taken_back.done():
+    def withdraw(self, reason: Exception) -> bool:
+        if self.is_request_written or self.withdrawn is None or self.withdrawn.done():
             return False
-        self.taken_back.set_exception(why)
+        self.withdrawn.set_exception(reason)
         return True
 
     async def request(
@@ -248,86 +267,96 @@
         deadline: float,
         on_response_head: Callable[[Headers], None],
     ) -> HttpResponse:
-        day, loop, draw = self.day, asyncio.get_running_loop(), self.day.random
-        if draw.random() < 0.05:
-            self.sound = False
+        simulation, loop, rng = self.simulation, asyncio.get_running_loop(), self.simulation.random
+        if rng.random() < 0.05:
+            self.is_open = False
             raise ConnectionUnusableError
         batch = path.endswith(":batch")
         ids = [row["id"] for row in json.loads(body)] if batch else [headers["Request-Id"]]
-        day.first_byte(self.host, ids)
+        simulation.first_byte_sent(self.host, ids)
         try:
-            if draw.random() < 0.1:  # its last byte goes out slowly
+            if rng.random() < 0.1:  # the last byte is written late
                 self.is_request_written = False
-                self.taken_back = loop.create_future()
-                await asyncio.wait([self.taken_back], timeout=draw.uniform(0, 0.5))
-                if self.taken_back.done():
-                    self.taken_back.result()
+                self.withdrawn = loop.create_future()
+                await asyncio.wait([self.withdrawn], timeout=rng.uniform(0, 0.5))
+                if self.withdrawn.done():
+                    self.withdrawn.result()
                 self.is_request_written = True
             self.request_written_at = loop.time()
             on_request_written()
-            answer = self.answer(ids, draw)
-            delay = draw.choice([draw.uniform(0, 0.2), draw.uniform(0, 0.2), draw.uniform(0, 2.0)])
-            if answer is None or answer.status in (200, 500):
-                day.ran.update(ids)
+            response = self.draw_response(ids, rng)
+            delay = rng.choice([rng.uniform(0, 0.2), rng.uniform(0, 0.2), rng.uniform(0, 2.0)])
+            if response is None or response.status in (200, 500):
+                simulation.executed.update(ids)
             await asyncio.sleep(min(delay, deadline - loop.time()))
             if loop.time() >= deadline:
                 raise TimeoutError
             self.first_byte_at = loop.time()
-            if answer is None:
+            if response is None:
                 raise ConnectionBrokenError
-            on_response_head(answer.headers.items())
-            if draw.random() < 0.1:
-                await asyncio.sleep(draw.uniform(0, 0.3))
+            on_response_head(response.headers.items())
+            if rng.random() < 0.1:
+                await asyncio.sleep(rng.uniform(0, 0.3))
                 raise MalformedResponseError
-            return answer
+            return response
         finally:
-            day.out.difference_update(ids)
-
-    def answer(self, ids: list[str], draw: random.Random) -> HttpResponse | None:
-        status = draw.choice([200] * 12 + [429] * 5 + [500, 503, 0])
-        told = draw.choice([0, 0, draw.randrange(50, 900), draw.randrange(50, 900)])
-        told = 12_000 if draw.random() < 0.02 else told
-        headers = {b"x-come-back-ms": b"%d" % told} if status not in (0, 200) or draw.random() < 0.1 else {}
+            simulation.in_progress.difference_update(ids)
+
+    def draw_response(self, ids: list[str], rng: random.Random) -> HttpResponse | None:
+        status = rng.choice([200] * 12 + [429] * 5 + [500, 503, 0])
+        retry_after_ms = rng.choice([0, 0, rng.randrange(50, 900), rng.randrange(50, 900)])
+        retry_after_ms = 12_000 if rng.random() < 0.02 else retry_after_ms
+        headers = (
+            {b"x-come-back-ms": b"%d" % retry_after_ms}
+            if status not in (0, 200) or rng.random() < 0.1
+            else {}
+        )
         rows = ",".join(f'{{"id":"{name}","state":"delivered"}}' for name in ids)
         return HttpResponse(status, headers, f"[{rows}]".encode()) if status else None
 
 
-def play(folder: Path, seed: int, monkeypatch: pytest.MonkeyPatch, asks: bool = True) -> Day:
-    loop = Loop()
+def run_simulation(
+    folder: Path, seed: int, monkeypatch: pytest.MonkeyPatch, checks_retry_after: bool = True
+) -> Simulation:
+    loop = VirtualTimeLoop()
     for name, module in list(sys.modules.items()):
         if name.startswith("loftrelay.") and hasattr(module, "wall_clock"):
             monkeypatch.setattr(module, "wall_clock", lambda: int(loop.now * 1e6))
-    monkeypatch.setattr(pool_driver, "Connection", Host)
-    days: list[Day] = []
+    monkeypatch.setattr(pool_driver, "Connection", FakeConnection)
+    simulations: list[Simulation] = []
 
     async def main() -> None:
-        Host.day = day = Day(folder, seed, asks)
-        days.append(day)
-        await day.live(40.0)
-        day.hosts.close()
+        FakeConnection.simulation = simulation = Simulation(folder, seed, checks_retry_after)
+        simulations.append(simulation)
+        await simulation.run(40.0)
+        simulation.client.close()
 
-    def run(what: Coroutine[Any, Any, None]) -> None:
+    def run_until_complete(coroutine: Coroutine[Any, Any, None]) -> None:
         try:
-            loop.run_until_complete(what)
+            loop.run_until_complete(coroutine)
         finally:
             loop.close()
 
-    run(main())
-    return days[0]
+    run_until_complete(main())
+    return simulations[0]
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_no_first_byte_inside_a_wait_read_before(
+def test_no_call_is_sent_while_retry_after_applies(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    day = play(tmp_path, seed, monkeypatch)
-    assert not day.early
-    assert not day.faults
-    assert len(day.taken) > 200
+    simulation = run_simulation(tmp_path, seed, monkeypatch)
+    assert not simulation.sent_while_blocked
+    assert not simulation.violations
+    assert len(simulation.messages) > 200
 
 
-def test_the_book_finds_calls_inside_a_wait(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The same days, where nothing between the module's decision and the first byte asks for waits."""
-    days = [play(tmp_path / str(seed), seed, monkeypatch, asks=False) for seed in range(3)]
-    assert any(day.early for day in days)
-    assert not any(day.held for day in days)
+def test_simulation_detects_calls_sent_while_retry_after_applies(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Without the check between the decision and the first byte, the same simulations record violations."""
+    simulations = [
+        run_simulation(tmp_path / str(seed), seed, monkeypatch, checks_retry_after=False) for seed in range(3)
+    ]
+    assert any(simulation.sent_while_blocked for simulation in simulations)
+    assert not any(simulation.blocked_count for simulation in simulations)
