--- a/loftrelay/delivery/connection_pool/allocator.py
+++ b/loftrelay/delivery/connection_pool/allocator.py
@@ -28,7 +28,7 @@
         self.total_limit = TotalLimit(table.settings.max_total)
         self.selector = ConnectionSelector(table, trust, self.can_open)
         self.calls: dict[int, WaitingCall] = {}
-        self.hosts_at_total_limit: OrderedDict[str, HostPool] = OrderedDict()  # their calls wait for it
+        self.hosts_at_total_limit: OrderedDict[str, HostPool] = OrderedDict()  # with waiting calls
 
     # Waiting calls
 
@@ -109,12 +109,12 @@
 
     def _remaining_capacity(self, host: HostPool) -> int:
         """Returns how many more connections the configured limit and the learned capacity allow."""
-        room = UNLIMITED
+        remaining = UNLIMITED
         if self.settings.max_per_host:
-            room = min(room, self.settings.max_per_host - host.total)
+            remaining = min(remaining, self.settings.max_per_host - host.total)
         if capacity := host.capacity.current(self.table.now):
-            room = min(room, capacity - host.total)
-        return room
+            remaining = min(remaining, capacity - host.total)
+        return remaining
 
     def _open_missing(self, host: HostPool) -> None:
         """Starts connects until each waiting call has one in progress or a limit is reached."""
--- a/loftrelay/delivery/host_client.py
+++ b/loftrelay/delivery/host_client.py
@@ -120,7 +120,7 @@
         driver = self.driver
         driver.addresses[host] = address
         self.draining.discard(host)
-        driver.execute(driver.pools.set_host(host, address, destination, driver.now_us()))
+        driver.execute(driver.pool.set_host(host, address, destination, driver.now_us()))
 
     def drain_host(self, host: str) -> None:
         """Drains a host: calls of which no byte is written end as stale."""
@@ -129,18 +129,18 @@
         for call in driver.waiting.values():
             if call.host == host:
                 call.fail_lease(StaleCallError())
-        driver.execute(driver.pools.drain_host(host, driver.now_us()))
+        driver.execute(driver.pool.drain_host(host, driver.now_us()))
 
     def remove_host(self, host: str) -> None:
         """Removes a host: calls that wait for a connection fail, calls in progress continue."""
         driver = self.driver
-        driver.execute(driver.pools.remove_host(host, driver.now_us()))
+        driver.execute(driver.pool.remove_host(host, driver.now_us()))
         driver.addresses.pop(host, None)
         self.draining.discard(host)
 
     def close_idle_connections(self, host: str) -> None:
         """Closes the idle connections of a host."""
-        self.driver.execute(self.driver.pools.close_idle(host, self.driver.now_us()))
+        self.driver.execute(self.driver.pool.close_idle(host, self.driver.now_us()))
 
     @property
     def is_busy(self) -> bool:
@@ -308,15 +308,15 @@
         Raises:
             MalformedResponseError: Another response followed, so this one belongs to another request.
         """
-        pools = self.driver.pools
+        pool = self.driver.pool
         response_time = connection.first_byte_at - connection.request_written_at
         is_checked = call.options.is_at_most_once and response.status == 200
-        min_time = pools.min_response_time(call.connection_number) if is_checked else 0
+        min_time = pool.min_response_time(call.connection_number) if is_checked else 0
         if response_time * 1e6 >= min_time:
             return
         time_left = call.deadline - asyncio.get_running_loop().time()
         hold = min(
-            HOLD_FACTOR * min_time / (pools.settings.early_response_fraction * 1e6),
+            HOLD_FACTOR * min_time / (pool.settings.early_response_fraction * 1e6),
             MAX_HOLD_S,
             MAX_HOLD_FRACTION * time_left,
         )
@@ -363,7 +363,7 @@
         statuses = {result.status for result in results.values()}
         is_success = statuses == {AttemptStatus.OK}
         now = driver.now_us()
-        driver.pools.record_outcome(call.host, is_success, call.retry_after, now)
+        driver.pool.record_outcome(call.host, is_success, call.retry_after, now)
         self._remember_response(call, results)
         connection = driver.connections[call.connection_number].connection
         is_foreign = is_batch and has_foreign_messages(response, ids)
@@ -380,14 +380,14 @@
             response_time = (
                 int((connection.first_byte_at - connection.request_written_at) * 1e6) if is_success else None
             )
-            driver.execute(driver.pools.response_received(call.connection_number, True, now, response_time))
+            driver.execute(driver.pool.response_received(call.connection_number, True, now, response_time))
         return results
 
     def _remember_response(self, call: HostCall, results: dict[str, AttemptResult]) -> None:
         """Keeps results that may be disputed later; the first response on a connection is no duplicate."""
         opened = self.driver.connections[call.connection_number]
         opened.is_in_call = False
-        if self.driver.pools.is_first_use(call.connection_number):
+        if self.driver.pool.is_first_use(call.connection_number):
             return
         age = asyncio.get_running_loop().time() - opened.connection.request_written_at
         sent_at = wall_clock() - int(age * 1e6)
@@ -425,7 +425,7 @@
         driver, now = self.driver, self.driver.now_us()
         opened = driver.connections[call.connection_number]
         opened.is_in_call, connection = False, opened.connection
-        driver.pools.record_outcome(call.host, False, call.retry_after, now)
+        driver.pool.record_outcome(call.host, False, call.retry_after, now)
         if connection.unsolicited_data is not None:
             driver.handle_unsolicited(call.connection_number, connection.unsolicited_data)
         else:
--- a/loftrelay/delivery/pool_driver.py
+++ b/loftrelay/delivery/pool_driver.py
@@ -48,7 +48,7 @@
         stall_detector: StallDetector,
         on_disputed: Callable[[str, str, int], None],
     ) -> None:
-        self.pools = PoolManager(settings, seed)
+        self.pool = PoolManager(settings, seed)
         self.connect_timeout = connect_timeout
         self.stall_detector = stall_detector
         self.on_disputed = on_disputed
@@ -105,7 +105,7 @@
         return True
 
     def _set_timer(self) -> None:
-        at = self.pools.next_timer_at
+        at = self.pool.next_timer_at
         if at is None or self.is_closing or (self.timer is not None and at >= self.timer_at):
             return
         if self.timer is not None:
@@ -115,7 +115,7 @@
 
     def _run_timers(self) -> None:
         self.timer = None
-        self.execute(self.pools.run_timers(max(self.now_us(), self.timer_at)))
+        self.execute(self.pool.run_timers(max(self.now_us(), self.timer_at)))
 
     # Connects
 
@@ -132,10 +132,10 @@
             self.connecting.pop(number, None)
             self.connections[number] = OpenedConnection(host, connection)
             connection.on_unsolicited = partial(self.handle_unsolicited, number)
-            self.execute(self.pools.connected(number, self.now_us()))
+            self.execute(self.pool.connected(number, self.now_us()))
             return
         self.connecting.pop(number, None)
-        self.execute(self.pools.connect_failed(number, failure, self.now_us()))
+        self.execute(self.pool.connect_failed(number, failure, self.now_us()))
 
     async def _open(self, host: str) -> Connection:
         """Connects to the host; tries once more if the process was suspended during the timeout.
@@ -176,7 +176,7 @@
         self.waiting[call.number] = call
         options = call.options
         self.execute(
-            self.pools.acquire(
+            self.pool.acquire(
                 call.number, call.host, options.is_at_most_once, options.max_connection_idle, self.now_us()
             )
         )
@@ -196,20 +196,20 @@
     def cancel(self, call: HostCall) -> None:
         """Ends the wait of the call for a connection, if it still waits."""
         if self.waiting.pop(call.number, None) is not None and not self.is_closing:
-            self.execute(self.pools.cancel(call.number, self.now_us()))
+            self.execute(self.pool.cancel(call.number, self.now_us()))
 
     def is_waiting_for_release(self, call: HostCall) -> bool:
         """Whether the call waits for other calls to release connections to its host."""
-        return call.number in self.waiting and self.pools.is_waiting_for_release(call.number)
+        return call.number in self.waiting and self.pool.is_waiting_for_release(call.number)
 
     def release_unused(self, number: int) -> None:
         """Returns a connection to the pool on which no byte of its call was written."""
-        self.execute(self.pools.release_unused(number, self.now_us()))
+        self.execute(self.pool.release_unused(number, self.now_us()))
 
     def discard(self, number: int, is_reset: bool, now: int) -> None:
         """Closes the connection of a call that ended without a valid response."""
         self.close_connection(number)
-        self.execute(self.pools.connection_lost(number, is_reset, now))
+        self.execute(self.pool.connection_lost(number, is_reset, now))
 
     async def close_unusable_connection(self, number: int) -> None:
         """Closes a leased connection that proved unusable, after reading what has arrived on it."""
@@ -236,11 +236,11 @@
             return
         self.close_connection(number)
         if data is UnsolicitedData.CLOSED:
-            self.execute(self.pools.closed_by_peer(number, self.now_us()))
+            self.execute(self.pool.closed_by_peer(number, self.now_us()))
             return
         opened.connection.unsolicited_data = data
         is_response = data is UnsolicitedData.RESPONSE
-        self.execute(self.pools.unsolicited_data_received(number, is_response, self.now_us(), is_trailing))
+        self.execute(self.pool.unsolicited_data_received(number, is_response, self.now_us(), is_trailing))
         if is_response and opened.recent_responses:
             self._dispute(opened)
 
--- a/tests/delivery/pool_trace.py
+++ b/tests/delivery/pool_trace.py
@@ -1,7 +1,7 @@
 """Random pool events from fixed seeds, and a digest of the resulting actions.
 
-The digests contain the event names of this module, so that the pool may rename its methods: `method_names`
-maps event names to methods.
+The names of events, actions and errors are those of the test, so that the pool may rename its own:
+`method_names` and `action_names` map them.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 FREQUENT_EVENTS = (
     "connected",
     "connected",
-    "answered",
-    "answered",
-    "answered",
-    "request",
-    "request",
-    "request",
+    "response",
+    "response",
+    "response",
+    "acquire",
+    "acquire",
+    "acquire",
 )
 RARE_EVENTS = (
-    "failed",
-    "lost",
-    "closed",
+    "connect_failed",
+    "connection_lost",
+    "closed_by_peer",
     "unsolicited",
-    "unused",
+    "release_unused",
     "cancel",
-    "address",
+    "set_host",
     "drain",
     "remove",
     "close_idle",
@@ -127,33 +127,35 @@
 
     def step(self) -> None:
         self.now += self.random.choice(PAUSES_US) * self.random.randint(0, 2)
-        if (due := getattr(self.pool, self.method_names["due"])) is not None and due <= self.now:
+        if (due := getattr(self.pool, self.method_names["next_timer_at"])) is not None and due <= self.now:
             self.record("due", due)
-            self.execute(self.method("tick")(self.now))
+            self.execute(self.method("run_timers")(self.now))
         self.run_event(self.random.choice(FREQUENT_EVENTS if self.random.random() < 0.75 else RARE_EVENTS))
         if self.random.random() < 0.3:
-            self.method("outcome")(
+            self.method("record_outcome")(
                 self.random.choice(HOSTS),
                 self.random.random() < 0.95,
                 self.random.choice([0] * 20 + [SECOND]),
                 self.now,
             )
-        self.record([self.method("needs_new")(host) for host in HOSTS])
-        self.record([(self.method("earliest")(n), self.method("first_use")(n)) for n in self.busy])
-        self.record([self.method("waits_for_room")(call) for call in self.waiting])
+        self.record([self.method("requires_unused")(host) for host in HOSTS])
+        self.record(
+            [(self.method("min_response_time")(n), self.method("is_first_use")(n)) for n in self.busy]
+        )
+        self.record([self.method("is_waiting_for_release")(call) for call in self.waiting])
 
     def run_event(self, name: str) -> None:
         host = self.random.choice(HOSTS)
-        if name == "request":
+        if name == "acquire":
             self.last_call += 1
             self.waiting.append(self.last_call)
             max_idle = self.random.choice([None, None, 50 * MS, SECOND])
-            unsafe = self.random.random() < 0.3
-            self.execute(self.method(name)(self.last_call, host, unsafe, max_idle, self.now))
+            is_at_most_once = self.random.random() < 0.3
+            self.execute(self.method(name)(self.last_call, host, is_at_most_once, max_idle, self.now))
         elif name == "cancel":
             if (call := self.pop_random(self.waiting)) is not None:
                 self.execute(self.method(name)(call, self.now))
-        elif name == "address":
+        elif name == "set_host":
             self.execute(self.method(name)(host, self.random.randint(0, 1), host in "ab", self.now))
         elif name in ("drain", "remove", "close_idle"):
             self.execute(self.method(name)(host, self.now))
@@ -161,7 +163,7 @@
             self.run_connection_event(name)
 
     def run_connection_event(self, name: str) -> None:
-        if name in ("connected", "failed"):
+        if name in ("connected", "connect_failed"):
             if (number := self.pop_random(self.opening)) is None:
                 return
             if name == "connected":
@@ -171,22 +173,22 @@
                 kind = self.random.choice(["refused", "refused", "timed_out", "no_descriptors"])
                 self.execute(self.method(name)(number, self.method_names[kind], self.now))
             return
-        if name in ("closed", "unsolicited") and self.random.random() < 0.8:
+        if name in ("closed_by_peer", "unsolicited") and self.random.random() < 0.8:
             number = self.pop_random(self.idle)
         else:
             number = self.pop_random(self.busy)
         if number is None:
             return
-        if name == "answered":
+        if name == "response":
             self.idle.append(number)
-            took = self.random.choice([None, 20 * MS, 50 * MS])
-            self.execute(self.method(name)(number, self.random.random() < 0.9, self.now, took))
-        elif name == "unused":
+            response_time = self.random.choice([None, 20 * MS, 50 * MS])
+            self.execute(self.method(name)(number, self.random.random() < 0.9, self.now, response_time))
+        elif name == "release_unused":
             self.idle.append(number)
             self.execute(self.method(name)(number, self.now))
-        elif name == "lost":
+        elif name == "connection_lost":
             self.execute(self.method(name)(number, self.random.random() < 0.8, self.now))
-        elif name == "closed":
+        elif name == "closed_by_peer":
             self.execute(self.method(name)(number, self.now))
         else:
             self.execute(
@@ -195,7 +197,7 @@
 
     def run(self) -> str:
         for host in HOSTS[:3]:
-            self.execute(self.method("address")(host, 0, host in "ab", self.now))
+            self.execute(self.method("set_host")(host, 0, host in "ab", self.now))
         for _ in range(STEP_COUNT):
             self.step()
         return self.digest.hexdigest()[:16]
--- a/tests/delivery/test_connection_failures.py
+++ b/tests/delivery/test_connection_failures.py
@@ -102,7 +102,7 @@
         }
         assert len(set(waves[0])) > 1
         assert set(waves[-1]) == {AttemptStatus.OK}
-        assert harness.client.driver.pools.hosts["h"].capacity.limit in (2, 3)
+        assert harness.client.driver.pool.hosts["h"].capacity.limit in (2, 3)
 
     run(Behaviour(lambda call: Doing(delay=0.01), most=2), scenario, is_capacity_learned=True)
 
@@ -210,7 +210,7 @@
         await partner.__aenter__(port)
         for i in range(20):
             assert (await harness.send(f"back{i}")).status is AttemptStatus.OK
-            healthy_since = harness.client.driver.pools.hosts["h"].destination.healthy_since
+            healthy_since = harness.client.driver.pool.hosts["h"].destination.healthy_since
             if healthy_since is not None and harness.client.driver.now_us() - healthy_since < 100_000:
                 assert partner.accepted - accepted == 1
             else:
@@ -254,9 +254,9 @@
         call = client.driver.waiting[99] = HostCall(99, "h", [], CallOptions(1.0, False, False, None), 0.0)
         call.lease = asyncio.get_running_loop().create_future()
         call.lease.cancel()
-        client.driver.execute(client.driver.pools.acquire(99, "h", False, None, client.driver.now_us()))
+        client.driver.execute(client.driver.pool.acquire(99, "h", False, None, client.driver.now_us()))
         assert (await harness.send("m")).status is AttemptStatus.OK
-        host_pool = client.driver.pools.hosts["h"]
+        host_pool = client.driver.pool.hosts["h"]
         assert host_pool.busy == 0
         assert host_pool.established == partner.accepted
         assert not client.driver.waiting
--- a/tests/delivery/test_misattribution.py
+++ b/tests/delivery/test_misattribution.py
@@ -69,7 +69,7 @@
         misattributed = DuplicateScenario(0, status, 1, is_batch, True).is_misattributed(
             partner, "order", result
         )
-        return misattributed, harness.client.driver.pools.trust.unsolicited_at is not None, harness, result
+        return misattributed, harness.client.driver.pool.trust.unsolicited_at is not None, harness, result
 
 
 class DuplicateScenario:
@@ -86,7 +86,7 @@
     def script(self, call: Call) -> Doing:
         if call.ids[0].startswith("plain"):
             return Doing()
-        if call.ids[0].startswith("copied"):
+        if call.ids[0].startswith("duplicated"):
             return Doing(self.status, copies=(self.delay,), pieces=self.pieces)
         return Doing(
             503 if self.status == 200 else 200, delay=self.delay + 0.15 if self.is_call_pending else 0.0
@@ -109,7 +109,7 @@
         """
         for i in range(4):
             await harness.send(f"plain{number}-{i}")
-        await send_until_written(harness, partner, f"copied{number}", self.is_batch)
+        await send_until_written(harness, partner, f"duplicated{number}", self.is_batch)
         await asyncio.sleep(min(0.025, self.delay / 2))
         result = await send_until_written(
             harness, partner, f"order{number}", self.is_batch, is_at_most_once=True
@@ -124,7 +124,7 @@
             ClientHarness({"h": partner.address}, is_strict=is_strict) as harness,
         ):
             misattributed = [await self.run_round(partner, harness, n) for n in range(rounds)]
-            is_noticed = harness.client.driver.pools.trust.unsolicited_count > 0
+            is_noticed = harness.client.driver.pool.trust.unsolicited_count > 0
             return misattributed, is_noticed, harness
 
 
@@ -156,9 +156,9 @@
                 result = await harness.send(f"order{i}", is_at_most_once=True)
                 assert result.status is AttemptStatus.OK
                 assert partner.effects[f"order{i}"] == 1
-            assert harness.client.driver.pools.trust.unsolicited_count == 5
+            assert harness.client.driver.pool.trust.unsolicited_count == 5
             assert partner.accepted == 5
-            assert harness.client.driver.pools.requires_unused("h") == is_strict
+            assert harness.client.driver.pool.requires_unused("h") == is_strict
             assert (await harness.send("last", is_at_most_once=True)).status is AttemptStatus.REJECTED
 
     asyncio.run(main())
@@ -191,7 +191,7 @@
 
             monkeypatch.setattr(fault_points, "listener", listen)
             assert (await harness.send("second", is_at_most_once=True)).status is AttemptStatus.OK
-            assert harness.client.driver.pools.trust.unsolicited_count == 1
+            assert harness.client.driver.pool.trust.unsolicited_count == 1
             assert partner.effects["second"] == 1
 
     asyncio.run(main())
@@ -255,7 +255,7 @@
             assert partner.calls[-1].connection == partner.calls[-2].connection
             assert result.status is AttemptStatus.MALFORMED_RESPONSE
             assert not result.is_final
-            assert harness.client.driver.pools.trust.unsolicited_at is not None
+            assert harness.client.driver.pool.trust.unsolicited_at is not None
 
     asyncio.run(main())
 
@@ -318,12 +318,11 @@
         async with ClientHarness({"h": address}) as harness:
             client = harness.client
             driver = client.driver
-            driver.execute(
-                driver.pools.acquire(-1, "h", False, None, driver.now_us())
-            )  # opens a connection ...
-            driver.execute(driver.pools.cancel(-1, driver.now_us()))  # ... that stays idle
+            # Opens a connection that stays idle.
+            driver.execute(driver.pool.acquire(-1, "h", False, None, driver.now_us()))
+            driver.execute(driver.pool.cancel(-1, driver.now_us()))
             async with asyncio.timeout(60):
-                while client.driver.pools.trust.unsolicited_at is None:
+                while client.driver.pool.trust.unsolicited_at is None:
                     await asyncio.sleep(0.001)
             assert (await harness.send("order", is_at_most_once=True)).status is AttemptStatus.REJECTED
         server.close()
--- a/tests/delivery/test_pools.py
+++ b/tests/delivery/test_pools.py
@@ -246,10 +246,8 @@
     harness.respond(call)
     calls = [harness.acquire(), harness.acquire()]
     harness.complete_connects()
-    assert sorted(harness.manager.min_response_time(harness.leases[c]) for c in calls) == [
-        0,
-        25 * MS,
-    ]  # a new connection carries no duplicate
+    # A new connection carries no duplicate.
+    assert sorted(harness.manager.min_response_time(harness.leases[c]) for c in calls) == [0, 25 * MS]
 
 
 # Limits
@@ -346,13 +344,8 @@
             harness.acquire()
         delays.append(harness.now - start)
         harness.fail_connects()
-    assert delays == [
-        200 * MS,
-        400 * MS,
-        400 * MS,
-        400 * MS,
-        400 * MS,
-    ]  # the first two connects failed together
+    # Two connects failed before, so the first delay is doubled once already.
+    assert delays == [200 * MS, 400 * MS, 400 * MS, 400 * MS, 400 * MS]
     harness.advance_clock(400 * MS)
     harness.run_call()
     harness.set_host("h", 2)
@@ -521,29 +514,29 @@
 
 
 @pytest.mark.parametrize(
-    "trouble", ["not warmed up", "call failed", "Retry-After", "draining", "connect refused"]
+    "condition", ["not warmed up", "call failed", "Retry-After", "draining", "connect refused"]
 )
-def test_pool_does_not_prewarm_host_in_trouble(trouble: str) -> None:
-    """Connections beyond those that calls need would add load to a host that is cold or in trouble."""
+def test_pool_does_not_prewarm_host_that_is_not_healthy(condition: str) -> None:
+    """Connections beyond those that calls need would add load to such a host."""
     harness = make_harness(
-        max_prewarmed=8, warm_up_after=100 * SECOND if trouble == "not warmed up" else SECOND
+        max_prewarmed=8, warm_up_after=100 * SECOND if condition == "not warmed up" else SECOND
     )
-    if trouble == "not warmed up":
+    if condition == "not warmed up":
         run_steady_calls(harness)
         assert harness.open_count == 1
         return
     run_steady_calls(harness, 60)
-    if trouble == "call failed":
+    if condition == "call failed":
         harness.manager.record_outcome("h", False, 0, harness.now)
-    if trouble == "Retry-After":
+    if condition == "Retry-After":
         harness.manager.record_outcome("h", True, 60 * SECOND, harness.now)
-    if trouble == "draining":
+    if condition == "draining":
         harness.execute(harness.manager.drain_host("h", harness.now))
     harness.fail_connects()
     harness.execute(harness.manager.close_idle("h", harness.now))
     before = harness.open_count
     call = harness.acquire()
-    if trouble == "connect refused":
+    if condition == "connect refused":
         harness.fail_connects()
     else:
         harness.complete_connects()
--- a/tests/delivery/test_retry_after.py
+++ b/tests/delivery/test_retry_after.py
@@ -206,18 +206,18 @@
             assert status_and_blocked(await result) == (BLOCKED if is_blocked else (AttemptStatus.OK, False))
             await ended.wait()
             assert (len(received) < len(body)) is is_blocked
-            assert not harness.client.driver.pools.table.connections or not is_blocked
+            assert not harness.client.driver.pool.table.connections or not is_blocked
         server.close()
 
     asyncio.run(main())
 
 
 RESPONSE_ENDS = {
-    "whole": b"Content-Length: 0\r\n\r\n",
-    "spoilt": b"Content-Length: 4\r\n\r\n[{]}",
-    "never ends": b"Content-Length: 9\r\n\r\n[",
-    "cut": b"Transfer-Encoding: chunked\r\n\r\n3\r\n[",
-    "garbled": b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+    "complete": b"Content-Length: 0\r\n\r\n",
+    "invalid JSON": b"Content-Length: 4\r\n\r\n[{]}",
+    "incomplete": b"Content-Length: 9\r\n\r\n[",
+    "truncated": b"Transfer-Encoding: chunked\r\n\r\n3\r\n[",
+    "invalid chunk": b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
     "too long": b"Content-Length: 99999999\r\n\r\n",
 }
 
@@ -232,7 +232,7 @@
             await reader.readuntil(b"]")
             head = f"HTTP/1.1 {status} X\r\nX-Come-Back-Ms: {RETRY_AFTER_MS}\r\n".encode()
             writer.write(head + RESPONSE_ENDS[rest])
-            if rest == "cut":
+            if rest == "truncated":
                 writer.write_eof()
             await reader.read()
             writer.close()
