--- a/loftrelay/delivery/connection_pool/connection.py
+++ b/loftrelay/delivery/connection_pool/connection.py
@@ -14,7 +14,7 @@
     from loftrelay.delivery.connection_pool.host import HostPool
 
 
-class ConnectionState(IntEnum):  # an IntEnum is hashed in C, at each transition
+class ConnectionState(IntEnum):  # hashed at each transition: the hash of an IntEnum is in C
     """States in the life cycle of a connection."""
 
     OPENING = auto()
--- a/tests/delivery/test_connection_failures.py
+++ b/tests/delivery/test_connection_failures.py
@@ -237,6 +237,8 @@
 
 
 def test_call_timing_out_at_host_limit_is_not_sent() -> None:
+    """The wait is no evidence against the host, so the status is not CONNECT_FAILED."""
+
     async def scenario(partner: Partner, harness: ClientHarness) -> None:
         first = harness.send("m1")
         await partner.until(lambda: partner.ids == ["m1"])
