--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -31,7 +31,7 @@
 from benchmarks.process import cpu_seconds, run
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import Change, ChangeKind, MessageFacts, MessageRecord, StoredAnswer
+from loftrelay.store.state_machine import Change, ChangeKind, MessageFacts, MessageRecord, StoredFinalStatus
 from tests.program.test_connections import LIMITS
 from tests.standins.partner import Partner
 from tests.standins.platform import SETTINGS, World
@@ -99,8 +99,8 @@
     disagreements = len(wrong) + len(set(partner.effects) - set(found))
     for name, entry in found.items():
         ran = partner.effects[name] > 0
-        if (entry.answer is StoredAnswer.DELIVERED and not ran) or (
-            entry.answer is StoredAnswer.REJECTED and ran
+        if (entry.final_status is StoredFinalStatus.DELIVERED and not ran) or (
+            entry.final_status is StoredFinalStatus.REJECTED and ran
         ):
             disagreements += 1
     duplicates = sum(ran - 1 for ran in partner.effects.values())
--- a/loftrelay/cli/demo.py
+++ b/loftrelay/cli/demo.py
@@ -16,7 +16,7 @@
 from loftrelay.demo.result import DemoResult
 from loftrelay.demo.run import DemoRun
 from loftrelay.store.backend import StoreError
-from loftrelay.store.state_machine import MessageRecord, StoredAnswer
+from loftrelay.store.state_machine import MessageRecord, StoredFinalStatus
 
 AGREEMENT = 0
 DISAGREEMENT = 1
@@ -25,7 +25,7 @@
 TABLE_HEAD = (
     "class",
     "taken",
-    *(answer.value for answer in StoredAnswer),
+    *(answer.value for answer in StoredFinalStatus),
     "attempts each",
     "median",
     "longest",
@@ -52,10 +52,10 @@
     disagreements = result.disagreements()
     _print_disagreements(disagreements, out)
     _print_store_warnings(result, out)
-    answers = Counter(entry.answer for entry in result.entries)
+    answers = Counter(entry.final_status for entry in result.entries)
     print(
-        f"taken {len(result.entries)} delivered {answers[StoredAnswer.DELIVERED]} "
-        f"refused {answers[StoredAnswer.REJECTED]} failed {answers[StoredAnswer.FAILED]} "
+        f"taken {len(result.entries)} delivered {answers[StoredFinalStatus.DELIVERED]} "
+        f"refused {answers[StoredFinalStatus.REJECTED]} failed {answers[StoredFinalStatus.FAILED]} "
         f"duplicates {result.duplicates}",
         file=out,
         flush=True,
@@ -107,12 +107,12 @@
 
 
 def _class_row(name: str, entries: Sequence[MessageRecord]) -> tuple[str, ...]:
-    answers = Counter(entry.answer for entry in entries)
+    answers = Counter(entry.final_status for entry in entries)
     seconds = sorted((e.decided_at - e.admitted_at) / 1e6 for e in entries if e.decided_at is not None)
     return (
         name,
         str(len(entries)),
-        *(str(answers[answer]) for answer in StoredAnswer),
+        *(str(answers[answer]) for answer in StoredFinalStatus),
         f"{sum(e.attempts for e in entries) / len(entries):.2f}",
         f"{seconds[len(seconds) // 2]:.3f} s" if seconds else "-",
         f"{seconds[-1]:.3f} s" if seconds else "-",
--- a/loftrelay/cli/record.py
+++ b/loftrelay/cli/record.py
@@ -16,7 +16,7 @@
 from loftrelay.store.factory import store_opener
 from loftrelay.store.settings import load_store_settings
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import MessageRecord, StoredAnswer
+from loftrelay.store.state_machine import MessageRecord, StoredFinalStatus
 
 COLUMNS = ("taken on", "message", "class", "tenant", "to", "state", "answer", "attempts", "answered")
 
@@ -51,7 +51,7 @@
     "attempt_started_at": "intended_at",
     "result": "result",
     "result_at": "result_at",
-    "answer": "answer",
+    "final_status": "answer",
     "decided_at": "answered_at",
     "reported_at": "told_at",
 }
@@ -61,7 +61,7 @@
     """Returns a record as JSON values, times in microseconds since 1970."""
     values: dict[str, Any] = {name: getattr(record, field) for field, name in OUTPUT_NAMES.items()}
     values["state"] = record.state.value
-    values["answer"] = record.answer and record.answer.value
+    values["answer"] = record.final_status and record.final_status.value
     return values | asdict(record.facts)
 
 
@@ -89,7 +89,7 @@
         each.add_argument("--class", dest="class_name", help="only of this class")
         each.add_argument("--tenant", help="only of this tenant")
         each.add_argument(
-            "--answer", choices=[answer.value for answer in StoredAnswer], help="only so answered"
+            "--answer", choices=[answer.value for answer in StoredFinalStatus], help="only so answered"
         )
         each.add_argument("--since", type=moment, metavar="TIME", help="taken on then or later")
         each.add_argument("--until", type=moment, metavar="TIME", help="taken on before")
@@ -111,7 +111,7 @@
             e.facts.tenant or "-",
             str(e.facts.destination),
             e.state.value,
-            e.answer.value if e.answer else "-",
+            e.final_status.value if e.final_status else "-",
             str(e.attempts),
             shown(e.decided_at),
         )
@@ -163,7 +163,7 @@
         query = RecordQuery(
             asked.class_name,
             asked.tenant,
-            StoredAnswer(asked.answer) if asked.answer else None,
+            StoredFinalStatus(asked.answer) if asked.answer else None,
             asked.since,
             asked.until,
             asked.unfinished,
--- a/loftrelay/demo/result.py
+++ b/loftrelay/demo/result.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from loftrelay.demo.scenario import AT_MOST_ONCE_CLASSES
-from loftrelay.store.state_machine import MessageRecord, StoredAnswer
+from loftrelay.store.state_machine import MessageRecord, StoredFinalStatus
 
 
 @dataclass
@@ -55,8 +55,8 @@
             if entry.reported_at is None:
                 yield f"{name}: its final status is not reported"
                 continue
-            if entry.answer is StoredAnswer.FAILED:
+            if entry.final_status is StoredFinalStatus.FAILED:
                 continue  # it may have been executed, after a kill
-            if (entry.answer is StoredAnswer.DELIVERED) != (self.executions[name] > 0):
-                answer = entry.answer.value if entry.answer is not None else "no answer"
+            if (entry.final_status is StoredFinalStatus.DELIVERED) != (self.executions[name] > 0):
+                answer = entry.final_status.value if entry.final_status is not None else "no answer"
                 yield f"{name}: {answer}, executed {self.executions[name]} times"
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -140,7 +140,7 @@
     def final_status_reported(self, message_id: str) -> None:
         """Records that the client or the platform has received the final status of a message."""
 
-    def recorded_answer(self, message_id: str) -> str | None:
+    def recorded_final_status(self, message_id: str) -> str | None:
         """Returns the final status of a message as stored before a restart; None if it has none."""
 
     def recover(self, message: Message | None, message_id: str, is_at_most_once: bool) -> RecoveryAction:
--- a/loftrelay/relay/recovery.py
+++ b/loftrelay/relay/recovery.py
@@ -114,7 +114,7 @@
         store = self.context.store
         if store is None:
             return True
-        recorded_answer = store.recorded_answer(message.id)
+        recorded_answer = store.recorded_final_status(message.id)
         action = store.recover(message, message.id, not is_repeatable(message.packed_terms))
         if action in (RecoveryAction.COMPLETE, RecoveryAction.DISCARD):
             self._drop_completed(message, recorded_answer)
@@ -148,7 +148,7 @@
             self._end_lost_message(store, message_id)
 
     def _end_lost_message(self, store: MessageStore, message_id: str) -> None:
-        recorded_answer = store.recorded_answer(message_id)
+        recorded_answer = store.recorded_final_status(message_id)
         store.recover(None, message_id, True)
         if recorded_answer == STORED_DELIVERED:
             store.final_status_reported(message_id)
--- a/loftrelay/store/backend.py
+++ b/loftrelay/store/backend.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from loftrelay.store.state_machine import Change, MessageRecord, StoredAnswer
+from loftrelay.store.state_machine import Change, MessageRecord, StoredFinalStatus
 
 
 class StoreError(Exception):
@@ -31,7 +31,7 @@
 
     class_name: str | None = None
     tenant: str | None = None
-    answer: StoredAnswer | None = None
+    final_status: StoredFinalStatus | None = None
     since: int | None = None
     until: int | None = None
     unfinished: bool = False  # only those that are not reported
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -26,7 +26,7 @@
     MessageFacts,
     MessageRecord,
     RecordState,
-    StoredAnswer,
+    StoredFinalStatus,
 )
 from loftrelay.store.writer import IdInUseError, StoreBusyError, Writer
 
@@ -184,10 +184,10 @@
             self.attempt_ended(message_id, "BROKEN")
         return mend
 
-    def recorded_answer(self, message: str) -> str | None:
+    def recorded_final_status(self, message: str) -> str | None:
         """Returns how a message ended, as the store had it at the start."""
         entry = self.records_at_start.get(message)
-        return entry.answer.value if entry is not None and entry.answer is not None else None
+        return entry.final_status.value if entry is not None and entry.final_status is not None else None
 
     def drop(self, message: str) -> None:
         """Records nothing more of a message."""
@@ -230,7 +230,7 @@
                 # Its client was refused meanwhile, and may come again with it.
                 self.record_final_status(
                     message.id,
-                    StoredAnswer.REJECTED.value,
+                    StoredFinalStatus.REJECTED.value,
                     None,
                     partial(self.final_status_reported, message.id),
                 )
@@ -342,28 +342,31 @@
         It is called at once for WRITE_BEHIND classes, deliveries aside, and where nothing is recorded of the
         message. A delivery is always waited for: the journal keeps it until then, and nobody else waits.
         """
-        track, final = self.positions.get(message), StoredAnswer(answer)
+        track, final = self.positions.get(message), StoredFinalStatus(answer)
         if track is None:
             done()
             return
-        if final is StoredAnswer.DELIVERED and track.state in (RecordState.ADMITTED, RecordState.WAITING):
+        if final is StoredFinalStatus.DELIVERED and track.state in (
+            RecordState.ADMITTED,
+            RecordState.WAITING,
+        ):
             self._post(
                 message, track, ChangeKind.BEGIN_ATTEMPT
             )  # it was lost with the queue of a class that follows
         if track.state in (RecordState.ENDED, RecordState.REPORTED, None):
             done()
             return
-        if final is StoredAnswer.DELIVERED:
+        if final is StoredFinalStatus.DELIVERED:
             # Nobody is owed a delivery's end, so that it is told with it: in one commit, mostly.
-            self._post(message, track, ChangeKind.DECIDE, answer=final, result=result)
+            self._post(message, track, ChangeKind.DECIDE, final_status=final, result=result)
             self._write(
                 message, track, ChangeKind.REPORT, done, urgent=track.mode is DurabilityMode.WRITE_AHEAD
             )
         elif track.mode is DurabilityMode.WRITE_BEHIND:
-            self._post(message, track, ChangeKind.DECIDE, answer=final, result=result)
+            self._post(message, track, ChangeKind.DECIDE, final_status=final, result=result)
             done()
         else:
-            self._write(message, track, ChangeKind.DECIDE, done, answer=final, result=result)
+            self._write(message, track, ChangeKind.DECIDE, done, final_status=final, result=result)
 
     def final_status_reported(self, message: str) -> None:
         """Records that whoever waits for the end of a message has it."""
@@ -378,11 +381,11 @@
         kind: ChangeKind,
         host: str | None = None,
         result: str | None = None,
-        answer: StoredAnswer | None = None,
+        final_status: StoredFinalStatus | None = None,
     ) -> Change:
         track.number += 1
         track.state = state_machine.STATE_AFTER[kind]
-        return Change(message, track.run, track.number, kind, wall_clock(), None, host, result, answer)
+        return Change(message, track.run, track.number, kind, wall_clock(), None, host, result, final_status)
 
     def _post(
         self,
@@ -391,11 +394,11 @@
         kind: ChangeKind,
         host: str | None = None,
         result: str | None = None,
-        answer: StoredAnswer | None = None,
+        final_status: StoredFinalStatus | None = None,
     ) -> None:
         """Queues a change that nobody waits for."""
         urgent = track.mode is DurabilityMode.WRITE_AHEAD and kind is not ChangeKind.REPORT
-        self.writer.put(self._change(message, track, kind, host, result, answer), urgent=urgent)
+        self.writer.put(self._change(message, track, kind, host, result, final_status), urgent=urgent)
 
     def _write(
         self,
@@ -404,7 +407,7 @@
         kind: ChangeKind,
         done: Callable[[], None],
         result: str | None = None,
-        answer: StoredAnswer | None = None,
+        final_status: StoredFinalStatus | None = None,
         urgent: bool = True,
     ) -> None:
         """Queues a change; `done` is called when it is committed, or never will be: then the log says so."""
@@ -414,7 +417,9 @@
                 log.error("%s: its record is behind: %s", message, error)
             done()
 
-        self.writer.put(self._change(message, track, kind, None, result, answer), written, urgent=urgent)
+        self.writer.put(
+            self._change(message, track, kind, None, result, final_status), written, urgent=urgent
+        )
 
     # Retention, and the end
 
--- a/loftrelay/store/rows.py
+++ b/loftrelay/store/rows.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from loftrelay.store.backend import RecordQuery
-from loftrelay.store.state_machine import MessageFacts, MessageRecord, RecordState, StoredAnswer
+from loftrelay.store.state_machine import MessageFacts, MessageRecord, RecordState, StoredFinalStatus
 
 COLUMNS = (
     "id, run, number, state, instance, class, tenant, destination, key, sha256, deadline, taken_at, "
@@ -40,7 +40,7 @@
         entry.attempt_started_at,
         entry.result,
         entry.result_at,
-        entry.answer.value if entry.answer else None,
+        entry.final_status.value if entry.final_status else None,
         entry.decided_at,
         entry.reported_at,
     )
@@ -83,7 +83,7 @@
         intended_at,
         result,
         result_at,
-        StoredAnswer(answer) if answer else None,
+        StoredFinalStatus(answer) if answer else None,
         answered_at,
         told_at,
     )
@@ -95,7 +95,7 @@
     for term, value in (
         ("class =", query.class_name),
         ("tenant =", query.tenant),
-        ("answer =", query.answer.value if query.answer else None),
+        ("answer =", query.final_status.value if query.final_status else None),
         ("taken_at >=", query.since),
         ("taken_at <", query.until),
     ):
@@ -110,14 +110,13 @@
 def inconsistencies(entry: MessageRecord) -> list[str]:
     """Returns the contradictions in a record, a line each."""
     said = []
+    answer = entry.final_status and entry.final_status.value
     ended = entry.state in (RecordState.ENDED, RecordState.REPORTED)
-    if ended != (entry.answer is not None) or ended != (entry.decided_at is not None):
-        said.append(
-            f"{entry.message}: {entry.state.value}, with answer {entry.answer and entry.answer.value}"
-        )
+    if ended != (entry.final_status is not None) or ended != (entry.decided_at is not None):
+        said.append(f"{entry.message}: {entry.state.value}, with answer {answer}")
     if (entry.state is RecordState.REPORTED) != (entry.reported_at is not None):
         said.append(f"{entry.message}: {entry.state.value}, with told_at {entry.reported_at}")
-    if entry.answer is StoredAnswer.DELIVERED and not entry.attempts:
+    if entry.final_status is StoredFinalStatus.DELIVERED and not entry.attempts:
         said.append(f"{entry.message}: delivered without an attempt")
     return said
 
--- a/loftrelay/store/state_machine.py
+++ b/loftrelay/store/state_machine.py
@@ -30,7 +30,7 @@
     REPORTED = "told"  # whoever waits for the end has it
 
 
-class StoredAnswer(Enum):
+class StoredFinalStatus(Enum):
     """How a message ended. Values are the words in the store."""
 
     DELIVERED = "delivered"
@@ -95,7 +95,7 @@
     facts: MessageFacts | None = None  # of ADMIT
     host: str | None = None  # of BEGIN_ATTEMPT
     result: str | None = None  # of END_ATTEMPT, and of DECIDE while an attempt is in flight
-    answer: StoredAnswer | None = None  # of DECIDE
+    final_status: StoredFinalStatus | None = None  # of DECIDE
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,7 +113,7 @@
     attempt_started_at: int | None = None
     result: str | None = None  # of the last attempt
     result_at: int | None = None
-    answer: StoredAnswer | None = None
+    final_status: StoredFinalStatus | None = None
     decided_at: int | None = None
     reported_at: int | None = None
 
@@ -149,23 +149,23 @@
         )
     if record.state not in STATES_BEFORE[change.kind]:
         raise RecordRuleError(f"{change.message}: {change.kind.value} after {record.state.value}")
-    if change.kind is ChangeKind.DECIDE and change.answer is None:
+    if change.kind is ChangeKind.DECIDE and change.final_status is None:
         raise RecordRuleError(f"{change.message}: an end without an answer")
-    if change.answer is StoredAnswer.DELIVERED and record.state is not RecordState.IN_FLIGHT:
+    if change.final_status is StoredFinalStatus.DELIVERED and record.state is not RecordState.IN_FLIGHT:
         raise RecordRuleError(f"{change.message}: delivered without an attempt in flight")
 
 
 def _advance(record: MessageRecord, change: Change) -> MessageRecord:
     attempts, host, started_at = record.attempts, record.host, record.attempt_started_at
     result, result_at = record.result, record.result_at
-    answer, decided_at, reported_at = record.answer, record.decided_at, record.reported_at
+    answer, decided_at, reported_at = record.final_status, record.decided_at, record.reported_at
     if change.kind is ChangeKind.BEGIN_ATTEMPT:
         attempts, host, started_at = attempts + 1, change.host, change.at
         result, result_at = None, None
     elif record.state is RecordState.IN_FLIGHT:
         result, result_at = change.result, change.at
     if change.kind is ChangeKind.DECIDE:
-        answer, decided_at = change.answer, change.at
+        answer, decided_at = change.final_status, change.at
     elif change.kind is ChangeKind.REPORT:
         reported_at = change.at
     # Field by field: dataclasses.replace would take much of the time of a commit.
@@ -189,7 +189,7 @@
 
 def is_id_reusable(entry: MessageRecord) -> bool:
     """Returns whether an id can be used again: only a reported rejection has promised that."""
-    return entry.state is RecordState.REPORTED and entry.answer is StoredAnswer.REJECTED
+    return entry.state is RecordState.REPORTED and entry.final_status is StoredFinalStatus.REJECTED
 
 
 # What has to be stored before a step
@@ -268,13 +268,13 @@
     """
     if entry is None or is_id_reusable(entry):
         return KnownId.NEW
-    if entry.answer is None:
+    if entry.final_status is None:
         return KnownId.IN_PROGRESS
-    if entry.answer is StoredAnswer.REJECTED:
+    if entry.final_status is StoredFinalStatus.REJECTED:
         return KnownId.REJECTED
     if entry.decided_at is not None and now > max(entry.decided_at + memory, entry.facts.deadline):
         return KnownId.NEW
-    return KnownId.DELIVERED if entry.answer is StoredAnswer.DELIVERED else KnownId.FAILED
+    return KnownId.DELIVERED if entry.final_status is StoredFinalStatus.DELIVERED else KnownId.FAILED
 
 
 # Recovery: the journal against the store
@@ -312,7 +312,7 @@
         if seen.state is RecordState.ENDED:
             return (
                 RecoveryAction.REPORT_AGAIN
-                if seen.answer is not StoredAnswer.DELIVERED
+                if seen.final_status is not StoredFinalStatus.DELIVERED
                 else RecoveryAction.UPDATE_STORE
             )
         return RecoveryAction.FAIL  # the journal is lost: nobody knows whether it ran
@@ -331,7 +331,7 @@
     if seen.state is RecordState.ENDED:
         return (
             RecoveryAction.UPDATE_STORE
-            if seen.answer is StoredAnswer.DELIVERED
+            if seen.final_status is StoredFinalStatus.DELIVERED
             else RecoveryAction.REPORT_AGAIN
         )
     if standing in (JournalStanding.DELIVERED, JournalStanding.ENDED):
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -13,7 +13,7 @@
 
 from loftrelay.cli.demo import main, report
 from loftrelay.demo.result import DemoResult
-from loftrelay.store.state_machine import MessageRecord, StoredAnswer, apply
+from loftrelay.store.state_machine import MessageRecord, StoredFinalStatus, apply
 from tests.standins.platform import ROOT
 from tests.store.test_sqlite import life
 
@@ -75,7 +75,7 @@
         assert error.count("\n") == 1
 
 
-def entry(name: str, answer: StoredAnswer = StoredAnswer.DELIVERED) -> MessageRecord:
+def entry(name: str, answer: StoredFinalStatus = StoredFinalStatus.DELIVERED) -> MessageRecord:
     found: MessageRecord | None = None
     for change in life(name, end=answer):
         found = apply(found, change)
@@ -98,7 +98,7 @@
             replace(sound, entries=[replace(entry("a"), reported_at=None)]),
             "a: its final status is not reported",
         ),
-        (replace(sound, entries=[entry("a", StoredAnswer.REJECTED)]), "a: refused, executed 1 times"),
+        (replace(sound, entries=[entry("a", StoredFinalStatus.REJECTED)]), "a: refused, executed 1 times"),
         (replace(sound, store_faults=["torn"]), "torn"),
     ):
         assert result.disagreements() == [line]
--- a/tests/cli/test_record.py
+++ b/tests/cli/test_record.py
@@ -11,7 +11,7 @@
 
 from loftrelay.cli.record import main, moment
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import StoredAnswer
+from loftrelay.store.state_machine import StoredFinalStatus
 from tests.standins.platform import ROOT
 from tests.store.test_sqlite import life
 
@@ -23,7 +23,7 @@
     store = SQLiteStore(tmp_path / "r.sqlite")
     begin = moment("2026-03-01T08:30:00")
     store.commit(life("a", at=begin, tenant="acme"))
-    store.commit(life("b", at=begin + DAY, tenant="dijk", end=StoredAnswer.FAILED))
+    store.commit(life("b", at=begin + DAY, tenant="dijk", end=StoredFinalStatus.FAILED))
     store.commit(life("c", at=begin + 2 * DAY, tenant="dijk", end=None))
     store.close()
     return tmp_path / "r.sqlite"
--- a/tests/program/test_fault_points.py
+++ b/tests/program/test_fault_points.py
@@ -13,7 +13,7 @@
 import pytest
 
 from loftrelay.relay.fault_points import DELIVERY_POINTS, FINAL_STATUS_POINTS, SUCCESSOR_POINTS
-from loftrelay.store.state_machine import RecordState, StoredAnswer
+from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.program.test_record import entries, until, with_store
 from tests.standins.platform import HANG, SETTINGS, Request, World, reply, run
 
@@ -57,14 +57,14 @@
         if heard in (202, 200):
             found = await until(path, ["m"], RecordState.REPORTED)
             ends = {"delivered": [], "failed": ["undeliverable"], "refused": ["deferred"]}
-            answer = found["m"].answer
+            answer = found["m"].final_status
             assert answer is not None
             if heard == 202:
                 assert {notice["status"] for notice in w.notices} == set(ends[answer.value])
-            if answer is StoredAnswer.DELIVERED:
+            if answer is StoredFinalStatus.DELIVERED:
                 assert status == 200
                 assert ran == ["m"]
-            if answer is StoredAnswer.REJECTED:
+            if answer is StoredFinalStatus.REJECTED:
                 assert not ran
         assert ran in ([], ["m"])
         if status != 503:
@@ -90,7 +90,7 @@
         await w.until(lambda: "step journal over" in w.log)
         passed = [line[5:] for line in w.log if line.startswith("step ")]
         assert [step for step in passed if step not in SUCCESSOR_POINTS] == list(DELIVERY_POINTS)
-        assert entries(path)["m"].answer is StoredAnswer.DELIVERED
+        assert entries(path)["m"].final_status is StoredFinalStatus.DELIVERED
 
     run(scenario, tmp_path)
 
--- a/tests/program/test_record.py
+++ b/tests/program/test_record.py
@@ -13,7 +13,7 @@
 
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import VERSION, SQLiteStore
-from loftrelay.store.state_machine import MessageRecord, RecordState, StoredAnswer
+from loftrelay.store.state_machine import MessageRecord, RecordState, StoredFinalStatus
 from tests.standins.platform import HANG, SETTINGS, Request, World, deliver, message, never, reply, run
 
 FAST = {**SETTINGS["policy_limits"], "most_held": 2000}
@@ -57,10 +57,10 @@
         for name, of in (("order", "order"), ("status", "status"), ("bad", "order")):
             assert await w.hand_in(name, of, path="/order/k1" if name == "bad" else f"/{of}") == 202
         found = await until(path, ["order", "status", "bad"], RecordState.REPORTED)
-        assert [found[name].answer for name in ("order", "status", "bad")] == [
-            StoredAnswer.DELIVERED,
-            StoredAnswer.DELIVERED,
-            StoredAnswer.FAILED,
+        assert [found[name].final_status for name in ("order", "status", "bad")] == [
+            StoredFinalStatus.DELIVERED,
+            StoredFinalStatus.DELIVERED,
+            StoredFinalStatus.FAILED,
         ]
         bad = found["bad"]
         about = bad.facts
@@ -177,11 +177,11 @@
         await w.kill()
         lock.execute("ROLLBACK")
         lock.close()
-        assert entries(path)["m"].answer is None
+        assert entries(path)["m"].final_status is None
         await w.start()
         found = await until(path, ["m"], RecordState.REPORTED)
         # The answer was read before the kill, or the attempt may have run: never a second time either way.
-        assert found["m"].answer in (StoredAnswer.DELIVERED, StoredAnswer.FAILED)
+        assert found["m"].final_status in (StoredFinalStatus.DELIVERED, StoredFinalStatus.FAILED)
         assert host.ids == ["m"]
 
     run(scenario, tmp_path)
@@ -201,7 +201,7 @@
         await w.start()
         await w.until(lambda: w.notices == [{"id": "m", "status": "undeliverable"}])
         found = await until(path, ["m"], RecordState.REPORTED)
-        assert found["m"].answer is StoredAnswer.FAILED
+        assert found["m"].final_status is StoredFinalStatus.FAILED
         assert host.ids == ["m"]
 
     run(scenario, tmp_path)
@@ -224,7 +224,7 @@
         await w.start()
         await w.until(lambda: w.notices == [{"id": "out", "status": "undeliverable"}])
         found = await until(path, ["out"], RecordState.REPORTED)
-        assert found["out"].answer is StoredAnswer.FAILED
+        assert found["out"].final_status is StoredFinalStatus.FAILED
         assert found["out"].attempts == 1
         assert (await until(path, ["waits"], RecordState.ADMITTED))["waits"].attempts == 0
         assert host.ids == ["out"]
@@ -264,9 +264,9 @@
         assert len(set(host.ids)) == len(host.ids)
         told = {notice["id"]: notice["status"] for notice in w.notices}
         for name, entry in found.items():
-            if entry.answer is StoredAnswer.DELIVERED:
+            if entry.final_status is StoredFinalStatus.DELIVERED:
                 assert name in host.ids
-            elif entry.answer is StoredAnswer.FAILED:
+            elif entry.final_status is StoredFinalStatus.FAILED:
                 assert told[name] == "undeliverable"
         assert set(host.ids) <= set(found)  # nothing went out that the store had not seen
 
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -14,7 +14,7 @@
 
 from loftrelay.store.backend import RecordQuery  # noqa: E402
 from loftrelay.store.postgres import PostgresStore  # noqa: E402
-from loftrelay.store.state_machine import MessageRecord, RecordState, StoredAnswer  # noqa: E402
+from loftrelay.store.state_machine import MessageRecord, RecordState, StoredFinalStatus  # noqa: E402
 from tests.program.test_connections import LIMITS  # noqa: E402
 from tests.program.test_record import given_to_two  # noqa: E402
 from tests.standins.partner import Partner  # noqa: E402
@@ -94,12 +94,14 @@
             assert len(found) == ORDERS
             assert max(partner.effects.values()) == 1
             told = {notice["id"]: notice["status"] for notice in w.notices}
-            ends = {StoredAnswer.FAILED: "undeliverable", StoredAnswer.REJECTED: "deferred"}
+            ends = {StoredFinalStatus.FAILED: "undeliverable", StoredFinalStatus.REJECTED: "deferred"}
             for name, entry in found.items():
-                assert (entry.answer is StoredAnswer.DELIVERED) == (partner.effects[name] == 1), name
-                if entry.answer is not StoredAnswer.DELIVERED and name in account.taken:
-                    assert entry.answer is not None
-                    assert told[name] == ends[entry.answer]
+                assert (entry.final_status is StoredFinalStatus.DELIVERED) == (partner.effects[name] == 1), (
+                    name
+                )
+                if entry.final_status is not StoredFinalStatus.DELIVERED and name in account.taken:
+                    assert entry.final_status is not None
+                    assert told[name] == ends[entry.final_status]
             assert set(partner.effects) <= set(found)
             assert len(partner.effects) > 0.99 * ORDERS
 
@@ -156,7 +158,7 @@
         await asyncio.gather(*(again(name) for name in names))
         found = await all_told(server, {*names, "during"})
         assert sorted(i for i in host.ids if i in names) == sorted(names)
-        assert all(found[name].answer is StoredAnswer.DELIVERED for name in names)
+        assert all(found[name].final_status is StoredFinalStatus.DELIVERED for name in names)
 
     run(scenario, tmp_path)
 
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from loftrelay.store.state_machine import RecordState, StoredAnswer
+from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.program.test_record import until, with_store
 from tests.standins.platform import HANG, Peer, Request, World, deliver, failed, message, reply, run
 from tests.standins.registries import Registries
@@ -420,7 +420,7 @@
         await w.restart()
         host.script = deliver
         found = await until(path, ["m0", "m1", "m2"], RecordState.REPORTED)
-        assert {found[name].answer for name in ("m0", "m1", "m2")} == {StoredAnswer.DELIVERED}
+        assert {found[name].final_status for name in ("m0", "m1", "m2")} == {StoredFinalStatus.DELIVERED}
         orders = [name for name in dict.fromkeys(reversed(host.ids)) if name != "m0"]
         assert orders == ["m2", "m1"]
         assert not w.notices
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -13,7 +13,7 @@
 import pytest
 
 from loftrelay.relay.fault_points import PREDECESSOR_POINTS
-from loftrelay.store.state_machine import RecordState, StoredAnswer
+from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.program.test_record import until, with_store
 from tests.standins.partner import Behaviour, Call, Doing, Partner
 from tests.standins.platform import HANG, Request, World, deliver, failed, message, reply, run
@@ -96,10 +96,10 @@
         told = [notice["id"] for notice in w.notices]
         if begun:
             assert status == 202
-            assert found["m"].answer is StoredAnswer.DELIVERED
+            assert found["m"].final_status is StoredFinalStatus.DELIVERED
             assert not told
         else:
-            assert found["m"].answer in (StoredAnswer.REJECTED, StoredAnswer.FAILED)
+            assert found["m"].final_status in (StoredFinalStatus.REJECTED, StoredFinalStatus.FAILED)
             assert status in (500, 503) or told == ["m"]
         assert host.ids == begun
 
@@ -321,6 +321,8 @@
             assert seen.messages > 20
             assert (seen.duplicates, seen.misattributed, seen.order_breaks, seen.begun_late) == (0, 0, 0, 0)
             for name in required:
-                assert (found[name].answer is StoredAnswer.DELIVERED) == (partner.answered[name] > 0), name
+                assert (found[name].final_status is StoredFinalStatus.DELIVERED) == (
+                    partner.answered[name] > 0
+                ), name
 
     run(scenario, tmp_path)
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -23,7 +23,7 @@
 from loftrelay.state.last_config import LastConfigFile
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import RecordState, StoredAnswer
+from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.standins.recovered import recover
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "state_32c0038"
@@ -157,17 +157,17 @@
     assert store.verify() == []
     found = {entry.message: entry for entry in store.select(RecordQuery())}
     store.close()
-    assert {name: (entry.state, entry.answer, entry.attempts) for name, entry in found.items()} == {
+    assert {name: (entry.state, entry.final_status, entry.attempts) for name, entry in found.items()} == {
         "store-untried": (RecordState.ADMITTED, None, 0),
         "store-out": (RecordState.IN_FLIGHT, None, 1),
         "store-waiting": (RecordState.WAITING, None, 1),
-        "store-ended": (RecordState.ENDED, StoredAnswer.FAILED, 1),
-        "store-delivered-unrecorded": (RecordState.ENDED, StoredAnswer.DELIVERED, 1),
+        "store-ended": (RecordState.ENDED, StoredFinalStatus.FAILED, 1),
+        "store-delivered-unrecorded": (RecordState.ENDED, StoredFinalStatus.DELIVERED, 1),
         "store-lost": (RecordState.ADMITTED, None, 0),
         "store-lost-out": (RecordState.IN_FLIGHT, None, 1),
-        "store-told-delivered": (RecordState.REPORTED, StoredAnswer.DELIVERED, 1),
-        "store-told-failed": (RecordState.REPORTED, StoredAnswer.FAILED, 1),
-        "store-told-refused": (RecordState.REPORTED, StoredAnswer.REJECTED, 0),
+        "store-told-delivered": (RecordState.REPORTED, StoredFinalStatus.DELIVERED, 1),
+        "store-told-failed": (RecordState.REPORTED, StoredFinalStatus.FAILED, 1),
+        "store-told-refused": (RecordState.REPORTED, StoredFinalStatus.REJECTED, 0),
     }
     waiting = found["store-waiting"]
     assert (waiting.host, waiting.result, waiting.run, waiting.number) == ("h0", "FULL", 1, 3)
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -272,7 +272,7 @@
 
     def final_status_reported(self, message_id: str) -> None: ...
 
-    def recorded_answer(self, message_id: str) -> str | None:
+    def recorded_final_status(self, message_id: str) -> str | None:
         return None
 
     def recover(self, message: Message | None, message_id: str, is_at_most_once: bool) -> RecoveryAction:
--- a/tests/store/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -16,7 +16,7 @@
     StoreUnusableError,
 )
 from loftrelay.store.postgres import VERSION, PostgresStore  # noqa: E402
-from loftrelay.store.state_machine import RecordRuleError, RecordState, StoredAnswer  # noqa: E402
+from loftrelay.store.state_machine import RecordRuleError, RecordState, StoredFinalStatus  # noqa: E402
 from tests.standins.postgres import PostgresStandIn  # noqa: E402
 from tests.store.test_sqlite import life  # noqa: E402
 
@@ -31,9 +31,9 @@
     store, other = PostgresStore(server.dsn), PostgresStore(server.dsn)
     assert store.commit(life("m")) == {}
     entry = other.read(["m", "never"])["m"]
-    assert (entry.state, entry.answer, entry.attempts, entry.facts.instance) == (
+    assert (entry.state, entry.final_status, entry.attempts, entry.facts.instance) == (
         RecordState.REPORTED,
-        StoredAnswer.DELIVERED,
+        StoredFinalStatus.DELIVERED,
         1,
         "n1",
     )
--- a/tests/store/test_recorder.py
+++ b/tests/store/test_recorder.py
@@ -12,7 +12,13 @@
 from loftrelay.store import recorder as module
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.recorder import AdmissionDecision, Recorder
-from loftrelay.store.state_machine import DurabilityMode, KnownId, MessageRecord, RecordState, StoredAnswer
+from loftrelay.store.state_machine import (
+    DurabilityMode,
+    KnownId,
+    MessageRecord,
+    RecordState,
+    StoredFinalStatus,
+)
 from loftrelay.store.writer import Writer
 from tests.store.test_writer import Faulty
 
@@ -59,7 +65,9 @@
     return await told
 
 
-async def live(recorder: Recorder, held: Message, answer: StoredAnswer = StoredAnswer.DELIVERED) -> None:
+async def live(
+    recorder: Recorder, held: Message, answer: StoredFinalStatus = StoredFinalStatus.DELIVERED
+) -> None:
     """One attempt, and its end, told."""
     loop = asyncio.get_running_loop()
     went: asyncio.Future[bool] = loop.create_future()
@@ -99,7 +107,7 @@
                 or (entry := (await stored(recorder))["m"]).state is not RecordState.REPORTED
             ):
                 await asyncio.sleep(0)
-        assert (entry.answer, entry.attempts) == (StoredAnswer.REJECTED, 0)
+        assert (entry.final_status, entry.attempts) == (StoredFinalStatus.REJECTED, 0)
         recorder.max_store_wait_s = NEVER
         clock.now += 1_000_000
         verdict = await take(recorder, clock.held("m"))
@@ -128,7 +136,7 @@
             while "m" in recorder.positions:
                 await asyncio.sleep(0)
         entry = (await stored(recorder))["m"]
-        assert (entry.run, entry.answer) == (1, StoredAnswer.DELIVERED)
+        assert (entry.run, entry.final_status) == (1, StoredFinalStatus.DELIVERED)
 
     run(tmp_path, scenario)
 
@@ -186,13 +194,13 @@
     async def scenario(store: Faulty, recorder: Recorder) -> None:
         held = clock.held("m")
         await take(recorder, held)
-        await live(recorder, held, StoredAnswer.REJECTED)
+        await live(recorder, held, StoredFinalStatus.REJECTED)
         clock.now -= 2 * HOUR
         again = clock.held("m")
         assert (await take(recorder, again)).known_id is KnownId.NEW
         assert (await take(beside(recorder), clock.held("m"))).known_id is KnownId.IN_PROGRESS
         await live(recorder, again)
         entry = (await stored(recorder))["m"]
-        assert (entry.run, entry.answer, entry.attempts) == (2, StoredAnswer.DELIVERED, 1)
+        assert (entry.run, entry.final_status, entry.attempts) == (2, StoredFinalStatus.DELIVERED, 1)
 
     run(tmp_path, scenario)
--- a/tests/store/test_rules.py
+++ b/tests/store/test_rules.py
@@ -20,7 +20,7 @@
     RecordRuleError,
     RecordState,
     Step,
-    StoredAnswer,
+    StoredFinalStatus,
     apply,
     reconcile,
     required_before,
@@ -35,14 +35,14 @@
 def change(kind: ChangeKind, number: int, run: int = 1, at: int = 0, **told: object) -> Change:
     given = {"facts": ABOUT} if kind is ChangeKind.ADMIT else {}
     if kind is ChangeKind.DECIDE:
-        given = {"answer": StoredAnswer.FAILED}  # type: ignore[dict-item]
+        given = {"final_status": StoredFinalStatus.FAILED}  # type: ignore[dict-item]
     return replace(Change("m", run, number, kind, at or 100 * number, **given), **told)  # type: ignore[arg-type]
 
 
-def record(*kinds: ChangeKind, answer: StoredAnswer = StoredAnswer.FAILED) -> MessageRecord:
+def record(*kinds: ChangeKind, final_status: StoredFinalStatus = StoredFinalStatus.FAILED) -> MessageRecord:
     entry: MessageRecord | None = None
     for number, kind in enumerate(kinds, 1):
-        told: dict[str, object] = {"answer": answer} if kind is ChangeKind.DECIDE else {}
+        told: dict[str, object] = {"final_status": final_status} if kind is ChangeKind.DECIDE else {}
         entry = apply(entry, change(kind, number, **told))  # type: ignore[arg-type]
     assert entry is not None
     return entry
@@ -84,7 +84,7 @@
 
 
 def test_a_life_is_told_in_full() -> None:
-    entry = record(TAKE, INTEND, OUTCOME, INTEND, END, TOLD, answer=StoredAnswer.DELIVERED)
+    entry = record(TAKE, INTEND, OUTCOME, INTEND, END, TOLD, final_status=StoredFinalStatus.DELIVERED)
     assert entry == MessageRecord(
         "m",
         1,
@@ -97,7 +97,7 @@
         attempt_started_at=400,
         result=None,
         result_at=500,
-        answer=StoredAnswer.DELIVERED,
+        final_status=StoredFinalStatus.DELIVERED,
         decided_at=500,
         reported_at=600,
     )
@@ -107,7 +107,7 @@
 def test_nothing_is_delivered_without_an_attempt_out(kinds: tuple[ChangeKind, ...]) -> None:
     entry = record(*kinds)
     with pytest.raises(RecordRuleError, match="without an attempt"):
-        apply(entry, change(END, entry.number + 1, answer=StoredAnswer.DELIVERED))
+        apply(entry, change(END, entry.number + 1, final_status=StoredFinalStatus.DELIVERED))
 
 
 def test_numbers_leave_no_gap_and_an_end_has_an_answer() -> None:
@@ -116,7 +116,7 @@
         with pytest.raises(RecordRuleError):
             apply(entry, change(INTEND, number))
     with pytest.raises(RecordRuleError):
-        apply(entry, change(END, 2, answer=None))
+        apply(entry, change(END, 2, final_status=None))
     with pytest.raises(RecordRuleError):
         apply(None, change(INTEND, 2))
     with pytest.raises(RecordRuleError):
@@ -125,7 +125,7 @@
 
 def test_an_id_has_a_new_record_only_after_its_last_one_is_told() -> None:
     again = change(TAKE, 1, run=2)
-    assert apply(record(TAKE, END, TOLD, answer=StoredAnswer.REJECTED), again).run == 2
+    assert apply(record(TAKE, END, TOLD, final_status=StoredFinalStatus.REJECTED), again).run == 2
     for life in (LIVES[state] for state in RecordState if state is not RecordState.REPORTED):
         with pytest.raises(RecordRuleError):
             apply(record(*life), again)
@@ -173,13 +173,13 @@
         (None, 0, KnownId.NEW),
         (record(TAKE), 10**12, KnownId.IN_PROGRESS),
         (record(TAKE, INTEND), 10**12, KnownId.IN_PROGRESS),
-        (record(TAKE, INTEND, END, answer=StoredAnswer.DELIVERED), 5_000, KnownId.DELIVERED),
-        (record(TAKE, INTEND, END, TOLD, answer=StoredAnswer.DELIVERED), 9_000, KnownId.DELIVERED),
+        (record(TAKE, INTEND, END, final_status=StoredFinalStatus.DELIVERED), 5_000, KnownId.DELIVERED),
+        (record(TAKE, INTEND, END, TOLD, final_status=StoredFinalStatus.DELIVERED), 9_000, KnownId.DELIVERED),
         (record(TAKE, INTEND, END, TOLD), 9_000, KnownId.FAILED),
         (record(TAKE, INTEND, END, TOLD), 300 + 10 * S, KnownId.FAILED),
         (record(TAKE, INTEND, END, TOLD), 301 + 10 * S, KnownId.NEW),
-        (record(TAKE, END, answer=StoredAnswer.REJECTED), 5_000, KnownId.REJECTED),  # not free yet
-        (record(TAKE, END, TOLD, answer=StoredAnswer.REJECTED), 5_000, KnownId.NEW),
+        (record(TAKE, END, final_status=StoredFinalStatus.REJECTED), 5_000, KnownId.REJECTED),  # not free yet
+        (record(TAKE, END, TOLD, final_status=StoredFinalStatus.REJECTED), 5_000, KnownId.NEW),
     ],
 )
 def test_an_id_seen_before(entry: MessageRecord | None, at: int, answer: KnownId) -> None:
@@ -187,7 +187,7 @@
 
 
 def test_an_id_is_known_until_its_time_is_up_however_short_the_memory() -> None:
-    entry = record(TAKE, INTEND, END, TOLD, answer=StoredAnswer.DELIVERED)
+    entry = record(TAKE, INTEND, END, TOLD, final_status=StoredFinalStatus.DELIVERED)
     assert status_of_id(entry, 9_000, 0) is KnownId.DELIVERED
     assert status_of_id(entry, 9_001, 0) is KnownId.NEW
 
@@ -195,7 +195,7 @@
 SEEN = [
     None,
     *(record(*life) for life in LIVES.values()),
-    record(TAKE, INTEND, END, answer=StoredAnswer.DELIVERED),
+    record(TAKE, INTEND, END, final_status=StoredFinalStatus.DELIVERED),
 ]
 
 
--- a/tests/store/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -19,7 +19,7 @@
     MessageRecord,
     RecordRuleError,
     RecordState,
-    StoredAnswer,
+    StoredFinalStatus,
 )
 from tests.standins.platform import ROOT
 
@@ -29,7 +29,7 @@
 def life(
     name: str,
     at: int = 1000,
-    end: StoredAnswer | None = StoredAnswer.DELIVERED,
+    end: StoredFinalStatus | None = StoredFinalStatus.DELIVERED,
     run: int = 1,
     **about: object,
 ) -> list[Change]:
@@ -40,7 +40,7 @@
     ]
     if end is not None:
         changes += [
-            Change(name, run, 3, ChangeKind.DECIDE, at + 2, result="OK", answer=end),
+            Change(name, run, 3, ChangeKind.DECIDE, at + 2, result="OK", final_status=end),
             Change(name, run, 4, ChangeKind.REPORT, at + 3),
         ]
     return changes
@@ -64,7 +64,7 @@
         1001,
         "OK",
         1002,
-        StoredAnswer.DELIVERED,
+        StoredFinalStatus.DELIVERED,
         1002,
         1003,
     )
@@ -114,9 +114,9 @@
 
 def test_an_id_comes_back_after_a_refusal(tmp_path: Path) -> None:
     store = SQLiteStore(tmp_path / "r.sqlite")
-    store.commit([*life("m", end=StoredAnswer.REJECTED), *life("m", at=5000, run=2)])
+    store.commit([*life("m", end=StoredFinalStatus.REJECTED), *life("m", at=5000, run=2)])
     entry = store.read(["m"])["m"]
-    assert (entry.run, entry.answer, entry.admitted_at) == (2, StoredAnswer.DELIVERED, 5000)
+    assert (entry.run, entry.final_status, entry.admitted_at) == (2, StoredFinalStatus.DELIVERED, 5000)
     assert not store.verify()
     store.close()
 
@@ -265,7 +265,7 @@
 
 def test_what_the_back_office_asks_is_found_by_an_index(tmp_path: Path) -> None:
     store = SQLiteStore(tmp_path / "r.sqlite")
-    store.commit(life("a", tenant="acme") + life("b", at=2000, tenant="dijk", end=StoredAnswer.FAILED))
+    store.commit(life("a", tenant="acme") + life("b", at=2000, tenant="dijk", end=StoredFinalStatus.FAILED))
     store.commit(life("c", at=3000, tenant="dijk", end=None, class_name="status"))
 
     def names(**asked: object) -> list[str]:
@@ -274,7 +274,7 @@
     assert names() == ["a", "b", "c"]
     assert names(tenant="dijk") == ["b", "c"]
     assert names(class_name="status") == ["c"]
-    assert names(answer=StoredAnswer.FAILED) == ["b"]
+    assert names(final_status=StoredFinalStatus.FAILED) == ["b"]
     assert names(unfinished=True) == ["c"]
     assert names(since=2000, until=3000) == ["b"]
     assert names(limit=2) == ["a", "b"]
