--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -31,7 +31,13 @@
 from benchmarks.process import cpu_seconds, run
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import Change, ChangeKind, MessageFacts, MessageRecord, StoredFinalStatus
+from loftrelay.store.state_machine import (
+    Change,
+    ChangeKind,
+    MessageMetadata,
+    MessageRecord,
+    StoredFinalStatus,
+)
 from tests.program.test_connections import LIMITS
 from tests.standins.partner import Partner
 from tests.standins.platform import SETTINGS, World
@@ -223,9 +229,9 @@
     store = SQLiteStore(folder / "probe.sqlite")
     times = []
     for i in range(count):
-        about = MessageFacts("n", "order", None, 1, None, 0, "00" * 32)
+        about = MessageMetadata("n", "order", None, 1, None, 0, "00" * 32)
         began = time.perf_counter()
-        store.commit([Change(f"m{i}", 1, 1, ChangeKind.ADMIT, i, facts=about)])
+        store.commit([Change(f"m{i}", 1, 1, ChangeKind.ADMIT, i, metadata=about)])
         times.append(time.perf_counter() - began)
     store.close()
     return statistics.median(times) * 1000
--- a/loftrelay/cli/demo.py
+++ b/loftrelay/cli/demo.py
@@ -102,8 +102,8 @@
 
 
 def _class_rows(entries: Sequence[MessageRecord]) -> list[tuple[str, ...]]:
-    names = sorted({entry.facts.class_name for entry in entries})
-    return [_class_row(name, [e for e in entries if e.facts.class_name == name]) for name in names]
+    names = sorted({entry.metadata.class_name for entry in entries})
+    return [_class_row(name, [e for e in entries if e.metadata.class_name == name]) for name in names]
 
 
 def _class_row(name: str, entries: Sequence[MessageRecord]) -> tuple[str, ...]:
--- a/loftrelay/cli/record.py
+++ b/loftrelay/cli/record.py
@@ -62,7 +62,7 @@
     values: dict[str, Any] = {name: getattr(record, field) for field, name in OUTPUT_NAMES.items()}
     values["state"] = record.state.value
     values["answer"] = record.final_status and record.final_status.value
-    return values | asdict(record.facts)
+    return values | asdict(record.metadata)
 
 
 def parser() -> argparse.ArgumentParser:
@@ -107,9 +107,9 @@
         (
             shown(e.admitted_at),
             e.message,
-            e.facts.class_name,
-            e.facts.tenant or "-",
-            str(e.facts.destination),
+            e.metadata.class_name,
+            e.metadata.tenant or "-",
+            str(e.metadata.destination),
             e.state.value,
             e.final_status.value if e.final_status else "-",
             str(e.attempts),
--- a/loftrelay/demo/result.py
+++ b/loftrelay/demo/result.py
@@ -35,7 +35,7 @@
     @property
     def duplicates(self) -> int:
         """Executions beyond the first of at-most-once messages; others may be repeated after a kill."""
-        names = {entry.message for entry in self.entries if entry.facts.class_name in AT_MOST_ONCE_CLASSES}
+        names = {entry.message for entry in self.entries if entry.metadata.class_name in AT_MOST_ONCE_CLASSES}
         return sum(count - 1 for name, count in self.executions.items() if name in names)
 
     def disagreements(self) -> list[str]:
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -23,7 +23,7 @@
     ChangeKind,
     DurabilityMode,
     KnownId,
-    MessageFacts,
+    MessageMetadata,
     MessageRecord,
     RecordState,
     StoredFinalStatus,
@@ -140,7 +140,7 @@
         self.records_at_start = {entry.message: entry for entry in mine} | known
 
     def _mine(self, store: StoreBackend) -> list[MessageRecord]:
-        return [e for e in store.select(RecordQuery(unfinished=True)) if e.facts.instance == self.instance]
+        return [e for e in store.select(RecordQuery(unfinished=True)) if e.metadata.instance == self.instance]
 
     def unfinished_without_journal(self, messages: Mapping[str, Message]) -> list[str]:
         """Returns the messages that are unfinished in the store and not in the journal."""
@@ -154,7 +154,11 @@
         """Returns what a start does about a message, and goes on with its record."""
         entry = self.records_at_start.pop(message_id, None)
         class_name = (
-            message.class_name if message is not None else entry.facts.class_name if entry is not None else ""
+            message.class_name
+            if message is not None
+            else entry.metadata.class_name
+            if entry is not None
+            else ""
         )
         mode = self.modes.get(class_name, DurabilityMode.WRITE_AHEAD)
         stands = state_machine.JournalStanding.NOTHING if message is None else journal_standing(message)
@@ -250,7 +254,7 @@
         optional: bool = True,
     ) -> None:
         track.run, track.number, track.state = run, 1, RecordState.ADMITTED
-        about = MessageFacts(
+        about = MessageMetadata(
             self.instance,
             message.class_name,
             message.tenant,
@@ -259,7 +263,7 @@
             message.deadline,
             hashlib.sha256(message.body).hexdigest(),
         )
-        change = Change(message.id, run, 1, ChangeKind.ADMIT, message.admitted_at, facts=about)
+        change = Change(message.id, run, 1, ChangeKind.ADMIT, message.admitted_at, metadata=about)
         required = track.mode is DurabilityMode.WRITE_AHEAD
         self.writer.put(
             change, partial(self._admission_recorded, message, track, done), optional and required, required
--- a/loftrelay/store/rows.py
+++ b/loftrelay/store/rows.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from loftrelay.store.backend import RecordQuery
-from loftrelay.store.state_machine import MessageFacts, MessageRecord, RecordState, StoredFinalStatus
+from loftrelay.store.state_machine import MessageMetadata, MessageRecord, RecordState, StoredFinalStatus
 
 COLUMNS = (
     "id, run, number, state, instance, class, tenant, destination, key, sha256, deadline, taken_at, "
@@ -21,7 +21,7 @@
 
 def row_of(entry: MessageRecord) -> tuple[object, ...]:
     """Returns the values of a record, in the order of COLUMNS."""
-    about = entry.facts
+    about = entry.metadata
     return (
         entry.message,
         entry.run,
@@ -70,7 +70,7 @@
         answered_at,
         told_at,
     ) = row
-    about = MessageFacts(instance, class_name, tenant, destination, key, deadline, sha256)
+    about = MessageMetadata(instance, class_name, tenant, destination, key, deadline, sha256)
     return MessageRecord(
         message,
         run,
--- a/loftrelay/store/state_machine.py
+++ b/loftrelay/store/state_machine.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MessageFacts:
+class MessageMetadata:
     """What a message is, as it was admitted."""
 
     instance: str
@@ -92,7 +92,7 @@
     number: int  # of this change, from 1
     kind: ChangeKind
     at: int
-    facts: MessageFacts | None = None  # of ADMIT
+    metadata: MessageMetadata | None = None  # of ADMIT
     host: str | None = None  # of BEGIN_ATTEMPT
     result: str | None = None  # of END_ATTEMPT, and of DECIDE while an attempt is in flight
     final_status: StoredFinalStatus | None = None  # of DECIDE
@@ -104,7 +104,7 @@
 
     message: str
     run: int
-    facts: MessageFacts
+    metadata: MessageMetadata
     number: int  # of the last change that is stored
     state: RecordState
     admitted_at: int
@@ -133,13 +133,13 @@
 
 
 def _admit(record: MessageRecord | None, change: Change) -> MessageRecord:
-    if change.facts is None or change.number != 1:
+    if change.metadata is None or change.number != 1:
         raise RecordRuleError(f"{change.message}: the first change describes the message")
     if record is not None and not (record.state is RecordState.REPORTED and change.run == record.run + 1):
         raise RecordRuleError(f"{change.message}: admitted while its record is {record.state.value}")
     if record is None and change.run != 1:
         raise RecordRuleError(f"{change.message}: run {change.run} of an id that has no record")
-    return MessageRecord(change.message, change.run, change.facts, 1, RecordState.ADMITTED, change.at)
+    return MessageRecord(change.message, change.run, change.metadata, 1, RecordState.ADMITTED, change.at)
 
 
 def _check_order(record: MessageRecord, change: Change) -> None:
@@ -172,7 +172,7 @@
     return MessageRecord(
         record.message,
         record.run,
-        record.facts,
+        record.metadata,
         change.number,
         STATE_AFTER[change.kind],
         record.admitted_at,
@@ -236,7 +236,11 @@
         )
     if change.kind is ChangeKind.ADMIT:
         if seen.run == change.run:
-            mine = change.facts is not None and seen.facts == change.facts and seen.admitted_at == change.at
+            mine = (
+                change.metadata is not None
+                and seen.metadata == change.metadata
+                and seen.admitted_at == change.at
+            )
             return CommitStatus.APPLIED if mine else CommitStatus.ID_IN_USE
         after = seen.run == change.run - 1 and seen.state is RecordState.REPORTED
         return CommitStatus.MISSING if after else CommitStatus.ID_IN_USE
@@ -272,7 +276,7 @@
         return KnownId.IN_PROGRESS
     if entry.final_status is StoredFinalStatus.REJECTED:
         return KnownId.REJECTED
-    if entry.decided_at is not None and now > max(entry.decided_at + memory, entry.facts.deadline):
+    if entry.decided_at is not None and now > max(entry.decided_at + memory, entry.metadata.deadline):
         return KnownId.NEW
     return KnownId.DELIVERED if entry.final_status is StoredFinalStatus.DELIVERED else KnownId.FAILED
 
--- a/loftrelay/store/writer.py
+++ b/loftrelay/store/writer.py
@@ -41,7 +41,7 @@
     """The id of an admission has a record already, of this instance or another."""
 
     def __init__(self, entry: MessageRecord) -> None:
-        super().__init__(f"{entry.message} is recorded as {entry.state.value} by {entry.facts.instance}")
+        super().__init__(f"{entry.message} is recorded as {entry.state.value} by {entry.metadata.instance}")
         self.record = entry
 
 
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -88,7 +88,7 @@
     assert sound.disagreements() == []
     assert sound.duplicates == 0
     assert replace(sound, executions=Counter("aa")).duplicates == 1
-    status = replace(sound.entries[0], facts=replace(sound.entries[0].facts, class_name="status"))
+    status = replace(sound.entries[0], metadata=replace(sound.entries[0].metadata, class_name="status"))
     assert replace(sound, entries=[status], executions=Counter("aa")).duplicates == 0  # it may run again
     for result, line in (
         (replace(sound, admitted={"a", "b"}), "b: admitted, and not in the store"),
--- a/tests/program/test_record.py
+++ b/tests/program/test_record.py
@@ -63,7 +63,7 @@
             StoredFinalStatus.FAILED,
         ]
         bad = found["bad"]
-        about = bad.facts
+        about = bad.metadata
         assert (about.instance, about.tenant, about.destination, about.key) == ("n1", "acme", 1, "k1")
         assert bad.attempts == 1
         assert bad.result == "ERROR"
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -171,7 +171,7 @@
     }
     waiting = found["store-waiting"]
     assert (waiting.host, waiting.result, waiting.run, waiting.number) == ("h0", "FULL", 1, 3)
-    about = waiting.facts
+    about = waiting.metadata
     assert (about.instance, about.class_name, about.tenant, about.destination, about.key) == (
         "n1",
         "order",
--- a/tests/store/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -31,7 +31,7 @@
     store, other = PostgresStore(server.dsn), PostgresStore(server.dsn)
     assert store.commit(life("m")) == {}
     entry = other.read(["m", "never"])["m"]
-    assert (entry.state, entry.final_status, entry.attempts, entry.facts.instance) == (
+    assert (entry.state, entry.final_status, entry.attempts, entry.metadata.instance) == (
         RecordState.REPORTED,
         StoredFinalStatus.DELIVERED,
         1,
@@ -57,7 +57,7 @@
     one, two = PostgresStore(server.dsn), PostgresStore(server.dsn)
     one.commit(life("m", end=None))
     kept = two.commit([life("m", at=2000, instance="n2")[0], *life("other", instance="n2")])
-    assert kept[0].facts.instance == "n1"
+    assert kept[0].metadata.instance == "n1"
     assert set(one.read(["m", "other"])) == {"m", "other"}
     one.close()
     two.close()
--- a/tests/store/test_rules.py
+++ b/tests/store/test_rules.py
@@ -15,7 +15,7 @@
     DurabilityMode,
     JournalStanding,
     KnownId,
-    MessageFacts,
+    MessageMetadata,
     MessageRecord,
     RecordRuleError,
     RecordState,
@@ -28,12 +28,12 @@
     status_of_id,
 )
 
-ABOUT = MessageFacts("n1", "order", "acme", 1, "k", 9_000, "00" * 32)
+ABOUT = MessageMetadata("n1", "order", "acme", 1, "k", 9_000, "00" * 32)
 S = 1_000_000
 
 
 def change(kind: ChangeKind, number: int, run: int = 1, at: int = 0, **told: object) -> Change:
-    given = {"facts": ABOUT} if kind is ChangeKind.ADMIT else {}
+    given = {"metadata": ABOUT} if kind is ChangeKind.ADMIT else {}
     if kind is ChangeKind.DECIDE:
         given = {"final_status": StoredFinalStatus.FAILED}  # type: ignore[dict-item]
     return replace(Change("m", run, number, kind, at or 100 * number, **given), **told)  # type: ignore[arg-type]
@@ -155,7 +155,7 @@
 
 
 def test_an_ambiguous_take_whose_id_another_got_first() -> None:
-    theirs = replace(record(TAKE), facts=replace(ABOUT, instance="n2"))
+    theirs = replace(record(TAKE), metadata=replace(ABOUT, instance="n2"))
     assert resolve_commit(change(TAKE, 1), theirs) is CommitStatus.ID_IN_USE
     later = replace(record(TAKE), admitted_at=777)  # of the same instance, handed in at another time
     assert resolve_commit(change(TAKE, 1), later) is CommitStatus.ID_IN_USE
--- a/tests/store/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -15,7 +15,7 @@
 from loftrelay.store.state_machine import (
     Change,
     ChangeKind,
-    MessageFacts,
+    MessageMetadata,
     MessageRecord,
     RecordRuleError,
     RecordState,
@@ -33,9 +33,9 @@
     run: int = 1,
     **about: object,
 ) -> list[Change]:
-    what = replace(MessageFacts("n1", "order", "acme", 1, "k", at + 9 * S, "ab" * 32), **about)  # type: ignore[arg-type]
+    what = replace(MessageMetadata("n1", "order", "acme", 1, "k", at + 9 * S, "ab" * 32), **about)  # type: ignore[arg-type]
     changes = [
-        Change(name, run, 1, ChangeKind.ADMIT, at, facts=what),
+        Change(name, run, 1, ChangeKind.ADMIT, at, metadata=what),
         Change(name, run, 2, ChangeKind.BEGIN_ATTEMPT, at + 1, host="h1"),
     ]
     if end is not None:
@@ -55,7 +55,7 @@
     assert entry == MessageRecord(
         "m",
         1,
-        MessageFacts("n1", "order", "acme", 1, "k", 1000 + 9 * S, "ab" * 32),
+        MessageMetadata("n1", "order", "acme", 1, "k", 1000 + 9 * S, "ab" * 32),
         4,
         RecordState.REPORTED,
         1000,
@@ -105,7 +105,7 @@
     assert one.commit(life("m", end=None)) == {}
     (kept,) = two.commit([life("m", at=2000, instance="n2")[0], *life("other", instance="n2")]).items()
     assert kept[0] == 0
-    assert kept[1].facts.instance == "n1"
+    assert kept[1].metadata.instance == "n1"
     assert kept[1].state is RecordState.IN_FLIGHT
     assert set(one.read(["m", "other"])) == {"m", "other"}  # the rest of the group is stored
     one.close()
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -148,7 +148,7 @@
         writes = [writer.write(life("m", at=9)[0]), writer.write(life("other")[0])]
         results = await asyncio.gather(*writes, return_exceptions=True)
         assert isinstance(results[0], IdInUseError)
-        assert results[0].record.facts.instance == "n2"
+        assert results[0].record.metadata.instance == "n2"
         assert results[1] is None
 
     run(tmp_path, scenario)
