--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -89,7 +89,7 @@
         async with asyncio.timeout(60):
             while True:
                 store = SQLiteStore(path)
-                found = {entry.message: entry for entry in store.select(RecordQuery())}
+                found = {entry.message_id: entry for entry in store.select(RecordQuery())}
                 wrong = store.verify()
                 store.close()
                 if all(name in found and found[name].reported_at is not None for name in account.taken):
@@ -151,7 +151,7 @@
                 while True:
                     store = await asyncio.to_thread(PostgresStore, server.dsn)
                     entries = await asyncio.to_thread(list, store.select(RecordQuery()))
-                    found = {entry.message: entry for entry in entries}
+                    found = {entry.message_id: entry for entry in entries}
                     wrong = await asyncio.to_thread(store.verify)
                     store.close()
                     if all(name in found and found[name].reported_at is not None for name in account.taken):
--- a/loftrelay/cli/record.py
+++ b/loftrelay/cli/record.py
@@ -41,9 +41,9 @@
 
 # Names of the fields of a record in the output, in their order there.
 OUTPUT_NAMES = {
-    "message": "message",
-    "run": "run",
-    "number": "number",
+    "message_id": "message",
+    "admission_number": "run",
+    "change_number": "number",
     "state": "state",
     "admitted_at": "taken_at",
     "attempts": "attempts",
@@ -106,7 +106,7 @@
     rows = [
         (
             shown(e.admitted_at),
-            e.message,
+            e.message_id,
             e.metadata.class_name,
             e.metadata.tenant or "-",
             str(e.metadata.destination),
--- a/loftrelay/demo/result.py
+++ b/loftrelay/demo/result.py
@@ -35,12 +35,14 @@
     @property
     def duplicates(self) -> int:
         """Executions beyond the first of at-most-once messages; others may be repeated after a kill."""
-        names = {entry.message for entry in self.entries if entry.metadata.class_name in AT_MOST_ONCE_CLASSES}
+        names = {
+            entry.message_id for entry in self.entries if entry.metadata.class_name in AT_MOST_ONCE_CLASSES
+        }
         return sum(count - 1 for name, count in self.executions.items() if name in names)
 
     def disagreements(self) -> list[str]:
         """Returns one line for each contradiction between the accounts."""
-        recorded = {entry.message for entry in self.entries}
+        recorded = {entry.message_id for entry in self.entries}
         lines = list(self.store_faults)
         lines += [f"{name}: admitted, and not in the store" for name in sorted(self.admitted - recorded)]
         lines += [
@@ -51,7 +53,7 @@
 
     def _contradicted_entries(self) -> Iterator[str]:
         # One record a message: a later one replaces an earlier one.
-        for name, entry in {entry.message: entry for entry in self.entries}.items():
+        for name, entry in {entry.message_id: entry for entry in self.entries}.items():
             if entry.reported_at is None:
                 yield f"{name}: its final status is not reported"
                 continue
--- a/loftrelay/demo/run.py
+++ b/loftrelay/demo/run.py
@@ -125,7 +125,7 @@
         while True:
             entries, _ = await asyncio.to_thread(read_store, relay.store_path)
             is_complete = all(entry.reported_at is not None for entry in entries)
-            if is_complete and self.statistics.admitted <= {entry.message for entry in entries}:
+            if is_complete and self.statistics.admitted <= {entry.message_id for entry in entries}:
                 return
             if time.monotonic() > deadline:
                 return
--- a/loftrelay/store/group_commit.py
+++ b/loftrelay/store/group_commit.py
@@ -13,8 +13,8 @@
 class AttemptRow:
     """One row of the table of attempts."""
 
-    message: str
-    run: int
+    message_id: str
+    admission_number: int
     attempt: int  # from 1
     host: str | None
     started_at: int | None
@@ -25,8 +25,8 @@
     def row(self) -> tuple[object, ...]:
         """The values of its columns, in their order."""
         return (
-            self.message,
-            self.run,
+            self.message_id,
+            self.admission_number,
             self.attempt,
             self.host,
             self.started_at,
@@ -55,8 +55,8 @@
     """
     group = CommitGroup()
     for place, change in enumerate(changes):
-        first = seen.get(change.message)
-        entry = group.after.get(change.message, first)
+        first = seen.get(change.message_id)
+        entry = group.after.get(change.message_id, first)
         if entry is not None:
             found = state_machine.resolve_commit(change, entry)
             if found is state_machine.CommitStatus.APPLIED:
@@ -65,16 +65,16 @@
                 group.ids_in_use[place] = entry
                 continue
         after = state_machine.apply(entry, change)
-        group.before.setdefault(change.message, first)
-        group.after[change.message] = after
+        group.before.setdefault(change.message_id, first)
+        group.after[change.message_id] = after
         tried = (
             change.kind in (ChangeKind.BEGIN_ATTEMPT, ChangeKind.END_ATTEMPT, ChangeKind.DECIDE)
             and after.attempts
         )
         if tried:
-            group.attempts[change.message, after.run, after.attempts] = AttemptRow(
-                change.message,
-                after.run,
+            group.attempts[change.message_id, after.admission_number, after.attempts] = AttemptRow(
+                change.message_id,
+                after.admission_number,
                 after.attempts,
                 after.host,
                 after.attempt_started_at,
--- a/loftrelay/store/postgres.py
+++ b/loftrelay/store/postgres.py
@@ -168,7 +168,7 @@
         try:
             with self._call():
                 self.database.execute("BEGIN")
-                group = build_group(changes, self._read(list({change.message for change in changes})))
+                group = build_group(changes, self._read(list({change.message_id for change in changes})))
                 self._put(group)
                 try:
                     committing = True
@@ -199,7 +199,7 @@
             if before is None:
                 new.append(row)
             else:
-                grown.append((*row[1:], message, before.run, before.number))
+                grown.append((*row[1:], message, before.admission_number, before.change_number))
         with self.database.cursor() as cursor:
             for text, rows in ((INSERT, new), (UPDATE, grown)):
                 if rows:
@@ -215,7 +215,7 @@
         marks = ", ".join(["%s"] * len(messages))
         text = f"SELECT {COLUMNS} FROM messages WHERE id IN ({marks})"
         rows = self.database.execute(text.encode(), list(messages)).fetchall()
-        return {entry.message: entry for entry in map(record_of, rows)}
+        return {entry.message_id: entry for entry in map(record_of, rows)}
 
     def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
         """Returns the records of these messages, where there are any."""
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -80,8 +80,8 @@
     """Where the record of a message stands once all that is queued is written."""
 
     mode: DurabilityMode
-    run: int = 1
-    number: int = 0
+    admission_number: int = 1
+    change_number: int = 0
     state: RecordState | None = None  # None: nothing of it is recorded yet
 
 
@@ -137,7 +137,7 @@
         """
         known = await self.writer.call(lambda store: store.read(messages))
         mine = await self.writer.call(self._mine)
-        self.records_at_start = {entry.message: entry for entry in mine} | known
+        self.records_at_start = {entry.message_id: entry for entry in mine} | known
 
     def _mine(self, store: StoreBackend) -> list[MessageRecord]:
         return [e for e in store.select(RecordQuery(unfinished=True)) if e.metadata.instance == self.instance]
@@ -167,7 +167,11 @@
             return mend
         track = self.positions[message_id] = RecordPosition(mode)
         if entry is not None:
-            track.run, track.number, track.state = entry.run, entry.number, entry.state
+            track.admission_number, track.change_number, track.state = (
+                entry.admission_number,
+                entry.change_number,
+                entry.state,
+            )
         elif message is not None:
             self._record_admission(message, track, 1, _ignore, optional=False)
             if message.attempts:  # as far as the journal tells
@@ -253,7 +257,7 @@
         done: Callable[[AdmissionDecision], None],
         optional: bool = True,
     ) -> None:
-        track.run, track.number, track.state = run, 1, RecordState.ADMITTED
+        track.admission_number, track.change_number, track.state = run, 1, RecordState.ADMITTED
         about = MessageMetadata(
             self.instance,
             message.class_name,
@@ -281,8 +285,8 @@
             return
         if isinstance(error, IdInUseError):
             verdict = state_machine.status_of_id(error.record, wall_clock(), self.remembered_for)
-            if verdict is KnownId.NEW and track.number == 1:
-                self._record_admission(message, track, error.record.run + 1, done)
+            if verdict is KnownId.NEW and track.change_number == 1:
+                self._record_admission(message, track, error.record.admission_number + 1, done)
                 return
             if track.mode is DurabilityMode.WRITE_BEHIND:
                 log.warning("%s is recorded already: nothing more is recorded of it", message.id)
@@ -312,7 +316,7 @@
             nonlocal waiting, failed
             waiting -= 1
             if error is not None:
-                track.number, track.state = track.number - 1, before
+                track.change_number, track.state = track.change_number - 1, before
                 failed = True
                 if not isinstance(error, StoreBusyError):
                     log.error("%s: its record is behind: %s", message, error)
@@ -387,9 +391,19 @@
         result: str | None = None,
         final_status: StoredFinalStatus | None = None,
     ) -> Change:
-        track.number += 1
+        track.change_number += 1
         track.state = state_machine.STATE_AFTER[kind]
-        return Change(message, track.run, track.number, kind, wall_clock(), None, host, result, final_status)
+        return Change(
+            message,
+            track.admission_number,
+            track.change_number,
+            kind,
+            wall_clock(),
+            None,
+            host,
+            result,
+            final_status,
+        )
 
     def _post(
         self,
--- a/loftrelay/store/rows.py
+++ b/loftrelay/store/rows.py
@@ -23,9 +23,9 @@
     """Returns the values of a record, in the order of COLUMNS."""
     about = entry.metadata
     return (
-        entry.message,
-        entry.run,
-        entry.number,
+        entry.message_id,
+        entry.admission_number,
+        entry.change_number,
         entry.state.value,
         about.instance,
         about.class_name,
@@ -113,11 +113,11 @@
     answer = entry.final_status and entry.final_status.value
     ended = entry.state in (RecordState.ENDED, RecordState.REPORTED)
     if ended != (entry.final_status is not None) or ended != (entry.decided_at is not None):
-        said.append(f"{entry.message}: {entry.state.value}, with answer {answer}")
+        said.append(f"{entry.message_id}: {entry.state.value}, with answer {answer}")
     if (entry.state is RecordState.REPORTED) != (entry.reported_at is not None):
-        said.append(f"{entry.message}: {entry.state.value}, with told_at {entry.reported_at}")
+        said.append(f"{entry.message_id}: {entry.state.value}, with told_at {entry.reported_at}")
     if entry.final_status is StoredFinalStatus.DELIVERED and not entry.attempts:
-        said.append(f"{entry.message}: delivered without an attempt")
+        said.append(f"{entry.message_id}: delivered without an attempt")
     return said
 
 
--- a/loftrelay/store/sqlite.py
+++ b/loftrelay/store/sqlite.py
@@ -133,11 +133,11 @@
         committing = False
         try:
             self.database.execute("BEGIN IMMEDIATE")
-            group = build_group(changes, self._read(list({change.message for change in changes})))
+            group = build_group(changes, self._read(list({change.message_id for change in changes})))
             new, grown = list[Sequence[object]](), list[Sequence[object]]()
             for message, after in group.after.items():
                 before = group.before[message]
-                if before is None or before.run != after.run:
+                if before is None or before.admission_number != after.admission_number:
                     new.append(row_of(after))
                 else:
                     grown.append((*map(row_of(after).__getitem__, PLACES), message))
@@ -173,7 +173,7 @@
             names = messages[first : first + AT_ONCE]
             marks = ", ".join("?" * len(names))
             rows = self.database.execute(f"SELECT {COLUMNS} FROM messages WHERE id IN ({marks})", names)
-            found |= {entry.message: entry for entry in map(record_of, rows)}
+            found |= {entry.message_id: entry for entry in map(record_of, rows)}
         return found
 
     def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
--- a/loftrelay/store/state_machine.py
+++ b/loftrelay/store/state_machine.py
@@ -87,9 +87,9 @@
 class Change:
     """One change of one record. `run` counts the admissions of its id, reusable after a rejection."""
 
-    message: str
-    run: int
-    number: int  # of this change, from 1
+    message_id: str
+    admission_number: int
+    change_number: int  # of this change, from 1
     kind: ChangeKind
     at: int
     metadata: MessageMetadata | None = None  # of ADMIT
@@ -102,10 +102,10 @@
 class MessageRecord:
     """The record of one message."""
 
-    message: str
-    run: int
+    message_id: str
+    admission_number: int
     metadata: MessageMetadata
-    number: int  # of the last change that is stored
+    change_number: int  # of the last change that is stored
     state: RecordState
     admitted_at: int
     attempts: int = 0
@@ -127,32 +127,41 @@
     if change.kind is ChangeKind.ADMIT:
         return _admit(record, change)
     if record is None:
-        raise RecordRuleError(f"{change.message}: {change.kind.value} of a message that was not admitted")
+        raise RecordRuleError(f"{change.message_id}: {change.kind.value} of a message that was not admitted")
     _check_order(record, change)
     return _advance(record, change)
 
 
 def _admit(record: MessageRecord | None, change: Change) -> MessageRecord:
-    if change.metadata is None or change.number != 1:
-        raise RecordRuleError(f"{change.message}: the first change describes the message")
-    if record is not None and not (record.state is RecordState.REPORTED and change.run == record.run + 1):
-        raise RecordRuleError(f"{change.message}: admitted while its record is {record.state.value}")
-    if record is None and change.run != 1:
-        raise RecordRuleError(f"{change.message}: run {change.run} of an id that has no record")
-    return MessageRecord(change.message, change.run, change.metadata, 1, RecordState.ADMITTED, change.at)
+    if change.metadata is None or change.change_number != 1:
+        raise RecordRuleError(f"{change.message_id}: the first change describes the message")
+    if record is not None and not (
+        record.state is RecordState.REPORTED and change.admission_number == record.admission_number + 1
+    ):
+        raise RecordRuleError(f"{change.message_id}: admitted while its record is {record.state.value}")
+    if record is None and change.admission_number != 1:
+        raise RecordRuleError(
+            f"{change.message_id}: admission {change.admission_number} of an id that has no record"
+        )
+    return MessageRecord(
+        change.message_id, change.admission_number, change.metadata, 1, RecordState.ADMITTED, change.at
+    )
 
 
 def _check_order(record: MessageRecord, change: Change) -> None:
-    if (change.run, change.number) != (record.run, record.number + 1):
+    found = (change.admission_number, change.change_number)
+    expected = (record.admission_number, record.change_number + 1)
+    if found != expected:
         raise RecordRuleError(
-            f"{change.message}: change {change.run}.{change.number} after {record.run}.{record.number}"
+            f"{change.message_id}: change {change.change_number} of admission {change.admission_number} "
+            f"after change {record.change_number} of admission {record.admission_number}"
         )
     if record.state not in STATES_BEFORE[change.kind]:
-        raise RecordRuleError(f"{change.message}: {change.kind.value} after {record.state.value}")
+        raise RecordRuleError(f"{change.message_id}: {change.kind.value} after {record.state.value}")
     if change.kind is ChangeKind.DECIDE and change.final_status is None:
-        raise RecordRuleError(f"{change.message}: an end without an answer")
+        raise RecordRuleError(f"{change.message_id}: an end without an answer")
     if change.final_status is StoredFinalStatus.DELIVERED and record.state is not RecordState.IN_FLIGHT:
-        raise RecordRuleError(f"{change.message}: delivered without an attempt in flight")
+        raise RecordRuleError(f"{change.message_id}: delivered without an attempt in flight")
 
 
 def _advance(record: MessageRecord, change: Change) -> MessageRecord:
@@ -170,10 +179,10 @@
         reported_at = change.at
     # Field by field: dataclasses.replace would take much of the time of a commit.
     return MessageRecord(
-        record.message,
-        record.run,
+        record.message_id,
+        record.admission_number,
         record.metadata,
-        change.number,
+        change.change_number,
         STATE_AFTER[change.kind],
         record.admitted_at,
         attempts,
@@ -231,24 +240,24 @@
     if seen is None:
         return (
             CommitStatus.MISSING
-            if change.kind is ChangeKind.ADMIT and change.run == 1
+            if change.kind is ChangeKind.ADMIT and change.admission_number == 1
             else CommitStatus.CONFLICT
         )
     if change.kind is ChangeKind.ADMIT:
-        if seen.run == change.run:
+        if seen.admission_number == change.admission_number:
             mine = (
                 change.metadata is not None
                 and seen.metadata == change.metadata
                 and seen.admitted_at == change.at
             )
             return CommitStatus.APPLIED if mine else CommitStatus.ID_IN_USE
-        after = seen.run == change.run - 1 and seen.state is RecordState.REPORTED
+        after = seen.admission_number == change.admission_number - 1 and seen.state is RecordState.REPORTED
         return CommitStatus.MISSING if after else CommitStatus.ID_IN_USE
-    if seen.run != change.run:
+    if seen.admission_number != change.admission_number:
         return CommitStatus.CONFLICT
-    if seen.number >= change.number:
+    if seen.change_number >= change.change_number:
         return CommitStatus.APPLIED
-    return CommitStatus.MISSING if seen.number == change.number - 1 else CommitStatus.CONFLICT
+    return CommitStatus.MISSING if seen.change_number == change.change_number - 1 else CommitStatus.CONFLICT
 
 
 # Ids that are submitted again
--- a/loftrelay/store/writer.py
+++ b/loftrelay/store/writer.py
@@ -41,7 +41,9 @@
     """The id of an admission has a record already, of this instance or another."""
 
     def __init__(self, entry: MessageRecord) -> None:
-        super().__init__(f"{entry.message} is recorded as {entry.state.value} by {entry.metadata.instance}")
+        super().__init__(
+            f"{entry.message_id} is recorded as {entry.state.value} by {entry.metadata.instance}"
+        )
         self.record = entry
 
 
@@ -63,7 +65,7 @@
         if self.done is not None:
             self.done(error)
         elif error is not None:
-            log.error("%s: its record is behind: %s", self.change.message, error)
+            log.error("%s: its record is behind: %s", self.change.message_id, error)
 
 
 class Writer:
@@ -264,7 +266,7 @@
         if len(group) == 1:
             item = group[0]
             log.error("a record breaks its rules: %s", item.change)
-            item.settle(RecordRuleError(f"{item.change.message}: {item.change.kind.value}"))
+            item.settle(RecordRuleError(f"{item.change.message_id}: {item.change.kind.value}"))
             return True
         results = [await self._write([item]) for item in group]
         return all(results)
--- a/tests/program/test_record.py
+++ b/tests/program/test_record.py
@@ -31,7 +31,7 @@
     store = SQLiteStore(path)
     try:
         assert not store.verify()
-        return {entry.message: entry for entry in store.select(RecordQuery())}
+        return {entry.message_id: entry for entry in store.select(RecordQuery())}
     finally:
         store.close()
 
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -41,7 +41,7 @@
     store = PostgresStore(server.dsn)
     try:
         assert not store.verify()
-        return {entry.message: entry for entry in store.select(RecordQuery())}
+        return {entry.message_id: entry for entry in store.select(RecordQuery())}
     finally:
         store.close()
 
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -155,7 +155,7 @@
     shutil.copy(FIXTURES / "record.sqlite", tmp_path)
     store = SQLiteStore(tmp_path / "record.sqlite")
     assert store.verify() == []
-    found = {entry.message: entry for entry in store.select(RecordQuery())}
+    found = {entry.message_id: entry for entry in store.select(RecordQuery())}
     store.close()
     assert {name: (entry.state, entry.final_status, entry.attempts) for name, entry in found.items()} == {
         "store-untried": (RecordState.ADMITTED, None, 0),
@@ -170,7 +170,12 @@
         "store-told-refused": (RecordState.REPORTED, StoredFinalStatus.REJECTED, 0),
     }
     waiting = found["store-waiting"]
-    assert (waiting.host, waiting.result, waiting.run, waiting.number) == ("h0", "FULL", 1, 3)
+    assert (waiting.host, waiting.result, waiting.admission_number, waiting.change_number) == (
+        "h0",
+        "FULL",
+        1,
+        3,
+    )
     about = waiting.metadata
     assert (about.instance, about.class_name, about.tenant, about.destination, about.key) == (
         "n1",
--- a/tests/store/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -77,7 +77,7 @@
     with pytest.raises(StoreUnavailableError, match="another instance"):
         store.commit(life("m")[1:])
     store._read = read  # type: ignore[method-assign]
-    assert store.read(["m"])["m"].number == 1  # rolled back as a whole
+    assert store.read(["m"])["m"].change_number == 1  # rolled back as a whole
     store.close()
 
 
@@ -86,11 +86,11 @@
     for i in range(10):
         store.commit(life(f"m{i}", at=1000 * (i + 1), tenant="acme" if i % 2 else "dijk"))
     store.commit(life("open", at=1, end=None))
-    names = [entry.message for entry in store.select(RecordQuery(tenant="dijk", since=2000, until=9000))]
+    names = [entry.message_id for entry in store.select(RecordQuery(tenant="dijk", since=2000, until=9000))]
     assert names == ["m2", "m4", "m6"]
-    assert [entry.message for entry in store.select(RecordQuery(unfinished=True, limit=3))] == ["open"]
+    assert [entry.message_id for entry in store.select(RecordQuery(unfinished=True, limit=3))] == ["open"]
     assert [store.prune(5_500, 3), store.prune(5_500, 3), store.prune(5_500, 3)] == [3, 2, 0]
-    assert [entry.message for entry in store.select(RecordQuery())] == [
+    assert [entry.message_id for entry in store.select(RecordQuery())] == [
         "open",
         *(f"m{i}" for i in range(5, 10)),
     ]
--- a/tests/store/test_postgres_cuts.py
+++ b/tests/store/test_postgres_cuts.py
@@ -65,7 +65,7 @@
         except (StoreUnavailableError, CommitUncertainError) as error:
             outcome = type(error).__name__
         store.close()
-        seen = reader.read([change.message]).get(change.message)
+        seen = reader.read([change.message_id]).get(change.message_id)
         found = resolve_commit(change, seen)
         assert found in (CommitStatus.APPLIED, CommitStatus.MISSING)
         if outcome:
@@ -75,7 +75,7 @@
             assert byte >= size - FLUSH
             assert found is CommitStatus.APPLIED
         assert reader.commit([change]) == {}
-        assert reader.read([change.message])[change.message].number == 1
+        assert reader.read([change.message_id])[change.message_id].change_number == 1
     assert not reader.verify()
     assert len(list(reader.select(RecordQuery()))) == size + 1
     assert outcomes["StoreUnavailableError"] == {False}
@@ -153,7 +153,7 @@
     asyncio.run(main())
     store = PostgresStore(server.dsn)
     entries = list(store.select(RecordQuery()))
-    assert {entry.message for entry in entries} == {f"m{i}" for i in range(300)}
+    assert {entry.message_id for entry in entries} == {f"m{i}" for i in range(300)}
     assert all(entry.state is RecordState.REPORTED and entry.attempts == 1 for entry in entries)
     assert not store.verify()
     store.close()
--- a/tests/store/test_recorder.py
+++ b/tests/store/test_recorder.py
@@ -80,7 +80,7 @@
 
 
 async def stored(recorder: Recorder) -> dict[str, MessageRecord]:
-    return await recorder.writer.call(lambda store: {e.message: e for e in store.select(RecordQuery())})
+    return await recorder.writer.call(lambda store: {e.message_id: e for e in store.select(RecordQuery())})
 
 
 def test_a_slow_store_refuses_and_what_it_has_in_the_end_is_recorded_as_refused(
@@ -113,7 +113,7 @@
         verdict = await take(recorder, clock.held("m"))
         assert verdict.known_id is KnownId.NEW
         assert not verdict.retry_after_ms
-        assert (await stored(recorder))["m"].run == 2
+        assert (await stored(recorder))["m"].admission_number == 2
 
     run(tmp_path, scenario)
 
@@ -136,7 +136,7 @@
             while "m" in recorder.positions:
                 await asyncio.sleep(0)
         entry = (await stored(recorder))["m"]
-        assert (entry.run, entry.final_status) == (1, StoredFinalStatus.DELIVERED)
+        assert (entry.admission_number, entry.final_status) == (1, StoredFinalStatus.DELIVERED)
 
     run(tmp_path, scenario)
 
@@ -201,6 +201,10 @@
         assert (await take(beside(recorder), clock.held("m"))).known_id is KnownId.IN_PROGRESS
         await live(recorder, again)
         entry = (await stored(recorder))["m"]
-        assert (entry.run, entry.final_status, entry.attempts) == (2, StoredFinalStatus.DELIVERED, 1)
+        assert (entry.admission_number, entry.final_status, entry.attempts) == (
+            2,
+            StoredFinalStatus.DELIVERED,
+            1,
+        )
 
     run(tmp_path, scenario)
--- a/tests/store/test_rules.py
+++ b/tests/store/test_rules.py
@@ -75,9 +75,9 @@
 def test_what_may_follow_what(state: RecordState, kind: ChangeKind) -> None:
     entry = record(*LIVES[state])
     assert entry.state is state
-    following = change(kind, 1 if kind is TAKE else entry.number + 1)
+    following = change(kind, 1 if kind is TAKE else entry.change_number + 1)
     if kind in MAY_FOLLOW[state]:
-        assert apply(entry, following).number == entry.number + 1
+        assert apply(entry, following).change_number == entry.change_number + 1
     else:
         with pytest.raises(RecordRuleError):
             apply(entry, following)
@@ -107,7 +107,7 @@
 def test_nothing_is_delivered_without_an_attempt_out(kinds: tuple[ChangeKind, ...]) -> None:
     entry = record(*kinds)
     with pytest.raises(RecordRuleError, match="without an attempt"):
-        apply(entry, change(END, entry.number + 1, final_status=StoredFinalStatus.DELIVERED))
+        apply(entry, change(END, entry.change_number + 1, final_status=StoredFinalStatus.DELIVERED))
 
 
 def test_numbers_leave_no_gap_and_an_end_has_an_answer() -> None:
@@ -125,7 +125,9 @@
 
 def test_an_id_has_a_new_record_only_after_its_last_one_is_told() -> None:
     again = change(TAKE, 1, run=2)
-    assert apply(record(TAKE, END, TOLD, final_status=StoredFinalStatus.REJECTED), again).run == 2
+    assert (
+        apply(record(TAKE, END, TOLD, final_status=StoredFinalStatus.REJECTED), again).admission_number == 2
+    )
     for life in (LIVES[state] for state in RecordState if state is not RecordState.REPORTED):
         with pytest.raises(RecordRuleError):
             apply(record(*life), again)
--- a/tests/store/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -116,7 +116,11 @@
     store = SQLiteStore(tmp_path / "r.sqlite")
     store.commit([*life("m", end=StoredFinalStatus.REJECTED), *life("m", at=5000, run=2)])
     entry = store.read(["m"])["m"]
-    assert (entry.run, entry.final_status, entry.admitted_at) == (2, StoredFinalStatus.DELIVERED, 5000)
+    assert (entry.admission_number, entry.final_status, entry.admitted_at) == (
+        2,
+        StoredFinalStatus.DELIVERED,
+        5000,
+    )
     assert not store.verify()
     store.close()
 
@@ -209,7 +213,7 @@
         copy.write_bytes(main)
         copy.with_name("r.sqlite-wal").write_bytes(wal[:size])
         torn = SQLiteStore(copy)
-        names = [entry.message for entry in torn.select(RecordQuery())]
+        names = [entry.message_id for entry in torn.select(RecordQuery())]
         assert names == [f"m{i:02d}" for i in range(len(names))]
         assert not torn.verify()
         counts.append(len(names))
@@ -257,7 +261,7 @@
     while count := store.prune(20_500, 8):
         steps.append(count)
     assert steps == [8, 8, 4]
-    left = [entry.message for entry in store.select(RecordQuery())]
+    left = [entry.message_id for entry in store.select(RecordQuery())]
     assert left == ["open", *(f"m{i}" for i in range(20, 30))]
     assert store.database.execute("SELECT count(*) FROM attempts").fetchone() == (11,)
     store.close()
@@ -269,7 +273,7 @@
     store.commit(life("c", at=3000, tenant="dijk", end=None, class_name="status"))
 
     def names(**asked: object) -> list[str]:
-        return [entry.message for entry in store.select(RecordQuery(**asked))]  # type: ignore[arg-type]
+        return [entry.message_id for entry in store.select(RecordQuery(**asked))]  # type: ignore[arg-type]
 
     assert names() == ["a", "b", "c"]
     assert names(tenant="dijk") == ["b", "c"]
