--- a/loftrelay/service/store_setup.py
+++ b/loftrelay/service/store_setup.py
@@ -40,8 +40,8 @@
         writer,
         config.name,
         durability_modes(config.settings, store_settings),
-        store_settings.remembered_for,
-        store_settings.retention,
+        store_settings.id_retention_us,
+        store_settings.record_retention_us,
         store_settings.max_store_wait_s,
     )
     while True:
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -107,21 +107,21 @@
         writer: Writer,
         instance: str,
         modes: Mapping[str, DurabilityMode],
-        remembered_for: int,
-        retention: int | None = None,
+        id_retention_us: int,
+        record_retention_us: int | None = None,
         max_store_wait_s: float = 0.5,
     ) -> None:
         self.writer = writer
         self.instance = instance
         self.modes = modes
-        self.remembered_for = remembered_for
-        self.retention = retention
+        self.id_retention_us = id_retention_us
+        self.record_retention_us = record_retention_us
         self.max_store_wait_s = max_store_wait_s
         self.positions: dict[str, RecordPosition] = {}
         self.records_at_start: dict[
             str, MessageRecord
         ] = {}  # as the store had them at the start, until they are taken up
-        self.pruning = asyncio.create_task(self._prune()) if retention is not None else None
+        self.pruning = asyncio.create_task(self._prune()) if record_retention_us is not None else None
 
     @property
     def retry_after_ms(self) -> int:
@@ -284,7 +284,7 @@
             done(AdmissionDecision())
             return
         if isinstance(error, IdInUseError):
-            verdict = state_machine.status_of_id(error.record, wall_clock(), self.remembered_for)
+            verdict = state_machine.status_of_id(error.record, wall_clock(), self.id_retention_us)
             if verdict is KnownId.NEW and track.change_number == 1:
                 self._record_admission(message, track, error.record.admission_number + 1, done)
                 return
@@ -361,7 +361,7 @@
             self._post(
                 message, track, ChangeKind.BEGIN_ATTEMPT
             )  # it was lost with the queue of a class that follows
-        if track.state in (RecordState.ENDED, RecordState.REPORTED, None):
+        if track.state in (RecordState.DECIDED, RecordState.REPORTED, None):
             done()
             return
         if final is StoredFinalStatus.DELIVERED:
@@ -379,7 +379,7 @@
     def final_status_reported(self, message: str) -> None:
         """Records that whoever waits for the end of a message has it."""
         track = self.positions.pop(message, None)
-        if track is not None and track.state is RecordState.ENDED:
+        if track is not None and track.state is RecordState.DECIDED:
             self._post(message, track, ChangeKind.REPORT)
 
     def _change(
@@ -446,10 +446,10 @@
 
     async def _prune(self) -> None:
         """Deletes records beyond their retention, in small steps."""
-        assert self.retention is not None
+        assert self.record_retention_us is not None
         while True:
             try:
-                before = wall_clock() - self.retention
+                before = wall_clock() - self.record_retention_us
                 while await self._prune_step(before) == PRUNE_ROWS:
                     await asyncio.sleep(PRUNE_PAUSE_S)
             except StoreError as error:
--- a/loftrelay/store/rows.py
+++ b/loftrelay/store/rows.py
@@ -111,7 +111,7 @@
     """Returns the contradictions in a record, a line each."""
     said = []
     answer = entry.final_status and entry.final_status.value
-    ended = entry.state in (RecordState.ENDED, RecordState.REPORTED)
+    ended = entry.state in (RecordState.DECIDED, RecordState.REPORTED)
     if ended != (entry.final_status is not None) or ended != (entry.decided_at is not None):
         said.append(f"{entry.message_id}: {entry.state.value}, with answer {answer}")
     if (entry.state is RecordState.REPORTED) != (entry.reported_at is not None):
--- a/loftrelay/store/settings.py
+++ b/loftrelay/store/settings.py
@@ -56,8 +56,8 @@
     max_store_wait_s: float  # seconds
     max_queued: int
     max_changes_per_commit: int
-    remembered_for: int
-    retention: int | None
+    id_retention_us: int
+    record_retention_us: int | None
 
 
 def load_store_settings(path: Path) -> StoreSettings:
@@ -82,6 +82,6 @@
         max_store_wait_s=values["take_ms"] / 1000,
         max_queued=values["most_queued"],
         max_changes_per_commit=values["most_in_commit"],
-        remembered_for=round(values["memory_s"] * 1_000_000),
-        retention=round(values["keep_days"] * DAY * 1_000_000) if values["keep_days"] else None,
+        id_retention_us=round(values["memory_s"] * 1_000_000),
+        record_retention_us=round(values["keep_days"] * DAY * 1_000_000) if values["keep_days"] else None,
     )
--- a/loftrelay/store/state_machine.py
+++ b/loftrelay/store/state_machine.py
@@ -26,7 +26,7 @@
     ADMITTED = "taken"  # no attempt was made yet
     IN_FLIGHT = "out"  # an attempt was begun, and may have run
     WAITING = "waiting"  # no attempt is in flight; more may follow
-    ENDED = "ended"  # its end is decided
+    DECIDED = "ended"  # its end is decided
     REPORTED = "told"  # whoever waits for the end has it
 
 
@@ -59,13 +59,13 @@
     ChangeKind.BEGIN_ATTEMPT: (RecordState.ADMITTED, RecordState.WAITING),
     ChangeKind.END_ATTEMPT: (RecordState.IN_FLIGHT,),
     ChangeKind.DECIDE: (RecordState.ADMITTED, RecordState.IN_FLIGHT, RecordState.WAITING),
-    ChangeKind.REPORT: (RecordState.ENDED,),
+    ChangeKind.REPORT: (RecordState.DECIDED,),
 }
 STATE_AFTER: Mapping[ChangeKind, RecordState] = {
     ChangeKind.ADMIT: RecordState.ADMITTED,
     ChangeKind.BEGIN_ATTEMPT: RecordState.IN_FLIGHT,
     ChangeKind.END_ATTEMPT: RecordState.WAITING,
-    ChangeKind.DECIDE: RecordState.ENDED,
+    ChangeKind.DECIDE: RecordState.DECIDED,
     ChangeKind.REPORT: RecordState.REPORTED,
 }
 
@@ -322,7 +322,7 @@
     if standing is JournalStanding.NOTHING:
         if seen is None or seen.state in (RecordState.REPORTED,):
             return RecoveryAction.COMPLETE
-        if seen.state is RecordState.ENDED:
+        if seen.state is RecordState.DECIDED:
             return (
                 RecoveryAction.REPORT_AGAIN
                 if seen.final_status is not StoredFinalStatus.DELIVERED
@@ -341,7 +341,7 @@
         )
     if seen.state is RecordState.REPORTED:
         return RecoveryAction.COMPLETE  # reported, and the journal did not have that yet
-    if seen.state is RecordState.ENDED:
+    if seen.state is RecordState.DECIDED:
         return (
             RecoveryAction.UPDATE_STORE
             if seen.final_status is StoredFinalStatus.DELIVERED
--- a/tests/store/test_rules.py
+++ b/tests/store/test_rules.py
@@ -59,14 +59,14 @@
     RecordState.ADMITTED: (TAKE,),
     RecordState.IN_FLIGHT: (TAKE, INTEND),
     RecordState.WAITING: (TAKE, INTEND, OUTCOME),
-    RecordState.ENDED: (TAKE, INTEND, END),
+    RecordState.DECIDED: (TAKE, INTEND, END),
     RecordState.REPORTED: (TAKE, INTEND, END, TOLD),
 }
 MAY_FOLLOW = {
     RecordState.ADMITTED: {INTEND, END},
     RecordState.IN_FLIGHT: {OUTCOME, END},
     RecordState.WAITING: {INTEND, END},
-    RecordState.ENDED: {TOLD},
+    RecordState.DECIDED: {TOLD},
     RecordState.REPORTED: set[ChangeKind](),
 }
 
--- a/tests/store/test_settings.py
+++ b/tests/store/test_settings.py
@@ -25,8 +25,8 @@
         "FULL",
     )
     assert told.file == Path("r.sqlite")
-    assert told.remembered_for == 3_600_000_000
-    assert told.retention is None
+    assert told.id_retention_us == 3_600_000_000
+    assert told.record_retention_us is None
 
 
 @pytest.mark.parametrize(
