--- a/loftrelay/config/platform.py
+++ b/loftrelay/config/platform.py
@@ -102,7 +102,7 @@
         fallback = _last_config(environ, is_gossiping)
         if fallback is None:
             raise
-        log.error("%s: the relay starts with what was last in force", error)
+        log.error("%s; starting with the configuration last in force", error)
         return fallback
 
 
--- a/loftrelay/demo/relay_process.py
+++ b/loftrelay/demo/relay_process.py
@@ -12,7 +12,7 @@
 START_TIMEOUT_S = 30.0
 SHUTDOWN_TIMEOUT_S = 10.0
 PROGRAM_ROOT = Path(__file__).parents[2]
-STORE_WARNINGS = (b"the store of record is slow", b"the store of record is away")
+STORE_WARNINGS = (b"the store of record is slow", b"the store of record is unavailable")
 LISTENING = b"listens on"
 
 
--- a/loftrelay/store/writer.py
+++ b/loftrelay/store/writer.py
@@ -243,7 +243,7 @@
             self.queue = deque(item for item in self.queue if not item.optional)
             return False
         if self.is_store_unavailable:
-            log.warning("the store of record is back")
+            log.warning("the store of record is available again")
             self.is_store_unavailable, self.backoff_s = False, MIN_BACKOFF_S
         self._log_slowness(loop.time() - began)
         self.commits += 1
@@ -274,5 +274,5 @@
     def _mark_unavailable(self, error: StoreError) -> None:
         if not self.is_store_unavailable:
             level = logging.ERROR if isinstance(error, StoreUnusableError) else logging.WARNING
-            log.log(level, "the store of record is away: %s", error)
+            log.log(level, "the store of record is unavailable: %s", error)
         self.is_store_unavailable = True
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -145,7 +145,7 @@
         server.faults.refuse = "57P03"  # the database system is starting up
         server.cut_all()
         server.gate.set()
-        await w.until(lambda: any("store of record is away" in line for line in w.log))
+        await w.until(lambda: any("store of record is unavailable" in line for line in w.log))
         await refused(20)
         assert not any(name in host.ids for name in names)
         assert resident(w.process.pid) - before < 16 << 20
--- a/tests/program/test_settings_in_service.py
+++ b/tests/program/test_settings_in_service.py
@@ -165,7 +165,7 @@
         host.script = deliver
         w.keep_file = True
         await w.restart()
-        assert any("starts with what was last in force" in line for line in w.log)
+        assert any("starting with the configuration last in force" in line for line in w.log)
         await w.until(lambda: host.ids == ["m", "m"])
         while (status := await w.hand_in("later", "second")) == 503:
             pass  # the list is not kept, and comes anew
