--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -22,7 +22,7 @@
     Change,
     ChangeKind,
     DurabilityMode,
-    KnownId,
+    MessageIdStatus,
     MessageMetadata,
     MessageRecord,
     RecordState,
@@ -39,40 +39,42 @@
 
 
 STATUSES = {
-    KnownId.NEW: 0,
-    KnownId.IN_PROGRESS: 202,
-    KnownId.DELIVERED: 200,
-    KnownId.FAILED: 500,
-    KnownId.REJECTED: 503,
+    MessageIdStatus.NEW: 0,
+    MessageIdStatus.IN_PROGRESS: 202,
+    MessageIdStatus.DELIVERED: 200,
+    MessageIdStatus.FAILED: 500,
+    MessageIdStatus.REJECTED: 503,
 }
 
 
 @dataclass(slots=True)
 class AdmissionDecision:
-    """What the store says of an admission: `known_id` is NEW once it has the message."""
+    """What the store says of an admission: `id_status` is NEW once it has the message."""
 
-    known_id: KnownId = KnownId.NEW
+    id_status: MessageIdStatus = MessageIdStatus.NEW
     retry_after_ms: int = 0
 
     @property
     def status(self) -> int:
         """Of the answer to its client, where the id is known; 0 for a new one."""
-        return STATUSES[self.known_id]
+        return STATUSES[self.id_status]
 
 
-def journal_standing(message: Message) -> state_machine.JournalStanding:
+def journal_standing(message: Message) -> state_machine.JournalState:
     """Returns what the journal has of a message at a start."""
     if message.final_status is not None:
         return (
-            state_machine.JournalStanding.DELIVERED
+            state_machine.JournalState.DELIVERED
             if message.final_status["status"] == "delivered"
-            else state_machine.JournalStanding.ENDED
+            else state_machine.JournalState.DECIDED
         )
     if message.attempt_started_at is not None:
-        return state_machine.JournalStanding.IN_FLIGHT
+        return state_machine.JournalState.IN_FLIGHT
     if message.first_attempt_at is not None:
-        return state_machine.JournalStanding.MAY_HAVE_RUN
-    return state_machine.JournalStanding.TRIED if message.attempts else state_machine.JournalStanding.ADMITTED
+        return state_machine.JournalState.MAY_HAVE_RUN
+    return (
+        state_machine.JournalState.NOT_EXECUTED if message.attempts else state_machine.JournalState.ADMITTED
+    )
 
 
 @dataclass(slots=True)
@@ -161,7 +163,7 @@
             else ""
         )
         mode = self.modes.get(class_name, DurabilityMode.WRITE_AHEAD)
-        stands = state_machine.JournalStanding.NOTHING if message is None else journal_standing(message)
+        stands = state_machine.JournalState.ABSENT if message is None else journal_standing(message)
         mend = state_machine.reconcile(stands, entry, is_at_most_once, mode)
         if mend in (RecoveryAction.COMPLETE, RecoveryAction.DISCARD):
             return mend
@@ -181,9 +183,10 @@
                     ChangeKind.BEGIN_ATTEMPT,
                     host=message.attempt_host or message.first_attempt_host,
                 )
-                if stands is not state_machine.JournalStanding.DELIVERED:
+                if stands is not state_machine.JournalState.DELIVERED:
                     self.attempt_ended(
-                        message_id, "NOT_SENT" if stands is state_machine.JournalStanding.TRIED else "BROKEN"
+                        message_id,
+                        "NOT_SENT" if stands is state_machine.JournalState.NOT_EXECUTED else "BROKEN",
                     )
         if track.state is RecordState.IN_FLIGHT and mend in (
             RecoveryAction.RESUME,
@@ -234,7 +237,7 @@
             clock.cancel()
             if not late:
                 done(verdict)
-            elif verdict.known_id is KnownId.NEW and not verdict.retry_after_ms:
+            elif verdict.id_status is MessageIdStatus.NEW and not verdict.retry_after_ms:
                 # Its client was refused meanwhile, and may come again with it.
                 self.record_final_status(
                     message.id,
@@ -247,7 +250,9 @@
         self._record_admission(message, track, 1, settle)
 
     def _refusal(self) -> AdmissionDecision:
-        return AdmissionDecision(KnownId.REJECTED, max(MIN_RETRY_AFTER_MS, self.writer.retry_after_ms))
+        return AdmissionDecision(
+            MessageIdStatus.REJECTED, max(MIN_RETRY_AFTER_MS, self.writer.retry_after_ms)
+        )
 
     def _record_admission(
         self,
@@ -284,18 +289,22 @@
             done(AdmissionDecision())
             return
         if isinstance(error, IdInUseError):
-            verdict = state_machine.status_of_id(error.record, wall_clock(), self.id_retention_us)
-            if verdict is KnownId.NEW and track.change_number == 1:
+            verdict = state_machine.message_id_status(error.record, wall_clock(), self.id_retention_us)
+            if verdict is MessageIdStatus.NEW and track.change_number == 1:
                 self._record_admission(message, track, error.record.admission_number + 1, done)
                 return
             if track.mode is DurabilityMode.WRITE_BEHIND:
                 log.warning("%s is recorded already: nothing more is recorded of it", message.id)
         if self.positions.get(message.id) is track:
             self.drop(message.id)
-        if isinstance(error, IdInUseError) and verdict is KnownId.REJECTED:
+        if isinstance(error, IdInUseError) and verdict is MessageIdStatus.REJECTED:
             done(self._refusal())
         elif isinstance(error, IdInUseError):
-            done(AdmissionDecision(verdict if verdict is not KnownId.NEW else KnownId.IN_PROGRESS))
+            done(
+                AdmissionDecision(
+                    verdict if verdict is not MessageIdStatus.NEW else MessageIdStatus.IN_PROGRESS
+                )
+            )
         else:
             done(
                 AdmissionDecision(
--- a/loftrelay/store/state_machine.py
+++ b/loftrelay/store/state_machine.py
@@ -1,10 +1,10 @@
-"""The state machine of a record in the store of record: its transitions, and what has to be stored first.
+"""State machine of a record in the store of record: valid transitions, commits required before each step.
 
-A record grows by numbered changes. A store applies change n only to a record at n - 1, so storing a change
-once more is harmless, and a commit with an unknown outcome is resolved by reading back (`resolve_commit`). No
-input or output.
+A record changes by numbered changes. A store applies change n only to a record whose last change is n - 1, so
+applying a change again is harmless, and an uncertain commit is resolved by reading the record back
+(`resolve_commit`). This module does no I/O.
 
-Times are wall-clock microseconds.
+Times are wall-clock microseconds since 1970 UTC.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 
 
 class RecordRuleError(Exception):
-    """A change that may not follow what is recorded: a fault of the program. Nothing of it is stored."""
+    """A change is not valid in the current state of its record, which is a bug. It is not stored."""
 
 
 class RecordState(Enum):
-    """Where a record stands. Values are the words in the store."""
+    """State of a record. The values are those of the column `state`."""
 
-    ADMITTED = "taken"  # no attempt was made yet
-    IN_FLIGHT = "out"  # an attempt was begun, and may have run
-    WAITING = "waiting"  # no attempt is in flight; more may follow
-    DECIDED = "ended"  # its end is decided
-    REPORTED = "told"  # whoever waits for the end has it
+    ADMITTED = "taken"  # no attempt has been started
+    IN_FLIGHT = "out"  # an attempt has been started, and the message may have run
+    WAITING = "waiting"  # the last attempt has ended; another may follow
+    DECIDED = "ended"  # the final status is decided and not yet reported
+    REPORTED = "told"  # the final status has been reported
 
 
 class StoredFinalStatus(Enum):
-    """How a message ended. Values are the words in the store."""
+    """Final status of a message. The values are those of the column `answer`."""
 
     DELIVERED = "delivered"
-    REJECTED = "refused"  # promises that submitting it again does no harm
-    FAILED = "failed"  # promises nothing
+    REJECTED = "refused"  # submitting the message again is safe
+    FAILED = "failed"  # whether the message ran, and whether submitting it again is safe, is unknown
 
 
 class ChangeKind(Enum):
-    """What a change records. Values are the names of the fault points."""
+    """Kind of a change. The values are part of the names of the fault points."""
 
     ADMIT = "take"
     BEGIN_ATTEMPT = "intend"
@@ -49,10 +49,10 @@
 
 
 class DurabilityMode(Enum):
-    """How a message class is recorded. Values are the words in the settings."""
+    """When changes of a message class are committed. The values are those of the settings file."""
 
-    WRITE_AHEAD = "required"  # nothing happens before the store has it
-    WRITE_BEHIND = "follows"  # the journal is relied on; the store follows
+    WRITE_AHEAD = "required"  # before the step that the change records
+    WRITE_BEHIND = "follows"  # after the step; until then the journal protects the message
 
 
 STATES_BEFORE: Mapping[ChangeKind, tuple[RecordState, ...]] = {
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageMetadata:
-    """What a message is, as it was admitted."""
+    """Properties of a message, fixed at its admission. `record export` prints the field names."""
 
     instance: str
     class_name: str
@@ -80,32 +80,45 @@
     destination: int
     key: str | None
     deadline: int
-    sha256: str  # of the body, in hex
+    sha256: str  # of the body, hexadecimal
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change of one record. `run` counts the admissions of its id, reusable after a rejection."""
+    """One change of one record.
+
+    Attributes:
+        message_id: Id of the message.
+        admission_number: Counts the admissions of this id, from 1: a rejected id can be admitted again. It is
+            the column `run`.
+        change_number: Number of this change within the admission, from 1.
+        kind: What the change records.
+        at: Time of the change.
+        metadata: Only for ADMIT.
+        host: Only for BEGIN_ATTEMPT.
+        result: For END_ATTEMPT, and for DECIDE while an attempt is in flight.
+        final_status: Only for DECIDE.
+    """
 
     message_id: str
     admission_number: int
-    change_number: int  # of this change, from 1
+    change_number: int
     kind: ChangeKind
     at: int
-    metadata: MessageMetadata | None = None  # of ADMIT
-    host: str | None = None  # of BEGIN_ATTEMPT
-    result: str | None = None  # of END_ATTEMPT, and of DECIDE while an attempt is in flight
-    final_status: StoredFinalStatus | None = None  # of DECIDE
+    metadata: MessageMetadata | None = None
+    host: str | None = None
+    result: str | None = None
+    final_status: StoredFinalStatus | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class MessageRecord:
-    """The record of one message."""
+    """Record of one message."""
 
     message_id: str
     admission_number: int
     metadata: MessageMetadata
-    change_number: int  # of the last change that is stored
+    change_number: int  # of the last change applied
     state: RecordState
     admitted_at: int
     attempts: int = 0
@@ -119,29 +132,37 @@
 
 
 def apply(record: MessageRecord | None, change: Change) -> MessageRecord:
-    """Returns the record after a change.
+    """Returns the record after a change; `record` is None if the store has none.
 
     Raises:
-        RecordRuleError: the change may not follow what is recorded.
+        RecordRuleError: The change is not valid in the current state of the record.
     """
     if change.kind is ChangeKind.ADMIT:
         return _admit(record, change)
     if record is None:
-        raise RecordRuleError(f"{change.message_id}: {change.kind.value} of a message that was not admitted")
+        raise RecordRuleError(
+            f"{change.message_id}: change {change.kind.value!r} of a message without a record"
+        )
     _check_order(record, change)
     return _advance(record, change)
 
 
 def _admit(record: MessageRecord | None, change: Change) -> MessageRecord:
     if change.metadata is None or change.change_number != 1:
-        raise RecordRuleError(f"{change.message_id}: the first change describes the message")
+        raise RecordRuleError(
+            f"{change.message_id}: change {change.change_number} admits the message: it must be change 1 "
+            "and have its metadata"
+        )
     if record is not None and not (
         record.state is RecordState.REPORTED and change.admission_number == record.admission_number + 1
     ):
-        raise RecordRuleError(f"{change.message_id}: admitted while its record is {record.state.value}")
+        raise RecordRuleError(
+            f"{change.message_id}: admission {change.admission_number} while admission "
+            f"{record.admission_number} is in state {record.state.value!r}"
+        )
     if record is None and change.admission_number != 1:
         raise RecordRuleError(
-            f"{change.message_id}: admission {change.admission_number} of an id that has no record"
+            f"{change.message_id}: admission {change.admission_number} of an id without a record, must be 1"
         )
     return MessageRecord(
         change.message_id, change.admission_number, change.metadata, 1, RecordState.ADMITTED, change.at
@@ -157,9 +178,11 @@
             f"after change {record.change_number} of admission {record.admission_number}"
         )
     if record.state not in STATES_BEFORE[change.kind]:
-        raise RecordRuleError(f"{change.message_id}: {change.kind.value} after {record.state.value}")
+        raise RecordRuleError(
+            f"{change.message_id}: change {change.kind.value!r} in state {record.state.value!r}"
+        )
     if change.kind is ChangeKind.DECIDE and change.final_status is None:
-        raise RecordRuleError(f"{change.message_id}: an end without an answer")
+        raise RecordRuleError(f"{change.message_id}: change {change.kind.value!r} without a final status")
     if change.final_status is StoredFinalStatus.DELIVERED and record.state is not RecordState.IN_FLIGHT:
         raise RecordRuleError(f"{change.message_id}: delivered without an attempt in flight")
 
@@ -167,17 +190,17 @@
 def _advance(record: MessageRecord, change: Change) -> MessageRecord:
     attempts, host, started_at = record.attempts, record.host, record.attempt_started_at
     result, result_at = record.result, record.result_at
-    answer, decided_at, reported_at = record.final_status, record.decided_at, record.reported_at
+    final_status, decided_at, reported_at = record.final_status, record.decided_at, record.reported_at
     if change.kind is ChangeKind.BEGIN_ATTEMPT:
         attempts, host, started_at = attempts + 1, change.host, change.at
         result, result_at = None, None
     elif record.state is RecordState.IN_FLIGHT:
         result, result_at = change.result, change.at
     if change.kind is ChangeKind.DECIDE:
-        answer, decided_at = change.final_status, change.at
+        final_status, decided_at = change.final_status, change.at
     elif change.kind is ChangeKind.REPORT:
         reported_at = change.at
-    # Field by field: dataclasses.replace would take much of the time of a commit.
+    # Constructed field by field: dataclasses.replace would take a large part of the time of a commit.
     return MessageRecord(
         record.message_id,
         record.admission_number,
@@ -190,167 +213,178 @@
         started_at,
         result,
         result_at,
-        answer,
+        final_status,
         decided_at,
         reported_at,
     )
 
 
-def is_id_reusable(entry: MessageRecord) -> bool:
-    """Returns whether an id can be used again: only a reported rejection has promised that."""
-    return entry.state is RecordState.REPORTED and entry.final_status is StoredFinalStatus.REJECTED
+def is_id_reusable(record: MessageRecord) -> bool:
+    """Returns whether an id can be admitted again, which only a reported rejection allows."""
+    return record.state is RecordState.REPORTED and record.final_status is StoredFinalStatus.REJECTED
 
 
-# What has to be stored before a step
+# Commits required before a step
 
 
-class Step(Enum):
-    """What a relay is about to do."""
+class RelayStep(Enum):
+    """Step of a relay that may require a commit."""
 
-    ACCEPT = "answer the client that it is admitted"
+    ACCEPT = "answer the client that the message is admitted"
     SEND = "send the first byte of an attempt"
-    REPORT = "report the end"
+    REPORT = "report the final status"
 
 
-def required_before(step: Step, mode: DurabilityMode) -> ChangeKind | None:
-    """Returns the change that has to be committed before a step; None where the journal is relied on."""
+def required_change(step: RelayStep, mode: DurabilityMode) -> ChangeKind | None:
+    """Returns the kind of change to commit before a step; None if the journal is enough."""
     if mode is DurabilityMode.WRITE_BEHIND:
         return None
     return {
-        Step.ACCEPT: ChangeKind.ADMIT,
-        Step.SEND: ChangeKind.BEGIN_ATTEMPT,
-        Step.REPORT: ChangeKind.DECIDE,
+        RelayStep.ACCEPT: ChangeKind.ADMIT,
+        RelayStep.SEND: ChangeKind.BEGIN_ATTEMPT,
+        RelayStep.REPORT: ChangeKind.DECIDE,
     }[step]
 
 
-# Commits with an unknown outcome
+# Uncertain commits
 
 
 class CommitStatus(Enum):
-    """What reading back shows of a change whose commit has an unknown outcome."""
+    """Result of reading back a change whose commit is uncertain."""
 
-    APPLIED = "applied"  # it is stored
-    MISSING = "missing"  # it has to be stored again
-    ID_IN_USE = "taken elsewhere"  # another instance has the id
-    CONFLICT = "conflict"  # this change can't have been the next one
+    APPLIED = "applied"  # the change is stored
+    MISSING = "missing"  # the change must be stored again
+    ID_IN_USE = "id in use"  # the id belongs to another admission, of this or another instance
+    CONFLICT = "conflict"  # the change can't follow the stored record
 
 
-def resolve_commit(change: Change, seen: MessageRecord | None) -> CommitStatus:
-    """Returns what became of a change, by what the store holds now."""
-    if seen is None:
+def resolve_commit(change: Change, record: MessageRecord | None) -> CommitStatus:
+    """Returns whether a change was stored, given the record read back (None: there is none)."""
+    if record is None:
         return (
             CommitStatus.MISSING
             if change.kind is ChangeKind.ADMIT and change.admission_number == 1
             else CommitStatus.CONFLICT
         )
     if change.kind is ChangeKind.ADMIT:
-        if seen.admission_number == change.admission_number:
+        if record.admission_number == change.admission_number:
             mine = (
                 change.metadata is not None
-                and seen.metadata == change.metadata
-                and seen.admitted_at == change.at
+                and record.metadata == change.metadata
+                and record.admitted_at == change.at
             )
             return CommitStatus.APPLIED if mine else CommitStatus.ID_IN_USE
-        after = seen.admission_number == change.admission_number - 1 and seen.state is RecordState.REPORTED
+        after = (
+            record.admission_number == change.admission_number - 1 and record.state is RecordState.REPORTED
+        )
         return CommitStatus.MISSING if after else CommitStatus.ID_IN_USE
-    if seen.admission_number != change.admission_number:
+    if record.admission_number != change.admission_number:
         return CommitStatus.CONFLICT
-    if seen.change_number >= change.change_number:
+    if record.change_number >= change.change_number:
         return CommitStatus.APPLIED
-    return CommitStatus.MISSING if seen.change_number == change.change_number - 1 else CommitStatus.CONFLICT
+    return CommitStatus.MISSING if record.change_number == change.change_number - 1 else CommitStatus.CONFLICT
 
 
 # Ids that are submitted again
 
 
-class KnownId(Enum):
-    """What is answered to a submitted id, by what the store has of it."""
+class MessageIdStatus(Enum):
+    """Status of a submitted message id, according to its record."""
 
-    NEW = "new"
-    IN_PROGRESS = "in progress"  # admitted, here or at another instance: not begun again
+    NEW = "new"  # it can be admitted
+    IN_PROGRESS = "in progress"  # admitted by this or another instance: not admitted again
     DELIVERED = "delivered"
     FAILED = "failed"
-    REJECTED = "refused"  # not reported yet: the id can be used again once it is
+    REJECTED = "refused"  # rejected, not yet reported: the id can be admitted again after the report
 
 
-def status_of_id(entry: MessageRecord | None, now: int, memory: int) -> KnownId:
-    """Returns what is answered to an id.
+def message_id_status(record: MessageRecord | None, now: int, retention_us: int) -> MessageIdStatus:
+    """Returns the status of a submitted message id.
 
-    Args: entry: its record, if there is one. now: wall clock, in microseconds. memory: microseconds after its
-    end for which an id is answered as before; never less than to its deadline.
+    Args:
+        record: The record of the id, or None.
+        now: Wall clock, in microseconds.
+        retention_us: How long after the decision an id keeps its final status; it keeps it until the deadline
+            of the message at least.
     """
-    if entry is None or is_id_reusable(entry):
-        return KnownId.NEW
-    if entry.final_status is None:
-        return KnownId.IN_PROGRESS
-    if entry.final_status is StoredFinalStatus.REJECTED:
-        return KnownId.REJECTED
-    if entry.decided_at is not None and now > max(entry.decided_at + memory, entry.metadata.deadline):
-        return KnownId.NEW
-    return KnownId.DELIVERED if entry.final_status is StoredFinalStatus.DELIVERED else KnownId.FAILED
+    if record is None or is_id_reusable(record):
+        return MessageIdStatus.NEW
+    if record.final_status is None:
+        return MessageIdStatus.IN_PROGRESS
+    if record.final_status is StoredFinalStatus.REJECTED:
+        return MessageIdStatus.REJECTED
+    if record.decided_at is not None and now > max(
+        record.decided_at + retention_us, record.metadata.deadline
+    ):
+        return MessageIdStatus.NEW
+    return (
+        MessageIdStatus.DELIVERED
+        if record.final_status is StoredFinalStatus.DELIVERED
+        else MessageIdStatus.FAILED
+    )
 
 
-# Recovery: the journal against the store
+# Recovery after a restart: the journal compared with the store
 
 
-class JournalStanding(Enum):
-    """What the journal has of a message at a start."""
+class JournalState(Enum):
+    """State of a message in the journal at a start. The values are descriptions."""
 
-    NOTHING = "nothing"
+    ABSENT = "not in the journal"
     ADMITTED = "admitted, never attempted"
-    IN_FLIGHT = "an attempt was in flight at the end of the process"
-    TRIED = "attempted, and has not run"
+    IN_FLIGHT = "an attempt was in flight when the process ended"
+    NOT_EXECUTED = "attempted, and has not run"
     MAY_HAVE_RUN = "attempted, and may have run"
     DELIVERED = "delivered"
-    ENDED = "its end is decided and not reported"
+    DECIDED = "final status decided, not yet reported"
 
 
 def reconcile(
-    standing: JournalStanding, seen: MessageRecord | None, is_at_most_once: bool, mode: DurabilityMode
+    journal_state: JournalState, record: MessageRecord | None, is_at_most_once: bool, mode: DurabilityMode
 ) -> RecoveryAction:
-    """Returns what a start does about a message.
+    """Returns what a start does with a message.
 
-    It never claims what the store never saw, and never sends a message again that must not run twice because
-    the store has lost it.
+    A message that the store never had is not claimed as admitted, and an at-most-once message that may have
+    run is not sent again because the store has lost its record.
 
     Args:
-        standing: what the journal has of it.
-        seen: what the store has of it.
-        is_at_most_once: whether it must not run twice.
-        mode: how its class is recorded.
+        journal_state: State of the message in the journal.
+        record: Its record in the store, or None.
+        is_at_most_once: Whether the message must not run twice.
+        mode: Durability mode of its class.
     """
-    if standing is JournalStanding.NOTHING:
-        if seen is None or seen.state in (RecordState.REPORTED,):
+    if journal_state is JournalState.ABSENT:
+        if record is None or record.state in (RecordState.REPORTED,):
             return RecoveryAction.COMPLETE
-        if seen.state is RecordState.DECIDED:
+        if record.state is RecordState.DECIDED:
             return (
                 RecoveryAction.REPORT_AGAIN
-                if seen.final_status is not StoredFinalStatus.DELIVERED
+                if record.final_status is not StoredFinalStatus.DELIVERED
                 else RecoveryAction.UPDATE_STORE
             )
-        return RecoveryAction.FAIL  # the journal is lost: nobody knows whether it ran
-    if seen is None:
-        if mode is DurabilityMode.WRITE_AHEAD and standing is JournalStanding.ADMITTED:
-            return RecoveryAction.DISCARD  # never committed, so its client was never told
-        if is_at_most_once and standing in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN):
+        return RecoveryAction.FAIL  # the journal is lost, so it is unknown whether the message ran
+    if record is None:
+        if mode is DurabilityMode.WRITE_AHEAD and journal_state is JournalState.ADMITTED:
+            return RecoveryAction.DISCARD  # never committed, so the client was never told that it is admitted
+        if is_at_most_once and journal_state in (JournalState.IN_FLIGHT, JournalState.MAY_HAVE_RUN):
             return RecoveryAction.FAIL
         return (
             RecoveryAction.UPDATE_STORE
-            if standing in (JournalStanding.DELIVERED, JournalStanding.ENDED)
+            if journal_state in (JournalState.DELIVERED, JournalState.DECIDED)
             else RecoveryAction.RESUME
         )
-    if seen.state is RecordState.REPORTED:
-        return RecoveryAction.COMPLETE  # reported, and the journal did not have that yet
-    if seen.state is RecordState.DECIDED:
+    if record.state is RecordState.REPORTED:
+        return RecoveryAction.COMPLETE  # reported; the journal entry was not completed yet
+    if record.state is RecordState.DECIDED:
         return (
             RecoveryAction.UPDATE_STORE
-            if seen.final_status is StoredFinalStatus.DELIVERED
+            if record.final_status is StoredFinalStatus.DELIVERED
             else RecoveryAction.REPORT_AGAIN
         )
-    if standing in (JournalStanding.DELIVERED, JournalStanding.ENDED):
+    if journal_state in (JournalState.DELIVERED, JournalState.DECIDED):
         return RecoveryAction.UPDATE_STORE
     may_have_run = (
-        standing in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN)
-        or seen.state is RecordState.IN_FLIGHT
+        journal_state in (JournalState.IN_FLIGHT, JournalState.MAY_HAVE_RUN)
+        or record.state is RecordState.IN_FLIGHT
     )
     return RecoveryAction.FAIL if is_at_most_once and may_have_run else RecoveryAction.RESUME
--- a/tests/store/test_recorder.py
+++ b/tests/store/test_recorder.py
@@ -14,7 +14,7 @@
 from loftrelay.store.recorder import AdmissionDecision, Recorder
 from loftrelay.store.state_machine import (
     DurabilityMode,
-    KnownId,
+    MessageIdStatus,
     MessageRecord,
     RecordState,
     StoredFinalStatus,
@@ -95,7 +95,7 @@
         assert first.retry_after_ms >= 1000
         again = await take(recorder, clock.held("m"))  # nobody knows yet whether the store will have it
         assert again.retry_after_ms >= 1000
-        assert (await take(recorder, clock.held("follows", "status"))).known_id is KnownId.NEW
+        assert (await take(recorder, clock.held("follows", "status"))).id_status is MessageIdStatus.NEW
         store.gate.set()
         async with asyncio.timeout(60):
             while recorder.positions["m"].state is RecordState.ADMITTED:
@@ -111,7 +111,7 @@
         recorder.max_store_wait_s = NEVER
         clock.now += 1_000_000
         verdict = await take(recorder, clock.held("m"))
-        assert verdict.known_id is KnownId.NEW
+        assert verdict.id_status is MessageIdStatus.NEW
         assert not verdict.retry_after_ms
         assert (await stored(recorder))["m"].admission_number == 2
 
@@ -125,7 +125,7 @@
 
     async def scenario(store: Faulty, recorder: Recorder) -> None:
         held = clock.held("m")
-        assert (await take(recorder, held)).known_id is KnownId.NEW
+        assert (await take(recorder, held)).id_status is MessageIdStatus.NEW
         await live(recorder, held)
         await stored(recorder)
         recorder.max_store_wait_s = 0.01
@@ -158,7 +158,7 @@
         verdict = await take(other, clock.held("m"))
         assert (verdict.status, verdict.retry_after_ms >= 1000) == (503, True)
         recorder.final_status_reported("m")
-        assert (await take(other, clock.held("m"))).known_id is KnownId.NEW
+        assert (await take(other, clock.held("m"))).id_status is MessageIdStatus.NEW
 
     run(tmp_path, scenario)
 
@@ -171,14 +171,14 @@
 
     async def scenario(store: Faulty, recorder: Recorder) -> None:
         held = clock.held("m")
-        assert (await take(recorder, held)).known_id is KnownId.NEW
+        assert (await take(recorder, held)).id_status is MessageIdStatus.NEW
         clock.now += step
         await live(recorder, held)
         other = beside(recorder)  # whose clock is right
         for now in (AT + step, AT):
             clock.now = now
-            assert (await take(other, clock.held("m"))).known_id is KnownId.DELIVERED
-        assert (await take(other, clock.held("new"))).known_id is KnownId.NEW
+            assert (await take(other, clock.held("m"))).id_status is MessageIdStatus.DELIVERED
+        assert (await take(other, clock.held("new"))).id_status is MessageIdStatus.NEW
         assert not await recorder.writer.call(lambda store: store.verify())
         assert (await recorder.writer.call(lambda store: store.prune(AT - 2 * HOUR, 9))) == 0
 
@@ -197,8 +197,8 @@
         await live(recorder, held, StoredFinalStatus.REJECTED)
         clock.now -= 2 * HOUR
         again = clock.held("m")
-        assert (await take(recorder, again)).known_id is KnownId.NEW
-        assert (await take(beside(recorder), clock.held("m"))).known_id is KnownId.IN_PROGRESS
+        assert (await take(recorder, again)).id_status is MessageIdStatus.NEW
+        assert (await take(beside(recorder), clock.held("m"))).id_status is MessageIdStatus.IN_PROGRESS
         await live(recorder, again)
         entry = (await stored(recorder))["m"]
         assert (entry.admission_number, entry.final_status, entry.attempts) == (
--- a/tests/store/test_rules.py
+++ b/tests/store/test_rules.py
@@ -1,4 +1,4 @@
-"""The record's rules: what may follow what, what must be stored first, what a crash leaves to be decided."""
+"""Rules of a record: valid transitions, required commits, uncertain commits and recovery after a crash."""
 
 from __future__ import annotations
 
@@ -13,82 +13,88 @@
     ChangeKind,
     CommitStatus,
     DurabilityMode,
-    JournalStanding,
-    KnownId,
+    JournalState,
+    MessageIdStatus,
     MessageMetadata,
     MessageRecord,
     RecordRuleError,
     RecordState,
-    Step,
+    RelayStep,
     StoredFinalStatus,
     apply,
+    message_id_status,
     reconcile,
-    required_before,
+    required_change,
     resolve_commit,
-    status_of_id,
 )
 
-ABOUT = MessageMetadata("n1", "order", "acme", 1, "k", 9_000, "00" * 32)
-S = 1_000_000
+METADATA = MessageMetadata("n1", "order", "acme", 1, "k", 9_000, "00" * 32)
+SECOND_US = 1_000_000
 
 
-def change(kind: ChangeKind, number: int, run: int = 1, at: int = 0, **told: object) -> Change:
-    given = {"metadata": ABOUT} if kind is ChangeKind.ADMIT else {}
+def make_change(
+    kind: ChangeKind, number: int, admission_number: int = 1, at: int = 0, **fields: object
+) -> Change:
+    defaults = {"metadata": METADATA} if kind is ChangeKind.ADMIT else {}
     if kind is ChangeKind.DECIDE:
-        given = {"final_status": StoredFinalStatus.FAILED}  # type: ignore[dict-item]
-    return replace(Change("m", run, number, kind, at or 100 * number, **given), **told)  # type: ignore[arg-type]
+        defaults = {"final_status": StoredFinalStatus.FAILED}  # type: ignore[dict-item]
+    return replace(Change("m", admission_number, number, kind, at or 100 * number, **defaults), **fields)  # type: ignore[arg-type]
 
 
-def record(*kinds: ChangeKind, final_status: StoredFinalStatus = StoredFinalStatus.FAILED) -> MessageRecord:
-    entry: MessageRecord | None = None
+def make_record(
+    *kinds: ChangeKind, final_status: StoredFinalStatus = StoredFinalStatus.FAILED
+) -> MessageRecord:
+    record: MessageRecord | None = None
     for number, kind in enumerate(kinds, 1):
-        told: dict[str, object] = {"final_status": final_status} if kind is ChangeKind.DECIDE else {}
-        entry = apply(entry, change(kind, number, **told))  # type: ignore[arg-type]
-    assert entry is not None
-    return entry
+        fields: dict[str, object] = {"final_status": final_status} if kind is ChangeKind.DECIDE else {}
+        record = apply(record, make_change(kind, number, **fields))  # type: ignore[arg-type]
+    assert record is not None
+    return record
 
 
-TAKE, INTEND, OUTCOME, END, TOLD = (
+ADMIT, BEGIN, END_ATTEMPT, DECIDE, REPORT = (
     ChangeKind.ADMIT,
     ChangeKind.BEGIN_ATTEMPT,
     ChangeKind.END_ATTEMPT,
     ChangeKind.DECIDE,
     ChangeKind.REPORT,
 )
-LIVES = {
-    RecordState.ADMITTED: (TAKE,),
-    RecordState.IN_FLIGHT: (TAKE, INTEND),
-    RecordState.WAITING: (TAKE, INTEND, OUTCOME),
-    RecordState.DECIDED: (TAKE, INTEND, END),
-    RecordState.REPORTED: (TAKE, INTEND, END, TOLD),
+CHANGES_TO_STATE = {
+    RecordState.ADMITTED: (ADMIT,),
+    RecordState.IN_FLIGHT: (ADMIT, BEGIN),
+    RecordState.WAITING: (ADMIT, BEGIN, END_ATTEMPT),
+    RecordState.DECIDED: (ADMIT, BEGIN, DECIDE),
+    RecordState.REPORTED: (ADMIT, BEGIN, DECIDE, REPORT),
 }
-MAY_FOLLOW = {
-    RecordState.ADMITTED: {INTEND, END},
-    RecordState.IN_FLIGHT: {OUTCOME, END},
-    RecordState.WAITING: {INTEND, END},
-    RecordState.DECIDED: {TOLD},
+VALID_CHANGES = {
+    RecordState.ADMITTED: {BEGIN, DECIDE},
+    RecordState.IN_FLIGHT: {END_ATTEMPT, DECIDE},
+    RecordState.WAITING: {BEGIN, DECIDE},
+    RecordState.DECIDED: {REPORT},
     RecordState.REPORTED: set[ChangeKind](),
 }
 
 
 @pytest.mark.parametrize(("state", "kind"), list(itertools.product(RecordState, ChangeKind)))
-def test_what_may_follow_what(state: RecordState, kind: ChangeKind) -> None:
-    entry = record(*LIVES[state])
-    assert entry.state is state
-    following = change(kind, 1 if kind is TAKE else entry.change_number + 1)
-    if kind in MAY_FOLLOW[state]:
-        assert apply(entry, following).change_number == entry.change_number + 1
+def test_apply_accepts_only_valid_changes_in_each_state(state: RecordState, kind: ChangeKind) -> None:
+    record = make_record(*CHANGES_TO_STATE[state])
+    assert record.state is state
+    next_change = make_change(kind, 1 if kind is ADMIT else record.change_number + 1)
+    if kind in VALID_CHANGES[state]:
+        assert apply(record, next_change).change_number == record.change_number + 1
     else:
         with pytest.raises(RecordRuleError):
-            apply(entry, following)
+            apply(record, next_change)
 
 
-def test_a_life_is_told_in_full() -> None:
-    entry = record(TAKE, INTEND, OUTCOME, INTEND, END, TOLD, final_status=StoredFinalStatus.DELIVERED)
-    assert entry == MessageRecord(
+def test_apply_of_all_changes_returns_complete_record() -> None:
+    record = make_record(
+        ADMIT, BEGIN, END_ATTEMPT, BEGIN, DECIDE, REPORT, final_status=StoredFinalStatus.DELIVERED
+    )
+    assert record == MessageRecord(
         "m",
         1,
-        ABOUT,
+        METADATA,
         6,
         RecordState.REPORTED,
         100,
@@ -103,151 +109,173 @@
     )
 
 
-@pytest.mark.parametrize("kinds", [(TAKE,), (TAKE, INTEND, OUTCOME)])
-def test_nothing_is_delivered_without_an_attempt_out(kinds: tuple[ChangeKind, ...]) -> None:
-    entry = record(*kinds)
+@pytest.mark.parametrize("kinds", [(ADMIT,), (ADMIT, BEGIN, END_ATTEMPT)])
+def test_apply_delivery_without_attempt_in_flight_raises(kinds: tuple[ChangeKind, ...]) -> None:
+    record = make_record(*kinds)
     with pytest.raises(RecordRuleError, match="without an attempt"):
-        apply(entry, change(END, entry.change_number + 1, final_status=StoredFinalStatus.DELIVERED))
+        apply(record, make_change(DECIDE, record.change_number + 1, final_status=StoredFinalStatus.DELIVERED))
 
 
-def test_numbers_leave_no_gap_and_an_end_has_an_answer() -> None:
-    entry = record(TAKE)
+def test_apply_wrong_number_or_missing_final_status_raises() -> None:
+    record = make_record(ADMIT)
     for number in (1, 3):
         with pytest.raises(RecordRuleError):
-            apply(entry, change(INTEND, number))
+            apply(record, make_change(BEGIN, number))
     with pytest.raises(RecordRuleError):
-        apply(entry, change(END, 2, final_status=None))
+        apply(record, make_change(DECIDE, 2, final_status=None))
     with pytest.raises(RecordRuleError):
-        apply(None, change(INTEND, 2))
+        apply(None, make_change(BEGIN, 2))
     with pytest.raises(RecordRuleError):
-        apply(None, change(TAKE, 1, run=2))
+        apply(None, make_change(ADMIT, 1, admission_number=2))
 
 
-def test_an_id_has_a_new_record_only_after_its_last_one_is_told() -> None:
-    again = change(TAKE, 1, run=2)
-    assert (
-        apply(record(TAKE, END, TOLD, final_status=StoredFinalStatus.REJECTED), again).admission_number == 2
-    )
-    for life in (LIVES[state] for state in RecordState if state is not RecordState.REPORTED):
+def test_apply_second_admission_before_report_raises() -> None:
+    second_admission = make_change(ADMIT, 1, admission_number=2)
+    rejected = make_record(ADMIT, DECIDE, REPORT, final_status=StoredFinalStatus.REJECTED)
+    assert apply(rejected, second_admission).admission_number == 2
+    for kinds in (CHANGES_TO_STATE[state] for state in RecordState if state is not RecordState.REPORTED):
         with pytest.raises(RecordRuleError):
-            apply(record(*life), again)
+            apply(make_record(*kinds), second_admission)
     with pytest.raises(RecordRuleError):
-        apply(record(*LIVES[RecordState.REPORTED]), change(TAKE, 1, run=3))
+        apply(make_record(*CHANGES_TO_STATE[RecordState.REPORTED]), make_change(ADMIT, 1, admission_number=3))
 
 
-def test_what_must_be_stored_before_which_step() -> None:
-    assert [required_before(step, DurabilityMode.WRITE_AHEAD) for step in Step] == [TAKE, INTEND, END]
-    assert [required_before(step, DurabilityMode.WRITE_BEHIND) for step in Step] == [None, None, None]
+def test_required_change_for_each_step_and_mode() -> None:
+    assert [required_change(step, DurabilityMode.WRITE_AHEAD) for step in RelayStep] == [ADMIT, BEGIN, DECIDE]
+    assert [required_change(step, DurabilityMode.WRITE_BEHIND) for step in RelayStep] == [None, None, None]
 
 
-@pytest.mark.parametrize("life", LIVES.values())
-def test_a_commit_whose_outcome_is_not_known_is_resolved_by_reading_back(
-    life: tuple[ChangeKind, ...],
-) -> None:
-    """Before it was applied and after, for each change of a life: once more only where it is missing."""
-    entry: MessageRecord | None = None
-    for number, kind in enumerate(life, 1):
-        step = change(kind, number)
-        assert resolve_commit(step, entry) is CommitStatus.MISSING
-        entry = apply(entry, step)
-        assert resolve_commit(step, entry) is CommitStatus.APPLIED
-    assert entry is not None
-    for number, kind in enumerate(life, 1):  # and long after
-        assert resolve_commit(change(kind, number), entry) is CommitStatus.APPLIED
+@pytest.mark.parametrize("kinds", CHANGES_TO_STATE.values())
+def test_resolve_commit_tells_stored_from_missing_change(kinds: tuple[ChangeKind, ...]) -> None:
+    """Each change is missing before it is applied, and applied afterwards, also after later changes."""
+    record: MessageRecord | None = None
+    for number, kind in enumerate(kinds, 1):
+        change = make_change(kind, number)
+        assert resolve_commit(change, record) is CommitStatus.MISSING
+        record = apply(record, change)
+        assert resolve_commit(change, record) is CommitStatus.APPLIED
+    assert record is not None
+    for number, kind in enumerate(kinds, 1):  # after later changes, too
+        assert resolve_commit(make_change(kind, number), record) is CommitStatus.APPLIED
 
 
-def test_an_ambiguous_take_whose_id_another_got_first() -> None:
-    theirs = replace(record(TAKE), metadata=replace(ABOUT, instance="n2"))
-    assert resolve_commit(change(TAKE, 1), theirs) is CommitStatus.ID_IN_USE
-    later = replace(record(TAKE), admitted_at=777)  # of the same instance, handed in at another time
-    assert resolve_commit(change(TAKE, 1), later) is CommitStatus.ID_IN_USE
+def test_resolve_commit_of_admission_with_other_record_reports_id_in_use() -> None:
+    other_instance = replace(make_record(ADMIT), metadata=replace(METADATA, instance="n2"))
+    assert resolve_commit(make_change(ADMIT, 1), other_instance) is CommitStatus.ID_IN_USE
+    later_admission = replace(make_record(ADMIT), admitted_at=777)  # same instance, submitted at another time
+    assert resolve_commit(make_change(ADMIT, 1), later_admission) is CommitStatus.ID_IN_USE
 
 
-def test_a_change_that_can_not_have_been_next_is_a_conflict() -> None:
-    assert resolve_commit(change(OUTCOME, 3), None) is CommitStatus.CONFLICT
-    assert resolve_commit(change(OUTCOME, 3), record(TAKE)) is CommitStatus.CONFLICT
-    assert resolve_commit(change(OUTCOME, 3, run=2), record(TAKE, INTEND)) is CommitStatus.CONFLICT
+def test_resolve_commit_of_change_that_cannot_follow_reports_conflict() -> None:
+    assert resolve_commit(make_change(END_ATTEMPT, 3), None) is CommitStatus.CONFLICT
+    assert resolve_commit(make_change(END_ATTEMPT, 3), make_record(ADMIT)) is CommitStatus.CONFLICT
+    assert (
+        resolve_commit(make_change(END_ATTEMPT, 3, admission_number=2), make_record(ADMIT, BEGIN))
+        is CommitStatus.CONFLICT
+    )
 
 
 @pytest.mark.parametrize(
-    ("entry", "at", "answer"),
+    ("record", "now", "expected"),
     [
-        (None, 0, KnownId.NEW),
-        (record(TAKE), 10**12, KnownId.IN_PROGRESS),
-        (record(TAKE, INTEND), 10**12, KnownId.IN_PROGRESS),
-        (record(TAKE, INTEND, END, final_status=StoredFinalStatus.DELIVERED), 5_000, KnownId.DELIVERED),
-        (record(TAKE, INTEND, END, TOLD, final_status=StoredFinalStatus.DELIVERED), 9_000, KnownId.DELIVERED),
-        (record(TAKE, INTEND, END, TOLD), 9_000, KnownId.FAILED),
-        (record(TAKE, INTEND, END, TOLD), 300 + 10 * S, KnownId.FAILED),
-        (record(TAKE, INTEND, END, TOLD), 301 + 10 * S, KnownId.NEW),
-        (record(TAKE, END, final_status=StoredFinalStatus.REJECTED), 5_000, KnownId.REJECTED),  # not free yet
-        (record(TAKE, END, TOLD, final_status=StoredFinalStatus.REJECTED), 5_000, KnownId.NEW),
+        (None, 0, MessageIdStatus.NEW),
+        (make_record(ADMIT), 10**12, MessageIdStatus.IN_PROGRESS),
+        (make_record(ADMIT, BEGIN), 10**12, MessageIdStatus.IN_PROGRESS),
+        (
+            make_record(ADMIT, BEGIN, DECIDE, final_status=StoredFinalStatus.DELIVERED),
+            5_000,
+            MessageIdStatus.DELIVERED,
+        ),
+        (
+            make_record(ADMIT, BEGIN, DECIDE, REPORT, final_status=StoredFinalStatus.DELIVERED),
+            9_000,
+            MessageIdStatus.DELIVERED,
+        ),
+        (make_record(ADMIT, BEGIN, DECIDE, REPORT), 9_000, MessageIdStatus.FAILED),
+        (make_record(ADMIT, BEGIN, DECIDE, REPORT), 300 + 10 * SECOND_US, MessageIdStatus.FAILED),
+        (make_record(ADMIT, BEGIN, DECIDE, REPORT), 301 + 10 * SECOND_US, MessageIdStatus.NEW),
+        (
+            make_record(ADMIT, DECIDE, final_status=StoredFinalStatus.REJECTED),
+            5_000,
+            MessageIdStatus.REJECTED,
+        ),  # not reusable yet
+        (
+            make_record(ADMIT, DECIDE, REPORT, final_status=StoredFinalStatus.REJECTED),
+            5_000,
+            MessageIdStatus.NEW,
+        ),
     ],
 )
-def test_an_id_seen_before(entry: MessageRecord | None, at: int, answer: KnownId) -> None:
-    assert status_of_id(entry, at, 10 * S) is answer
+def test_message_id_status_for_each_record(
+    record: MessageRecord | None, now: int, expected: MessageIdStatus
+) -> None:
+    assert message_id_status(record, now, 10 * SECOND_US) is expected
 
 
-def test_an_id_is_known_until_its_time_is_up_however_short_the_memory() -> None:
-    entry = record(TAKE, INTEND, END, TOLD, final_status=StoredFinalStatus.DELIVERED)
-    assert status_of_id(entry, 9_000, 0) is KnownId.DELIVERED
-    assert status_of_id(entry, 9_001, 0) is KnownId.NEW
+def test_message_id_status_with_zero_retention_lasts_until_deadline() -> None:
+    record = make_record(ADMIT, BEGIN, DECIDE, REPORT, final_status=StoredFinalStatus.DELIVERED)
+    assert message_id_status(record, 9_000, 0) is MessageIdStatus.DELIVERED
+    assert message_id_status(record, 9_001, 0) is MessageIdStatus.NEW
 
 
-SEEN = [
+STORED_RECORDS = [
     None,
-    *(record(*life) for life in LIVES.values()),
-    record(TAKE, INTEND, END, final_status=StoredFinalStatus.DELIVERED),
+    *(make_record(*kinds) for kinds in CHANGES_TO_STATE.values()),
+    make_record(ADMIT, BEGIN, DECIDE, final_status=StoredFinalStatus.DELIVERED),
 ]
 
 
 @pytest.mark.parametrize(
-    ("held", "seen", "mode"), list(itertools.product(JournalStanding, SEEN, DurabilityMode))
+    ("journal_state", "record", "mode"), list(itertools.product(JournalState, STORED_RECORDS, DurabilityMode))
 )
-def test_an_unsafe_message_that_may_have_run_never_goes_on(
-    held: JournalStanding, seen: MessageRecord | None, mode: DurabilityMode
+def test_reconcile_at_most_once_message_that_may_have_run_does_not_resume(
+    journal_state: JournalState, record: MessageRecord | None, mode: DurabilityMode
 ) -> None:
-    may_have_run = held in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN) or (
-        seen is not None and seen.state is RecordState.IN_FLIGHT and held is not JournalStanding.NOTHING
+    may_have_run = journal_state in (JournalState.IN_FLIGHT, JournalState.MAY_HAVE_RUN) or (
+        record is not None
+        and record.state is RecordState.IN_FLIGHT
+        and journal_state is not JournalState.ABSENT
     )
-    mend = reconcile(held, seen, True, mode)
+    action = reconcile(journal_state, record, True, mode)
     if may_have_run:
-        assert mend is not RecoveryAction.RESUME
-    if held is JournalStanding.NOTHING:
-        assert mend is not RecoveryAction.RESUME  # nobody knows where it stands
-    if mend is RecoveryAction.COMPLETE and seen is not None:
-        assert seen.state is RecordState.REPORTED  # nothing is owed
+        assert action is not RecoveryAction.RESUME
+    if journal_state is JournalState.ABSENT:
+        assert action is not RecoveryAction.RESUME  # without the journal it is unknown whether it ran
+    if action is RecoveryAction.COMPLETE and record is not None:
+        assert record.state is RecordState.REPORTED  # nothing is left to report
 
 
 @pytest.mark.parametrize(
-    ("held", "seen", "unsafe"), list(itertools.product(JournalStanding, SEEN, (False, True)))
+    ("journal_state", "record", "is_at_most_once"),
+    list(itertools.product(JournalState, STORED_RECORDS, (False, True))),
 )
-def test_a_message_whose_commit_never_came_is_forgotten_only_if_its_client_was_never_told(
-    held: JournalStanding, seen: MessageRecord | None, unsafe: bool
+def test_reconcile_discards_only_message_whose_client_was_not_told(
+    journal_state: JournalState, record: MessageRecord | None, is_at_most_once: bool
 ) -> None:
     for mode in DurabilityMode:
-        mend = reconcile(held, seen, unsafe, mode)
-        assert (mend is RecoveryAction.DISCARD) == (
-            held is JournalStanding.ADMITTED and seen is None and mode is DurabilityMode.WRITE_AHEAD
+        action = reconcile(journal_state, record, is_at_most_once, mode)
+        assert (action is RecoveryAction.DISCARD) == (
+            journal_state is JournalState.ADMITTED and record is None and mode is DurabilityMode.WRITE_AHEAD
         )
 
 
-def test_a_repeatable_message_goes_on_whatever_may_have_run() -> None:
-    for held in (JournalStanding.IN_FLIGHT, JournalStanding.MAY_HAVE_RUN, JournalStanding.TRIED):
-        assert reconcile(held, None, False, DurabilityMode.WRITE_BEHIND) is RecoveryAction.RESUME
+def test_reconcile_repeatable_message_that_may_have_run_resumes() -> None:
+    for journal_state in (JournalState.IN_FLIGHT, JournalState.MAY_HAVE_RUN, JournalState.NOT_EXECUTED):
+        assert reconcile(journal_state, None, False, DurabilityMode.WRITE_BEHIND) is RecoveryAction.RESUME
         assert (
-            reconcile(held, record(TAKE, INTEND), False, DurabilityMode.WRITE_BEHIND) is RecoveryAction.RESUME
+            reconcile(journal_state, make_record(ADMIT, BEGIN), False, DurabilityMode.WRITE_BEHIND)
+            is RecoveryAction.RESUME
         )
 
 
-def test_an_end_that_the_store_has_and_nobody_was_told_is_told() -> None:
-    for held in (
-        JournalStanding.NOTHING,
-        JournalStanding.ENDED,
-        JournalStanding.ADMITTED,
-        JournalStanding.IN_FLIGHT,
+def test_reconcile_decided_and_unreported_record_reports_again() -> None:
+    for journal_state in (
+        JournalState.ABSENT,
+        JournalState.DECIDED,
+        JournalState.ADMITTED,
+        JournalState.IN_FLIGHT,
     ):
         assert (
-            reconcile(held, record(TAKE, INTEND, END), True, DurabilityMode.WRITE_AHEAD)
+            reconcile(journal_state, make_record(ADMIT, BEGIN, DECIDE), True, DurabilityMode.WRITE_AHEAD)
             is RecoveryAction.REPORT_AGAIN
         )
