--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -1,7 +1,7 @@
-"""Records what happens to each message in the store of record, in order, through the writer.
+"""Records the progress of each message in the store of record, in order, through the writer.
 
-It keeps for each open message where its record stands, with what is queued, so that each change has its
-number.
+It tracks the position of the record of each open message, including queued changes, so that each change gets
+the next number.
 """
 
 from __future__ import annotations
@@ -22,6 +22,7 @@
     Change,
     ChangeKind,
     DurabilityMode,
+    JournalState,
     MessageIdStatus,
     MessageMetadata,
     MessageRecord,
@@ -33,12 +34,11 @@
 log = logging.getLogger(__name__)
 
 PRUNE_INTERVAL_S = 60.0
-PRUNE_PAUSE_S = 0.1  # between steps
+PRUNE_STEP_DELAY_S = 0.1  # between two steps
 PRUNE_ROWS = 500  # records deleted in one step
-MIN_RETRY_AFTER_MS = 1_000  # when to come back, at the least, while the store is slow
-
-
-STATUSES = {
+MIN_RETRY_AFTER_MS = 1_000  # of a rejection while the store is slow
+# HTTP status of the response to a submission, by the status of its message id; 0: the message is new.
+HTTP_STATUSES = {
     MessageIdStatus.NEW: 0,
     MessageIdStatus.IN_PROGRESS: 202,
     MessageIdStatus.DELIVERED: 200,
@@ -49,59 +49,59 @@
 
 @dataclass(slots=True)
 class AdmissionDecision:
-    """What the store says of an admission: `id_status` is NEW once it has the message."""
+    """Result of an admission to the store.
+
+    Attributes:
+        id_status: NEW if the message is stored, or if `retry_after_ms` is set.
+        retry_after_ms: Rejected: when the client may submit the message again; 0: not rejected by the store.
+    """
 
     id_status: MessageIdStatus = MessageIdStatus.NEW
     retry_after_ms: int = 0
 
     @property
     def status(self) -> int:
-        """Of the answer to its client, where the id is known; 0 for a new one."""
-        return STATUSES[self.id_status]
+        """HTTP status of the response if the id is known; 0 if it is new."""
+        return HTTP_STATUSES[self.id_status]
 
 
-def journal_standing(message: Message) -> state_machine.JournalState:
-    """Returns what the journal has of a message at a start."""
+def journal_state(message: Message) -> JournalState:
+    """Returns the state of a message in the journal at a start."""
     if message.final_status is not None:
-        return (
-            state_machine.JournalState.DELIVERED
-            if message.final_status["status"] == "delivered"
-            else state_machine.JournalState.DECIDED
-        )
+        is_delivered = message.final_status["status"] == "delivered"
+        return JournalState.DELIVERED if is_delivered else JournalState.DECIDED
     if message.attempt_started_at is not None:
-        return state_machine.JournalState.IN_FLIGHT
+        return JournalState.IN_FLIGHT
     if message.first_attempt_at is not None:
-        return state_machine.JournalState.MAY_HAVE_RUN
-    return (
-        state_machine.JournalState.NOT_EXECUTED if message.attempts else state_machine.JournalState.ADMITTED
-    )
+        return JournalState.MAY_HAVE_RUN
+    return JournalState.NOT_EXECUTED if message.attempts else JournalState.ADMITTED
 
 
 @dataclass(slots=True)
 class RecordPosition:
-    """Where the record of a message stands once all that is queued is written."""
+    """Position of a message's record after all queued changes are written."""
 
     mode: DurabilityMode
     admission_number: int = 1
     change_number: int = 0
-    state: RecordState | None = None  # None: nothing of it is recorded yet
+    state: RecordState | None = None  # None: nothing is recorded yet
 
 
 def _ignore(decision: AdmissionDecision) -> None:
-    """For a message whose admission nobody waits for."""
+    """Ignores the result of an admission that no caller waits for."""
     del decision
 
 
 class Recorder:
-    """Records what happens to the messages of one relay.
+    """Records the progress of the messages of one relay.
 
     Args:
-        writer: writes the changes.
-        instance: the name of this relay.
-        modes: how each class is recorded.
-        memory: microseconds after its end for which an id is answered as before.
-        keep: microseconds for which records are kept; None: for good.
-        patience: seconds that the store may take for a message before its client is rejected.
+        writer: Writes the changes.
+        instance: Name of this relay.
+        modes: Durability mode of each class.
+        id_retention_us: How long after the decision an id keeps its final status, in microseconds.
+        record_retention_us: How long reported records are kept, in microseconds; None: forever.
+        max_store_wait_s: How long the store may take for an admission before the client is rejected.
     """
 
     def __init__(
@@ -120,125 +120,122 @@
         self.record_retention_us = record_retention_us
         self.max_store_wait_s = max_store_wait_s
         self.positions: dict[str, RecordPosition] = {}
-        self.records_at_start: dict[
-            str, MessageRecord
-        ] = {}  # as the store had them at the start, until they are taken up
+        # Records in the store at the start; each is removed when its message is recovered.
+        self.records_at_start: dict[str, MessageRecord] = {}
         self.pruning = asyncio.create_task(self._prune()) if record_retention_us is not None else None
 
     @property
     def retry_after_ms(self) -> int:
-        """When to come back, while the store is away; 0 while it is there."""
+        """When to retry while the store is unavailable, in milliseconds; 0 while it is available."""
         return self.writer.retry_after_ms if self.writer.is_store_unavailable else 0
 
-    # A start
+    # Start and recovery
 
-    async def load(self, messages: Sequence[str]) -> None:
-        """Reads what the store tells of these, and of all that this instance has not ended.
+    async def load(self, message_ids: Sequence[str]) -> None:
+        """Reads the records of these message ids, and all unfinished records of this instance.
 
-        Raises StoreError.
+        Raises:
+            StoreError: The store can't be read.
         """
-        known = await self.writer.call(lambda store: store.read(messages))
-        mine = await self.writer.call(self._mine)
-        self.records_at_start = {entry.message_id: entry for entry in mine} | known
+        known = await self.writer.call(lambda store: store.read(message_ids))
+        own_records = await self.writer.call(self._own_unfinished)
+        self.records_at_start = {record.message_id: record for record in own_records} | known
 
-    def _mine(self, store: StoreBackend) -> list[MessageRecord]:
-        return [e for e in store.select(RecordQuery(unfinished=True)) if e.metadata.instance == self.instance]
+    def _own_unfinished(self, store: StoreBackend) -> list[MessageRecord]:
+        return [r for r in store.select(RecordQuery(unfinished=True)) if r.metadata.instance == self.instance]
 
     def unfinished_without_journal(self, messages: Mapping[str, Message]) -> list[str]:
-        """Returns the messages that are unfinished in the store and not in the journal."""
+        """Returns the ids of messages that are unfinished in the store and missing from the journal."""
         return [
-            name
-            for name, entry in self.records_at_start.items()
-            if name not in messages and entry.reported_at is None
+            message_id
+            for message_id, record in self.records_at_start.items()
+            if message_id not in messages and record.reported_at is None
         ]
 
     def recover(self, message: Message | None, message_id: str, is_at_most_once: bool) -> RecoveryAction:
-        """Returns what a start does about a message, and goes on with its record."""
-        entry = self.records_at_start.pop(message_id, None)
+        """Returns what a start does with a message, and brings its record up to date with the journal."""
+        record = self.records_at_start.pop(message_id, None)
         class_name = (
             message.class_name
             if message is not None
-            else entry.metadata.class_name
-            if entry is not None
+            else record.metadata.class_name
+            if record is not None
             else ""
         )
         mode = self.modes.get(class_name, DurabilityMode.WRITE_AHEAD)
-        stands = state_machine.JournalState.ABSENT if message is None else journal_standing(message)
-        mend = state_machine.reconcile(stands, entry, is_at_most_once, mode)
-        if mend in (RecoveryAction.COMPLETE, RecoveryAction.DISCARD):
-            return mend
-        track = self.positions[message_id] = RecordPosition(mode)
-        if entry is not None:
-            track.admission_number, track.change_number, track.state = (
-                entry.admission_number,
-                entry.change_number,
-                entry.state,
+        journal = JournalState.ABSENT if message is None else journal_state(message)
+        action = state_machine.reconcile(journal, record, is_at_most_once, mode)
+        if action in (RecoveryAction.COMPLETE, RecoveryAction.DISCARD):
+            return action
+        position = self.positions[message_id] = RecordPosition(mode)
+        if record is not None:
+            position.admission_number, position.change_number, position.state = (
+                record.admission_number,
+                record.change_number,
+                record.state,
             )
         elif message is not None:
-            self._record_admission(message, track, 1, _ignore, optional=False)
-            if message.attempts:  # as far as the journal tells
+            self._record_admission(message, position, 1, _ignore, optional=False)
+            if message.attempts:  # one attempt, with what the journal has of it
                 self._post(
                     message_id,
-                    track,
+                    position,
                     ChangeKind.BEGIN_ATTEMPT,
                     host=message.attempt_host or message.first_attempt_host,
                 )
-                if stands is not state_machine.JournalState.DELIVERED:
+                if journal is not JournalState.DELIVERED:
                     self.attempt_ended(
                         message_id,
-                        "NOT_SENT" if stands is state_machine.JournalState.NOT_EXECUTED else "BROKEN",
+                        "NOT_SENT" if journal is JournalState.NOT_EXECUTED else "BROKEN",
                     )
-        if track.state is RecordState.IN_FLIGHT and mend in (
-            RecoveryAction.RESUME,
-            RecoveryAction.FAIL,
-        ):
+        if position.state is RecordState.IN_FLIGHT and action in (RecoveryAction.RESUME, RecoveryAction.FAIL):
             self.attempt_ended(message_id, "BROKEN")
-        return mend
+        return action
 
-    def recorded_final_status(self, message: str) -> str | None:
-        """Returns how a message ended, as the store had it at the start."""
-        entry = self.records_at_start.get(message)
-        return entry.final_status.value if entry is not None and entry.final_status is not None else None
+    def recorded_final_status(self, message_id: str) -> str | None:
+        """Returns the final status of a message in the store at the start, or None."""
+        record = self.records_at_start.get(message_id)
+        return record.final_status.value if record is not None and record.final_status is not None else None
 
-    def drop(self, message: str) -> None:
-        """Records nothing more of a message."""
-        self.positions.pop(message, None)
+    def drop(self, message_id: str) -> None:
+        """Stops recording a message."""
+        self.positions.pop(message_id, None)
 
-    # A message's life
+    # Changes of a message
 
     def admit(self, message: Message, done: Callable[[AdmissionDecision], None]) -> None:
-        """Stores a new message; `done` is told when it has it, or why not, at once for WRITE_BEHIND classes.
+        """Stores a new message; calls `done` with the result, immediately for WRITE_BEHIND classes.
 
-        A slow store rejects, too: what it has in the end is recorded as rejected. An id whose earlier record
-        not complete yet is rejected as well.
+        The message is rejected if the store is slow, and recorded as rejected if the store has it in the end.
+        It is also rejected while an earlier record of its id is not complete.
         """
         if message.id in self.positions:
-            done(self._refusal())
+            done(self._rejection())
             return
-        track = self.positions[message.id] = RecordPosition(
+        position = self.positions[message.id] = RecordPosition(
             self.modes.get(message.class_name, DurabilityMode.WRITE_AHEAD)
         )
-        if track.mode is DurabilityMode.WRITE_BEHIND:
+        if position.mode is DurabilityMode.WRITE_BEHIND:
             if len(self.writer.queue) >= self.writer.max_queued:
                 self.drop(message.id)
                 done(AdmissionDecision(retry_after_ms=self.writer.retry_after_ms))
                 return
-            self._record_admission(message, track, 1, _ignore)
+            self._record_admission(message, position, 1, _ignore)
             done(AdmissionDecision())
             return
-        late = False
-
-        def give_up() -> None:
-            nonlocal late
-            late = True
-            done(self._refusal())
-
-        def settle(verdict: AdmissionDecision) -> None:
-            clock.cancel()
-            if not late:
-                done(verdict)
-            elif verdict.id_status is MessageIdStatus.NEW and not verdict.retry_after_ms:
-                # Its client was refused meanwhile, and may come again with it.
+        is_rejected = False
+
+        def reject_late() -> None:
+            nonlocal is_rejected
+            is_rejected = True
+            done(self._rejection())
+
+        def settle(decision: AdmissionDecision) -> None:
+            timeout.cancel()
+            if not is_rejected:
+                done(decision)
+            elif decision.id_status is MessageIdStatus.NEW and not decision.retry_after_ms:
+                # The client was rejected meanwhile and may submit the message again.
                 self.record_final_status(
                     message.id,
                     StoredFinalStatus.REJECTED.value,
@@ -246,10 +243,10 @@
                     partial(self.final_status_reported, message.id),
                 )
 
-        clock = asyncio.get_running_loop().call_later(self.max_store_wait_s, give_up)
-        self._record_admission(message, track, 1, settle)
+        timeout = asyncio.get_running_loop().call_later(self.max_store_wait_s, reject_late)
+        self._record_admission(message, position, 1, settle)
 
-    def _refusal(self) -> AdmissionDecision:
+    def _rejection(self) -> AdmissionDecision:
         return AdmissionDecision(
             MessageIdStatus.REJECTED, max(MIN_RETRY_AFTER_MS, self.writer.retry_after_ms)
         )
@@ -257,13 +254,17 @@
     def _record_admission(
         self,
         message: Message,
-        track: RecordPosition,
-        run: int,
+        position: RecordPosition,
+        admission_number: int,
         done: Callable[[AdmissionDecision], None],
         optional: bool = True,
     ) -> None:
-        track.admission_number, track.change_number, track.state = run, 1, RecordState.ADMITTED
-        about = MessageMetadata(
+        position.admission_number, position.change_number, position.state = (
+            admission_number,
+            1,
+            RecordState.ADMITTED,
+        )
+        metadata = MessageMetadata(
             self.instance,
             message.class_name,
             message.tenant,
@@ -272,16 +273,21 @@
             message.deadline,
             hashlib.sha256(message.body).hexdigest(),
         )
-        change = Change(message.id, run, 1, ChangeKind.ADMIT, message.admitted_at, metadata=about)
-        required = track.mode is DurabilityMode.WRITE_AHEAD
+        change = Change(
+            message.id, admission_number, 1, ChangeKind.ADMIT, message.admitted_at, metadata=metadata
+        )
+        is_required = position.mode is DurabilityMode.WRITE_AHEAD
         self.writer.put(
-            change, partial(self._admission_recorded, message, track, done), optional and required, required
+            change,
+            partial(self._admission_recorded, message, position, done),
+            optional and is_required,
+            is_required,
         )
 
     def _admission_recorded(
         self,
         message: Message,
-        track: RecordPosition,
+        position: RecordPosition,
         done: Callable[[AdmissionDecision], None],
         error: Exception | None,
     ) -> None:
@@ -289,20 +295,20 @@
             done(AdmissionDecision())
             return
         if isinstance(error, IdInUseError):
-            verdict = state_machine.message_id_status(error.record, wall_clock(), self.id_retention_us)
-            if verdict is MessageIdStatus.NEW and track.change_number == 1:
-                self._record_admission(message, track, error.record.admission_number + 1, done)
+            id_status = state_machine.message_id_status(error.record, wall_clock(), self.id_retention_us)
+            if id_status is MessageIdStatus.NEW and position.change_number == 1:
+                self._record_admission(message, position, error.record.admission_number + 1, done)
                 return
-            if track.mode is DurabilityMode.WRITE_BEHIND:
-                log.warning("%s is recorded already: nothing more is recorded of it", message.id)
-        if self.positions.get(message.id) is track:
+            if position.mode is DurabilityMode.WRITE_BEHIND:
+                log.warning("message %s: its id already has a record; it is not recorded further", message.id)
+        if self.positions.get(message.id) is position:
             self.drop(message.id)
-        if isinstance(error, IdInUseError) and verdict is MessageIdStatus.REJECTED:
-            done(self._refusal())
+        if isinstance(error, IdInUseError) and id_status is MessageIdStatus.REJECTED:
+            done(self._rejection())
         elif isinstance(error, IdInUseError):
             done(
                 AdmissionDecision(
-                    verdict if verdict is not MessageIdStatus.NEW else MessageIdStatus.IN_PROGRESS
+                    id_status if id_status is not MessageIdStatus.NEW else MessageIdStatus.IN_PROGRESS
                 )
             )
         else:
@@ -315,97 +321,106 @@
             )
 
     def request_attempt(self, messages: Sequence[Message], host: str, done: Callable[[bool], None]) -> None:
-        """Records the begin of an attempt; `done` is told whether all WRITE_AHEAD messages are committed.
+        """Records the start of an attempt; calls `done` with whether all WRITE_AHEAD messages are committed.
 
-        If not, none of them may be sent.
+        If they are not, none of the messages may be sent.
         """
-        waiting, failed = 0, False
+        pending, failed = 0, False
 
-        def settle(message: str, track: RecordPosition, before: RecordState, error: Exception | None) -> None:
-            nonlocal waiting, failed
-            waiting -= 1
+        def settle(
+            message_id: str, position: RecordPosition, previous_state: RecordState, error: Exception | None
+        ) -> None:
+            nonlocal pending, failed
+            pending -= 1
             if error is not None:
-                track.change_number, track.state = track.change_number - 1, before
+                position.change_number, position.state = position.change_number - 1, previous_state
                 failed = True
                 if not isinstance(error, StoreBusyError):
-                    log.error("%s: its record is behind: %s", message, error)
-            if not waiting:
+                    log.error("message %s: the attempt was not recorded: %s", message_id, error)
+            if not pending:
                 done(not failed)
 
-        for held in messages:
-            track = self.positions.get(held.id)
-            if track is None or track.state not in (RecordState.ADMITTED, RecordState.WAITING):
+        for message in messages:
+            position = self.positions.get(message.id)
+            if position is None or position.state not in (RecordState.ADMITTED, RecordState.WAITING):
                 continue
-            before, change = track.state, self._change(held.id, track, ChangeKind.BEGIN_ATTEMPT, host=host)
-            if track.mode is DurabilityMode.WRITE_BEHIND:
+            previous_state = position.state
+            change = self._change(message.id, position, ChangeKind.BEGIN_ATTEMPT, host=host)
+            if position.mode is DurabilityMode.WRITE_BEHIND:
                 self.writer.put(change, urgent=False)
             else:
-                waiting += 1
-                self.writer.put(change, partial(settle, held.id, track, before), optional=True)
-        if not waiting:
+                pending += 1
+                self.writer.put(change, partial(settle, message.id, position, previous_state), optional=True)
+        if not pending:
             done(True)
 
-    def attempt_ended(self, message: str, result: str) -> None:
-        """Records that an attempt ended other than by a delivery."""
-        track = self.positions.get(message)
-        if track is not None and track.state is RecordState.IN_FLIGHT:
-            self._post(message, track, ChangeKind.END_ATTEMPT, result=result)
+    def attempt_ended(self, message_id: str, result: str) -> None:
+        """Records that an attempt ended without a delivery."""
+        position = self.positions.get(message_id)
+        if position is not None and position.state is RecordState.IN_FLIGHT:
+            self._post(message_id, position, ChangeKind.END_ATTEMPT, result=result)
 
     def record_final_status(
-        self, message: str, answer: str, result: str | None, done: Callable[[], None]
+        self, message_id: str, status: str, result: str | None, done: Callable[[], None]
     ) -> None:
-        """Records how a message ends; `done` is called once that is committed.
+        """Records the final status of a message; calls `done` after the commit.
 
-        It is called at once for WRITE_BEHIND classes, deliveries aside, and where nothing is recorded of the
-        message. A delivery is always waited for: the journal keeps it until then, and nobody else waits.
+        It calls `done` immediately for WRITE_BEHIND classes, except for deliveries, and if the message is not
+        recorded. A delivery is always committed first: the journal keeps it until then, and no client or
+        platform waits for it.
         """
-        track, final = self.positions.get(message), StoredFinalStatus(answer)
-        if track is None:
+        position, final_status = self.positions.get(message_id), StoredFinalStatus(status)
+        if position is None:
             done()
             return
-        if final is StoredFinalStatus.DELIVERED and track.state in (
+        if final_status is StoredFinalStatus.DELIVERED and position.state in (
             RecordState.ADMITTED,
             RecordState.WAITING,
         ):
-            self._post(
-                message, track, ChangeKind.BEGIN_ATTEMPT
-            )  # it was lost with the queue of a class that follows
-        if track.state in (RecordState.DECIDED, RecordState.REPORTED, None):
+            # The start of the attempt was lost with the queue of a WRITE_BEHIND class.
+            self._post(message_id, position, ChangeKind.BEGIN_ATTEMPT)
+        if position.state in (RecordState.DECIDED, RecordState.REPORTED, None):
             done()
             return
-        if final is StoredFinalStatus.DELIVERED:
-            # Nobody is owed a delivery's end, so that it is told with it: in one commit, mostly.
-            self._post(message, track, ChangeKind.DECIDE, final_status=final, result=result)
+        if final_status is StoredFinalStatus.DELIVERED:
+            # A delivery is not reported to anybody, so it is recorded as reported, mostly in the same commit.
+            self._post(message_id, position, ChangeKind.DECIDE, final_status=final_status, result=result)
             self._write(
-                message, track, ChangeKind.REPORT, done, urgent=track.mode is DurabilityMode.WRITE_AHEAD
+                message_id,
+                position,
+                ChangeKind.REPORT,
+                done,
+                urgent=position.mode is DurabilityMode.WRITE_AHEAD,
             )
-        elif track.mode is DurabilityMode.WRITE_BEHIND:
-            self._post(message, track, ChangeKind.DECIDE, final_status=final, result=result)
+        elif position.mode is DurabilityMode.WRITE_BEHIND:
+            self._post(message_id, position, ChangeKind.DECIDE, final_status=final_status, result=result)
             done()
         else:
-            self._write(message, track, ChangeKind.DECIDE, done, final_status=final, result=result)
+            self._write(
+                message_id, position, ChangeKind.DECIDE, done, final_status=final_status, result=result
+            )
 
-    def final_status_reported(self, message: str) -> None:
-        """Records that whoever waits for the end of a message has it."""
-        track = self.positions.pop(message, None)
-        if track is not None and track.state is RecordState.DECIDED:
-            self._post(message, track, ChangeKind.REPORT)
+    def final_status_reported(self, message_id: str) -> None:
+        """Records that the final status of a message was reported."""
+        position = self.positions.pop(message_id, None)
+        if position is not None and position.state is RecordState.DECIDED:
+            self._post(message_id, position, ChangeKind.REPORT)
 
     def _change(
         self,
-        message: str,
-        track: RecordPosition,
+        message_id: str,
+        position: RecordPosition,
         kind: ChangeKind,
         host: str | None = None,
         result: str | None = None,
         final_status: StoredFinalStatus | None = None,
     ) -> Change:
-        track.change_number += 1
-        track.state = state_machine.STATE_AFTER[kind]
+        position.change_number += 1
+        position.state = state_machine.STATE_AFTER[kind]
         return Change(
-            message,
-            track.admission_number,
-            track.change_number,
+            message_id,
+            position.admission_number,
+            position.change_number,
             kind,
             wall_clock(),
             None,
@@ -416,57 +431,61 @@
 
     def _post(
         self,
-        message: str,
-        track: RecordPosition,
+        message_id: str,
+        position: RecordPosition,
         kind: ChangeKind,
         host: str | None = None,
         result: str | None = None,
         final_status: StoredFinalStatus | None = None,
     ) -> None:
-        """Queues a change that nobody waits for."""
-        urgent = track.mode is DurabilityMode.WRITE_AHEAD and kind is not ChangeKind.REPORT
-        self.writer.put(self._change(message, track, kind, host, result, final_status), urgent=urgent)
+        """Queues a change that no caller waits for."""
+        urgent = position.mode is DurabilityMode.WRITE_AHEAD and kind is not ChangeKind.REPORT
+        self.writer.put(self._change(message_id, position, kind, host, result, final_status), urgent=urgent)
 
     def _write(
         self,
-        message: str,
-        track: RecordPosition,
+        message_id: str,
+        position: RecordPosition,
         kind: ChangeKind,
         done: Callable[[], None],
         result: str | None = None,
         final_status: StoredFinalStatus | None = None,
         urgent: bool = True,
     ) -> None:
-        """Queues a change; `done` is called when it is committed, or never will be: then the log says so."""
+        """Queues a change; calls `done` once it is committed, or once it has failed, which is logged."""
 
-        def written(error: Exception | None) -> None:
+        def on_written(error: Exception | None) -> None:
             if error is not None:
-                log.error("%s: its record is behind: %s", message, error)
+                log.error("message %s: change %s was not recorded: %s", message_id, kind.value, error)
             done()
 
         self.writer.put(
-            self._change(message, track, kind, None, result, final_status), written, urgent=urgent
+            self._change(message_id, position, kind, None, result, final_status), on_written, urgent=urgent
         )
 
-    # Retention, and the end
+    # Retention and shutdown
 
     async def _prune_step(self, before: int) -> int:
         return await self.writer.call(lambda store: store.prune(before, PRUNE_ROWS))
 
     async def _prune(self) -> None:
-        """Deletes records beyond their retention, in small steps."""
+        """Deletes records older than their retention, in small steps."""
         assert self.record_retention_us is not None
         while True:
             try:
                 before = wall_clock() - self.record_retention_us
                 while await self._prune_step(before) == PRUNE_ROWS:
-                    await asyncio.sleep(PRUNE_PAUSE_S)
+                    await asyncio.sleep(PRUNE_STEP_DELAY_S)
             except StoreError as error:
-                log.warning("old records were not deleted: %s", error)
+                log.warning(
+                    "store of record: old records were not deleted, next try in %g s: %s",
+                    PRUNE_INTERVAL_S,
+                    error,
+                )
             await asyncio.sleep(PRUNE_INTERVAL_S)
 
     async def close(self) -> None:
-        """Stops pruning, and writes what is queued."""
+        """Stops pruning and writes the queued changes."""
         if self.pruning is not None:
             self.pruning.cancel()
         await self.writer.close()
--- a/loftrelay/store/writer.py
+++ b/loftrelay/store/writer.py
@@ -1,6 +1,6 @@
-"""Group commit: writes changes to a store from a thread of its own, many in one commit, from a bounded queue.
+"""Group commit: a thread writes queued changes to the store, many in one commit. The queue is bounded.
 
-The event loop never waits for a disk. What is queued while one commit is under way makes the next one.
+The event loop never waits for a disk. Changes queued during one commit are written by the next one.
 """
 
 from __future__ import annotations
@@ -20,56 +20,75 @@
 
 log = logging.getLogger(__name__)
 
-GATHER_TIME_S = (
-    0.05  # seconds for which changes that nobody waits for gather: those of one message make one row
-)
-SLOW_COMMIT_S = 0.25  # seconds from which on a commit is told of as slow
-MIN_BACKOFF_S = 0.05  # before a store that is away is tried again
+# Delay of a commit without urgent changes: changes of one message in the same commit are written as one row.
+COMMIT_DELAY_S = 0.05
+SLOW_COMMIT_S = 0.25  # a commit that takes this long is logged as slow
+MIN_BACKOFF_S = 0.05  # delay before an unavailable store is tried again; doubled after each failure
 MAX_BACKOFF_S = 2.0
 T = TypeVar("T")
 
 
 class StoreBusyError(Exception):
-    """The store can't take a change now; `retry_after_ms` tells when to try again."""
+    """The store can't accept a change now; it may be tried again after `retry_after_ms`."""
 
-    def __init__(self, retry_ms: int) -> None:
-        super().__init__(f"the store of record is away, come back in {retry_ms} ms")
-        self.retry_after_ms = retry_ms
+    def __init__(self, retry_after_ms: int) -> None:
+        super().__init__(f"the store of record is unavailable or busy, retry after {retry_after_ms} ms")
+        self.retry_after_ms = retry_after_ms
 
 
 class IdInUseError(Exception):
-    """The id of an admission has a record already, of this instance or another."""
+    """The id of an admission has a record already, created by this or another instance."""
 
-    def __init__(self, entry: MessageRecord) -> None:
+    def __init__(self, record: MessageRecord) -> None:
         super().__init__(
-            f"{entry.message_id} is recorded as {entry.state.value} by {entry.metadata.instance}"
+            f"{record.message_id} already has a record: state {record.state.value!r}, instance "
+            f"{record.metadata.instance!r}"
         )
-        self.record = entry
+        self.record = record
 
 
 @dataclass(slots=True)
 class QueuedChange:
-    """A change that waits for its commit."""
+    """A change in the queue.
+
+    Attributes:
+        change: The change.
+        done: Called once with None or the error; None: an error is logged.
+        optional: Whether it may be rejected while the store is unavailable: its step has not been taken yet.
+        urgent: Whether a caller waits for the commit.
+        settled: Whether `done` was called or the error logged.
+    """
 
     change: Change
-    done: Callable[[Exception | None], None] | None  # None: nobody waits, and a failure is logged
-    optional: bool  # may be dropped while the store is away: nothing has happened yet
-    urgent: bool  # somebody waits for it
+    done: Callable[[Exception | None], None] | None
+    optional: bool
+    urgent: bool
     settled: bool = False
 
     def settle(self, error: Exception | None) -> None:
-        """Tells whoever waits how it ended, once."""
+        """Reports the result of the change, once."""
         if self.settled:
             return
         self.settled = True
         if self.done is not None:
             self.done(error)
         elif error is not None:
-            log.error("%s: its record is behind: %s", self.change.message_id, error)
+            log.error(
+                "message %s: change %s was not recorded: %s",
+                self.change.message_id,
+                self.change.kind.value,
+                error,
+            )
 
 
 class Writer:
-    """`open_store` is called in the thread, anew after each failure of the database."""
+    """Writes queued changes to the store in group commits.
+
+    Args:
+        open_store: Opens the store; called in the thread, again after each failure of the database.
+        max_queued: Changes in the queue from which on optional changes are rejected.
+        max_changes_per_commit: Changes in one commit.
+    """
 
     def __init__(
         self,
@@ -84,7 +103,8 @@
         self.store: StoreBackend | None = None
         self.queue: deque[QueuedChange] = deque()
         self.has_work = asyncio.Event()
-        self.has_urgent_work = asyncio.Event()  # something urgent is queued, or there is no time left
+        # Set while an urgent change or a full commit is queued, or the writer closes.
+        self.has_urgent_work = asyncio.Event()
         self.is_store_unavailable = False
         self.backoff_s = MIN_BACKOFF_S
         self.is_store_slow = False
@@ -103,12 +123,14 @@
         """Queues a change for the next commit.
 
         Args:
-            change: the change.
-            done: called with None once it is committed, or with StoreAwayError (only if `optional`),
-                IdInUseError (an admission whose id is known) or RecordRuleError; never before this returns.
-            optional: nothing has happened yet (a message not admitted, an attempt not begun): it is refused
-                at once while the store is away or its queue is full. Any other change stays queued.
-            urgent: somebody waits for it.
+            change: The change.
+            done: Called with None after the commit, or with StoreBusyError (if `optional`, or when the writer
+                closes), IdInUseError (an admission whose id has a record) or RecordRuleError; never before
+                this method returns.
+            optional: The step has not been taken yet (message not admitted, attempt not started): the change
+                is rejected immediately while the store is unavailable, the queue is full or the writer
+                closes. Any other change stays queued.
+            urgent: A caller waits for the commit.
         """
         if optional and (self.is_store_unavailable or self.is_closing or len(self.queue) >= self.max_queued):
             if done is not None:
@@ -120,7 +142,7 @@
             self.has_urgent_work.set()
 
     def write(self, change: Change, optional: bool = False, urgent: bool = True) -> asyncio.Future[None]:
-        """As `put`; what it would be told is the future's."""
+        """Queues a change as `put` does; returns a future with its result."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
         def done(error: Exception | None) -> None:
@@ -136,22 +158,26 @@
 
     @property
     def retry_after_ms(self) -> int:
-        """When a refused change may be tried again."""
+        """Milliseconds after which a rejected change may be tried again."""
         return max(1, int(2 * self.backoff_s * 1000))
 
     async def call(self, work: Callable[[StoreBackend], T]) -> T:
-        """Something else in the thread, in turn with the commits. Raises StoreError."""
+        """Runs other work on the store in the thread, between commits; returns its result.
+
+        Raises:
+            StoreError: The store failed.
+        """
         return await asyncio.get_running_loop().run_in_executor(self.thread, lambda: work(self._open()))
 
     async def close(self) -> None:
-        """What is queued is written first, if the store takes it at once."""
+        """Writes the queued changes, without a retry if the store fails, and closes the store."""
         self.is_closing = True
         self.has_work.set()
         self.has_urgent_work.set()
         await self.task
         self.thread.shutdown(wait=True)
 
-    # The thread's side
+    # Runs in the thread
 
     def _open(self) -> StoreBackend:
         if self.store is None:
@@ -169,21 +195,21 @@
     def _commit(self, changes: Sequence[Change]) -> dict[int, MessageRecord]:
         store = self._open()
         self._pass_fault_points("commit", changes)
-        kept = store.commit(changes)
+        ids_in_use = store.commit(changes)
         self._pass_fault_points("committed", changes)
-        return kept
+        return ids_in_use
 
-    def _pass_fault_points(self, side: str, changes: Sequence[Change]) -> None:
+    def _pass_fault_points(self, phase: str, changes: Sequence[Change]) -> None:
         if fault_points.listener is not None:
             for change in changes:
-                fault_points.fault_point(f"{side} {change.kind.value}")
+                fault_points.fault_point(f"{phase} {change.kind.value}")
 
-    # The loop's side
+    # Runs in the event loop
 
     async def _run(self) -> None:
         while await self._wait_for_changes():
-            group = await self._gather_group()
-            if await self._write(group):
+            group = await self._take_group()
+            if await self._write_group(group):
                 continue
             self.queue.extendleft(reversed([item for item in group if not item.settled]))
             if self.is_closing:
@@ -192,46 +218,47 @@
             self.backoff_s = min(2 * self.backoff_s, MAX_BACKOFF_S)
         await asyncio.get_running_loop().run_in_executor(self.thread, self._close_store)
         if self.commits:
-            log.info("%d changes stored in %d commits", self.changes, self.commits)
+            log.info("store of record closed: %d changes stored in %d commits", self.changes, self.commits)
         for item in self.queue:
             item.settle(StoreBusyError(self.retry_after_ms))
 
     async def _wait_for_changes(self) -> bool:
-        """Returns whether there is something to write; False once the writer closes with nothing left."""
+        """Waits for a queued change; returns False once the writer closes and the queue is empty."""
         while not self.queue:
             if self.is_closing:
-                await asyncio.sleep(0)  # who waited for the last commit may have more to write
+                await asyncio.sleep(0)  # callers that waited for the last commit may queue more
                 return bool(self.queue)
             self.has_work.clear()
             await self.has_work.wait()
         return True
 
-    async def _gather_group(self) -> list[QueuedChange]:
-        """Takes the changes of the next commit; those that nobody waits for gather for a while first."""
+    async def _take_group(self) -> list[QueuedChange]:
+        """Removes the changes of the next commit from the queue, after a delay if none is urgent."""
         if not self.has_urgent_work.is_set():
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.has_urgent_work.wait(), GATHER_TIME_S)
+                await asyncio.wait_for(self.has_urgent_work.wait(), COMMIT_DELAY_S)
         size = min(len(self.queue), self.max_changes_per_commit)
         group = [self.queue.popleft() for _ in range(size)]
         if not self.is_closing and not any(item.urgent for item in self.queue):
             self.has_urgent_work.clear()
         return group
 
-    async def _write(self, group: list[QueuedChange]) -> bool:
-        """Whether the store took it, or said for good that it will not."""
+    async def _write_group(self, group: list[QueuedChange]) -> bool:
+        """Commits a group; returns whether each change has its result, False if it must be retried."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         changes = [item.change for item in group]
         try:
-            kept = await loop.run_in_executor(self.thread, self._commit, changes)
+            ids_in_use = await loop.run_in_executor(self.thread, self._commit, changes)
         except RecordRuleError:
-            return await self._one_by_one(group)
+            return await self._write_individually(group)
         except CommitUncertainError as error:
-            log.warning("a commit's outcome is not known, it is read back: %s", error)
-            # The next try applies only what is missing: each change is numbered.
+            log.warning("store of record: a commit is uncertain and will be read back: %s", error)
+            # The retry applies only the missing changes, which their numbers tell.
             self._mark_unavailable(error)
             for item in group:
-                item.optional = False  # it may be stored: given up now, its record would stand for nobody
+                # It may be stored: rejected now, it would leave a record that nobody completes.
+                item.optional = False
             await loop.run_in_executor(self.thread, self._close_store)
             return False
         except StoreError as error:
@@ -245,30 +272,32 @@
         if self.is_store_unavailable:
             log.warning("the store of record is available again")
             self.is_store_unavailable, self.backoff_s = False, MIN_BACKOFF_S
-        self._log_slowness(loop.time() - began)
+        self._log_commit_duration(loop.time() - started_at)
         self.commits += 1
         self.changes += len(group)
-        for place, item in enumerate(group):
-            item.settle(IdInUseError(kept[place]) if place in kept else None)
+        for index, item in enumerate(group):
+            item.settle(IdInUseError(ids_in_use[index]) if index in ids_in_use else None)
         return True
 
-    def _log_slowness(self, seconds: float) -> None:
-        """One line when commits begin to be slow: what is refused or put off by then has no other reason."""
-        if self.is_store_slow != (seconds >= SLOW_COMMIT_S):
+    def _log_commit_duration(self, duration_s: float) -> None:
+        """Logs when commits become slow and when they recover, which explains rejections and delays."""
+        if self.is_store_slow != (duration_s >= SLOW_COMMIT_S):
             self.is_store_slow = not self.is_store_slow
             if self.is_store_slow:
-                log.warning("the store of record is slow: a commit took %.2f s", seconds)
+                log.warning("the store of record is slow: a commit took %.2f s", duration_s)
             else:
                 log.info("the store of record is no longer slow")
 
-    async def _one_by_one(self, group: list[QueuedChange]) -> bool:
-        """One of the group is at fault: the others are written all the same."""
+    async def _write_individually(self, group: list[QueuedChange]) -> bool:
+        """Commits each change of a group alone, so that an invalid one does not block the others."""
         if len(group) == 1:
             item = group[0]
-            log.error("a record breaks its rules: %s", item.change)
-            item.settle(RecordRuleError(f"{item.change.message_id}: {item.change.kind.value}"))
+            log.error("the store of record rejected an invalid change: %s", item.change)
+            item.settle(
+                RecordRuleError(f"{item.change.message_id}: invalid change {item.change.kind.value!r}")
+            )
             return True
-        results = [await self._write([item]) for item in group]
+        results = [await self._write_group([item]) for item in group]
         return all(results)
 
     def _mark_unavailable(self, error: StoreError) -> None:
--- a/tests/store/test_recorder.py
+++ b/tests/store/test_recorder.py
@@ -1,4 +1,4 @@
-"""The recorder: a store that is slow, ids that come again, clocks that step back."""
+"""The recorder: a slow store, ids that are submitted again, and a wall clock that steps."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from loftrelay.relay.message import Message
-from loftrelay.store import recorder as module
+from loftrelay.store import recorder as recorder_module
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.recorder import AdmissionDecision, Recorder
 from loftrelay.store.state_machine import (
@@ -20,33 +20,34 @@
     StoredFinalStatus,
 )
 from loftrelay.store.writer import Writer
-from tests.store.test_writer import Faulty
+from tests.store.test_writer import FaultyStore
 
-HOUR = 3_600_000_000
-AT = 1_800_000_000_000_000
+HOUR_US = 3_600_000_000
+START_US = 1_800_000_000_000_000
 
 
-class Clock:
-    """In place of the wall clock."""
+class FakeClock:
+    """Replaces the wall clock of the recorder."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.now = AT
-        monkeypatch.setattr(module, "wall_clock", lambda: self.now)
+        self.now = START_US
+        monkeypatch.setattr(recorder_module, "wall_clock", lambda: self.now)
 
-    def held(self, name: str, class_name: str = "order") -> Message:
-        return Message(name, 0, class_name, "acme", 1, None, self.now, self.now + 9_000_000)
+    def make_message(self, message_id: str, class_name: str = "order") -> Message:
+        return Message(message_id, 0, class_name, "acme", 1, None, self.now, self.now + 9_000_000)
 
 
-NEVER = 3600.0  # seconds of patience where no refusal is looked for: opening a file may take its time
+# max_store_wait_s where no rejection is expected: opening a file may take long.
+LONG_WAIT_S = 3600.0
 
 
-def run(folder: Path, scenario: Callable[[Faulty, Recorder], Awaitable[None]]) -> None:
-    """The recorder's patience is the scenario's own: it is short only while the store's gate is shut."""
+def run_scenario(folder: Path, scenario: Callable[[FaultyStore, Recorder], Awaitable[None]]) -> None:
+    """Runs a scenario, which shortens `max_store_wait_s` only while the gate of the store is closed."""
 
     async def main() -> None:
-        store = Faulty(folder / "r.sqlite")
+        store = FaultyStore(folder / "r.sqlite")
         modes = {"order": DurabilityMode.WRITE_AHEAD, "status": DurabilityMode.WRITE_BEHIND}
-        recorder = Recorder(Writer(store.open), "n1", modes, HOUR, max_store_wait_s=NEVER)
+        recorder = Recorder(Writer(store.open), "n1", modes, HOUR_US, max_store_wait_s=LONG_WAIT_S)
         await scenario(store, recorder)
         store.gate.set()
         await recorder.close()
@@ -54,157 +55,163 @@
     asyncio.run(main())
 
 
-def beside(recorder: Recorder) -> Recorder:
-    """Another instance at the same store."""
-    return Recorder(recorder.writer, "n2", recorder.modes, HOUR, max_store_wait_s=NEVER)
+def make_other_recorder(recorder: Recorder) -> Recorder:
+    """Returns a recorder of another instance on the same store."""
+    return Recorder(recorder.writer, "n2", recorder.modes, HOUR_US, max_store_wait_s=LONG_WAIT_S)
 
 
-async def take(recorder: Recorder, held: Message) -> AdmissionDecision:
-    told: asyncio.Future[AdmissionDecision] = asyncio.get_running_loop().create_future()
-    recorder.admit(held, told.set_result)
-    return await told
+async def admit(recorder: Recorder, message: Message) -> AdmissionDecision:
+    decision: asyncio.Future[AdmissionDecision] = asyncio.get_running_loop().create_future()
+    recorder.admit(message, decision.set_result)
+    return await decision
 
 
-async def live(
-    recorder: Recorder, held: Message, answer: StoredFinalStatus = StoredFinalStatus.DELIVERED
+async def complete(
+    recorder: Recorder, message: Message, final_status: StoredFinalStatus = StoredFinalStatus.DELIVERED
 ) -> None:
-    """One attempt, and its end, told."""
+    """Records one attempt, the final status and its report."""
     loop = asyncio.get_running_loop()
-    went: asyncio.Future[bool] = loop.create_future()
-    recorder.request_attempt([held], "h1", went.set_result)
-    assert await went
-    ended: asyncio.Future[None] = loop.create_future()
-    recorder.record_final_status(held.id, answer.value, "OK", lambda: ended.set_result(None))
-    await ended
-    recorder.final_status_reported(held.id)
+    allowed: asyncio.Future[bool] = loop.create_future()
+    recorder.request_attempt([message], "h1", allowed.set_result)
+    assert await allowed
+    recorded: asyncio.Future[None] = loop.create_future()
+    recorder.record_final_status(message.id, final_status.value, "OK", lambda: recorded.set_result(None))
+    await recorded
+    recorder.final_status_reported(message.id)
 
 
-async def stored(recorder: Recorder) -> dict[str, MessageRecord]:
+async def read_records(recorder: Recorder) -> dict[str, MessageRecord]:
     return await recorder.writer.call(lambda store: {e.message_id: e for e in store.select(RecordQuery())})
 
 
-def test_a_slow_store_refuses_and_what_it_has_in_the_end_is_recorded_as_refused(
+def test_admit_with_slow_store_rejects_and_records_the_rejection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock = Clock(monkeypatch)
+    clock = FakeClock(monkeypatch)
 
-    async def scenario(store: Faulty, recorder: Recorder) -> None:
+    async def scenario(store: FaultyStore, recorder: Recorder) -> None:
         store.gate.clear()
         recorder.max_store_wait_s = 0.01
-        first = await take(recorder, clock.held("m"))
+        first = await admit(recorder, clock.make_message("m"))
         assert first.retry_after_ms >= 1000
-        again = await take(recorder, clock.held("m"))  # nobody knows yet whether the store will have it
+        again = await admit(recorder, clock.make_message("m"))  # whether the store has it is not known yet
         assert again.retry_after_ms >= 1000
-        assert (await take(recorder, clock.held("follows", "status"))).id_status is MessageIdStatus.NEW
+        assert (
+            await admit(recorder, clock.make_message("status-1", "status"))
+        ).id_status is MessageIdStatus.NEW
         store.gate.set()
         async with asyncio.timeout(60):
             while recorder.positions["m"].state is RecordState.ADMITTED:
                 await asyncio.sleep(0)
-            # Its refusal is on its way to the store: an earlier form took the id on anew here, and lost it.
-            assert (await take(recorder, clock.held("m"))).retry_after_ms >= 1000
+            # The rejection is queued: an earlier version admitted the id again here, and lost the message.
+            assert (await admit(recorder, clock.make_message("m"))).retry_after_ms >= 1000
             while (
                 "m" in recorder.positions
-                or (entry := (await stored(recorder))["m"]).state is not RecordState.REPORTED
+                or (record := (await read_records(recorder))["m"]).state is not RecordState.REPORTED
             ):
                 await asyncio.sleep(0)
-        assert (entry.final_status, entry.attempts) == (StoredFinalStatus.REJECTED, 0)
-        recorder.max_store_wait_s = NEVER
+        assert (record.final_status, record.attempts) == (StoredFinalStatus.REJECTED, 0)
+        recorder.max_store_wait_s = LONG_WAIT_S
         clock.now += 1_000_000
-        verdict = await take(recorder, clock.held("m"))
-        assert verdict.id_status is MessageIdStatus.NEW
-        assert not verdict.retry_after_ms
-        assert (await stored(recorder))["m"].admission_number == 2
+        decision = await admit(recorder, clock.make_message("m"))
+        assert decision.id_status is MessageIdStatus.NEW
+        assert not decision.retry_after_ms
+        assert (await read_records(recorder))["m"].admission_number == 2
 
-    run(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_slow_store_that_has_the_id_already_changes_nothing_of_it(
+def test_admit_of_recorded_id_with_slow_store_keeps_the_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clock = Clock(monkeypatch)
+    clock = FakeClock(monkeypatch)
 
-    async def scenario(store: Faulty, recorder: Recorder) -> None:
-        held = clock.held("m")
-        assert (await take(recorder, held)).id_status is MessageIdStatus.NEW
-        await live(recorder, held)
-        await stored(recorder)
+    async def scenario(store: FaultyStore, recorder: Recorder) -> None:
+        message = clock.make_message("m")
+        assert (await admit(recorder, message)).id_status is MessageIdStatus.NEW
+        await complete(recorder, message)
+        await read_records(recorder)
         recorder.max_store_wait_s = 0.01
         store.gate.clear()
-        assert (await take(recorder, clock.held("m"))).retry_after_ms
+        assert (await admit(recorder, clock.make_message("m"))).retry_after_ms
         store.gate.set()
         async with asyncio.timeout(60):
             while "m" in recorder.positions:
                 await asyncio.sleep(0)
-        entry = (await stored(recorder))["m"]
-        assert (entry.admission_number, entry.final_status) == (1, StoredFinalStatus.DELIVERED)
+        record = (await read_records(recorder))["m"]
+        assert (record.admission_number, record.final_status) == (1, StoredFinalStatus.DELIVERED)
 
-    run(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_id_whose_refusal_is_being_told_elsewhere_is_refused_and_not_said_to_be_in_progress(
+def test_admit_of_id_with_unreported_rejection_elsewhere_is_rejected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a 202 nothing would come: the instance that has it sends no notice but the refusal."""
-    clock = Clock(monkeypatch)
-
-    async def scenario(store: Faulty, recorder: Recorder) -> None:
-        held = clock.held("m")
-        await take(recorder, held)
-        ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        recorder.record_final_status("m", "refused", None, lambda: ended.set_result(None))
-        await ended
-        other = beside(recorder)
+    """After a 202 the client would wait in vain: the other instance reports nothing but the rejection."""
+    clock = FakeClock(monkeypatch)
+
+    async def scenario(store: FaultyStore, recorder: Recorder) -> None:
+        message = clock.make_message("m")
+        await admit(recorder, message)
+        recorded: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        recorder.record_final_status("m", "refused", None, lambda: recorded.set_result(None))
+        await recorded
+        other = make_other_recorder(recorder)
         clock.now += 1
-        verdict = await take(other, clock.held("m"))
-        assert (verdict.status, verdict.retry_after_ms >= 1000) == (503, True)
+        decision = await admit(other, clock.make_message("m"))
+        assert (decision.status, decision.retry_after_ms >= 1000) == (503, True)
         recorder.final_status_reported("m")
-        assert (await take(other, clock.held("m"))).id_status is MessageIdStatus.NEW
+        assert (await admit(other, clock.make_message("m"))).id_status is MessageIdStatus.NEW
 
-    run(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("step", [-HOUR, -1, HOUR // 2], ids=["hour back", "tick back", "half an hour on"])
-def test_a_clock_that_steps_neither_forgets_an_id_early_nor_spoils_a_record(
+@pytest.mark.parametrize(
+    "step", [-HOUR_US, -1, HOUR_US // 2], ids=["hour back", "microsecond back", "half an hour forward"]
+)
+def test_recorder_with_stepped_clock_keeps_ids_and_valid_records(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
-    clock = Clock(monkeypatch)
+    clock = FakeClock(monkeypatch)
 
-    async def scenario(store: Faulty, recorder: Recorder) -> None:
-        held = clock.held("m")
-        assert (await take(recorder, held)).id_status is MessageIdStatus.NEW
+    async def scenario(store: FaultyStore, recorder: Recorder) -> None:
+        message = clock.make_message("m")
+        assert (await admit(recorder, message)).id_status is MessageIdStatus.NEW
         clock.now += step
-        await live(recorder, held)
-        other = beside(recorder)  # whose clock is right
-        for now in (AT + step, AT):
+        await complete(recorder, message)
+        other = make_other_recorder(recorder)  # its clock does not step
+        for now in (START_US + step, START_US):
             clock.now = now
-            assert (await take(other, clock.held("m"))).id_status is MessageIdStatus.DELIVERED
-        assert (await take(other, clock.held("new"))).id_status is MessageIdStatus.NEW
+            assert (await admit(other, clock.make_message("m"))).id_status is MessageIdStatus.DELIVERED
+        assert (await admit(other, clock.make_message("new"))).id_status is MessageIdStatus.NEW
         assert not await recorder.writer.call(lambda store: store.verify())
-        assert (await recorder.writer.call(lambda store: store.prune(AT - 2 * HOUR, 9))) == 0
+        assert (await recorder.writer.call(lambda store: store.prune(START_US - 2 * HOUR_US, 9))) == 0
 
-    run(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_clock_that_steps_back_keeps_two_runs_of_an_id_apart(
+def test_recorder_with_clock_stepped_back_separates_two_admissions_of_an_id(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The second taking on has an earlier time than the first one's end."""
-    clock = Clock(monkeypatch)
-
-    async def scenario(store: Faulty, recorder: Recorder) -> None:
-        held = clock.held("m")
-        await take(recorder, held)
-        await live(recorder, held, StoredFinalStatus.REJECTED)
-        clock.now -= 2 * HOUR
-        again = clock.held("m")
-        assert (await take(recorder, again)).id_status is MessageIdStatus.NEW
-        assert (await take(beside(recorder), clock.held("m"))).id_status is MessageIdStatus.IN_PROGRESS
-        await live(recorder, again)
-        entry = (await stored(recorder))["m"]
-        assert (entry.admission_number, entry.final_status, entry.attempts) == (
+    """The second admission has an earlier time than the final status of the first."""
+    clock = FakeClock(monkeypatch)
+
+    async def scenario(store: FaultyStore, recorder: Recorder) -> None:
+        message = clock.make_message("m")
+        await admit(recorder, message)
+        await complete(recorder, message, StoredFinalStatus.REJECTED)
+        clock.now -= 2 * HOUR_US
+        again = clock.make_message("m")
+        assert (await admit(recorder, again)).id_status is MessageIdStatus.NEW
+        assert (
+            await admit(make_other_recorder(recorder), clock.make_message("m"))
+        ).id_status is MessageIdStatus.IN_PROGRESS
+        await complete(recorder, again)
+        record = (await read_records(recorder))["m"]
+        assert (record.admission_number, record.final_status, record.attempts) == (
             2,
             StoredFinalStatus.DELIVERED,
             1,
         )
 
-    run(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
--- a/tests/store/test_settings.py
+++ b/tests/store/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's file on the store of record."""
+"""The settings file of the store of record."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 SHIPPED = ROOT / "deploy" / "record.toml"
 
 
-def test_defaults_are_the_safe_ones(tmp_path: Path) -> None:
+def test_load_store_settings_without_optional_keys_returns_safe_defaults(tmp_path: Path) -> None:
     path = tmp_path / "record.toml"
     path.write_text('file = "r.sqlite"\n')
-    told = load_store_settings(path)
-    assert (told.at_most_once_mode, told.repeatable_mode, told.synchronous) == (
+    settings = load_store_settings(path)
+    assert (settings.at_most_once_mode, settings.repeatable_mode, settings.synchronous) == (
         DurabilityMode.WRITE_AHEAD,
         DurabilityMode.WRITE_BEHIND,
         "FULL",
     )
-    assert told.file == Path("r.sqlite")
-    assert told.id_retention_us == 3_600_000_000
-    assert told.record_retention_us is None
+    assert settings.file == Path("r.sqlite")
+    assert settings.id_retention_us == 3_600_000_000
+    assert settings.record_retention_us is None
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "problem"),
     [
         ("", "file = '': one of file and dsn is to be set, and not both"),
         ('file = "r"\ndsn = "host=x"', "file = 'r': one of file and dsn is to be set, and not both"),
@@ -42,15 +42,15 @@
         ('file = "r"\ndns = "x"', "dns = 'x': no such key"),
     ],
 )
-def test_an_error_names_file_key_and_value(tmp_path: Path, text: str, says: str) -> None:
+def test_load_store_settings_error_names_file_key_and_value(tmp_path: Path, text: str, problem: str) -> None:
     path = tmp_path / "record.toml"
     path.write_text(text)
     with pytest.raises(SettingsError) as error:
         load_store_settings(path)
-    assert str(error.value) == f"{path}: {says}"
+    assert str(error.value) == f"{path}: {problem}"
 
 
-def test_the_shipped_file_tells_each_key() -> None:
+def test_shipped_file_documents_each_key() -> None:
     load_store_settings(SHIPPED)
     lines = dict(re.findall(r'^#? ?(\w+) = (?:"[^"]*"|\S+)\s+# (.*)$', SHIPPED.read_text(), re.M))
     assert list(lines) == [key.name for key in KEYS]
