--- a/loftrelay/store/__init__.py
+++ b/loftrelay/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store of record: what the relay took, what became of it and what it answered, for the back office."""
+"""The store of record: admitted messages, their attempts and their final statuses, for the back office."""
--- a/loftrelay/store/backend.py
+++ b/loftrelay/store/backend.py
@@ -1,4 +1,4 @@
-"""What a back end of the store of record does, and how it fails. Its calls block."""
+"""Interface of a back end of the store of record, and its errors. Its calls block."""
 
 from __future__ import annotations
 
@@ -10,31 +10,41 @@
 
 
 class StoreError(Exception):
-    """A failure of the store, in one line for the operator."""
+    """A failure of the store; the message is one line for the operator."""
 
 
 class StoreUnavailableError(StoreError):
-    """Nothing of the call was stored; it may succeed later."""
+    """The call failed and stored nothing; it may succeed later."""
 
 
 class CommitUncertainError(StoreError):
-    """Whether the commit took place is not known; reading back tells."""
+    """Whether the commit took place is unknown; reading the records back shows it."""
 
 
 class StoreUnusableError(StoreError):
-    """The store can't be used until the operator acts: a newer schema, no database, no permission."""
+    """The store can't be used until the operator acts: newer schema, no database, no permission."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordQuery:
-    """Which records; None leaves a field open. Times are those of admission, `until` is exclusive."""
+    """Filter of records; None: any value.
+
+    Attributes:
+        class_name: Message class.
+        tenant: Tenant.
+        final_status: Final status.
+        since: Earliest admission, in microseconds since 1970 UTC.
+        until: End of the time of admission, exclusive, in microseconds since 1970 UTC.
+        unfinished: Only records whose final status is not reported.
+        limit: Maximum number of records.
+    """
 
     class_name: str | None = None
     tenant: str | None = None
     final_status: StoredFinalStatus | None = None
     since: int | None = None
     until: int | None = None
-    unfinished: bool = False  # only those that are not reported
+    unfinished: bool = False
     limit: int | None = None
 
 
@@ -45,21 +55,27 @@
         """Stores changes in one transaction.
 
         Returns:
-            By position, the record that has the id of an admission not applied; the rest is
-            stored all the same.
+            For each admission that was not applied because its id is in use: its index in `changes`, and the
+            record that has the id. All other changes are stored.
+
+        Raises:
+            RecordRuleError: A change is not valid; nothing is stored.
+            StoreUnavailableError: Nothing is stored.
+            CommitUncertainError: The changes may be stored.
+            StoreUnusableError: Nothing is stored.
         """
 
-    def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
-        """Returns the records of these messages, where there are any."""
+    def read(self, message_ids: Sequence[str]) -> dict[str, MessageRecord]:
+        """Returns the existing records of these messages, by message id."""
 
     def select(self, query: RecordQuery) -> Iterator[MessageRecord]:
-        """Yields the records that a query asks for."""
+        """Yields the records that match a query, the oldest admission first."""
 
     def prune(self, before: int, max_rows: int) -> int:
-        """Deletes so many records at most that were reported before a time; returns how many."""
+        """Deletes at most `max_rows` records reported before a time; returns the number deleted."""
 
     def verify(self) -> list[str]:
-        """Returns what is inconsistent in the database, a line each."""
+        """Returns the inconsistencies in the database, one line each."""
 
     def close(self) -> None:
         """Closes the database."""
--- a/loftrelay/store/factory.py
+++ b/loftrelay/store/factory.py
@@ -1,4 +1,4 @@
-"""Opens the back end that the operator's file names."""
+"""Chooses the back end that the settings file names."""
 
 from __future__ import annotations
 
@@ -10,15 +10,21 @@
 
 
 def store_opener(settings: StoreSettings) -> Callable[[], StoreBackend]:
-    """Returns what opens the store, in the writer's thread; only the library that is used is imported."""
+    """Returns a function that opens the store, to be called in the writer's thread.
+
+    Only the library of the chosen back end is imported.
+
+    Raises:
+        StoreUnusableError: The library for PostgreSQL is not installed.
+    """
     if settings.file is not None:
         from loftrelay.store.sqlite import SQLiteStore
 
-        return partial(SQLiteStore, settings.file, settings.busy_ms, settings.synchronous)
+        return partial(SQLiteStore, settings.file, settings.busy_timeout_ms, settings.synchronous)
     try:
         from loftrelay.store.postgres import PostgresStore
     except ImportError as error:
         raise StoreUnusableError(
-            f"a PostgreSQL store needs the extra loftrelay[postgres]: {error}"
+            f"dsn is set, but the extra loftrelay[postgres] is not installed: {error}"
         ) from error
     return partial(PostgresStore, settings.dsn, settings.call_timeout_s)
--- a/loftrelay/store/group_commit.py
+++ b/loftrelay/store/group_commit.py
@@ -1,4 +1,4 @@
-"""What a group of changes makes of the records in a store, for every back end. No input or output."""
+"""Applies a group of changes to records read from a store, for every back end. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptRow:
-    """One row of the table of attempts."""
+    """One row of the table `attempts`."""
 
     message_id: str
     admission_number: int
@@ -23,7 +23,7 @@
 
     @property
     def row(self) -> tuple[object, ...]:
-        """The values of its columns, in their order."""
+        """Values of the columns, in their order."""
         return (
             self.message_id,
             self.admission_number,
@@ -37,41 +37,50 @@
 
 @dataclass(slots=True)
 class CommitGroup:
-    """Rows to write in one transaction; `before` has the records as read, to detect other writers."""
+    """Rows to write in one transaction.
+
+    Attributes:
+        before: Records as read, by message id; None: no record. They detect writes of other instances.
+        after: The same records after the changes.
+        attempts: Rows of the table `attempts`, by message id, admission number and attempt number.
+        ids_in_use: Admissions that were not applied: index of the change -> the record that has the id.
+    """
 
     before: dict[str, MessageRecord | None] = field(default_factory=dict)
     after: dict[str, MessageRecord] = field(default_factory=dict)
     attempts: dict[tuple[str, int, int], AttemptRow] = field(default_factory=dict)
-    ids_in_use: dict[int, MessageRecord] = field(
-        default_factory=dict
-    )  # by position: admissions not applied, and the record that has the id
+    ids_in_use: dict[int, MessageRecord] = field(default_factory=dict)
+
 
+def build_group(changes: Sequence[Change], records: Mapping[str, MessageRecord]) -> CommitGroup:
+    """Applies changes to the records read from the store; skips changes that are stored already.
 
-def build_group(changes: Sequence[Change], seen: Mapping[str, MessageRecord]) -> CommitGroup:
-    """Applies changes to the records read; those that are stored already are skipped.
+    Args:
+        changes: The changes, in order.
+        records: The existing records of their messages, by message id.
 
     Raises:
-        RecordRuleError: a change may not follow what is recorded.
+        RecordRuleError: A change is not valid in the state of its record.
     """
     group = CommitGroup()
-    for place, change in enumerate(changes):
-        first = seen.get(change.message_id)
-        entry = group.after.get(change.message_id, first)
-        if entry is not None:
-            found = state_machine.resolve_commit(change, entry)
-            if found is state_machine.CommitStatus.APPLIED:
-                continue  # stored before, by a commit whose outcome was not known
-            if found is state_machine.CommitStatus.ID_IN_USE:
-                group.ids_in_use[place] = entry
+    for index, change in enumerate(changes):
+        stored = records.get(change.message_id)
+        record = group.after.get(change.message_id, stored)
+        if record is not None:
+            status = state_machine.resolve_commit(change, record)
+            if status is state_machine.CommitStatus.APPLIED:
+                continue  # stored by an earlier, uncertain commit
+            if status is state_machine.CommitStatus.ID_IN_USE:
+                group.ids_in_use[index] = record
                 continue
-        after = state_machine.apply(entry, change)
-        group.before.setdefault(change.message_id, first)
+        after = state_machine.apply(record, change)
+        group.before.setdefault(change.message_id, stored)
         group.after[change.message_id] = after
-        tried = (
+        has_attempt = (
             change.kind in (ChangeKind.BEGIN_ATTEMPT, ChangeKind.END_ATTEMPT, ChangeKind.DECIDE)
             and after.attempts
         )
-        if tried:
+        if has_attempt:
             group.attempts[change.message_id, after.admission_number, after.attempts] = AttemptRow(
                 change.message_id,
                 after.admission_number,
--- a/loftrelay/store/postgres.py
+++ b/loftrelay/store/postgres.py
@@ -1,7 +1,7 @@
-"""The record in PostgreSQL, over its own protocol by psycopg 3 (the extra `loftrelay[postgres]`).
+"""Store of record in PostgreSQL, accessed with psycopg 3 (the extra `loftrelay[postgres]`).
 
-Many instances write to one database: each row is written only where it stands as it was read. A transaction
-that lost such a race, or was ended by the server, is rolled back as a whole and comes again.
+Several instances may write to one database: a row is updated only if it is unchanged since it was read. A
+transaction that lost such a race, or was ended by the server, is rolled back as a whole and tried again.
 """
 
 from __future__ import annotations
@@ -53,46 +53,59 @@
     ),
 )
 VERSION = len(MIGRATIONS)
-LOCK = 0x6C6F6674  # one relay migrates at a time
-NAMES = [name.strip() for name in COLUMNS.split(",")]
+MIGRATION_LOCK_ID = 0x6C6F6674  # advisory lock: one relay migrates at a time
+COLUMN_NAMES = [name.strip() for name in COLUMNS.split(",")]
 INSERT = f"INSERT INTO messages ({COLUMNS}) VALUES ({', '.join(['%s'] * 20)}) ON CONFLICT (id) DO NOTHING"
 UPDATE = (
-    f"UPDATE messages SET {', '.join(f'{name} = %s' for name in NAMES[1:])} "
+    f"UPDATE messages SET {', '.join(f'{name} = %s' for name in COLUMN_NAMES[1:])} "
     "WHERE id = %s AND run = %s AND number = %s"
 )
-ATTEMPT = (
+UPSERT_ATTEMPT = (
     "INSERT INTO attempts (id, run, attempt, host, intended_at, result, result_at) "
     "VALUES (%s, %s, %s, %s, %s, %s, %s) ON CONFLICT (id, run, attempt) "
     "DO UPDATE SET result = excluded.result, result_at = excluded.result_at"
 )
-# SQLSTATE classes and codes (PostgreSQL, appendix A) after which the same may succeed later:
-TRANSIENT = (
+# SQLSTATE classes and codes (PostgreSQL, appendix A) after which the same call may succeed later.
+TRANSIENT_STATES = (
     "08",
     "40",
     "53",
     "55",
     "57",
-    "58",  # connection, rollback, resources, state, operator, system
-    "25006",  # read-only: a failover left this connection at a standby
+    "58",  # connection, rollback, insufficient resources, object state, operator, system
+    "25006",  # read-only transaction: after a failover this connection is to a standby
 )
 
 
 class ConcurrentWriteError(Exception):
-    """Another writer has changed a row since it was read here."""
+    """Another instance has changed a row since it was read."""
 
 
 class PostgresStore:
-    """One connection. `seconds`: for one call of the store; then its connection is cut from this side."""
+    """Store of record with one connection to a PostgreSQL server.
 
-    def __init__(self, dsn: str, seconds: float = 5.0) -> None:
-        self.seconds = seconds
+    Args:
+        dsn: Connection string, as of libpq.
+        call_timeout_s: Time-out of one call; then the connection is shut down from this side.
+
+    Raises:
+        StoreUnavailableError: The server can't be reached now.
+        StoreUnusableError: The database can't be used.
+    """
+
+    def __init__(self, dsn: str, call_timeout_s: float = 5.0) -> None:
+        self.call_timeout_s = call_timeout_s
         try:
             self.database = psycopg.connect(
-                dsn, autocommit=True, connect_timeout=max(2, int(seconds)), application_name="loftrelay"
+                dsn,
+                autocommit=True,
+                connect_timeout=max(2, int(call_timeout_s)),
+                application_name="loftrelay",
             )
-            self.database.prepare_threshold = None  # a pooler between may not know prepared statements
+            # A connection pooler in between may not support prepared statements.
+            self.database.prepare_threshold = None
         except psycopg.Error as error:
-            raise self._told(error, committing=False) from error
+            raise self._store_error(error, committing=False) from error
         try:
             with self._call():
                 self._prepare()
@@ -102,7 +115,7 @@
 
     def _prepare(self) -> None:
         self.database.execute("BEGIN")
-        self.database.execute("SELECT pg_advisory_xact_lock(%s)", (LOCK,))
+        self.database.execute("SELECT pg_advisory_xact_lock(%s)", (MIGRATION_LOCK_ID,))
         self.database.execute("CREATE TABLE IF NOT EXISTS record_version (version integer NOT NULL)")
         row = self.database.execute("SELECT version FROM record_version").fetchone()
         version = row[0] if row is not None else 0
@@ -118,43 +131,46 @@
 
     @contextlib.contextmanager
     def _call(self) -> Iterator[None]:
-        """A server that says nothing any more must not hold the thread: the socket is shut after a time."""
+        """Shuts the socket down after the time-out: an unresponsive server must not block the thread."""
         done = threading.Event()
 
-        def cut(number: int) -> None:
+        def shut_down_after_timeout(descriptor: int) -> None:
             try:
-                if not done.wait(self.seconds):
-                    with contextlib.suppress(OSError), socket.socket(fileno=os.dup(number)) as line:
-                        line.shutdown(socket.SHUT_RDWR)
+                if not done.wait(self.call_timeout_s):
+                    with contextlib.suppress(OSError), socket.socket(fileno=os.dup(descriptor)) as connection:
+                        connection.shutdown(socket.SHUT_RDWR)
             finally:
-                os.close(number)
+                os.close(descriptor)
 
         try:
-            watched = os.dup(self.database.fileno())
+            watched_descriptor = os.dup(self.database.fileno())
         except (psycopg.Error, OSError) as error:
-            raise StoreUnavailableError(f"the connection is gone: {error}") from error
-        watch = threading.Thread(target=cut, args=(watched,), daemon=True)
-        watch.start()
+            raise StoreUnavailableError(f"the connection is closed: {error}") from error
+        watchdog = threading.Thread(target=shut_down_after_timeout, args=(watched_descriptor,), daemon=True)
+        watchdog.start()
         try:
             yield
         except psycopg.Error as error:
-            raise self._told(error, committing=False) from error
+            raise self._store_error(error, committing=False) from error
         finally:
             done.set()
-            watch.join()
+            watchdog.join()
+
+    def _store_error(self, error: psycopg.Error, committing: bool) -> StoreError:
+        """Returns the error of the store for an error of psycopg.
 
-    def _told(self, error: psycopg.Error, committing: bool) -> StoreError:
-        """What an error means. Without an SQLSTATE the connection broke: nobody knows what a COMMIT did."""
+        Without an SQLSTATE the connection broke, so the outcome of a COMMIT is unknown.
+        """
         text, state = " ".join(str(error).split()), error.sqlstate
         if state is None:
-            broken = isinstance(error, psycopg.OperationalError | psycopg.InterfaceError)
-            if committing and broken:
+            is_broken = isinstance(error, psycopg.OperationalError | psycopg.InterfaceError)
+            if committing and is_broken:
                 return CommitUncertainError(text)
-            return StoreUnavailableError(text) if broken else StoreUnusableError(text)
-        if state.startswith(TRANSIENT):
-            # 40003 says itself that it does not know; 57 and 08 in a COMMIT: the server went in its midst.
-            unknown = state == "40003" or state.startswith(("57", "08"))
-            return CommitUncertainError(text) if committing and unknown else StoreUnavailableError(text)
+            return StoreUnavailableError(text) if is_broken else StoreUnusableError(text)
+        if state.startswith(TRANSIENT_STATES):
+            # 40003 means an unknown outcome; with 57 and 08 the server may have ended during the COMMIT.
+            is_uncertain = state == "40003" or state.startswith(("57", "08"))
+            return CommitUncertainError(text) if committing and is_uncertain else StoreUnavailableError(text)
         return StoreUnusableError(text)
 
     def close(self) -> None:
@@ -163,21 +179,23 @@
             self.database.close()
 
     def commit(self, changes: Sequence[Change]) -> dict[int, MessageRecord]:
-        """Raises Unavailable (nothing is stored), Ambiguous, Unusable, or RuleBroken (nothing is stored)."""
+        """Stores changes in one transaction, as StoreBackend.commit."""
         committing = False
         try:
             with self._call():
                 self.database.execute("BEGIN")
                 group = build_group(changes, self._read(list({change.message_id for change in changes})))
-                self._put(group)
+                self._write_group(group)
                 try:
                     committing = True
                     self.database.execute("COMMIT")
                 except psycopg.Error as error:
-                    raise self._told(error, committing=True) from error
+                    raise self._store_error(error, committing=True) from error
         except ConcurrentWriteError as error:
             self._roll_back()
-            raise StoreUnavailableError(f"{error}: another instance wrote them meanwhile") from error
+            raise StoreUnavailableError(
+                f"{error} were changed by another instance since they were read"
+            ) from error
         except BaseException:
             if not committing:
                 self._roll_back()
@@ -190,51 +208,53 @@
         with contextlib.suppress(psycopg.Error, StoreError), self._call():
             self.database.execute("ROLLBACK")
 
-    def _put(self, group: CommitGroup) -> None:
-        """Each kind of row in one pipeline: as many round trips for a group as for one change."""
-        new: list[Sequence[Any]] = []
-        grown: list[Sequence[Any]] = []
-        for message, after in group.after.items():
-            before, row = group.before[message], row_of(after)
+    def _write_group(self, group: CommitGroup) -> None:
+        """Writes each kind of row in one pipeline: a group takes as many round trips as one change."""
+        new_rows: list[Sequence[Any]] = []
+        updated_rows: list[Sequence[Any]] = []
+        for message_id, after in group.after.items():
+            before, row = group.before[message_id], row_of(after)
             if before is None:
-                new.append(row)
+                new_rows.append(row)
             else:
-                grown.append((*row[1:], message, before.admission_number, before.change_number))
+                updated_rows.append((*row[1:], message_id, before.admission_number, before.change_number))
         with self.database.cursor() as cursor:
-            for text, rows in ((INSERT, new), (UPDATE, grown)):
+            for text, rows in ((INSERT, new_rows), (UPDATE, updated_rows)):
                 if rows:
                     cursor.executemany(text.encode(), rows)
                     if cursor.rowcount != len(rows):
                         raise ConcurrentWriteError(f"{len(rows) - cursor.rowcount} of {len(rows)} rows")
             if group.attempts:
-                cursor.executemany(ATTEMPT.encode(), [attempt.row for attempt in group.attempts.values()])
+                cursor.executemany(
+                    UPSERT_ATTEMPT.encode(), [attempt.row for attempt in group.attempts.values()]
+                )
 
-    def _read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
-        if not messages:
+    def _read(self, message_ids: Sequence[str]) -> dict[str, MessageRecord]:
+        if not message_ids:
             return {}
-        marks = ", ".join(["%s"] * len(messages))
-        text = f"SELECT {COLUMNS} FROM messages WHERE id IN ({marks})"
-        rows = self.database.execute(text.encode(), list(messages)).fetchall()
-        return {entry.message_id: entry for entry in map(record_of, rows)}
+        placeholders = ", ".join(["%s"] * len(message_ids))
+        text = f"SELECT {COLUMNS} FROM messages WHERE id IN ({placeholders})"
+        rows = self.database.execute(text.encode(), list(message_ids)).fetchall()
+        return {record.message_id: record for record in map(record_of, rows)}
 
-    def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
-        """Returns the records of these messages, where there are any."""
+    def read(self, message_ids: Sequence[str]) -> dict[str, MessageRecord]:
+        """Returns the existing records of these messages, by message id."""
         with self._call():
-            return self._read(messages)
+            return self._read(message_ids)
 
     def select(self, query: RecordQuery) -> Iterator[MessageRecord]:
-        """Yields the records that a query asks for."""
-        terms, given = conditions(query, "%s")
-        text = f"SELECT {COLUMNS} FROM messages WHERE {terms} ORDER BY taken_at, id"
+        """Yields the records that match a query, the oldest admission first."""
+        where, values = conditions(query, "%s")
+        text = f"SELECT {COLUMNS} FROM messages WHERE {where} ORDER BY taken_at, id"
         if query.limit is not None:
             text += " LIMIT %s"
-            given.append(query.limit)
+            values.append(query.limit)
         with self._call():
-            rows = self.database.execute(text.encode(), given).fetchall()
+            rows = self.database.execute(text.encode(), values).fetchall()
         yield from map(record_of, rows)
 
     def prune(self, before: int, max_rows: int) -> int:
-        """Deletes so many records at most that were reported before a time; returns how many."""
+        """Deletes at most `max_rows` records reported before a time; returns the number deleted."""
         with self._call():
             self.database.execute("BEGIN")
             rows = self.database.execute(
@@ -247,8 +267,8 @@
         return len(rows)
 
     def verify(self) -> list[str]:
-        """Returns what is inconsistent in the database, a line each."""
-        said = [line for entry in self.select(RecordQuery()) for line in inconsistencies(entry)]
+        """Returns the inconsistencies in the database, one line each."""
+        lines = [line for record in self.select(RecordQuery()) for line in inconsistencies(record)]
         with self._call():
             rows = self.database.execute(ATTEMPT_COUNT_MISMATCHES).fetchall()
-        return said + [attempt_count_mismatch(*row) for row in rows]
+        return lines + [attempt_count_mismatch(*row) for row in rows]
--- a/loftrelay/store/rows.py
+++ b/loftrelay/store/rows.py
@@ -1,4 +1,4 @@
-"""The columns of the table of messages, mapped to the fields of a record, and the queries on it."""
+"""Maps the columns of the table `messages` to the fields of a record, and builds queries on it."""
 
 from __future__ import annotations
 
@@ -12,42 +12,42 @@
     "id, run, number, state, instance, class, tenant, destination, key, sha256, deadline, taken_at, "
     "attempts, host, intended_at, result, result_at, answer, answered_at, told_at"
 )
-# Records whose attempts are not all in the table of attempts, with both numbers.
+# Records with another number of attempts than the table `attempts` has: id, number in the record, rows.
 ATTEMPT_COUNT_MISMATCHES = (
     "SELECT m.id, m.attempts, count(a.attempt) FROM messages m LEFT JOIN attempts a "
     "ON a.id = m.id AND a.run = m.run GROUP BY m.id, m.attempts HAVING count(a.attempt) <> m.attempts"
 )
 
 
-def row_of(entry: MessageRecord) -> tuple[object, ...]:
-    """Returns the values of a record, in the order of COLUMNS."""
-    about = entry.metadata
+def row_of(record: MessageRecord) -> tuple[object, ...]:
+    """Returns the column values of a record, in the order of COLUMNS."""
+    metadata = record.metadata
     return (
-        entry.message_id,
-        entry.admission_number,
-        entry.change_number,
-        entry.state.value,
-        about.instance,
-        about.class_name,
-        about.tenant,
-        about.destination,
-        about.key,
-        about.sha256,
-        about.deadline,
-        entry.admitted_at,
-        entry.attempts,
-        entry.host,
-        entry.attempt_started_at,
-        entry.result,
-        entry.result_at,
-        entry.final_status.value if entry.final_status else None,
-        entry.decided_at,
-        entry.reported_at,
+        record.message_id,
+        record.admission_number,
+        record.change_number,
+        record.state.value,
+        metadata.instance,
+        metadata.class_name,
+        metadata.tenant,
+        metadata.destination,
+        metadata.key,
+        metadata.sha256,
+        metadata.deadline,
+        record.admitted_at,
+        record.attempts,
+        record.host,
+        record.attempt_started_at,
+        record.result,
+        record.result_at,
+        record.final_status.value if record.final_status else None,
+        record.decided_at,
+        record.reported_at,
     )
 
 
 def record_of(row: Sequence[Any]) -> MessageRecord:
-    """Returns the record of a row, in the order of COLUMNS."""
+    """Returns the record of a row, whose values are in the order of COLUMNS."""
     (
         message,
         run,
@@ -70,11 +70,11 @@
         answered_at,
         told_at,
     ) = row
-    about = MessageMetadata(instance, class_name, tenant, destination, key, deadline, sha256)
+    metadata = MessageMetadata(instance, class_name, tenant, destination, key, deadline, sha256)
     return MessageRecord(
         message,
         run,
-        about,
+        metadata,
         number,
         RecordState(state),
         taken_at,
@@ -89,10 +89,10 @@
     )
 
 
-def conditions(query: RecordQuery, mark: str) -> tuple[str, list[object]]:
-    """Returns the conditions of a query, with `mark` for each value, and the values; the limit aside."""
-    terms, given = ["1 = 1"], list[object]()
-    for term, value in (
+def conditions(query: RecordQuery, placeholder: str) -> tuple[str, list[object]]:
+    """Returns the WHERE condition of a query, without its limit, and the values of its placeholders."""
+    conditions_sql, values = ["1 = 1"], list[object]()
+    for condition, value in (
         ("class =", query.class_name),
         ("tenant =", query.tenant),
         ("answer =", query.final_status.value if query.final_status else None),
@@ -100,27 +100,27 @@
         ("taken_at <", query.until),
     ):
         if value is not None:
-            terms.append(f"{term} {mark}")
-            given.append(value)
+            conditions_sql.append(f"{condition} {placeholder}")
+            values.append(value)
     if query.unfinished:
-        terms.append("told_at IS NULL")
-    return " AND ".join(terms), given
+        conditions_sql.append("told_at IS NULL")
+    return " AND ".join(conditions_sql), values
 
 
-def inconsistencies(entry: MessageRecord) -> list[str]:
-    """Returns the contradictions in a record, a line each."""
-    said = []
-    answer = entry.final_status and entry.final_status.value
-    ended = entry.state in (RecordState.DECIDED, RecordState.REPORTED)
-    if ended != (entry.final_status is not None) or ended != (entry.decided_at is not None):
-        said.append(f"{entry.message_id}: {entry.state.value}, with answer {answer}")
-    if (entry.state is RecordState.REPORTED) != (entry.reported_at is not None):
-        said.append(f"{entry.message_id}: {entry.state.value}, with told_at {entry.reported_at}")
-    if entry.final_status is StoredFinalStatus.DELIVERED and not entry.attempts:
-        said.append(f"{entry.message_id}: delivered without an attempt")
-    return said
+def inconsistencies(record: MessageRecord) -> list[str]:
+    """Returns the inconsistencies within a record, one line each."""
+    lines = []
+    answer = record.final_status and record.final_status.value
+    is_decided = record.state in (RecordState.DECIDED, RecordState.REPORTED)
+    if is_decided != (record.final_status is not None) or is_decided != (record.decided_at is not None):
+        lines.append(f"{record.message_id}: state {record.state.value}, with answer {answer}")
+    if (record.state is RecordState.REPORTED) != (record.reported_at is not None):
+        lines.append(f"{record.message_id}: state {record.state.value}, with told_at {record.reported_at}")
+    if record.final_status is StoredFinalStatus.DELIVERED and not record.attempts:
+        lines.append(f"{record.message_id}: delivered without an attempt")
+    return lines
 
 
-def attempt_count_mismatch(message: str, told: int, kept: int) -> str:
-    """Returns the line for a record whose attempts are not all in the table of attempts."""
-    return f"{message}: {told} attempts told, {kept} kept"
+def attempt_count_mismatch(message_id: str, in_record: int, rows: int) -> str:
+    """Returns the line about a record with another number of attempts than the table `attempts` has."""
+    return f"{message_id}: {in_record} attempts in its record, {rows} in the table of attempts"
--- a/loftrelay/store/sqlite.py
+++ b/loftrelay/store/sqlite.py
@@ -1,7 +1,9 @@
-"""The record in an SQLite file (https://www.sqlite.org/wal.html): a write-ahead log, synced at each commit.
+"""Store of record in an SQLite file. Its write-ahead log is synced at each commit.
 
-Times are integers, microseconds since 1970 UTC. `PRAGMA user_version` tells the version of the schema: older
-files are migrated at opening, newer ones refused.
+See https://www.sqlite.org/wal.html.
+
+Times are integers, microseconds since 1970 UTC. `PRAGMA user_version` has the version of the schema: an older
+schema is migrated when the file is opened, a newer one is an error.
 """
 
 from __future__ import annotations
@@ -51,11 +53,11 @@
     """,
 )
 VERSION = len(MIGRATIONS)
-AT_ONCE = 500  # ids in one SELECT: SQLite takes 999 values at the least
-PUT = f"INSERT OR REPLACE INTO messages ({COLUMNS}) VALUES ({', '.join('?' * 20)})"
-# What a change of a record writes. The rest stays, and so do the indexes on it: a row that was put anew each
-# time cost all of them.
-GROWN = (
+MAX_IDS_PER_SELECT = 500  # every SQLite accepts 999 values in a statement
+INSERT_OR_REPLACE = f"INSERT OR REPLACE INTO messages ({COLUMNS}) VALUES ({', '.join('?' * 20)})"
+# Columns that a change of a record updates. The other columns and their indexes stay untouched: replacing the
+# row at each change would rewrite all indexes.
+CHANGING_COLUMNS = (
     "number",
     "state",
     "attempts",
@@ -67,9 +69,9 @@
     "answered_at",
     "told_at",
 )
-GROW = f"UPDATE messages SET {', '.join(f'{name} = ?' for name in GROWN)} WHERE id = ?"
-PLACES = [COLUMNS.split(", ").index(name) for name in GROWN]
-TRANSIENT = (
+UPDATE = f"UPDATE messages SET {', '.join(f'{name} = ?' for name in CHANGING_COLUMNS)} WHERE id = ?"
+CHANGING_POSITIONS = [COLUMNS.split(", ").index(name) for name in CHANGING_COLUMNS]
+TRANSIENT_CODES = (
     sqlite3.SQLITE_BUSY,
     sqlite3.SQLITE_LOCKED,
     sqlite3.SQLITE_FULL,
@@ -81,14 +83,26 @@
 
 
 class SQLiteStore:
-    """One file. Opened and used by one thread; other processes may read and write it, too."""
+    """Store of record in one file.
+
+    It is opened and used by one thread; other processes may also read and write the file.
 
-    def __init__(self, path: Path, busy_ms: int = 2_000, synchronous: str = "FULL") -> None:
+    Args:
+        path: The file; it and its directory are created.
+        busy_timeout_ms: How long to wait for the lock of another process.
+        synchronous: Value of `PRAGMA synchronous`.
+
+    Raises:
+        StoreUnavailableError: The file can't be opened now.
+        StoreUnusableError: The file can't be used.
+    """
+
+    def __init__(self, path: Path, busy_timeout_ms: int = 2_000, synchronous: str = "FULL") -> None:
         self.path = path
         try:
             path.parent.mkdir(parents=True, exist_ok=True)
             self.database = sqlite3.connect(
-                path, timeout=busy_ms / 1000, isolation_level=None, check_same_thread=False
+                path, timeout=busy_timeout_ms / 1000, isolation_level=None, check_same_thread=False
             )
         except (OSError, sqlite3.Error) as error:
             raise StoreUnusableError(f"{path}: can't be opened: {error}") from error
@@ -107,20 +121,22 @@
                 )
             (mode,) = self.database.execute("PRAGMA journal_mode=WAL").fetchone()
             if mode != "wal":
-                raise StoreUnusableError(f"{self.path}: no write-ahead log is possible there, but {mode}")
+                raise StoreUnusableError(
+                    f"{self.path}: journal_mode is {mode!r}, must be 'wal' (write-ahead log)"
+                )
             self.database.execute(f"PRAGMA synchronous={synchronous}")
             for number in range(version, VERSION):
                 self.database.executescript(
                     f"BEGIN IMMEDIATE;\n{MIGRATIONS[number]}\nPRAGMA user_version={number + 1};\nCOMMIT;"
                 )
         except sqlite3.Error as error:
-            if self._code(error) in TRANSIENT:
+            if self._code(error) in TRANSIENT_CODES:
                 raise StoreUnavailableError(f"{self.path}: {error}") from error
             raise StoreUnusableError(f"{self.path}: {error}") from error
 
     @staticmethod
     def _code(error: sqlite3.Error) -> int:
-        """The primary result code (https://www.sqlite.org/rescode.html)."""
+        """Returns the primary result code (https://www.sqlite.org/rescode.html); 0 if there is none."""
         code: int = getattr(error, "sqlite_errorcode", 0)
         return code & 0xFF
 
@@ -129,20 +145,20 @@
         self.database.close()
 
     def commit(self, changes: Sequence[Change]) -> dict[int, MessageRecord]:
-        """Raises Unavailable (nothing is stored), Ambiguous, Unusable, or RuleBroken (nothing is stored)."""
+        """Stores changes in one transaction, as StoreBackend.commit."""
         committing = False
         try:
             self.database.execute("BEGIN IMMEDIATE")
             group = build_group(changes, self._read(list({change.message_id for change in changes})))
-            new, grown = list[Sequence[object]](), list[Sequence[object]]()
-            for message, after in group.after.items():
-                before = group.before[message]
+            new_rows, updated_rows = list[Sequence[object]](), list[Sequence[object]]()
+            for message_id, after in group.after.items():
+                before = group.before[message_id]
                 if before is None or before.admission_number != after.admission_number:
-                    new.append(row_of(after))
+                    new_rows.append(row_of(after))
                 else:
-                    grown.append((*map(row_of(after).__getitem__, PLACES), message))
-            self.database.executemany(PUT, new)
-            self.database.executemany(GROW, grown)
+                    updated_rows.append((*map(row_of(after).__getitem__, CHANGING_POSITIONS), message_id))
+            self.database.executemany(INSERT_OR_REPLACE, new_rows)
+            self.database.executemany(UPDATE, updated_rows)
             self.database.executemany(
                 "INSERT OR REPLACE INTO attempts VALUES (?, ?, ?, ?, ?, ?, ?)",
                 (attempt.row for attempt in group.attempts.values()),
@@ -153,8 +169,8 @@
             self._roll_back()
             text = f"{self.path}: {error}"
             if committing and self._code(error) == sqlite3.SQLITE_IOERR:
-                raise CommitUncertainError(text) from error  # the log may hold the commit, synced or not
-            if self._code(error) in TRANSIENT:
+                raise CommitUncertainError(text) from error  # the write-ahead log may have the commit
+            if self._code(error) in TRANSIENT_CODES:
                 raise StoreUnavailableError(text) from error
             raise StoreUnusableError(text) from error
         except BaseException:
@@ -164,37 +180,37 @@
 
     def _roll_back(self) -> None:
         if self.database.in_transaction:
-            with contextlib.suppress(sqlite3.Error):  # the error itself may have rolled it back
+            with contextlib.suppress(sqlite3.Error):  # SQLite rolls back by itself after some errors
                 self.database.execute("ROLLBACK")
 
-    def _read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
-        found: dict[str, MessageRecord] = {}
-        for first in range(0, len(messages), AT_ONCE):
-            names = messages[first : first + AT_ONCE]
-            marks = ", ".join("?" * len(names))
-            rows = self.database.execute(f"SELECT {COLUMNS} FROM messages WHERE id IN ({marks})", names)
-            found |= {entry.message_id: entry for entry in map(record_of, rows)}
-        return found
-
-    def read(self, messages: Sequence[str]) -> dict[str, MessageRecord]:
-        """Returns the records of these messages, where there are any."""
+    def _read(self, message_ids: Sequence[str]) -> dict[str, MessageRecord]:
+        records: dict[str, MessageRecord] = {}
+        for first in range(0, len(message_ids), MAX_IDS_PER_SELECT):
+            ids = message_ids[first : first + MAX_IDS_PER_SELECT]
+            placeholders = ", ".join("?" * len(ids))
+            rows = self.database.execute(f"SELECT {COLUMNS} FROM messages WHERE id IN ({placeholders})", ids)
+            records |= {record.message_id: record for record in map(record_of, rows)}
+        return records
+
+    def read(self, message_ids: Sequence[str]) -> dict[str, MessageRecord]:
+        """Returns the existing records of these messages, by message id."""
         try:
-            return self._read(messages)
+            return self._read(message_ids)
         except sqlite3.Error as error:
             raise StoreUnavailableError(f"{self.path}: {error}") from error
 
     def select(self, query: RecordQuery) -> Iterator[MessageRecord]:
-        """Yields the records that a query asks for."""
-        terms, given = conditions(query, "?")
-        text = f"SELECT {COLUMNS} FROM messages WHERE {terms} ORDER BY taken_at, id LIMIT ?"
+        """Yields the records that match a query, the oldest admission first."""
+        where, values = conditions(query, "?")
+        text = f"SELECT {COLUMNS} FROM messages WHERE {where} ORDER BY taken_at, id LIMIT ?"
         try:
-            for row in self.database.execute(text, (*given, -1 if query.limit is None else query.limit)):
+            for row in self.database.execute(text, (*values, -1 if query.limit is None else query.limit)):
                 yield record_of(row)
         except sqlite3.Error as error:
             raise StoreUnavailableError(f"{self.path}: {error}") from error
 
     def prune(self, before: int, max_rows: int) -> int:
-        """Deletes so many records at most that were reported before a time; returns how many."""
+        """Deletes at most `max_rows` records reported before a time; returns the number deleted."""
         try:
             self.database.execute("BEGIN IMMEDIATE")
             rows = self.database.execute(
@@ -209,12 +225,12 @@
         return len(rows)
 
     def verify(self) -> list[str]:
-        """Returns what is inconsistent in the database, a line each."""
+        """Returns the inconsistencies in the database, one line each."""
         try:
-            said = [row[0] for row in self.database.execute("PRAGMA integrity_check") if row[0] != "ok"]
-            for entry in self.select(RecordQuery()):
-                said += inconsistencies(entry)
-            said += [attempt_count_mismatch(*row) for row in self.database.execute(ATTEMPT_COUNT_MISMATCHES)]
+            lines = [row[0] for row in self.database.execute("PRAGMA integrity_check") if row[0] != "ok"]
+            for record in self.select(RecordQuery()):
+                lines += inconsistencies(record)
+            lines += [attempt_count_mismatch(*row) for row in self.database.execute(ATTEMPT_COUNT_MISMATCHES)]
         except (sqlite3.Error, ValueError) as error:
             return [str(error)]
-        return said
+        return lines
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -15,7 +15,7 @@
 from loftrelay.demo.result import DemoResult
 from loftrelay.store.state_machine import MessageRecord, StoredFinalStatus, apply
 from tests.standins.platform import ROOT
-from tests.store.test_sqlite import life
+from tests.store.test_sqlite import make_changes
 
 LAST = re.compile(r"taken (\d+) delivered (\d+) refused (\d+) failed (\d+) duplicates (\d+)")
 
@@ -77,7 +77,7 @@
 
 def entry(name: str, answer: StoredFinalStatus = StoredFinalStatus.DELIVERED) -> MessageRecord:
     found: MessageRecord | None = None
-    for change in life(name, end=answer):
+    for change in make_changes(name, final_status=answer):
         found = apply(found, change)
     assert found is not None
     return found
--- a/tests/cli/test_record.py
+++ b/tests/cli/test_record.py
@@ -13,7 +13,7 @@
 from loftrelay.store.sqlite import SQLiteStore
 from loftrelay.store.state_machine import StoredFinalStatus
 from tests.standins.platform import ROOT
-from tests.store.test_sqlite import life
+from tests.store.test_sqlite import make_changes
 
 DAY = 86_400_000_000
 
@@ -22,9 +22,9 @@
 def path(tmp_path: Path) -> Path:
     store = SQLiteStore(tmp_path / "r.sqlite")
     begin = moment("2026-03-01T08:30:00")
-    store.commit(life("a", at=begin, tenant="acme"))
-    store.commit(life("b", at=begin + DAY, tenant="dijk", end=StoredFinalStatus.FAILED))
-    store.commit(life("c", at=begin + 2 * DAY, tenant="dijk", end=None))
+    store.commit(make_changes("a", at=begin, tenant="acme"))
+    store.commit(make_changes("b", at=begin + DAY, tenant="dijk", final_status=StoredFinalStatus.FAILED))
+    store.commit(make_changes("c", at=begin + 2 * DAY, tenant="dijk", final_status=None))
     store.close()
     return tmp_path / "r.sqlite"
 
@@ -82,7 +82,7 @@
     store.close()
     status, text = said(path, capsys, "verify")
     assert status == 1
-    assert text.startswith("a: told, with answer None")
+    assert text.startswith("a: state told, with answer None")
 
 
 def test_a_store_that_can_not_be_read_is_said_in_one_line(tmp_path: Path) -> None:
--- a/tests/store/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -1,4 +1,4 @@
-"""The back end for PostgreSQL against a stand-in that can fail at any byte: nothing is guessed or doubled."""
+"""PostgreSQL store against a stand-in server that can fail at any byte: each fault raises its error."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from loftrelay.store.postgres import VERSION, PostgresStore  # noqa: E402
 from loftrelay.store.state_machine import RecordRuleError, RecordState, StoredFinalStatus  # noqa: E402
 from tests.standins.postgres import PostgresStandIn  # noqa: E402
-from tests.store.test_sqlite import life  # noqa: E402
+from tests.store.test_sqlite import make_changes  # noqa: E402
 
 
 @pytest.fixture
@@ -27,77 +27,79 @@
         yield server
 
 
-def test_a_life_is_read_again_by_another_connection(server: PostgresStandIn) -> None:
+def test_postgres_store_reads_commit_of_another_connection(server: PostgresStandIn) -> None:
     store, other = PostgresStore(server.dsn), PostgresStore(server.dsn)
-    assert store.commit(life("m")) == {}
-    entry = other.read(["m", "never"])["m"]
-    assert (entry.state, entry.final_status, entry.attempts, entry.metadata.instance) == (
+    assert store.commit(make_changes("m")) == {}
+    record = other.read(["m", "never"])["m"]
+    assert (record.state, record.final_status, record.attempts, record.metadata.instance) == (
         RecordState.REPORTED,
         StoredFinalStatus.DELIVERED,
         1,
         "n1",
     )
-    assert store.commit(life("m")) == {}
+    assert store.commit(make_changes("m")) == {}
     assert not store.verify()
     store.close()
     other.close()
 
 
-def test_a_commit_is_whole_or_not_at_all(server: PostgresStandIn) -> None:
+def test_postgres_commit_with_invalid_change_stores_nothing(server: PostgresStandIn) -> None:
     store = PostgresStore(server.dsn)
     with pytest.raises(RecordRuleError):
-        store.commit([*life("a"), life("b")[1]])
+        store.commit([*make_changes("a"), make_changes("b")[1]])
     assert not store.read(["a", "b"])
-    store.commit(life("a"))
+    store.commit(make_changes("a"))
     assert set(store.read(["a", "b"])) == {"a"}
     store.close()
 
 
-def test_two_instances_given_one_id(server: PostgresStandIn) -> None:
+def test_postgres_commit_of_id_of_another_instance_returns_its_record(server: PostgresStandIn) -> None:
     one, two = PostgresStore(server.dsn), PostgresStore(server.dsn)
-    one.commit(life("m", end=None))
-    kept = two.commit([life("m", at=2000, instance="n2")[0], *life("other", instance="n2")])
-    assert kept[0].metadata.instance == "n1"
+    one.commit(make_changes("m", final_status=None))
+    ids_in_use = two.commit(
+        [make_changes("m", at=2000, instance="n2")[0], *make_changes("other", instance="n2")]
+    )
+    assert ids_in_use[0].metadata.instance == "n1"
     assert set(one.read(["m", "other"])) == {"m", "other"}
     one.close()
     two.close()
 
 
-def test_a_row_that_another_wrote_meanwhile_is_not_overwritten(server: PostgresStandIn) -> None:
+def test_postgres_commit_with_concurrent_write_is_rolled_back(server: PostgresStandIn) -> None:
     store = PostgresStore(server.dsn)
-    store.commit(life("m")[:1])
-    read = store._read
+    store.commit(make_changes("m")[:1])
+    original_read = store._read
 
-    def late(messages: list[str]) -> dict[str, object]:
-        seen = read(messages)
-        store.database.execute("UPDATE messages SET number = 9 WHERE id = 'm'")  # as if by another instance
-        return seen  # type: ignore[return-value]
+    def read_then_write(messages: list[str]) -> dict[str, object]:
+        records = original_read(messages)
+        store.database.execute("UPDATE messages SET number = 9 WHERE id = 'm'")  # as another instance would
+        return records  # type: ignore[return-value]
 
-    store._read = late  # type: ignore[method-assign, assignment]
+    store._read = read_then_write  # type: ignore[method-assign, assignment]
     with pytest.raises(StoreUnavailableError, match="another instance"):
-        store.commit(life("m")[1:])
-    store._read = read  # type: ignore[method-assign]
+        store.commit(make_changes("m")[1:])
+    store._read = original_read  # type: ignore[method-assign]
     assert store.read(["m"])["m"].change_number == 1  # rolled back as a whole
     store.close()
 
 
-def test_select_and_prune(server: PostgresStandIn) -> None:
+def test_postgres_select_and_prune_return_matching_records(server: PostgresStandIn) -> None:
     store = PostgresStore(server.dsn)
     for i in range(10):
-        store.commit(life(f"m{i}", at=1000 * (i + 1), tenant="acme" if i % 2 else "dijk"))
-    store.commit(life("open", at=1, end=None))
-    names = [entry.message_id for entry in store.select(RecordQuery(tenant="dijk", since=2000, until=9000))]
+        store.commit(make_changes(f"m{i}", at=1000 * (i + 1), tenant="acme" if i % 2 else "dijk"))
+    store.commit(make_changes("open", at=1, final_status=None))
+    names = [record.message_id for record in store.select(RecordQuery(tenant="dijk", since=2000, until=9000))]
     assert names == ["m2", "m4", "m6"]
-    assert [entry.message_id for entry in store.select(RecordQuery(unfinished=True, limit=3))] == ["open"]
+    assert [record.message_id for record in store.select(RecordQuery(unfinished=True, limit=3))] == ["open"]
     assert [store.prune(5_500, 3), store.prune(5_500, 3), store.prune(5_500, 3)] == [3, 2, 0]
-    assert [entry.message_id for entry in store.select(RecordQuery())] == [
+    assert [record.message_id for record in store.select(RecordQuery())] == [
         "open",
         *(f"m{i}" for i in range(5, 10)),
     ]
     store.close()
 
 
-def test_a_password_is_proved_and_never_sent(tmp_path: Path) -> None:
+def test_postgres_store_proves_password_without_sending_it(tmp_path: Path) -> None:
     with PostgresStandIn(tmp_path / "s.sqlite", password="harbour") as server:
         PostgresStore(server.dsn).close()
         with pytest.raises(
@@ -106,7 +108,7 @@
             PostgresStore(server.dsn.replace("harbour", "wrong"))
 
 
-def test_a_newer_schema_is_refused(server: PostgresStandIn) -> None:
+def test_postgres_store_with_newer_schema_is_unusable(server: PostgresStandIn) -> None:
     store = PostgresStore(server.dsn)
     store.database.execute(f"UPDATE record_version SET version = {VERSION + 1}".encode())
     store.close()
@@ -115,28 +117,30 @@
 
 
 @pytest.mark.parametrize("state", ["40001", "40P01", "25006", "53100", "55P03"])
-def test_what_the_server_rolled_back_comes_again(server: PostgresStandIn, state: str) -> None:
-    """A serialization failure, a deadlock, a read-only standby after a failover, a full disk, a lock."""
+def test_postgres_commit_rolled_back_by_server_is_unavailable_and_repeatable(
+    server: PostgresStandIn, state: str
+) -> None:
+    """Serialization failure, deadlock, read-only standby after a failover, full disk, lock not available."""
     store = PostgresStore(server.dsn)
     server.faults.errors.append(state)
     with pytest.raises(StoreUnavailableError):
-        store.commit(life("m"))
+        store.commit(make_changes("m"))
     assert not store.read(["m"])
-    assert store.commit(life("m")) == {}
+    assert store.commit(make_changes("m")) == {}
     assert not store.verify()
     store.close()
 
 
 @pytest.mark.parametrize("state", ["57P01", "08006", "40003"])
-def test_a_commit_that_the_server_left_open_is_ambiguous(server: PostgresStandIn, state: str) -> None:
+def test_postgres_commit_with_unknown_outcome_is_uncertain(server: PostgresStandIn, state: str) -> None:
     store = PostgresStore(server.dsn)
     server.faults.errors.append(state)
     with pytest.raises(CommitUncertainError):
-        store.commit(life("m"))
+        store.commit(make_changes("m"))
     store.close()
 
 
-def test_out_of_connections_at_the_start_is_away(server: PostgresStandIn) -> None:
+def test_postgres_store_with_too_many_connections_is_unavailable(server: PostgresStandIn) -> None:
     server.faults.refuse = "53300"
     with pytest.raises(StoreUnavailableError):
         PostgresStore(server.dsn)
@@ -144,7 +148,7 @@
     PostgresStore(server.dsn).close()
 
 
-def test_nobody_there_is_away(server: PostgresStandIn) -> None:
+def test_postgres_store_without_server_is_unavailable(server: PostgresStandIn) -> None:
     dsn = server.dsn
     server.__exit__()
     with pytest.raises(StoreUnavailableError):
--- a/tests/store/test_postgres_cuts.py
+++ b/tests/store/test_postgres_cuts.py
@@ -1,6 +1,6 @@
-"""The connection to PostgreSQL cut at every byte, or fallen silent: a commit is read back, not guessed.
+"""PostgreSQL store with a connection that is cut at every byte or unresponsive: a commit is read back.
 
-All against the stand-in (tests/standins/postgres.py): nothing here was tried on a real server.
+All tests use the stand-in (tests/standins/postgres.py), none a real server.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from loftrelay.store.state_machine import CommitStatus, RecordState, resolve_commit  # noqa: E402
 from loftrelay.store.writer import Writer  # noqa: E402
 from tests.standins.postgres import Faults, PostgresStandIn, cut  # noqa: E402
-from tests.store.test_sqlite import life  # noqa: E402
+from tests.store.test_sqlite import make_changes  # noqa: E402
 
 
 @pytest.fixture
@@ -30,32 +30,32 @@
         yield server
 
 
-def exchange(server: PostgresStandIn) -> tuple[int, int]:
-    """Bytes heard and said in one commit of one change, with no fault."""
+def measure_commit_bytes(server: PostgresStandIn) -> tuple[int, int]:
+    """Returns the bytes that the server receives and sends in one commit of one change, without a fault."""
     store = PostgresStore(server.dsn)
     line = server.lines[-1]
     heard, said = line.heard, line.said
-    store.commit(life("probe")[:1])
+    store.commit(make_changes("probe")[:1])
     sizes = line.heard - heard, line.said - said
     store.close()
     return sizes
 
 
-# Bytes of a Flush (PostgreSQL's protocol, 55.7). psycopg sends one at a pipeline's end where the answers are
-# not there yet, mostly and not always: of two equal commits one may be heard in so many bytes fewer.
-FLUSH = 5
+# Size of a Flush message (PostgreSQL's protocol, 55.7). psycopg sends one at the end of a pipeline if the
+# responses have not arrived yet, which varies: of two equal commits one may have so many bytes fewer.
+FLUSH_BYTES = 5
 
 
 @pytest.mark.parametrize("side", ["heard", "said"])
-def test_cut_at_every_byte_of_a_commit(server: PostgresStandIn, side: str) -> None:
-    """StoreUnavailableError: nothing is stored. CommitUncertainError: it is or is not, and reading back tells
-    which. Either way the same change stored once more makes one record, with nothing wrong in it. A commit
-    that was heard whole before the cut came is done, and raises nothing."""
-    size = exchange(server)[side == "said"]
+def test_postgres_commit_cut_at_every_byte_raises_the_right_error(server: PostgresStandIn, side: str) -> None:
+    """StoreUnavailableError: nothing is stored. CommitUncertainError: reading back tells if it is stored.
+    In both cases committing the same change again results in one consistent record. A commit that the server
+    received completely before the cut succeeds."""
+    size = measure_commit_bytes(server)[side == "said"]
     outcomes: dict[str, set[bool]] = {"StoreUnavailableError": set(), "CommitUncertainError": set()}
     reader = PostgresStore(server.dsn)
     for byte in range(size):
-        change = life(f"m{byte:04}")[0]  # as long as the name of the probe
+        change = make_changes(f"m{byte:04}")[0]  # as long as the id of the probe
         store = PostgresStore(server.dsn)
         line = server.lines[-1]
         line.faults = cut(side, getattr(line, side) + byte)
@@ -65,67 +65,67 @@
         except (StoreUnavailableError, CommitUncertainError) as error:
             outcome = type(error).__name__
         store.close()
-        seen = reader.read([change.message_id]).get(change.message_id)
-        found = resolve_commit(change, seen)
-        assert found in (CommitStatus.APPLIED, CommitStatus.MISSING)
+        stored = reader.read([change.message_id]).get(change.message_id)
+        status = resolve_commit(change, stored)
+        assert status in (CommitStatus.APPLIED, CommitStatus.MISSING)
         if outcome:
-            outcomes[outcome].add(found is CommitStatus.APPLIED)
+            outcomes[outcome].add(status is CommitStatus.APPLIED)
         else:
             assert side == "heard"
-            assert byte >= size - FLUSH
-            assert found is CommitStatus.APPLIED
+            assert byte >= size - FLUSH_BYTES
+            assert status is CommitStatus.APPLIED
         assert reader.commit([change]) == {}
         assert reader.read([change.message_id])[change.message_id].change_number == 1
     assert not reader.verify()
     assert len(list(reader.select(RecordQuery()))) == size + 1
     assert outcomes["StoreUnavailableError"] == {False}
-    # Cut while it spoke, the server never had the whole COMMIT; while it answered, it had committed.
+    # Cut in the request, the server never had the complete COMMIT; cut in the response, it had committed.
     assert outcomes["CommitUncertainError"] == {side == "said"}
     reader.close()
 
 
-def test_cut_at_every_byte_of_the_start(server: PostgresStandIn) -> None:
+def test_postgres_store_cut_while_opening_is_unavailable_or_open(server: PostgresStandIn) -> None:
     PostgresStore(server.dsn).close()
     sizes = server.lines[-1].heard, server.lines[-1].said
     for side, size in zip(("heard", "said"), sizes, strict=True):
         for byte in range(0, size, 7):
             server.faults = cut(side, byte)
-            # Bytes of the farewell may be cut too: then it has started.
+            # The bytes of the Terminate message may be cut, too: then the store was opened.
             try:
                 PostgresStore(server.dsn).close()
             except StoreError as error:
                 assert isinstance(error, StoreUnavailableError)
     server.faults = Faults()
     store = PostgresStore(server.dsn)
-    assert store.commit(life("m")) == {}
+    assert store.commit(make_changes("m")) == {}
     assert not store.verify()
     store.close()
 
 
-@pytest.mark.parametrize("after", [0, 40], ids=["at once", "in the midst of an answer"])
-def test_a_server_that_falls_silent_is_given_up(server: PostgresStandIn, after: int) -> None:
-    """Its connection is open and nothing comes: the call ends, and another connection works."""
-    store = PostgresStore(server.dsn, seconds=0.2)
+@pytest.mark.parametrize("after", [0, 40], ids=["immediately", "within a response"])
+def test_postgres_commit_with_unresponsive_server_times_out(server: PostgresStandIn, after: int) -> None:
+    """The connection is open and nothing is received: the call ends, and another connection works."""
+    store = PostgresStore(server.dsn, call_timeout_s=0.2)
     line = server.lines[-1]
     line.faults = Faults(hush_said=line.said + after)
     with pytest.raises(StoreUnavailableError):
-        store.commit(life("m")[:1])
-    with pytest.raises(StoreError):  # this one is of no further use
+        store.commit(make_changes("m")[:1])
+    with pytest.raises(StoreError):  # this connection can't be used any more
         store.read(["m"])
     store.close()
     other = PostgresStore(server.dsn)
     assert not other.read(["m"])
-    assert other.commit(life("m")) == {}
+    assert other.commit(make_changes("m")) == {}
     other.close()
 
 
-def test_silent_just_when_it_has_committed(server: PostgresStandIn) -> None:
-    said = exchange(server)[1]
-    # Seconds that the statements before the commit need not use up on any machine; the commit waits them all.
-    store = PostgresStore(server.dsn, seconds=3.0)
+def test_postgres_commit_without_response_to_commit_is_uncertain(server: PostgresStandIn) -> None:
+    said = measure_commit_bytes(server)[1]
+    # Long enough for the statements before the COMMIT on a slow machine; the COMMIT waits for all of it.
+    store = PostgresStore(server.dsn, call_timeout_s=3.0)
     line = server.lines[-1]
     line.faults = Faults(hush_said=line.said + said - 5)
-    change = life("m")[0]
+    change = make_changes("m")[0]
     with pytest.raises(CommitUncertainError):
         store.commit([change])
     store.close()
@@ -134,26 +134,26 @@
     other.close()
 
 
-def test_cut_at_random_bytes_a_writer_stores_every_change_once(server: PostgresStandIn) -> None:
-    chance, guard = random.Random(11), threading.Lock()
+def test_writer_with_randomly_cut_connections_stores_every_change_once(server: PostgresStandIn) -> None:
+    rng, lock = random.Random(11), threading.Lock()
 
-    def draw() -> Faults:
-        with guard:
-            return cut(chance.choice(("heard", "said")), chance.randrange(1500, 12_000))
+    def draw_faults() -> Faults:
+        with lock:
+            return cut(rng.choice(("heard", "said")), rng.randrange(1500, 12_000))
 
     async def main() -> None:
-        server.drawn = draw
+        server.drawn = draw_faults
         writer = Writer(partial(PostgresStore, server.dsn), max_changes_per_commit=20)
         names = [f"m{i}" for i in range(300)]
-        await asyncio.gather(*(writer.write(change) for name in names for change in life(name)))
+        await asyncio.gather(*(writer.write(change) for name in names for change in make_changes(name)))
         server.drawn = None
         await writer.close()
         assert server.cuts >= 5
 
     asyncio.run(main())
     store = PostgresStore(server.dsn)
-    entries = list(store.select(RecordQuery()))
-    assert {entry.message_id for entry in entries} == {f"m{i}" for i in range(300)}
-    assert all(entry.state is RecordState.REPORTED and entry.attempts == 1 for entry in entries)
+    records = list(store.select(RecordQuery()))
+    assert {record.message_id for record in records} == {f"m{i}" for i in range(300)}
+    assert all(record.state is RecordState.REPORTED and record.attempts == 1 for record in records)
     assert not store.verify()
     store.close()
--- a/tests/store/test_settings.py
+++ b/tests/store/test_settings.py
@@ -32,8 +32,8 @@
 @pytest.mark.parametrize(
     ("text", "problem"),
     [
-        ("", "file = '': one of file and dsn is to be set, and not both"),
-        ('file = "r"\ndsn = "host=x"', "file = 'r': one of file and dsn is to be set, and not both"),
+        ("", "file = '', dsn is not set: exactly one of file and dsn must be set"),
+        ('file = "r"\ndsn = "host=x"', "file = 'r', dsn is set: exactly one of file and dsn must be set"),
         ("file = 3", "file = 3: is not a string"),
         ('file = "r"\nunsafe = "never"', "unsafe = 'never': is not one of required, follows"),
         ('file = "r"\nsynchronous = "OFF"', "synchronous = 'OFF': is not one of NORMAL, FULL, EXTRA"),
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -14,7 +14,7 @@
 from loftrelay.store.sqlite import SQLiteStore
 from loftrelay.store.state_machine import Change, MessageRecord, RecordRuleError, RecordState
 from loftrelay.store.writer import IdInUseError, StoreBusyError, Writer
-from tests.store.test_sqlite import life
+from tests.store.test_sqlite import make_changes
 
 
 class FaultyStore:
@@ -78,7 +78,7 @@
 def test_writer_commits_changes_queued_during_a_commit_together(tmp_path: Path) -> None:
     async def scenario(store: FaultyStore, writer: Writer) -> None:
         store.gate.clear()
-        writes = [writer.write(life(f"m{i}")[0]) for i in range(300)]
+        writes = [writer.write(make_changes(f"m{i}")[0]) for i in range(300)]
         await asyncio.sleep(0)
         iterations = 0
         for _ in range(100):  # the event loop runs while the commit is blocked
@@ -98,16 +98,16 @@
 
 def test_writer_with_unavailable_store_rejects_optional_changes_and_keeps_others(tmp_path: Path) -> None:
     async def scenario(store: FaultyStore, writer: Writer) -> None:
-        await writer.write(life("m")[0])
+        await writer.write(make_changes("m")[0])
         store.faults = ["unavailable"] * 3
-        begin, decide, report = life("m")[1:]
+        begin, decide, report = make_changes("m")[1:]
         required = [writer.write(begin), writer.write(decide), writer.write(report)]
         with pytest.raises(StoreBusyError) as error:
-            await writer.write(life("new")[0], optional=True)
+            await writer.write(make_changes("new")[0], optional=True)
         assert error.value.retry_after_ms > 0
         assert writer.is_store_unavailable
         with pytest.raises(StoreBusyError):  # without calling the store
-            await writer.write(life("newer")[0], optional=True)
+            await writer.write(make_changes("newer")[0], optional=True)
         await asyncio.gather(*required)
         assert not writer.is_store_unavailable
         assert store.open_count == 4
@@ -122,8 +122,8 @@
 def test_writer_stores_changes_of_an_uncertain_commit_once(tmp_path: Path, fault: str) -> None:
     async def scenario(store: FaultyStore, writer: Writer) -> None:
         store.faults = [fault, fault]
-        await asyncio.gather(*(writer.write(change) for change in life("m")))
-        await asyncio.gather(*(writer.write(change, optional=True) for change in life("n")))
+        await asyncio.gather(*(writer.write(change) for change in make_changes("m")))
+        await asyncio.gather(*(writer.write(change, optional=True) for change in make_changes("n")))
         records = await writer.call(lambda s: s.read(["m", "n"]))
         assert [records[name].attempts for name in ("m", "n")] == [1, 1]
         assert not await writer.call(lambda s: s.verify())
@@ -136,7 +136,7 @@
 
     async def scenario(store: FaultyStore, writer: Writer) -> None:
         store.faults = ["uncertain, stored", "unavailable", "unavailable"]
-        write = writer.write(life("m")[0], optional=True)
+        write = writer.write(make_changes("m")[0], optional=True)
         await write
         assert not store.faults
         assert set(await writer.call(lambda s: s.read(["m"]))) == {"m"}
@@ -146,8 +146,8 @@
 
 def test_writer_reports_id_in_use_and_stores_rest_of_group(tmp_path: Path) -> None:
     async def scenario(store: FaultyStore, writer: Writer) -> None:
-        await asyncio.gather(*(writer.write(change) for change in life("m", instance="n2")))
-        writes = [writer.write(life("m", at=9)[0]), writer.write(life("other")[0])]
+        await asyncio.gather(*(writer.write(change) for change in make_changes("m", instance="n2")))
+        writes = [writer.write(make_changes("m", at=9)[0]), writer.write(make_changes("other")[0])]
         results = await asyncio.gather(*writes, return_exceptions=True)
         assert isinstance(results[0], IdInUseError)
         assert results[0].record.metadata.instance == "n2"
@@ -159,9 +159,9 @@
 def test_writer_with_invalid_change_fails_only_that_change(tmp_path: Path) -> None:
     async def scenario(store: FaultyStore, writer: Writer) -> None:
         store.gate.clear()
-        first = writer.write(life("first")[0])
+        first = writer.write(make_changes("first")[0])
         await asyncio.sleep(0)
-        bad, good = writer.write(life("bad")[1]), writer.write(life("good")[0])
+        bad, good = writer.write(make_changes("bad")[1]), writer.write(make_changes("good")[0])
         store.gate.set()
         results = await asyncio.gather(first, bad, good, return_exceptions=True)
         assert isinstance(results[1], RecordRuleError)
@@ -173,7 +173,7 @@
 def test_writer_with_full_queue_rejects_optional_changes(tmp_path: Path) -> None:
     async def scenario(store: FaultyStore, writer: Writer) -> None:
         store.gate.clear()
-        writes = [writer.write(life(f"m{i}")[0], optional=True) for i in range(20)]
+        writes = [writer.write(make_changes(f"m{i}")[0], optional=True) for i in range(20)]
         await asyncio.sleep(0)  # the result never comes before `write` returns
         rejected = [write for write in writes if write.done()]
         assert 9 <= len(rejected) <= 10
@@ -189,16 +189,16 @@
 ) -> None:
     async def scenario(store: FaultyStore, writer: Writer) -> None:
         monkeypatch.setattr(writer_module, "COMMIT_DELAY_S", 3600)
-        await writer.write(life("first")[0])
-        delayed = [writer.write(change, urgent=False) for name in "abc" for change in life(name)]
+        await writer.write(make_changes("first")[0])
+        delayed = [writer.write(change, urgent=False) for name in "abc" for change in make_changes(name)]
         for _ in range(20):
             await asyncio.sleep(0)
         assert store.commit_sizes == [1]
-        await writer.write(life("urgent")[0])
+        await writer.write(make_changes("urgent")[0])
         assert store.commit_sizes == [1, 13]
         assert all(write.done() for write in delayed)
         monkeypatch.setattr(writer_module, "COMMIT_DELAY_S", 0)
-        await writer.write(life("late")[0], urgent=False)  # alone, after the delay
+        await writer.write(make_changes("late")[0], urgent=False)  # alone, after the delay
         assert store.commit_sizes == [1, 13, 1]
 
     run_scenario(tmp_path, scenario)
@@ -207,7 +207,7 @@
 def test_writer_commits_full_group_without_delay(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(store: FaultyStore, writer: Writer) -> None:
         monkeypatch.setattr(writer_module, "COMMIT_DELAY_S", 3600)
-        await asyncio.gather(*(writer.write(change, urgent=False) for change in life("m")))
+        await asyncio.gather(*(writer.write(change, urgent=False) for change in make_changes("m")))
         assert store.commit_sizes == [4]
 
     run_scenario(tmp_path, scenario, max_changes_per_commit=4)
@@ -215,11 +215,11 @@
 
 def test_close_writes_queued_changes(tmp_path: Path) -> None:
     async def scenario(store: FaultyStore, writer: Writer) -> None:
-        writes = [writer.write(change) for change in life("m")]
+        writes = [writer.write(change) for change in make_changes("m")]
         await writer.close()
         assert all(write.done() and write.exception() is None for write in writes)
         with pytest.raises(StoreBusyError):
-            await writer.write(life("late")[0], optional=True)
+            await writer.write(make_changes("late")[0], optional=True)
 
     async def main() -> None:
         store = FaultyStore(tmp_path / "r.sqlite")
