--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -31,7 +31,13 @@
 from benchmarks.process import cpu_seconds, run
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import SQLiteStore
-from loftrelay.store.state_machine import Change, ChangeKind, MessageFacts, MessageRecord, StoredAnswer
+from loftrelay.store.state_machine import (
+    Change,
+    ChangeKind,
+    MessageMetadata,
+    MessageRecord,
+    StoredFinalStatus,
+)
 from tests.program.test_connections import LIMITS
 from tests.standins.partner import Partner
 from tests.standins.platform import SETTINGS, World
@@ -83,7 +89,7 @@
         async with asyncio.timeout(60):
             while True:
                 store = SQLiteStore(path)
-                found = {entry.message: entry for entry in store.select(RecordQuery())}
+                found = {entry.message_id: entry for entry in store.select(RecordQuery())}
                 wrong = store.verify()
                 store.close()
                 if all(name in found and found[name].reported_at is not None for name in account.taken):
@@ -99,8 +105,8 @@
     disagreements = len(wrong) + len(set(partner.effects) - set(found))
     for name, entry in found.items():
         ran = partner.effects[name] > 0
-        if (entry.answer is StoredAnswer.DELIVERED and not ran) or (
-            entry.answer is StoredAnswer.REJECTED and ran
+        if (entry.final_status is StoredFinalStatus.DELIVERED and not ran) or (
+            entry.final_status is StoredFinalStatus.REJECTED and ran
         ):
             disagreements += 1
     duplicates = sum(ran - 1 for ran in partner.effects.values())
@@ -145,7 +151,7 @@
                 while True:
                     store = await asyncio.to_thread(PostgresStore, server.dsn)
                     entries = await asyncio.to_thread(list, store.select(RecordQuery()))
-                    found = {entry.message: entry for entry in entries}
+                    found = {entry.message_id: entry for entry in entries}
                     wrong = await asyncio.to_thread(store.verify)
                     store.close()
                     if all(name in found and found[name].reported_at is not None for name in account.taken):
@@ -223,9 +229,9 @@
     store = SQLiteStore(folder / "probe.sqlite")
     times = []
     for i in range(count):
-        about = MessageFacts("n", "order", None, 1, None, 0, "00" * 32)
+        about = MessageMetadata("n", "order", None, 1, None, 0, "00" * 32)
         began = time.perf_counter()
-        store.commit([Change(f"m{i}", 1, 1, ChangeKind.ADMIT, i, facts=about)])
+        store.commit([Change(f"m{i}", 1, 1, ChangeKind.ADMIT, i, metadata=about)])
         times.append(time.perf_counter() - began)
     store.close()
     return statistics.median(times) * 1000
--- a/loftrelay/demo/result.py
+++ b/loftrelay/demo/result.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from loftrelay.demo.scenario import AT_MOST_ONCE_CLASSES
-from loftrelay.store.state_machine import MessageRecord, StoredAnswer
+from loftrelay.store.state_machine import MessageRecord, StoredFinalStatus
 
 
 @dataclass
@@ -35,12 +35,14 @@
     @property
     def duplicates(self) -> int:
         """Executions beyond the first of at-most-once messages; others may be repeated after a kill."""
-        names = {entry.message for entry in self.entries if entry.facts.class_name in AT_MOST_ONCE_CLASSES}
+        names = {
+            entry.message_id for entry in self.entries if entry.metadata.class_name in AT_MOST_ONCE_CLASSES
+        }
         return sum(count - 1 for name, count in self.executions.items() if name in names)
 
     def disagreements(self) -> list[str]:
         """Returns one line for each contradiction between the accounts."""
-        recorded = {entry.message for entry in self.entries}
+        recorded = {entry.message_id for entry in self.entries}
         lines = list(self.store_faults)
         lines += [f"{name}: admitted, and not in the store" for name in sorted(self.admitted - recorded)]
         lines += [
@@ -51,12 +53,12 @@
 
     def _contradicted_entries(self) -> Iterator[str]:
         # One record a message: a later one replaces an earlier one.
-        for name, entry in {entry.message: entry for entry in self.entries}.items():
+        for name, entry in {entry.message_id: entry for entry in self.entries}.items():
             if entry.reported_at is None:
                 yield f"{name}: its final status is not reported"
                 continue
-            if entry.answer is StoredAnswer.FAILED:
+            if entry.final_status is StoredFinalStatus.FAILED:
                 continue  # it may have been executed, after a kill
-            if (entry.answer is StoredAnswer.DELIVERED) != (self.executions[name] > 0):
-                answer = entry.answer.value if entry.answer is not None else "no answer"
+            if (entry.final_status is StoredFinalStatus.DELIVERED) != (self.executions[name] > 0):
+                answer = entry.final_status.value if entry.final_status is not None else "no answer"
                 yield f"{name}: {answer}, executed {self.executions[name]} times"
