--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -32,7 +32,7 @@
 from loftrelay.decisions.simulator import read_settings
 from loftrelay.discovery.settings import SubscriptionSettings, load_subscription
 from loftrelay.discovery.subscriber import Subscriber
-from loftrelay.gossip.messages import State
+from loftrelay.gossip.messages import MemberState
 from loftrelay.gossip.transport import GossipTransport
 from loftrelay.net.address import Address
 from loftrelay.relay.ports import ResolutionStatus
@@ -270,7 +270,7 @@
 
     async def known(self) -> int:
         """How many others the one of them that knows the fewest holds to be alive."""
-        return min(sum(p.state is State.ALIVE for p in node.live_peers) for node in self._nodes())
+        return min(sum(p.state is MemberState.ALIVE for p in node.live_peers) for node in self._nodes())
 
     def _nodes(self) -> list[GossipTransport]:
         return [relay.node for relay in self.all.values() if relay.node is not None]
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -36,12 +36,12 @@
 from loftrelay.discovery.endpoint_list import decode_list
 from loftrelay.discovery.http_client import DiscoveryHttpClient
 from loftrelay.gossip.codec import decode, encode
-from loftrelay.gossip.messages import Datagram, Peer, Ping, State
+from loftrelay.gossip.messages import Datagram, MemberState, Peer, Ping
 from loftrelay.gossip.swim import Membership
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
 from loftrelay.relay.engine import Engine
-from loftrelay.service.assembly import build
+from loftrelay.service.assembly import build_engine
 from loftrelay.simulation.fleet import MS, SECOND, SimulatedFleet, SimulatedRelay
 from tests.standins.platform import SETTINGS, World, deliver, free_port
 from tests.standins.platform import Peer as Host
@@ -115,7 +115,7 @@
 def made(folder: Path) -> Engine:
     """A relay's engine, delivery, list and notices, with nobody at the other end."""
     settings = replace(read_settings(SETTINGS), polls_endpoint_list=True, awaits_final_status=True)
-    return build(Config("n", NOBODY, NOBODY, folder, 1, 100, 100, 1_000_000, settings, {}))[0]
+    return build_engine(Config("n", NOBODY, NOBODY, folder, 1, 100, 100, 1_000_000, settings, {}))[0]
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -476,7 +476,7 @@
             if other == name or not node.is_running:
                 continue
             known = node.membership.members.get(name)
-            gone = known is None or known.peer.state is State.DEAD
+            gone = known is None or known.peer.state is MemberState.DEAD
             if gone if there else not gone:
                 return False
             if there and known is not None and known.peer.incarnation_id != life:
--- a/loftrelay/gossip/codec.py
+++ b/loftrelay/gossip/codec.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from loftrelay.gossip.messages import Ack, Datagram, Peer, Ping, PingRequest, State
+from loftrelay.gossip.messages import Ack, Datagram, MemberState, Peer, Ping, PingRequest
 from loftrelay.gossip.operator_overrides import MAX_STAMP_MS, OperatorOverride
 
 MAGIC = b"LR"
@@ -61,7 +61,7 @@
     def to_peer(self) -> Peer:
         """The peer that this row describes."""
         address = (self.host, self.port)
-        return Peer(self.name, address, self.incarnation_id, self.incarnation, State(self.state))
+        return Peer(self.name, address, self.incarnation_id, self.incarnation, MemberState(self.state))
 
 
 class OverrideRow(msgspec.Struct, array_like=True):
--- a/loftrelay/gossip/local_member.py
+++ b/loftrelay/gossip/local_member.py
@@ -11,7 +11,7 @@
 from loftrelay.gossip.actions import NameConflict
 from loftrelay.gossip.broadcast_queue import BroadcastQueue
 from loftrelay.gossip.lifeguard import LocalHealth
-from loftrelay.gossip.messages import Peer, State
+from loftrelay.gossip.messages import MemberState, Peer
 from loftrelay.gossip.swim_config import SwimConfig
 
 CONFLICT_THRESHOLD = 8  # updates from another run, in a row; updates of an earlier run are fewer
@@ -42,12 +42,12 @@
         if update.precedence <= self.peer.precedence:
             return ()
         conflicts: Iterable[NameConflict] = ()
-        if update.incarnation_id != self.peer.incarnation_id and update.state is State.ALIVE:
+        if update.incarnation_id != self.peer.incarnation_id and update.state is MemberState.ALIVE:
             conflicts = self.check_name_conflict(update, now_us)
             if self.has_name_conflict:
                 return conflicts
         self._override(update)
-        if update.state is not State.ALIVE:
+        if update.state is not MemberState.ALIVE:
             self._health.degrade()
         return conflicts
 
--- a/loftrelay/gossip/member_table.py
+++ b/loftrelay/gossip/member_table.py
@@ -14,7 +14,7 @@
 from loftrelay.gossip.actions import StateChanged
 from loftrelay.gossip.broadcast_queue import BroadcastQueue
 from loftrelay.gossip.lifeguard import MAX_CONFIRMATIONS, LocalHealth, suspicion_timeout
-from loftrelay.gossip.messages import Peer, State
+from loftrelay.gossip.messages import MemberState, Peer
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
 
@@ -45,15 +45,15 @@
 
 # (what is held, state in the update) -> effect; all other pairs are ignored.
 TRANSITIONS = {
-    (Prior.UNKNOWN, State.ALIVE): Transition.SET_STATE,
-    (Prior.UNKNOWN, State.SUSPECT): Transition.START_SUSPICION,
-    (Prior.OLDER, State.ALIVE): Transition.SET_STATE,
-    (Prior.OLDER, State.SUSPECT): Transition.START_SUSPICION,
-    (Prior.OLDER, State.DEAD): Transition.SET_STATE,
-    (Prior.ALIVE, State.SUSPECT): Transition.START_SUSPICION,
-    (Prior.ALIVE, State.DEAD): Transition.SET_STATE,
-    (Prior.SUSPECT, State.SUSPECT): Transition.CONFIRM_SUSPICION,
-    (Prior.SUSPECT, State.DEAD): Transition.SET_STATE,
+    (Prior.UNKNOWN, MemberState.ALIVE): Transition.SET_STATE,
+    (Prior.UNKNOWN, MemberState.SUSPECT): Transition.START_SUSPICION,
+    (Prior.OLDER, MemberState.ALIVE): Transition.SET_STATE,
+    (Prior.OLDER, MemberState.SUSPECT): Transition.START_SUSPICION,
+    (Prior.OLDER, MemberState.DEAD): Transition.SET_STATE,
+    (Prior.ALIVE, MemberState.SUSPECT): Transition.START_SUSPICION,
+    (Prior.ALIVE, MemberState.DEAD): Transition.SET_STATE,
+    (Prior.SUSPECT, MemberState.SUSPECT): Transition.CONFIRM_SUSPICION,
+    (Prior.SUSPECT, MemberState.DEAD): Transition.SET_STATE,
 }
 
 
@@ -94,21 +94,21 @@
 
     def live_peers(self) -> list[Peer]:
         """Members that aren't declared dead."""
-        return [entry.peer for entry in self.entries.values() if entry.peer.state is not State.DEAD]
+        return [entry.peer for entry in self.entries.values() if entry.peer.state is not MemberState.DEAD]
 
     def live_names(self) -> list[str]:
         """Names of the members that aren't declared dead."""
-        return [name for name, entry in self.entries.items() if entry.peer.state is not State.DEAD]
+        return [name for name, entry in self.entries.items() if entry.peer.state is not MemberState.DEAD]
 
     def suspects(self) -> list[MemberEntry]:
         """Entries of suspected members."""
         entries = [self.entries[name] for name in self._unhealthy_names]
-        return [entry for entry in entries if entry.peer.state is State.SUSPECT]
+        return [entry for entry in entries if entry.peer.state is MemberState.SUSPECT]
 
     def dead_addresses(self) -> list[Address]:
         """Addresses of members that are declared dead and not yet removed."""
         peers = [self.entries[name].peer for name in self._unhealthy_names]
-        return [peer.address for peer in peers if peer.state is State.DEAD]
+        return [peer.address for peer in peers if peer.state is MemberState.DEAD]
 
     def name_at(self, address: Address) -> str:
         """Name of the member at an address; empty if there is none."""
@@ -123,7 +123,7 @@
         entry = self.entries.get(update.name)
         if (
             entry is not None
-            and update.state is not State.SUSPECT
+            and update.state is not MemberState.SUSPECT
             and update.precedence <= entry.peer.precedence
         ):
             return ()  # a shortcut for most updates: TRANSITIONS ignores these, too
@@ -147,12 +147,15 @@
         changes: list[StateChanged] = []
         for name in list(self._unhealthy_names):
             entry = self.entries[name]
-            if entry.peer.state is State.SUSPECT and now_us >= entry.suspicion_ends_us:
+            if entry.peer.state is MemberState.SUSPECT and now_us >= entry.suspicion_ends_us:
                 if is_isolated:
                     entry.suspicion_ends_us = now_us + self._config.suspicion_timeout_us
                 else:
-                    changes += self._set(replace(entry.peer, state=State.DEAD), now_us)
-            elif entry.peer.state is State.DEAD and now_us - entry.state_since_us > self._dead_retention_us:
+                    changes += self._set(replace(entry.peer, state=MemberState.DEAD), now_us)
+            elif (
+                entry.peer.state is MemberState.DEAD
+                and now_us - entry.state_since_us > self._dead_retention_us
+            ):
                 del self.entries[name], self._unhealthy_names[name]
         return changes
 
@@ -201,7 +204,7 @@
     def _set(self, peer: Peer, now_us: int) -> Iterable[StateChanged]:
         before = self.entries.get(peer.name)
         self.entries[peer.name] = MemberEntry(peer, now_us)
-        if peer.state is State.ALIVE:
+        if peer.state is MemberState.ALIVE:
             self._unhealthy_names.pop(peer.name, None)
         else:
             self._unhealthy_names[peer.name] = None
--- a/loftrelay/gossip/messages.py
+++ b/loftrelay/gossip/messages.py
@@ -8,7 +8,7 @@
 from loftrelay.net.address import Address
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """State of a member. At the same incarnation the higher value overrides the lower."""
 
     ALIVE = 0
@@ -32,7 +32,7 @@
     address: Address
     incarnation_id: int
     incarnation: int
-    state: State = State.ALIVE
+    state: MemberState = MemberState.ALIVE
 
     @property
     def precedence(self) -> tuple[int, int, int]:
--- a/loftrelay/gossip/probes.py
+++ b/loftrelay/gossip/probes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from loftrelay.gossip.member_table import MemberTable
-from loftrelay.gossip.messages import Peer, State
+from loftrelay.gossip.messages import MemberState, Peer
 from loftrelay.net.address import Address
 
 
@@ -47,5 +47,5 @@
                 if not self._names:
                     return None
             entry = table.entries.get(self._names.pop())
-            if entry is not None and entry.peer.state is not State.DEAD:
+            if entry is not None and entry.peer.state is not MemberState.DEAD:
                 return entry.peer
--- a/loftrelay/gossip/swim.py
+++ b/loftrelay/gossip/swim.py
@@ -16,7 +16,7 @@
 from loftrelay.gossip.lifeguard import LocalHealth
 from loftrelay.gossip.local_member import LocalMember
 from loftrelay.gossip.member_table import MemberEntry, MemberTable
-from loftrelay.gossip.messages import Ack, Datagram, Peer, Ping, PingRequest, State
+from loftrelay.gossip.messages import Ack, Datagram, MemberState, Peer, Ping, PingRequest
 from loftrelay.gossip.probes import ForwardedProbe, PendingProbe, ProbeOrder
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
@@ -191,7 +191,7 @@
 
         That one may be the only path to it.
         """
-        others = [p for p in self.live_peers() if p.name != target.name and p.state is State.ALIVE]
+        others = [p for p in self.live_peers() if p.name != target.name and p.state is MemberState.ALIVE]
         chosen = self.random.sample(others, min(INDIRECT_PROBES, len(others)))
         last = self._last_indirect_path.get(target.name)
         if last is not None and last not in (peer.name for peer in chosen):
@@ -208,10 +208,10 @@
         entry = self.members.get(probe.peer.name)
         if entry is None or not entry.peer.has_same_incarnation(probe.peer):
             return
-        if entry.peer.state is State.SUSPECT:
+        if entry.peer.state is MemberState.SUSPECT:
             self._probe_suspect(entry.peer)
-        elif entry.peer.state is State.ALIVE and not self.is_isolated(now_us):
-            suspected = replace(entry.peer, state=State.SUSPECT)
+        elif entry.peer.state is MemberState.ALIVE and not self.is_isolated(now_us):
+            suspected = replace(entry.peer, state=MemberState.SUSPECT)
             self._actions += self.table.apply(suspected, self.local.peer.name, now_us)
             self._probe_suspect(probe.peer)
 
--- a/loftrelay/gossip/transport.py
+++ b/loftrelay/gossip/transport.py
@@ -11,7 +11,7 @@
 
 from loftrelay.gossip.actions import Action, NameConflict, Send, StateChanged
 from loftrelay.gossip.codec import DatagramError, DatagramVersionError, decode, encode
-from loftrelay.gossip.messages import Datagram, Peer, State
+from loftrelay.gossip.messages import Datagram, MemberState, Peer
 from loftrelay.gossip.operator_overrides import OperatorOverride, Overrides
 from loftrelay.gossip.settings import MAX_NAME_BYTES, GossipSettings
 from loftrelay.gossip.swim import Membership
@@ -174,7 +174,7 @@
                     self._send(address, datagram)
                 case StateChanged(peer):
                     log.info("Relay %s at %s:%d is %s", peer.name, *peer.address, peer.state.name.lower())
-                    if peer.state is State.ALIVE:
+                    if peer.state is MemberState.ALIVE:
                         self.overrides.rebroadcast_all()
                 case NameConflict(address):
                     log.error(
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -23,22 +23,22 @@
 DEFAULT_POOL_SETTINGS = PoolSettings()
 
 
-def build(
+def build_engine(
     config: Config,
-    connections: PoolSettings = DEFAULT_POOL_SETTINGS,
+    pool_settings: PoolSettings = DEFAULT_POOL_SETTINGS,
     journal: Journal | None = None,
     store: MessageStore | None = None,
-    received: HandoverState | None = None,
+    received_state: HandoverState | None = None,
     subscription: SubscriptionSettings | None = None,
 ) -> tuple[Engine, Journal]:
     """Builds one relay and starts its engine, within a running event loop.
 
     Args:
         config: of the platform.
-        connections: limits of connections to hosts.
+        pool_settings: limits of connections to hosts.
         journal: the journal that a predecessor has handed over; None: the one in the state folder.
         store: the store of record, where the operator has set one.
-        received: the state of the predecessor; None: recover from the journal alone.
+        received_state: the state of the predecessor; None: recover from the journal alone.
         subscription: the registries, where destinations are subscribed to.
 
     Returns:
@@ -49,8 +49,8 @@
     """
     journal = journal or Journal(config.state_dir, config.journal_bytes)
     engine = Engine(config.seed, config.settings, journal, store)
-    delivery = _host_client(config, connections, journal, engine)
-    address = config.discovery if received is None else received.discovery
+    delivery = _host_client(config, pool_settings, journal, engine)
+    address = config.discovery if received_state is None else received_state.discovery
     discovery: EndpointDirectory
     subscribed: SubscribedDirectory | None = None
     if subscription is None:
@@ -58,8 +58,8 @@
     else:
         discovery = subscribed = _subscriber(config, subscription, address, engine)
     status_reporter = FinalStatusReporter(address, engine.final_statuses.report_acknowledged)
-    if received is not None:
-        engine.take_over(delivery, discovery, status_reporter, received, subscribed)
+    if received_state is not None:
+        engine.take_over(delivery, discovery, status_reporter, received_state, subscribed)
     else:
         disabled_hosts = DisabledHostsFile(config.state_dir).load()
         cached_list = config.cached_endpoint_list
@@ -67,12 +67,12 @@
     return engine, journal
 
 
-def _host_client(config: Config, connections: PoolSettings, journal: Journal, engine: Engine) -> HostClient:
+def _host_client(config: Config, pool_settings: PoolSettings, journal: Journal, engine: Engine) -> HostClient:
     return HostClient(
         config.settings.connect_timeout,
         config.settings.connection_idle_timeout,
         config.max_host_connections,
-        connections,
+        pool_settings,
         config.seed,
         journal.record_attempt,
         engine.attempts.attempt_ended,
--- a/loftrelay/service/gossip_member.py
+++ b/loftrelay/service/gossip_member.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from pathlib import Path
 
-from loftrelay.gossip.messages import State
+from loftrelay.gossip.messages import MemberState
 from loftrelay.gossip.operator_overrides import OperatorOverride, Overrides
 from loftrelay.gossip.settings import GossipSettings
 from loftrelay.gossip.transport import GossipTransport
@@ -98,8 +98,8 @@
         """Lines for the admin endpoint's statistics."""
         states = [peer.state for peer in self.transport.live_peers]
         metrics = {
-            "fleet_alive": states.count(State.ALIVE),
-            "fleet_suspected": states.count(State.SUSPECT),
+            "fleet_alive": states.count(MemberState.ALIVE),
+            "fleet_suspected": states.count(MemberState.SUSPECT),
             "fleet_calls": len(self.overrides.by_host),
             **{f"fleet_{name}": self.transport.counters[name] for name in TRANSPORT_COUNTERS},
         }
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -18,7 +18,7 @@
 from loftrelay.server.admin.commands import RelayAdmin
 from loftrelay.server.admin.server import AdminServer
 from loftrelay.server.http.server import HTTPServer
-from loftrelay.service.assembly import build
+from loftrelay.service.assembly import build_engine
 from loftrelay.service.configuration import ConfigurationReloader
 from loftrelay.state.disabled_hosts import DisabledHostsFile
 from loftrelay.upgrade.lock import Lock
@@ -210,7 +210,7 @@
     async def _start_engine(self, state: OwnedState) -> Engine:
         received = state.receiver.received_state if state.receiver is not None else None
         await self._open_store(state.journal)
-        engine, _ = build(
+        engine, _ = build_engine(
             self.config, self.connections, state.journal, self.recorder, received, self.subscription
         )
         self.admin.engine = engine
--- a/loftrelay/simulation/fleet.py
+++ b/loftrelay/simulation/fleet.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from loftrelay.gossip.actions import Action, NameConflict, Send, StateChanged
-from loftrelay.gossip.messages import Datagram, State
+from loftrelay.gossip.messages import Datagram, MemberState
 from loftrelay.gossip.swim import Membership
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
@@ -202,7 +202,7 @@
         incarnation_ids = {key: self.relays[key].membership.local.peer.incarnation_id for key in keys}
         for key in keys:
             peers = self.relays[key].membership.live_peers()
-            seen = {peer.name: peer.incarnation_id for peer in peers if peer.state is State.ALIVE}
+            seen = {peer.name: peer.incarnation_id for peer in peers if peer.state is MemberState.ALIVE}
             if seen != {other: value for other, value in incarnation_ids.items() if other != key}:
                 return False
         return True
@@ -243,7 +243,7 @@
                     relay.datagrams_sent += 1
                     self._send(key, relay.address, address, datagram)
                 case StateChanged(peer):
-                    if peer.state is State.DEAD:
+                    if peer.state is MemberState.DEAD:
                         relay.declared_dead.append(Death(self.now_us, peer.name, peer.incarnation_id))
                 case NameConflict():
                     relay.has_name_conflict = True
--- a/loftrelay/simulation/proxy.py
+++ b/loftrelay/simulation/proxy.py
@@ -95,10 +95,10 @@
         host, port = transport.get_extra_info("sockname")[:2]
         return host, port
 
-    def cut(self, sender: str, recipient: str, both: bool = True) -> None:
+    def cut(self, sender: str, recipient: str, both_directions: bool = True) -> None:
         """Lets nothing pass from one relay to another, by default in both directions."""
         self.faults[sender, recipient] = PathFaults(is_cut=True)
-        if both:
+        if both_directions:
             self.faults[recipient, sender] = PathFaults(is_cut=True)
 
     def heal(self) -> None:
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 
 from loftrelay.gossip.codec import MAX_DATAGRAM_BYTES, DatagramError, DatagramVersionError, decode, encode
-from loftrelay.gossip.messages import Ack, Datagram, Peer, Ping, PingRequest, State
+from loftrelay.gossip.messages import Ack, Datagram, MemberState, Peer, Ping, PingRequest
 from loftrelay.gossip.operator_overrides import OperatorOverride
 
 texts = st.text(max_size=40)
 numbers = st.integers(0, (1 << 63) - 1)
 peers = st.builds(
-    Peer, texts, st.tuples(texts, st.integers(1, 65535)), numbers, numbers, st.sampled_from(list(State))
+    Peer, texts, st.tuples(texts, st.integers(1, 65535)), numbers, numbers, st.sampled_from(list(MemberState))
 )
 news = st.lists(peers, max_size=24).map(tuple)
 datagrams = st.one_of(
@@ -90,7 +90,7 @@
 
 def test_bytes_of_each_kind_of_datagram_are_as_recorded() -> None:
     sender = Peer("a", ("127.0.0.1", 7), 1, 2)
-    suspected = Peer("b", ("::1", 8), 3, 4, State.SUSPECT)
+    suspected = Peer("b", ("::1", 8), 3, 4, MemberState.SUSPECT)
     overrides = [OperatorOverride("h", True, 5, "a")]
     assert encode("f", Ping(6, "b", sender, (suspected,)), overrides).hex() == GOLDEN["ping"]
     assert encode("f", Ack(6, sender, (suspected,)), []).hex() == GOLDEN["ack"]
--- a/tests/gossip/test_datagram_bytes.py
+++ b/tests/gossip/test_datagram_bytes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loftrelay.gossip.codec import decode, encode
-from loftrelay.gossip.messages import Ack, Datagram, Peer, Ping, PingRequest, State
+from loftrelay.gossip.messages import Ack, Datagram, MemberState, Peer, Ping, PingRequest
 from loftrelay.gossip.operator_overrides import OperatorOverride
 
 FIXTURE = Path(__file__).parents[1] / "fixtures" / "wire_32c0038" / "datagrams.jsonl"
@@ -18,7 +18,7 @@
 
 def peer(row: list[Any]) -> Peer:
     name, (host, port), incarnation_id, incarnation, state = row
-    return Peer(name, (host, port), incarnation_id, incarnation, State(state))
+    return Peer(name, (host, port), incarnation_id, incarnation, MemberState(state))
 
 
 def datagram(row: dict[str, Any], news: int | None = None) -> Datagram:
--- a/tests/gossip/test_swim.py
+++ b/tests/gossip/test_swim.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from loftrelay.gossip.messages import State
+from loftrelay.gossip.messages import MemberState
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.simulation.fleet import MS, SECOND, LinkFaults, SimulatedFleet
 
@@ -99,7 +99,7 @@
     f.run(f.now_us + 60 * SECOND)
     others = [name for name in f.relays if name != "r1"]
     assert not any(
-        p.state is State.DEAD for k in f.relays["r1"].membership.members.values() for p in [k.peer]
+        p.state is MemberState.DEAD for k in f.relays["r1"].membership.members.values() for p in [k.peer]
     )
     assert f.relays["r1"].membership.is_isolated(f.now_us)
     for name in others:
--- a/tests/program/test_fleet.py
+++ b/tests/program/test_fleet.py
@@ -131,7 +131,7 @@
         others = [0, 1, 2, 3]
         for n in others:
             way = (f"r{n}", "r4") if deaf else ("r4", f"r{n}")
-            fleet.proxy.cut(*way, both=False)
+            fleet.proxy.cut(*way, both_directions=False)
         await fleet.until_gone(others)
         await fleet.say(1, "disable-server h1")
         await fleet.shows("ejected", 1, others)
--- a/tests/relay/test_endpoint_list_cost.py
+++ b/tests/relay/test_endpoint_list_cost.py
@@ -24,7 +24,7 @@
 from loftrelay.discovery.endpoint_list import decode_rows
 from loftrelay.net.address import Address
 from loftrelay.relay.engine import Engine
-from loftrelay.service.assembly import build
+from loftrelay.service.assembly import build_engine
 from tests.relay.test_message_counts import close_engine, make_config
 from tests.standins.work import Walked, steps
 
@@ -59,7 +59,7 @@
     async def scenario() -> None:
         costs = []
         for size in (FEW_HOSTS, MANY_HOSTS):
-            engine, journal = build(make_config(tmp_path / str(size)))
+            engine, journal = build_engine(make_config(tmp_path / str(size)))
             apply_list(engine, EndpointListKind.FULL, *(make_entry(f"h{i}", i) for i in range(size)))
             assert len(engine.endpoints.entries) == size
             scheduler = engine.context.scheduler
@@ -100,7 +100,7 @@
             return [count_instances(each) - before for each, before in zip(types, counts_before, strict=True)]
 
         try:
-            engine, journal = build(make_config(tmp_path))
+            engine, journal = build_engine(make_config(tmp_path))
             for name in ("a", "b"):
                 apply_list(engine, EndpointListKind.DELTA, *(make_entry(f"{name}{i}", i) for i in range(100)))
             assert new_instances() == [201, 100, 201, 100]
@@ -147,7 +147,7 @@
         ]
         list_json = json.dumps(rows)
         del rows
-        engine, journal = build(make_config(tmp_path))
+        engine, journal = build_engine(make_config(tmp_path))
         gc.collect()
         tracemalloc.start()
         try:
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -22,7 +22,7 @@
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult, CallOptions, RecoveryAction, StoreDecision
 from loftrelay.server.http.server import HTTPServer
-from loftrelay.service.assembly import build
+from loftrelay.service.assembly import build_engine
 from tests.standins.platform import SETTINGS
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
@@ -35,7 +35,7 @@
     cached_list = {"revision": 1, "complete": True, "members": [row]}
     settings = read_settings(SETTINGS)
     config = Config("n", address, address, folder, 1, 100, 100, 1_000_000, settings, cached_list)
-    return build(config)[0]
+    return build_engine(config)[0]
 
 
 def test_server_keeps_timed_out_connection_with_unread_request(tmp_path: Path) -> None:
--- a/tests/relay/test_message_counts.py
+++ b/tests/relay/test_message_counts.py
@@ -26,7 +26,7 @@
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_state import Stage
 from loftrelay.relay.ports import AttemptResult
-from loftrelay.service.assembly import build
+from loftrelay.service.assembly import build_engine
 from tests.standins.platform import SETTINGS
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
@@ -178,7 +178,7 @@
     tmp_path: Path, seed: int
 ) -> None:
     async def main() -> None:
-        engine, _ = build(make_config(tmp_path))
+        engine, _ = build_engine(make_config(tmp_path))
         driver = RandomDriver(engine, seed)
         for _ in range(150):
             driver.step()
@@ -195,7 +195,7 @@
     """The successor has all messages that the predecessor did not end, and handles its calls in flight."""
 
     async def main() -> None:
-        predecessor, journal = build(make_config(tmp_path))
+        predecessor, journal = build_engine(make_config(tmp_path))
         driver = RandomDriver(predecessor, seed)
         for _ in range(80):
             driver.step()
@@ -208,7 +208,7 @@
         journal.close()
         successor_journal.take_ownership()
         ended_before = sum(predecessor.context.metrics.final_statuses.values())
-        successor, _ = build(make_config(tmp_path), journal=successor_journal, received=received)
+        successor, _ = build_engine(make_config(tmp_path), journal=successor_journal, received_state=received)
         assert set(successor.context.message_states.messages_in_stage(Stage.IN_FLIGHT_AT_PREDECESSOR)) == {
             message.id for message, _ in driver.in_flight
         }
@@ -234,7 +234,7 @@
     """Results that are forwarded during the pause take effect after `resume`."""
 
     async def main() -> None:
-        engine, _ = build(make_config(tmp_path))
+        engine, _ = build_engine(make_config(tmp_path))
         driver = RandomDriver(engine, 3)
         driver.last_number = 1
         now = wall_clock()
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -31,7 +31,7 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult, ResolutionStatus
-from loftrelay.service.assembly import build
+from loftrelay.service.assembly import build_engine
 from tests.standins.platform import SETTINGS
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
@@ -405,7 +405,7 @@
 
 def test_intake_without_subscription_rejects_unknown_destination(tmp_path: Path) -> None:
     async def scenario() -> None:
-        engine, _ = build(make_config(tmp_path))
+        engine, _ = build_engine(make_config(tmp_path))
         responses: Responses = {}
         submit_message(engine, responses, make_message("a"))
         assert responses == {"a": (503, 1000)}
