--- a/loftrelay/gossip/transport.py
+++ b/loftrelay/gossip/transport.py
@@ -178,7 +178,7 @@
                         self.overrides.rebroadcast_all()
                 case NameConflict(address):
                     log.error(
-                        "Relay at %s:%d goes by the name %s, too: this relay leaves the fleet",
+                        "gossip: relay at %s:%d also uses the name %s; this relay leaves the fleet",
                         *address,
                         self.name,
                     )
--- a/loftrelay/server/admin/commands.py
+++ b/loftrelay/server/admin/commands.py
@@ -23,7 +23,7 @@
 class OwnerProcess(Protocol):
     """Forwards commands to the process that owns the relay's state during a handover."""
 
-    def change(self, host: str, is_disabled: bool, done: OnDone, /) -> None:
+    def request_override(self, host: str, is_disabled: bool, done: OnDone, /) -> None:
         """Disables or enables a host there, now or once the owner is known."""
 
 
@@ -70,7 +70,7 @@
     def set_disabled(self, host: str, is_disabled: bool, done: OnDone) -> None:
         """Disables or enables a host; `done` is called once that is stored."""
         if self.owner is not None:
-            self.owner.change(host, is_disabled, done)
+            self.owner.request_override(host, is_disabled, done)
             return
         done(self._set_disabled(host, is_disabled, must_exist=True))
 
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -182,7 +182,7 @@
             return
         self.admin_server = AdminServer(self.admin)
         address = await self.admin_server.listen(self.config.admin_address)
-        log.info("%s accepts admin calls on %s:%d", self.config.name, *address)
+        log.info("%s accepts admin commands on %s:%d", self.config.name, *address)
 
     async def _acquire_state(self) -> OwnedState:
         """Owns the state folder: alone, or after the process that serves with the same socket."""
--- a/loftrelay/upgrade/__init__.py
+++ b/loftrelay/upgrade/__init__.py
@@ -1,6 +1,6 @@
-"""Replaces one process of a relay by the next while it serves: ownership of the state, and its handover.
+"""Handover of a running relay from one process, the predecessor, to the next one, the successor.
 
-The owner is the process that holds the lock of the state folder (`lock`). `state_machine` says who owns what
-in each step of a handover, on both sides; `sender` and `receiver` carry that out, over a Unix socket
-(`channel`) that takes `messages` and descriptors.
+The process that holds the lock of the state folder (`lock`) owns the relay's state. `state_machine` defines
+the steps of a handover for both processes; `sender` and `receiver` carry them out. They exchange `messages`
+and file descriptors over a Unix socket (`channel`).
 """
--- a/loftrelay/upgrade/channel.py
+++ b/loftrelay/upgrade/channel.py
@@ -1,7 +1,8 @@
-"""Messages and descriptors between two processes of one relay, over a Unix socket in the state folder.
+"""Channel for messages and file descriptors between two processes of one relay: a Unix socket.
 
-A frame is the size of its JSON object and the number of its descriptors (4 bytes each, big-endian), then the
-object. The descriptors travel with its first byte (SCM_RIGHTS, unix(7)).
+A frame starts with the size of its JSON object in bytes and its number of descriptors, 4 bytes each,
+big-endian, followed by the object. The descriptors are sent with the first byte (SCM_RIGHTS, unix(7)). The
+socket is in the state folder.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 from typing import Any
 
 SOCKET_NAME = "upgrade.sock"
-HEADER = struct.Struct(">II")  # bytes of the JSON object, descriptors that come with it
+HEADER = struct.Struct(">II")  # size of the JSON object in bytes, number of descriptors
 MAX_MESSAGE_BYTES = 64 << 20
-MAX_DESCRIPTORS = 200  # in one message; the system takes 253
+MAX_DESCRIPTORS = 200  # in one message; the kernel accepts 253
 READ_BYTES = 1 << 18
-BACKLOG = 4  # connections that wait to be accepted
-DESCRIPTOR_RETRY_DELAY_S = 0.005  # while the system has too many descriptors in flight
+LISTEN_BACKLOG = 4  # connections waiting to be accepted
+DESCRIPTOR_RETRY_DELAY_S = 0.005  # while the kernel has too many descriptors in flight (ETOOMANYREFS)
 
 
 class ChannelError(OSError):
-    """What was received is no frame."""
+    """The received data is not a valid frame."""
 
 
 class Channel:
-    """One end of a connection. Received descriptors belong to the callee of `on_message`."""
+    """One end of a connection. `on_message` becomes the owner of the descriptors that it is given."""
 
     def __init__(
         self,
@@ -41,20 +42,20 @@
         on_message: Callable[[dict[str, Any], list[int]], None],
         on_lost: Callable[[], None],
     ) -> None:
-        """Begins to read.
+        """Starts reading.
 
         Args:
-            sock: A connected socket; it belongs to the channel from now on.
-            on_message: Called with each object and its descriptors. A ValueError that it raises ends the
-                channel.
-            on_lost: Called once when the channel ends otherwise than by `close`.
+            sock: A connected socket, which the channel owns from now on.
+            on_message: Called with each received object and its descriptors. If it raises a ValueError, the
+                channel is closed.
+            on_lost: Called once if the channel is closed for any reason other than `close`.
         """
         sock.setblocking(False)
         self.sock = sock
         self.on_message = on_message
         self.on_lost = on_lost
         self.is_closed = False
-        self._data = bytearray()
+        self._received = bytearray()
         self._descriptors: deque[int] = deque()
         self._unsent: deque[tuple[memoryview, list[int]]] = deque()
         self._loop = asyncio.get_running_loop()
@@ -62,58 +63,63 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether a message waits to be sent."""
+        """Whether a queued message is not completely sent."""
         return bool(self._unsent)
 
     def send(self, message: dict[str, Any], descriptors: Sequence[int] = ()) -> None:
-        """Queues a message. Its descriptors are duplicated at once: the caller may close its own."""
+        """Queues a message. Its descriptors are duplicated at once, so the caller may close them."""
         if self.is_closed:
             return
         body = json.dumps(message, separators=(",", ":")).encode()
-        copies = [os.dup(descriptor) for descriptor in descriptors]
-        self._unsent.append((memoryview(HEADER.pack(len(body), len(copies)) + body), copies))
-        self._write()
+        duplicates = [os.dup(descriptor) for descriptor in descriptors]
+        self._unsent.append((memoryview(HEADER.pack(len(body), len(duplicates)) + body), duplicates))
+        self._flush()
 
     def close(self) -> None:
-        """Ends the channel. What was not sent or not delivered is dropped."""
+        """Closes the channel and drops what is not sent or not delivered."""
         if self.is_closed:
             return
         self.is_closed = True
         self._loop.remove_reader(self.sock.fileno())
         self._loop.remove_writer(self.sock.fileno())
         self.sock.close()
-        for descriptor in (*self._descriptors, *(copy for _, copies in self._unsent for copy in copies)):
+        for descriptor in (
+            *self._descriptors,
+            *(duplicate for _, duplicates in self._unsent for duplicate in duplicates),
+        ):
             os.close(descriptor)
         self._descriptors.clear()
         self._unsent.clear()
 
-    def _write(self) -> None:
+    def _flush(self) -> None:
         while self._unsent and not self.is_closed:
-            if not self._write_first():
+            if not self._send_first():
                 return
         if not self.is_closed:
             self._loop.remove_writer(self.sock.fileno())
 
-    def _write_first(self) -> bool:
-        """Writes from the first message in the queue. Returns False when the socket takes nothing now."""
-        data, copies = self._unsent[0]
-        ancillary = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", copies))] if copies else []
+    def _send_first(self) -> bool:
+        """Writes part of the first queued message; returns False if the socket accepts nothing now."""
+        data, duplicates = self._unsent[0]
+        ancillary = (
+            [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", duplicates))] if duplicates else []
+        )
         try:
             written = self.sock.sendmsg([data], ancillary)
         except BlockingIOError:
-            self._loop.add_writer(self.sock.fileno(), self._write)
+            self._loop.add_writer(self.sock.fileno(), self._flush)
             return False
         except OSError as error:
             if error.errno == errno.ETOOMANYREFS:
-                self._loop.call_later(DESCRIPTOR_RETRY_DELAY_S, self._write)
+                self._loop.call_later(DESCRIPTOR_RETRY_DELAY_S, self._flush)
             else:
-                self._end()
+                self._close_as_lost()
             return False
-        for copy in copies:
-            os.close(copy)
-        copies.clear()  # they went with the first byte
+        for duplicate in duplicates:
+            os.close(duplicate)
+        duplicates.clear()  # sent with the first byte
         if written < len(data):
-            self._unsent[0] = data[written:], copies
+            self._unsent[0] = data[written:], duplicates
         else:
             self._unsent.popleft()
         return True
@@ -124,44 +130,49 @@
         except BlockingIOError:
             return
         except OSError:
-            self._end()
+            self._close_as_lost()
             return
         self._descriptors.extend(descriptors)
-        self._data += data
+        self._received += data
         if not data or flags & socket.MSG_CTRUNC:
-            self._end()
+            self._close_as_lost()
             return
         try:
             self._deliver()
         except (ValueError, ChannelError, RecursionError):
-            self._end()
+            self._close_as_lost()
 
     def _deliver(self) -> None:
-        while not self.is_closed and len(self._data) >= HEADER.size:
-            size, count = HEADER.unpack_from(self._data)
+        while not self.is_closed and len(self._received) >= HEADER.size:
+            size, count = HEADER.unpack_from(self._received)
             if size > MAX_MESSAGE_BYTES or count > MAX_DESCRIPTORS:
-                raise ChannelError("a frame exceeds the limits of a message")
-            if len(self._data) < HEADER.size + size:
+                raise ChannelError(
+                    f"frame has {size} bytes and {count} descriptors; at most {MAX_MESSAGE_BYTES} bytes and"
+                    f" {MAX_DESCRIPTORS} descriptors are allowed"
+                )
+            if len(self._received) < HEADER.size + size:
                 return
             if len(self._descriptors) < count:
-                raise ChannelError("a frame came without its descriptors")
-            message = json.loads(self._data[HEADER.size : HEADER.size + size])
-            del self._data[: HEADER.size + size]
+                raise ChannelError(
+                    f"frame needs {count} descriptors; only {len(self._descriptors)} were received"
+                )
+            message = json.loads(self._received[HEADER.size : HEADER.size + size])
+            del self._received[: HEADER.size + size]
             if not isinstance(message, dict):
-                raise ChannelError("a frame holds no JSON object")
+                raise ChannelError(f"frame is a JSON {type(message).__name__}; an object is required")
             self.on_message(message, [self._descriptors.popleft() for _ in range(count)])
 
-    def _end(self) -> None:
+    def _close_as_lost(self) -> None:
         if not self.is_closed:
             self.close()
             self.on_lost()
 
 
 class Listener:
-    """Accepts the process that is to follow this one."""
+    """Accepts connections of processes that are to take over from this one."""
 
     def __init__(self, folder: Path, on_connection: Callable[[socket.socket], None]) -> None:
-        """Listens, in place of an earlier process whose socket is left in the folder.
+        """Starts listening; replaces a socket that an earlier process left in the folder.
 
         Args:
             folder: The state folder.
@@ -184,12 +195,12 @@
             raise
         finally:
             os.close(folder_descriptor)
-        self._sock.listen(BACKLOG)
+        self._sock.listen(LISTEN_BACKLOG)
         self._sock.setblocking(False)
         self._loop.add_reader(self._sock.fileno(), self._accept)
 
     def close(self) -> None:
-        """Stops listening. The socket's name stays: it may be the next process's own by now."""
+        """Stops listening. The socket file stays, since it may already be the successor's."""
         if self._sock.fileno() >= 0:
             self._loop.remove_reader(self._sock.fileno())
             self._sock.close()
@@ -200,7 +211,7 @@
 
 
 def connect(folder: Path) -> socket.socket | None:
-    """A connection to the process that serves from this state folder; None where none listens."""
+    """Connects to the process that serves from this state folder; returns None if none listens."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
         folder_descriptor, path = _open_socket_path(folder)
@@ -215,6 +226,9 @@
 
 
 def _open_socket_path(folder: Path) -> tuple[int, str]:
-    """An open descriptor of the folder and a path by it: that of a deep folder exceeds a socket's name."""
+    """Returns an open descriptor of the folder, and the socket's path relative to that descriptor.
+
+    The absolute path of a deep folder may exceed the maximum length of a Unix socket's path.
+    """
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     return descriptor, f"/proc/self/fd/{descriptor}/{SOCKET_NAME}"
--- a/loftrelay/upgrade/lock.py
+++ b/loftrelay/upgrade/lock.py
@@ -1,4 +1,4 @@
-"""The lock of the state folder. Its holder owns the state; the system releases it with the last holder."""
+"""Lock of the state folder. Its holder owns the state; the kernel releases it with the last descriptor."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 class Lock:
     """A lock that this process holds (flock(2)).
 
-    It belongs to the open file: a descriptor that is passed to another process passes the lock on.
+    The lock belongs to the open file description, so passing the descriptor to another process passes the
+    lock.
     """
 
     def __init__(self, descriptor: int) -> None:
-        """Args: `descriptor` of the locked file; it belongs to this object from now on."""
+        """Wraps the `descriptor` of the locked file, which this object owns from now on."""
         self.descriptor = descriptor
 
     @classmethod
     def acquire(cls, folder: Path) -> Lock | None:
-        """Takes the lock of a state folder, which is made if it is not there.
+        """Acquires the lock of a state folder, which is created if it is missing.
 
         Returns:
-            None while another process holds it.
+            The lock; None if another process holds it.
 
         Raises:
             OSError: The folder can't be used.
@@ -42,7 +43,7 @@
         return cls(descriptor)
 
     def release(self) -> None:
-        """Closes this process's descriptor. A lock that was passed on stays with the process that has it."""
+        """Closes this process's descriptor. A lock passed to another process stays held there."""
         if self.descriptor >= 0:
             os.close(self.descriptor)
             self.descriptor = -1
--- a/loftrelay/upgrade/messages.py
+++ b/loftrelay/upgrade/messages.py
@@ -1,7 +1,7 @@
-"""What two processes of one relay tell each other in a handover, and its form on the channel.
+"""Messages that two processes of one relay exchange in a handover, and their encoding on the channel.
 
-A message is a JSON object whose field "is" names its kind; WIRE_KINDS maps these names. Performs no input or
-output.
+A message is a JSON object whose field "is" names its kind; WIRE_KINDS maps these names to the classes.
+Does no input or output.
 """
 
 from __future__ import annotations
@@ -15,197 +15,205 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverRequested:
-    """The successor wants to take over."""
+    """The successor requests the handover."""
 
     pid: int
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
+        """Returns the fields of the message on the channel."""
         return {"pid": self.pid}
 
     @classmethod
     def read(cls, wire: dict[str, Any]) -> HandoverRequested:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls(wire.get("pid", 0))
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverRefused:
-    """The predecessor does not hand over."""
+    """The predecessor refuses the handover."""
 
     reason: str
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
+        """Returns the fields of the message on the channel."""
         return {"why": self.reason}
 
     @classmethod
     def read(cls, wire: dict[str, Any]) -> HandoverRefused:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls(str(wire.get("why")))
 
 
 @dataclass(frozen=True, slots=True)
 class StateExported:
-    """The predecessor has paused. `state`: as `relay.handover.write_state` gives it."""
+    """The predecessor has paused and sends its state, as returned by `relay.handover_state.write_state`."""
 
     state: dict[str, Any]
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
+        """Returns the fields of the message on the channel."""
         return self.state
 
     @classmethod
     def read(cls, wire: dict[str, Any]) -> StateExported:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls(wire)
 
 
 @dataclass(frozen=True, slots=True)
 class StateLoaded:
-    """The successor can continue. `is_journal_only`: it could not use the exported state."""
+    """The successor has loaded the state.
+
+    Attributes:
+        is_journal_only: It could not use the exported state, and continues from the journal alone.
+    """
 
     is_journal_only: bool
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
+        """Returns the fields of the message on the channel."""
         return {"plain": self.is_journal_only}
 
     @classmethod
     def read(cls, wire: dict[str, Any]) -> StateLoaded:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls(bool(wire.get("plain")))
 
 
 @dataclass(frozen=True, slots=True)
 class OwnershipReleased:
-    """The successor owns the state. The descriptor of the lock comes with it."""
+    """The successor owns the state from now on. The message carries the descriptor of the lock."""
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
+        """Returns the fields of the message on the channel."""
         return {}
 
     @classmethod
     def read(cls, _: dict[str, Any]) -> OwnershipReleased:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls()
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """An attempt of the predecessor ended."""
+    """An attempt of the predecessor has ended."""
 
     message_id: str
     host: str
     result: AttemptResult
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
+        """Returns the fields of the message on the channel."""
         return {"id": self.message_id, "host": self.host, "how": write_attempt_result(self.result)}
 
     @classmethod
     def read(cls, wire: dict[str, Any]) -> AttemptOutcome:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls(wire["id"], wire["host"], read_attempt_result(wire["how"]))
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfterReceived:
-    """A host has asked the predecessor to wait."""
+    """The predecessor has received a Retry-After from a host."""
 
     host: str
-    wait: int  # microseconds
+    delay_us: int
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
-        return {"host": self.host, "wait": self.wait}
+        """Returns the fields of the message on the channel."""
+        return {"host": self.host, "wait": self.delay_us}
 
     @classmethod
     def read(cls, wire: dict[str, Any]) -> RetryAfterReceived:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls(wire["host"], int(wire["wait"]))
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeDisputed:
-    """A message may have run, though the outcome of its attempt had ruled that out."""
+    """A message may have run, although the reported outcome of its attempt had ruled that out."""
 
     message_id: str
     host: str
-    started_at: int  # of the attempt; wall-clock microseconds
+    started_at_us: int  # start of the attempt, wall clock
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
-        return {"id": self.message_id, "host": self.host, "at": self.started_at}
+        """Returns the fields of the message on the channel."""
+        return {"id": self.message_id, "host": self.host, "at": self.started_at_us}
 
     @classmethod
     def read(cls, wire: dict[str, Any]) -> OutcomeDisputed:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls(wire["id"], wire["host"], int(wire["at"]))
 
 
 @dataclass(frozen=True, slots=True)
 class OverrideRequested:
-    """An operator has disabled or enabled a host at the predecessor's admin endpoint."""
+    """An operator has requested at the predecessor's admin endpoint to disable or enable a host."""
 
-    number: int  # of the request, by which it is answered
+    number: int  # identifies the request in its answer
     host: str
     is_disabled: bool
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
+        """Returns the fields of the message on the channel."""
         return {"n": self.number, "host": self.host, "out": self.is_disabled}
 
     @classmethod
     def read(cls, wire: dict[str, Any]) -> OverrideRequested:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls(wire["n"], wire["host"], bool(wire["out"]))
 
 
 @dataclass(frozen=True, slots=True)
 class OverrideAnswered:
-    """The successor's answer to an OverrideRequested."""
+    """The successor's answer to the OverrideRequested with the same number."""
 
     number: int
-    error: str | None
+    error: str | None  # why it failed; None if it was applied
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
+        """Returns the fields of the message on the channel."""
         return {"n": self.number, "why": self.error}
 
     @classmethod
     def read(cls, wire: dict[str, Any]) -> OverrideAnswered:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls(int(wire["n"]), wire.get("why"))
 
 
 @dataclass(frozen=True, slots=True)
 class ClientTransferred:
-    """A client's connection, with its descriptor. `connection`: its row, as the server writes it."""
+    """A client's connection; the message carries its descriptor.
+
+    Attributes:
+        connection: State of the connection, as written by `ConnectionState.row`.
+    """
 
     connection: dict[str, Any]
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
+        """Returns the fields of the message on the channel."""
         return self.connection
 
     @classmethod
     def read(cls, wire: dict[str, Any]) -> ClientTransferred:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls(wire)
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationReplaced:
-    """The predecessor was told to read the platform's configuration again."""
+    """The predecessor has received a SIGHUP: the platform's configuration is to be reloaded."""
 
     def fields(self) -> dict[str, Any]:
-        """The fields on the channel, by their names there."""
+        """Returns the fields of the message on the channel."""
         return {}
 
     @classmethod
     def read(cls, _: dict[str, Any]) -> ConfigurationReplaced:
-        """Reads the message from its fields."""
+        """Parses the fields of the message on the channel."""
         return cls()
 
 
@@ -237,29 +245,29 @@
     "changed": OverrideAnswered,
     "client": ClientTransferred,
     "file": ConfigurationReplaced,
-}  # name on the channel -> message
-_KIND_NAMES: dict[type[HandoverMessage], str] = {kind: name for name, kind in WIRE_KINDS.items()}
+}  # kind on the channel -> class of the message
+_WIRE_KIND_BY_CLASS: dict[type[HandoverMessage], str] = {kind: name for name, kind in WIRE_KINDS.items()}
 
 
 def write_message(message: HandoverMessage) -> dict[str, Any]:
-    """The message as an object for the channel."""
-    return {"is": _KIND_NAMES[type(message)], **message.fields()}
+    """Returns a message as an object for the channel."""
+    return {"is": _WIRE_KIND_BY_CLASS[type(message)], **message.fields()}
 
 
 def read_message(wire: dict[str, Any]) -> HandoverMessage | None:
-    """Reads an object from the channel.
+    """Parses an object from the channel.
 
     Returns:
-        None for a kind that is not known: a later program may have more.
+        The message; None if its kind is unknown, since later versions may have further kinds.
 
     Raises:
         HandoverError: A field is missing or malformed.
     """
-    name_of_kind = wire.get("is")
-    kind = WIRE_KINDS.get(name_of_kind) if isinstance(name_of_kind, str) else None
+    kind_name = wire.get("is")
+    kind = WIRE_KINDS.get(kind_name) if isinstance(kind_name, str) else None
     if kind is None:
         return None
     try:
         return kind.read({name: value for name, value in wire.items() if name != "is"})
     except (KeyError, TypeError, ValueError) as error:
-        raise HandoverError(f"message {wire['is']!r}: {error!r}") from error
+        raise HandoverError(f"handover message of kind {wire['is']!r} is invalid: {error!r}") from error
--- a/loftrelay/upgrade/state_machine.py
+++ b/loftrelay/upgrade/state_machine.py
@@ -1,35 +1,34 @@
-"""Who owns the state in each step of a handover, on both sides. Performs no input or output.
+"""State machines of the two processes of a handover. Does no input or output.
 
-The owner is the process that holds the lock of the state folder; it alone writes the journal, calls hosts,
-admits messages and reports final statuses. A handover has these steps:
+The owner is the process that holds the lock of the state folder. Only the owner writes the journal, calls
+hosts, admits messages and reports final statuses. A handover has these steps:
 
     successor                           predecessor
-    connects, requests the handover  -> pauses: it still owns all, and decides nothing
-    reads state and journal          <- exports its state
-    reports that it has loaded them  -> releases the lock and the journal, in one step
-    owns all, and continues          <- transfers clients, and outcomes of attempts in flight
-
-A process that is lost before the release leaves the predecessor as it was. A successor that is lost after it
-has the predecessor start again from the journal, once it gets the lock; one that was requested to stop exits
-instead. Events that a table below does not name for a state change nothing. Times are microseconds on any one
-clock.
+    connects, requests the handover  -> pauses: still the owner, but makes no decisions
+    loads state and journal          <- exports its state
+    reports that they are loaded     -> releases the lock and the journal in one step
+    is the owner, and continues      <- transfers clients, and forwards outcomes of attempts in flight
+
+If the successor is lost before the release, the predecessor resumes serving. If it is lost afterwards, the
+predecessor restarts from the journal once it gets the lock; a predecessor that was requested to stop exits
+instead. An event without an entry for the current state in the tables below has no effect. Times are
+microseconds on any one clock.
 """
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
-MAX_HANDOVER_PAUSE_US = (
-    1_500_000  # clients wait 400 ms for an answer; a longer pause would only reject more of them
-)
-RETRY_DELAY_US = 50_000  # between the attempts of a successor to get the lock or to reach a predecessor
+# Clients wait 400 ms for a response, so a longer pause would only reject more of them.
+MAX_HANDOVER_PAUSE_US = 1_500_000
+RETRY_DELAY_US = 50_000  # between a successor's attempts to acquire the lock or to connect to a predecessor
 
 
 class PredecessorState(Enum):
-    """Where the serving process stands. Those named STOPPING were also requested to stop."""
+    """States of the serving process. In those named STOPPING, it was also requested to stop."""
 
     SERVING = auto()
-    STOPPING = auto()  # as the owner of all
+    STOPPING = auto()  # as the owner
     PAUSED = auto()
     PAUSED_STOPPING = auto()
     HANDED_OVER = auto()
@@ -37,27 +36,27 @@
 
 
 class PredecessorEvent(Enum):
-    """What the serving process learns."""
+    """Events at the serving process."""
 
-    REQUESTED = auto()  # another process wants to take over
-    LOADED = auto()  # it has read state and journal
-    TIMED_OUT = auto()  # it did not do so in time
+    REQUESTED = auto()  # a successor requested the handover
+    LOADED = auto()  # the successor has loaded state and journal
+    TIMED_OUT = auto()  # the successor exceeded the maximum pause
     CHANNEL_LOST = auto()
     STOP_REQUESTED = auto()
 
 
 class PredecessorAction(Enum):
-    """What the serving process has to do."""
+    """Actions that the serving process executes."""
 
     REFUSE = auto()
     PAUSE = auto()
     EXPORT_STATE = auto()
-    RESUME = auto()  # serve on as if no handover had been requested
+    RESUME = auto()  # serving, as if no handover had been requested
     RELEASE = auto()  # the lock and the journal, in one step
     TRANSFER = auto()  # clients, and outcomes of attempts in flight
-    STOP = auto()  # in order, as the owner of all
-    EXIT = auto()  # once no attempt of its own is in flight
-    RESTART = auto()  # start again from the journal, in this process
+    STOP = auto()  # gracefully, as the owner
+    EXIT = auto()  # once no attempt of this process is in flight
+    RESTART = auto()  # from the journal, in the same process
 
 
 _PREDECESSOR_TRANSITIONS: dict[
@@ -108,7 +107,7 @@
 
 
 class Predecessor:
-    """The side of the serving process."""
+    """State machine of the serving process."""
 
     def __init__(self) -> None:
         self.state = PredecessorState.SERVING
@@ -121,31 +120,31 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether a request for a handover is accepted."""
+        """Whether a request for a handover would be accepted."""
         return self.state is PredecessorState.SERVING
 
     def on_request(self, now: int) -> tuple[PredecessorAction, ...]:
-        """Another process wants to take over."""
+        """Handles a request for a handover; returns the actions to execute, as the other methods do."""
         if self.is_serving:
             self._pause_ends_at = now + MAX_HANDOVER_PAUSE_US
         return self._apply(PredecessorEvent.REQUESTED)
 
     def on_loaded(self, now: int) -> tuple[PredecessorAction, ...]:
-        """The successor has read state and journal. Too late a report counts as none."""
+        """Handles the successor's report that it has loaded the state; a late one counts as a timeout."""
         return self._apply(
             PredecessorEvent.TIMED_OUT if now >= self._pause_ends_at else PredecessorEvent.LOADED
         )
 
     def on_timer(self, now: int) -> tuple[PredecessorAction, ...]:
-        """The longest pause may be over."""
+        """Handles the timer of the pause; has no effect before the maximum pause has passed."""
         return self._apply(PredecessorEvent.TIMED_OUT) if now >= self._pause_ends_at else ()
 
     def on_channel_lost(self) -> tuple[PredecessorAction, ...]:
-        """The channel to the successor has ended."""
+        """Handles the loss of the channel to the successor."""
         return self._apply(PredecessorEvent.CHANNEL_LOST)
 
     def on_stop_requested(self) -> tuple[PredecessorAction, ...]:
-        """The process is to end."""
+        """Handles a request to stop this process."""
         return self._apply(PredecessorEvent.STOP_REQUESTED)
 
     def _apply(self, event: PredecessorEvent) -> tuple[PredecessorAction, ...]:
@@ -154,34 +153,34 @@
 
 
 class SuccessorState(Enum):
-    """Where a process stands that wants to serve."""
+    """States of a process that is to serve."""
 
-    TRYING = auto()  # to get the lock, or to reach a predecessor
+    TRYING = auto()  # to acquire the lock or to connect to a predecessor
     REQUESTED = auto()
     LOADED = auto()
     OWNER = auto()
 
 
 class SuccessorEvent(Enum):
-    """What a process learns that wants to serve."""
+    """Events at a process that is to serve."""
 
     LOCK_ACQUIRED = auto()  # no other process owns the state
     CONNECTED = auto()  # to a predecessor
-    UNREACHABLE = auto()  # neither the lock nor a predecessor
+    UNREACHABLE = auto()  # the lock is held, and its holder accepts no connection
     STATE_RECEIVED = auto()  # the predecessor has paused
-    OWNERSHIP_RECEIVED = auto()  # with the lock
-    CHANNEL_LOST = auto()  # or the predecessor refuses
+    OWNERSHIP_RECEIVED = auto()  # the lock was received
+    CHANNEL_LOST = auto()  # or the predecessor refused the handover
 
 
 class SuccessorAction(Enum):
-    """What a process has to do that wants to serve."""
+    """Actions that a process that is to serve executes."""
 
     REQUEST = auto()
-    LOAD = auto()  # state and journal; nothing is written
+    LOAD = auto()  # state and journal, without writing
     REPORT_LOADED = auto()
-    DISCARD = auto()  # all that was loaded: another process goes on owning it
+    DISCARD = auto()  # everything loaded, since another process remains the owner
     START = auto()  # from the journal alone
-    CONTINUE = auto()  # with what was handed over
+    CONTINUE = auto()  # with the state that was handed over
     RETRY = auto()
 
 
@@ -206,7 +205,8 @@
     SuccessorEvent.OWNERSHIP_RECEIVED: {
         SuccessorState.LOADED: (SuccessorState.OWNER, (SuccessorAction.CONTINUE,)),
     },
-    SuccessorEvent.CHANNEL_LOST: {  # for an owner, attempts that are still in flight there count as broken
+    # No entry for OWNER: it continues, and attempts still in flight at the predecessor count as broken.
+    SuccessorEvent.CHANNEL_LOST: {
         SuccessorState.TRYING: (SuccessorState.TRYING, (SuccessorAction.RETRY,)),
         SuccessorState.REQUESTED: (SuccessorState.TRYING, (SuccessorAction.RETRY,)),
         SuccessorState.LOADED: (SuccessorState.TRYING, (SuccessorAction.DISCARD, SuccessorAction.RETRY)),
@@ -215,7 +215,7 @@
 
 
 class Successor:
-    """The side of the process that is to serve."""
+    """State machine of a process that is to serve."""
 
     def __init__(self) -> None:
         self.state = SuccessorState.TRYING
@@ -225,22 +225,26 @@
         """Whether this process owns the state."""
         return self.state is SuccessorState.OWNER
 
-    def on_try(self, is_locked: bool, is_connected: bool) -> tuple[SuccessorAction, ...]:
-        """Whether the lock was free and is held now, and whether a predecessor was reached."""
-        if is_locked:
+    def on_acquire_attempted(self, has_lock: bool, is_connected: bool) -> tuple[SuccessorAction, ...]:
+        """Handles the result of an attempt to acquire the lock, or else to connect to a predecessor.
+
+        Returns:
+            The actions to execute, as the other methods do.
+        """
+        if has_lock:
             return self._apply(SuccessorEvent.LOCK_ACQUIRED)
         return self._apply(SuccessorEvent.CONNECTED if is_connected else SuccessorEvent.UNREACHABLE)
 
     def on_state_received(self) -> tuple[SuccessorAction, ...]:
-        """The predecessor has paused and exported its state."""
+        """Handles the exported state of the predecessor, which has paused."""
         return self._apply(SuccessorEvent.STATE_RECEIVED)
 
     def on_ownership_received(self) -> tuple[SuccessorAction, ...]:
-        """The predecessor has released the lock to this process."""
+        """Handles the lock that the predecessor has released to this process."""
         return self._apply(SuccessorEvent.OWNERSHIP_RECEIVED)
 
     def on_channel_lost(self) -> tuple[SuccessorAction, ...]:
-        """The channel has ended, or the predecessor refuses."""
+        """Handles the loss of the channel, or a refusal of the predecessor."""
         return self._apply(SuccessorEvent.CHANNEL_LOST)
 
     def _apply(self, event: SuccessorEvent) -> tuple[SuccessorAction, ...]:
