--- a/loftrelay/gossip/actions.py
+++ b/loftrelay/gossip/actions.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a datagram."""
+    """Send a datagram to an address."""
 
     address: Address
     datagram: Datagram
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChanged:
-    """A member's state or its incarnation id has changed."""
+    """The state or the incarnation id of a member has changed."""
 
     peer: Peer
 
 
 @dataclass(frozen=True, slots=True)
 class NameConflict:
-    """Another relay uses the name of this one, which takes no further part in the fleet."""
+    """Another relay uses the name of this one, which therefore leaves the fleet."""
 
     other_address: Address
 
--- a/loftrelay/gossip/broadcast_queue.py
+++ b/loftrelay/gossip/broadcast_queue.py
@@ -1,7 +1,7 @@
 """Queue of updates that are disseminated by piggybacking on other datagrams.
 
 Each update is sent RETRANSMIT_MULT * log2(n) times by each relay, the least transmitted first (SWIM,
-section 4.1). No input or output.
+section 4.1). Does no input or output.
 """
 
 from __future__ import annotations
@@ -16,7 +16,11 @@
 
 
 def retransmit_limit(cluster_size: int) -> int:
-    """Number of times that one relay transmits an update in a cluster of that many other relays."""
+    """Returns how often one relay transmits an update.
+
+    Args:
+        cluster_size: Number of other relays.
+    """
     return RETRANSMIT_MULT * math.ceil(math.log2(cluster_size + 2))
 
 
@@ -33,12 +37,12 @@
         return set(self._payloads)
 
     def add(self, key: str, payload: Payload) -> None:
-        """Queues an update, to be transmitted the whole number of times from now on."""
+        """Queues an update and resets its number of transmissions."""
         self._payloads[key] = payload
         self._transmissions[key] = 0
 
     def add_missing(self, payloads: Mapping[str, Payload]) -> None:
-        """Queues those that aren't pending."""
+        """Queues the updates whose keys have no pending update."""
         for key, payload in payloads.items():
             if key not in self._payloads:
                 self.add(key, payload)
@@ -59,7 +63,10 @@
         Args:
             limit: Maximum number of updates.
             cluster_size: Number of other relays.
-            first: Key whose update precedes all others, whatever its count.
+            first: Key whose update precedes all others, regardless of its number of transmissions.
+
+        Returns:
+            Updates by key.
         """
         if not self._payloads:
             return {}
--- a/loftrelay/gossip/codec.py
+++ b/loftrelay/gossip/codec.py
@@ -1,7 +1,8 @@
 """Encoding of gossip datagrams: two magic bytes, a version byte, and a MessagePack array.
 
-The arrays carry no names: the order of the fields of the row classes below is the wire format. A later
-program may append fields to any row, which are skipped here; any other change needs another version.
+Rows are encoded as arrays without field names, so the order of the fields of the row classes below is the
+wire format. Later versions of the program may append fields to any row, which are skipped here; any other
+change needs a new datagram version.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 HEADER = MAGIC + bytes((VERSION,))
 MAX_DATAGRAM_BYTES = 1_200  # below the path MTU, also with tunnels
 MAX_NAME_CHARS = 200
-LIST_LENGTH_BYTES = 4  # a list that isn't empty may need two bytes more for its length; there are two lists
+LIST_LENGTH_BYTES = 4  # each of the two lists may need two more bytes for its length if it isn't empty
 DATAGRAM_KINDS: dict[type[Datagram], int] = {Ping: 0, Ack: 1, PingRequest: 2}
 
 Name = Annotated[str, msgspec.Meta(max_length=MAX_NAME_CHARS)]
@@ -28,18 +29,20 @@
 
 
 class DatagramError(ValueError):
-    """The bytes are no gossip datagram, or a datagram can't be encoded."""
+    """The bytes are not a valid gossip datagram, or a datagram can't be encoded."""
 
 
 class DatagramVersionError(DatagramError):
-    """The datagram has a version that this program doesn't read.
+    """The datagram has an unsupported version.
 
     Attributes:
-        version: That version.
+        version: Version of the datagram.
     """
 
     def __init__(self, version: int) -> None:
-        super().__init__(f"datagram version {version} is not supported")
+        super().__init__(
+            f"datagram version {version} is not supported; this program supports version {VERSION}"
+        )
         self.version = version
 
 
@@ -55,11 +58,11 @@
 
     @classmethod
     def from_peer(cls, peer: Peer) -> PeerRow:
-        """Wire form of a peer."""
+        """Returns the wire form of a peer."""
         return cls(peer.name, *peer.address, peer.incarnation_id, peer.incarnation, int(peer.state))
 
     def to_peer(self) -> Peer:
-        """The peer that this row describes."""
+        """Returns the peer that this row describes."""
         address = (self.host, self.port)
         return Peer(self.name, address, self.incarnation_id, self.incarnation, MemberState(self.state))
 
@@ -74,11 +77,11 @@
 
     @classmethod
     def from_override(cls, override: OperatorOverride) -> OverrideRow:
-        """Wire form of an override."""
+        """Returns the wire form of an override."""
         return cls(override.host, override.is_disabled, override.stamp, override.origin)
 
     def to_override(self) -> OperatorOverride:
-        """The override that this row describes."""
+        """Returns the override that this row describes."""
         return OperatorOverride(self.host, self.is_disabled, self.stamp, self.origin)
 
 
@@ -88,8 +91,8 @@
     fleet: Name
     kind: Annotated[int, msgspec.Meta(ge=0, le=2)]  # see DATAGRAM_KINDS
     sequence_number: Number
-    target_name: Name  # of a Ping
-    target: PeerRow | None  # of a PingRequest
+    target_name: Name  # only in a Ping; otherwise empty
+    target: PeerRow | None  # only in a PingRequest
     sender: PeerRow
     updates: Annotated[list[PeerRow], msgspec.Meta(max_length=64)]
     overrides: Annotated[list[OverrideRow], msgspec.Meta(max_length=64)] = []
@@ -100,12 +103,18 @@
 
 
 def encode(fleet: str, datagram: Datagram, overrides: list[OperatorOverride]) -> bytes:
-    """Encodes a datagram of at most MAX_DATAGRAM_BYTES.
+    """Encodes a datagram, limited to MAX_DATAGRAM_BYTES.
 
-    Overrides precede updates about members. Those that don't fit are left out; they are sent again later.
+    Overrides take precedence over updates about members. Those that don't fit are left out, since they are
+    sent again later.
+
+    Args:
+        fleet: Name of the fleet.
+        datagram: Content.
+        overrides: Operators' overrides to piggyback.
 
     Raises:
-        DatagramError: The names in it don't fit even without updates and overrides.
+        DatagramError: The names in the datagram don't fit even without updates and overrides.
     """
     row = DatagramRow(
         fleet,
@@ -116,36 +125,41 @@
         PeerRow.from_peer(datagram.sender),
         [],
     )
-    space = MAX_DATAGRAM_BYTES - len(HEADER) - len(_encoder.encode(row)) - LIST_LENGTH_BYTES
-    if space < 0:
-        raise DatagramError("the names in the datagram are too long")
+    space_bytes = MAX_DATAGRAM_BYTES - len(HEADER) - len(_encoder.encode(row)) - LIST_LENGTH_BYTES
+    if space_bytes < 0:
+        raise DatagramError(
+            f"names in the datagram exceed the limit of {MAX_DATAGRAM_BYTES} bytes by {-space_bytes} bytes"
+        )
     if overrides:
-        # Recipients would refuse the whole datagram for one name that is too long.
+        # Recipients reject the whole datagram if one name is too long.
         valid = (override for override in overrides if len(override.host) <= MAX_NAME_CHARS)
-        row.overrides, space = _fitting_rows(map(OverrideRow.from_override, valid), space)
-    row.updates, _ = _fitting_rows(map(PeerRow.from_peer, datagram.updates), space)
+        row.overrides, space_bytes = _fitting_rows(map(OverrideRow.from_override, valid), space_bytes)
+    row.updates, _ = _fitting_rows(map(PeerRow.from_peer, datagram.updates), space_bytes)
     return HEADER + _encoder.encode(row)
 
 
 def decode(data: bytes) -> tuple[str, Datagram, list[OperatorOverride]]:
-    """Decodes a datagram into the fleet that it is for, its content, and operators' overrides.
+    """Decodes a datagram.
+
+    Returns:
+        The name of its fleet, its content, and operators' overrides.
 
     Raises:
-        DatagramVersionError: It has another version.
-        DatagramError: It is no gossip datagram.
+        DatagramVersionError: It has an unsupported version.
+        DatagramError: It is not a valid gossip datagram.
     """
     if len(data) > MAX_DATAGRAM_BYTES or data[:2] != MAGIC or len(data) < 4:
-        raise DatagramError("not a gossip datagram")
+        raise DatagramError(f"{len(data)} bytes are not a gossip datagram")
     if data[2] != VERSION:
         raise DatagramVersionError(data[2])
     try:
         row = _decoder.decode(data[3:])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise DatagramError(str(error)) from error
-    return row.fleet, _datagram(row), [override.to_override() for override in row.overrides]
+    return row.fleet, _to_datagram(row), [override.to_override() for override in row.overrides]
 
 
-def _datagram(row: DatagramRow) -> Datagram:
+def _to_datagram(row: DatagramRow) -> Datagram:
     sender = row.sender.to_peer()
     updates = tuple(update.to_peer() for update in row.updates)
     if row.kind == DATAGRAM_KINDS[Ping]:
@@ -153,12 +167,12 @@
     if row.kind == DATAGRAM_KINDS[Ack]:
         return Ack(row.sequence_number, sender, updates)
     if row.target is None:
-        raise DatagramError("ping request without a target")
+        raise DatagramError("ping request has no target")
     return PingRequest(row.sequence_number, row.target.to_peer(), sender, updates)
 
 
 def _fitting_rows(rows: Iterable[Row], space_bytes: int) -> tuple[list[Row], int]:
-    """The first rows that fit, and the space after them; it is negative if a row was left out."""
+    """Returns the first rows that fit, and the remaining bytes, which are negative if a row was left out."""
     fitting = []
     for row in rows:
         space_bytes -= len(_encoder.encode(row))
--- a/loftrelay/gossip/lifeguard.py
+++ b/loftrelay/gossip/lifeguard.py
@@ -1,4 +1,4 @@
-"""Lifeguard's extensions of SWIM: local health and the suspicion timeout. No input or output.
+"""Lifeguard's extensions of SWIM: local health and the suspicion timeout. Does no input or output.
 
 Reference: Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection"
 (2017).
@@ -9,39 +9,39 @@
 import math
 
 MAX_HEALTH_SCORE = 7
-MAX_CONFIRMATIONS = 3  # further accusers that shorten a suspicion
-MAX_SUSPICION_TIMEOUT_MULT = 3  # of a suspicion that nobody confirms
+MAX_CONFIRMATIONS = 3  # accusers after the first one that shorten the suspicion timeout
+MAX_SUSPICION_TIMEOUT_MULT = 3  # multiple of the base timeout while nobody confirms the suspicion
 
 
 class LocalHealth:
-    """Score of this relay's own health: 0 is healthy, MAX_HEALTH_SCORE the least healthy.
+    """Health score of this relay, from 0 (healthy) to MAX_HEALTH_SCORE (least healthy).
 
-    The probe interval is multiplied by one more than the score, so that a relay that may itself be late
-    probes more slowly.
+    The probe interval is multiplied by one plus the score, so that a relay that may itself be delayed probes
+    more slowly.
     """
 
     def __init__(self) -> None:
         self.score = 0
 
     def degrade(self) -> None:
-        """A probe went unanswered, a suspicion had to be refuted, or this process was paused."""
+        """Raises the score: a probe timed out, a suspicion was refuted, or this process was paused."""
         self.score = min(MAX_HEALTH_SCORE, self.score + 1)
 
     def improve(self) -> None:
-        """A probe was acknowledged."""
+        """Lowers the score: a probe was acknowledged."""
         self.score = max(0, self.score - 1)
 
 
 def suspicion_timeout(base_us: int, accusers: int, health_score: int) -> int:
-    """Time until a suspected member is declared dead, in microseconds.
+    """Returns the time until a suspected member is declared dead, in microseconds.
 
-    It falls from MAX_SUSPICION_TIMEOUT_MULT times the base with one accuser to the base with
-    MAX_CONFIRMATIONS more, by the logarithm of their number.
+    It decreases with the logarithm of the number of accusers, from MAX_SUSPICION_TIMEOUT_MULT times the base
+    for one accuser to the base for MAX_CONFIRMATIONS more.
 
     Args:
         base_us: Shortest timeout, microseconds.
-        accusers: Number of distinct members that suspect it, at least 1.
-        health_score: Of this relay; a less healthy one waits longer.
+        accusers: Number of distinct members that suspect the member, at least 1.
+        health_score: Health score of this relay; a less healthy relay waits longer.
     """
     fraction = math.log(accusers) / math.log(MAX_CONFIRMATIONS + 1)
     factor = MAX_SUSPICION_TIMEOUT_MULT - (MAX_SUSPICION_TIMEOUT_MULT - 1) * min(1.0, fraction)
--- a/loftrelay/gossip/local_member.py
+++ b/loftrelay/gossip/local_member.py
@@ -1,6 +1,6 @@
-"""This relay as a member: refutes wrong updates about itself and detects a second relay of its name.
+"""This relay's own membership: refutes wrong updates about it and detects another relay with its name.
 
-No input or output.
+Does no input or output.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from loftrelay.gossip.messages import MemberState, Peer
 from loftrelay.gossip.swim_config import SwimConfig
 
-CONFLICT_THRESHOLD = 8  # updates from another run, in a row; updates of an earlier run are fewer
-CONFLICT_RESET_TIMEOUTS = 3  # suspicion timeouts without one, after which the count is reset
+CONFLICT_THRESHOLD = 8  # updates from another run, in a row; an earlier run of this relay causes fewer
+CONFLICT_RESET_TIMEOUTS = 3  # suspicion timeouts without such an update, after which the count is reset
 
 
 class LocalMember:
@@ -23,7 +23,7 @@
 
     Attributes:
         peer: What this relay reports about itself.
-        has_name_conflict: Another relay of the same name is running, and this one leaves the fleet to it.
+        has_name_conflict: Another relay with the same name is running, and this one has left the fleet.
     """
 
     def __init__(
@@ -38,7 +38,11 @@
         self._last_conflict_us = -(1 << 62)
 
     def refute(self, update: Peer, now_us: int) -> Iterable[NameConflict]:
-        """Overrides an update about this relay that is wrong: from an earlier run, or a suspicion."""
+        """Refutes a wrong update about this relay: one from an earlier run, or a suspicion.
+
+        Returns:
+            The name conflict, if the update reveals one.
+        """
         if update.precedence <= self.peer.precedence:
             return ()
         conflicts: Iterable[NameConflict] = ()
@@ -52,13 +56,16 @@
         return conflicts
 
     def check_name_conflict(self, other: Peer, now_us: int) -> Iterable[NameConflict]:
-        """Handles an update that another run under this name has sent.
+        """Handles an update from another run under this relay's name.
+
+        Updates from an earlier run of this relay stop once they are overridden; those of another relay
+        continue. Of the two relays, the one with the higher incarnation id leaves the fleet.
 
-        Updates from an earlier run of this relay stop once they are overridden; those of a concurrent relay
-        go on. Of the two, the one with the higher incarnation id leaves the fleet.
+        Returns:
+            The name conflict, if this relay has to leave.
         """
         if other.incarnation_id == self.peer.incarnation_id:
-            return ()  # an own datagram that came back
+            return ()  # a datagram of this relay that was returned to it
         if now_us - self._last_conflict_us > self._conflict_reset_us:
             self._conflict_updates = 0
         self._conflict_updates += 1
--- a/loftrelay/gossip/member_table.py
+++ b/loftrelay/gossip/member_table.py
@@ -1,7 +1,7 @@
-"""Table of the other members and their states. No input or output.
+"""Table of the other members and their states. Does no input or output.
 
-A member's state follows from updates by TRANSITIONS, and from time: a suspicion that isn't refuted ends in
-DEAD, and a dead member is removed later.
+Updates change a member's state as defined by TRANSITIONS. In addition, a suspected member is declared dead
+after a timeout unless it refutes the suspicion, and a dead member is removed later.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
 
-MAX_UPDATES_PER_DATAGRAM = 20  # that many fit into a datagram
-MAX_RANDOM_UPDATES = 4  # of these, known states that fill up a datagram with few pending updates
+MAX_UPDATES_PER_DATAGRAM = 20  # the number that fits into a datagram
+MAX_RANDOM_UPDATES = 4  # states of random members that fill up a datagram with few pending updates
 DEAD_RETENTION_INTERVALS = 64  # probe intervals after which a dead member is removed
 
 
-class Prior(Enum):
-    """What the table holds of a member when an update arrives."""
+class PriorState(Enum):
+    """State of a member's entry in the table, relative to an update that has arrived."""
 
     UNKNOWN = auto()
-    OLDER = auto()  # an older incarnation
-    NEWER = auto()  # a newer incarnation
-    ALIVE = auto()  # the same incarnation, in this state
+    OLDER = auto()  # of an older incarnation
+    NEWER = auto()  # of a newer incarnation
+    ALIVE = auto()  # this and the following: of the same incarnation, in this state
     SUSPECT = auto()
     DEAD = auto()
 
@@ -43,28 +43,28 @@
     CONFIRM_SUSPICION = auto()
 
 
-# (what is held, state in the update) -> effect; all other pairs are ignored.
+# (prior state of the entry, state in the update) -> effect; all other combinations are ignored.
 TRANSITIONS = {
-    (Prior.UNKNOWN, MemberState.ALIVE): Transition.SET_STATE,
-    (Prior.UNKNOWN, MemberState.SUSPECT): Transition.START_SUSPICION,
-    (Prior.OLDER, MemberState.ALIVE): Transition.SET_STATE,
-    (Prior.OLDER, MemberState.SUSPECT): Transition.START_SUSPICION,
-    (Prior.OLDER, MemberState.DEAD): Transition.SET_STATE,
-    (Prior.ALIVE, MemberState.SUSPECT): Transition.START_SUSPICION,
-    (Prior.ALIVE, MemberState.DEAD): Transition.SET_STATE,
-    (Prior.SUSPECT, MemberState.SUSPECT): Transition.CONFIRM_SUSPICION,
-    (Prior.SUSPECT, MemberState.DEAD): Transition.SET_STATE,
+    (PriorState.UNKNOWN, MemberState.ALIVE): Transition.SET_STATE,
+    (PriorState.UNKNOWN, MemberState.SUSPECT): Transition.START_SUSPICION,
+    (PriorState.OLDER, MemberState.ALIVE): Transition.SET_STATE,
+    (PriorState.OLDER, MemberState.SUSPECT): Transition.START_SUSPICION,
+    (PriorState.OLDER, MemberState.DEAD): Transition.SET_STATE,
+    (PriorState.ALIVE, MemberState.SUSPECT): Transition.START_SUSPICION,
+    (PriorState.ALIVE, MemberState.DEAD): Transition.SET_STATE,
+    (PriorState.SUSPECT, MemberState.SUSPECT): Transition.CONFIRM_SUSPICION,
+    (PriorState.SUSPECT, MemberState.DEAD): Transition.SET_STATE,
 }
 
 
 @dataclass(slots=True)
 class MemberEntry:
-    """State of one member. Times in microseconds.
+    """Entry of one member. Times are microseconds.
 
     Attributes:
-        peer: The update that holds.
+        peer: The update in force.
         state_since_us: When that update was applied.
-        accusers: Names of those that suspect the member.
+        accusers: Names of the relays that suspect the member.
         suspicion_ends_us: When a suspected member is declared dead.
     """
 
@@ -74,12 +74,12 @@
     suspicion_ends_us: int = 0
 
 
-def _prior(entry: MemberEntry | None, update: Peer) -> Prior:
+def _prior_state(entry: MemberEntry | None, update: Peer) -> PriorState:
     if entry is None:
-        return Prior.UNKNOWN
+        return PriorState.UNKNOWN
     if entry.peer.has_same_incarnation(update):
-        return Prior[entry.peer.state.name]
-    return Prior.OLDER if entry.peer.precedence < update.precedence else Prior.NEWER
+        return PriorState[entry.peer.state.name]
+    return PriorState.OLDER if entry.peer.precedence < update.precedence else PriorState.NEWER
 
 
 class MemberTable:
@@ -90,35 +90,35 @@
         self.updates: BroadcastQueue[Peer] = BroadcastQueue()
         self._config = config
         self._health = health
-        self._unhealthy_names: dict[str, None] = {}  # suspect and dead, so that a tick doesn't walk them all
+        self._unhealthy_names: dict[str, None] = {}  # suspect or dead; spares a tick the scan of all
 
     def live_peers(self) -> list[Peer]:
-        """Members that aren't declared dead."""
+        """Returns the members that aren't declared dead."""
         return [entry.peer for entry in self.entries.values() if entry.peer.state is not MemberState.DEAD]
 
     def live_names(self) -> list[str]:
-        """Names of the members that aren't declared dead."""
+        """Returns the names of the members that aren't declared dead."""
         return [name for name, entry in self.entries.items() if entry.peer.state is not MemberState.DEAD]
 
     def suspects(self) -> list[MemberEntry]:
-        """Entries of suspected members."""
+        """Returns the entries of suspected members."""
         entries = [self.entries[name] for name in self._unhealthy_names]
         return [entry for entry in entries if entry.peer.state is MemberState.SUSPECT]
 
     def dead_addresses(self) -> list[Address]:
-        """Addresses of members that are declared dead and not yet removed."""
+        """Returns the addresses of members that are declared dead and not yet removed."""
         peers = [self.entries[name].peer for name in self._unhealthy_names]
         return [peer.address for peer in peers if peer.state is MemberState.DEAD]
 
     def name_at(self, address: Address) -> str:
-        """Name of the member at an address; empty if there is none."""
+        """Returns the name of the member at an address; empty if there is none."""
         return next((name for name, entry in self.entries.items() if entry.peer.address == address), "")
 
     def apply(self, update: Peer, reporter: str, now_us: int) -> Iterable[StateChanged]:
-        """Applies an update that `reporter` sent.
+        """Applies an update sent by `reporter`.
 
         Returns:
-            The change of state, if there is one.
+            The change of state; empty if there is none.
         """
         entry = self.entries.get(update.name)
         if (
@@ -126,10 +126,10 @@
             and update.state is not MemberState.SUSPECT
             and update.precedence <= entry.peer.precedence
         ):
-            return ()  # a shortcut for most updates: TRANSITIONS ignores these, too
-        match TRANSITIONS.get((_prior(entry, update), update.state), Transition.IGNORE):
+            return ()  # fast path for most updates, which TRANSITIONS ignores as well
+        match TRANSITIONS.get((_prior_state(entry, update), update.state), Transition.IGNORE):
             case Transition.SET_STATE:
-                return self._set(update, now_us)
+                return self._set_state(update, now_us)
             case Transition.START_SUSPICION:
                 return self._start_suspicion(update, reporter, now_us)
             case Transition.CONFIRM_SUSPICION:
@@ -138,11 +138,14 @@
         return ()
 
     def expire(self, now_us: int, is_isolated: bool) -> list[StateChanged]:
-        """Declares members dead whose suspicion has timed out, and removes members that are dead for long.
+        """Declares members dead whose suspicion has timed out, and removes long-dead members.
 
         Args:
-            now_us: Present time.
-            is_isolated: Nobody is declared dead; suspicions that are due last longer.
+            now_us: Current time.
+            is_isolated: Whether this relay may be cut off: suspicions are extended, nobody is declared dead.
+
+        Returns:
+            The changes of state.
         """
         changes: list[StateChanged] = []
         for name in list(self._unhealthy_names):
@@ -151,7 +154,7 @@
                 if is_isolated:
                     entry.suspicion_ends_us = now_us + self._config.suspicion_timeout_us
                 else:
-                    changes += self._set(replace(entry.peer, state=MemberState.DEAD), now_us)
+                    changes += self._set_state(replace(entry.peer, state=MemberState.DEAD), now_us)
             elif (
                 entry.peer.state is MemberState.DEAD
                 and now_us - entry.state_since_us > self._dead_retention_us
@@ -160,14 +163,14 @@
         return changes
 
     def extend_suspicions(self, end_us: int) -> None:
-        """Lets no suspicion time out before `end_us`."""
+        """Extends suspicions so that none times out previous `end_us`."""
         for entry in self.suspects():
             entry.suspicion_ends_us = max(entry.suspicion_ends_us, end_us)
 
     def select_updates(self, generator: random.Random, recipient: str) -> tuple[Peer, ...]:
-        """Updates to piggyback: pending ones, those about the recipient first, then random known states.
+        """Returns updates to piggyback: pending ones, the recipient's first, then states of random members.
 
-        The random ones make up for updates that were lost with their datagrams.
+        The latter compensate for updates that were lost with their datagrams.
         """
         pending = self.updates.next_batch(MAX_UPDATES_PER_DATAGRAM, len(self.entries), first=recipient)
         updates = list(pending.values())
@@ -183,14 +186,14 @@
         return DEAD_RETENTION_INTERVALS * self._config.probe_interval_us
 
     def _start_suspicion(self, update: Peer, reporter: str, now_us: int) -> Iterable[StateChanged]:
-        changes = self._set(update, now_us)
+        changes = self._set_state(update, now_us)
         entry = self.entries[update.name]
         entry.accusers = frozenset({reporter})
         entry.suspicion_ends_us = now_us + self._suspicion_timeout_us(1)
         return changes
 
     def _confirm_suspicion(self, entry: MemberEntry, reporter: str, now_us: int) -> None:
-        """Shortens the timeout, and disseminates the suspicion again."""
+        """Shortens the suspicion timeout, and disseminates the suspicion again."""
         if reporter in entry.accusers or len(entry.accusers) > MAX_CONFIRMATIONS:
             return
         entry.accusers |= {reporter}
@@ -201,15 +204,15 @@
     def _suspicion_timeout_us(self, accusers: int) -> int:
         return suspicion_timeout(self._config.suspicion_timeout_us, accusers, self._health.score)
 
-    def _set(self, peer: Peer, now_us: int) -> Iterable[StateChanged]:
-        before = self.entries.get(peer.name)
+    def _set_state(self, peer: Peer, now_us: int) -> Iterable[StateChanged]:
+        previous = self.entries.get(peer.name)
         self.entries[peer.name] = MemberEntry(peer, now_us)
         if peer.state is MemberState.ALIVE:
             self._unhealthy_names.pop(peer.name, None)
         else:
             self._unhealthy_names[peer.name] = None
         self.updates.add(peer.name, peer)
-        if before is None or (before.peer.state, before.peer.incarnation_id) != (
+        if previous is None or (previous.peer.state, previous.peer.incarnation_id) != (
             peer.state,
             peer.incarnation_id,
         ):
--- a/loftrelay/gossip/messages.py
+++ b/loftrelay/gossip/messages.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol, by the names of the SWIM paper, without their encoding."""
+"""Datagrams of the membership protocol, named as in the SWIM paper, independent of their encoding."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a member. At the same incarnation the higher value overrides the lower."""
+    """State of a member. For the same incarnation, the higher value overrides the lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """One update about a member.
+    """State of a member as one relay reports it: an update in a datagram, or an entry of a table.
 
     Attributes:
         name: Unique name of the relay within its fleet.
-        address: Where its datagrams are sent.
-        incarnation_id: Random number of this run of the process.
-        incarnation: SWIM's incarnation number. It grows over all runs, and only the member itself raises it.
+        address: Address that it receives datagrams on.
+        incarnation_id: Random number that identifies a run of its process.
+        incarnation: SWIM's incarnation number. It increases over all runs, and only the member raises it.
         state: Reported state.
     """
 
@@ -36,7 +36,7 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Of two updates about one member, the one with the higher precedence holds."""
+        """Sort key of updates about one member: the update with the higher precedence is in force."""
         return self.incarnation, self.incarnation_id, self.state
 
     def has_same_incarnation(self, other: Peer) -> bool:
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Requests an Ack with the same sequence number from `target_name`, or from anybody if that is empty."""
+    """Requests an Ack with the same sequence number from `target_name`, or from any relay if it is empty."""
 
     sequence_number: int
     target_name: str
--- a/loftrelay/gossip/operator_overrides.py
+++ b/loftrelay/gossip/operator_overrides.py
@@ -1,10 +1,10 @@
-"""Operators' overrides of hosts: which host is disabled, replicated to all relays. No input or output.
+"""Operators' overrides of hosts: which hosts are disabled, replicated to all relays. Does no input or output.
 
-A last-writer-wins register per host. The stamp of an override is Unix time in milliseconds, or one more than
-the stamp of the override that it replaces, whichever is higher: an override always replaces those that its
-operator could see, whatever the clock of the relay. Of two concurrent overrides the one with the higher stamp
-wins, at equal stamps the one from the relay whose name sorts last. Relays that have received the same
-overrides hold the same ones.
+Each host has a last-writer-wins register. The stamp of an override is Unix time in milliseconds, or one more
+than the stamp of the override that it replaces, whichever is higher. An override therefore always replaces
+those that its operator could see, regardless of the relay's clock. Of two concurrent overrides, the one with
+the higher stamp wins; if the stamps are equal, the one from the relay whose name sorts last. Relays that have
+received the same overrides have the same state.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from loftrelay.gossip.broadcast_queue import BroadcastQueue
 
 MAX_HOSTS = 2_048
-MAX_STAMP_MS = 1 << 53  # a later one is no valid time
+MAX_STAMP_MS = 1 << 53  # later stamps are rejected as invalid
 MAX_UPDATES_PER_DATAGRAM = 5
-MAX_RANDOM_UPDATES = 2  # known overrides added to each datagram, in case an earlier one was lost
+MAX_RANDOM_UPDATES = 2  # further overrides in each datagram, in case an earlier datagram was lost
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,8 +27,8 @@
 
     Attributes:
         host: Id of the host.
-        is_disabled: Whether the host is disabled; otherwise an earlier override is lifted.
-        stamp: Milliseconds of Unix time, see the module.
+        is_disabled: Whether the host is disabled; False lifts an earlier override.
+        stamp: Unix time in milliseconds, see the docstring of the module.
         origin: Name of the relay that received the command.
     """
 
@@ -39,16 +39,20 @@
 
     @property
     def precedence(self) -> tuple[int, str, bool]:
-        """Of two overrides of one host, the one with the higher precedence holds."""
+        """Sort key of overrides of one host: the override with the higher precedence is in force."""
         return self.stamp, self.origin, self.is_disabled
 
 
 class Overrides:
-    """The overrides that hold, by host, and those that are to be disseminated.
+    """Overrides in force, and those that are to be disseminated.
 
     Args:
         name: Name of this relay.
-        random_seed: Of the pseudo-random generator.
+        random_seed: Seed of the pseudo-random generator.
+
+    Attributes:
+        by_host: Overrides in force.
+        broadcasts: Overrides that are to be disseminated.
     """
 
     def __init__(self, name: str, random_seed: int) -> None:
@@ -62,39 +66,43 @@
 
         Args:
             overrides: Stored overrides.
-            disabled_hosts: Hosts that are disabled on this relay. One without a stored override gets stamp 0,
-                so that any other override replaces it.
+            disabled_hosts: Hosts that are disabled on this relay. A host without a stored override gets one
+                with stamp 0, so that any other override replaces it.
         """
         for override in overrides:
-            self._set(override)
+            self._store(override)
         for host in disabled_hosts:
             if host not in self.by_host:
-                self._set(OperatorOverride(host, True, 0, self.name))
+                self._store(OperatorOverride(host, True, 0, self.name))
 
     def set_local(self, host: str, is_disabled: bool, wall_clock_ms: int) -> OperatorOverride | None:
-        """Records a command given at this relay; returns None if it changes nothing."""
-        before = self.by_host.get(host)
-        if before is not None and before.is_disabled == is_disabled:
+        """Records a command given at this relay.
+
+        Returns:
+            The new override; None if the command changes nothing.
+        """
+        previous = self.by_host.get(host)
+        if previous is not None and previous.is_disabled == is_disabled:
             return None
-        min_stamp = 0 if before is None else before.stamp + 1
+        min_stamp = 0 if previous is None else previous.stamp + 1
         override = OperatorOverride(host, is_disabled, max(wall_clock_ms, min_stamp), self.name)
-        self._set(override)
+        self._store(override)
         return override
 
     def merge(self, overrides: Iterable[OperatorOverride]) -> list[OperatorOverride]:
-        """Merges overrides from another relay; returns those that hold from now on."""
+        """Merges overrides from another relay; returns those that were put in force."""
         applied = []
         for override in overrides:
-            before = self.by_host.get(override.host)
-            is_superseded = before is not None and before.precedence >= override.precedence
+            previous = self.by_host.get(override.host)
+            is_superseded = previous is not None and previous.precedence >= override.precedence
             if is_superseded or not 0 <= override.stamp <= MAX_STAMP_MS:
                 continue
-            self._set(override)
+            self._store(override)
             applied.append(override)
         return applied
 
     def next_broadcasts(self, cluster_size: int) -> list[OperatorOverride]:
-        """Overrides for the next datagram: pending ones, then some others at random.
+        """Returns overrides for the next datagram: pending ones, then random others.
 
         Args:
             cluster_size: Number of other relays.
@@ -105,17 +113,17 @@
         return [*pending.values(), *(self.by_host[host] for host in chosen)]
 
     def rebroadcast_all(self) -> None:
-        """Queues all overrides, for a relay that has joined and may know none."""
+        """Queues all overrides, for a relay that has joined and may have none."""
         self.broadcasts.add_missing(self.by_host)
 
-    def _set(self, override: OperatorOverride) -> None:
+    def _store(self, override: OperatorOverride) -> None:
         self.by_host[override.host] = override
         self.broadcasts.add(override.host, override)
         if len(self.by_host) > MAX_HOSTS:
             self._evict()
 
     def _evict(self) -> None:
-        """Drops the oldest override, an enabled host first: enabled is the state without an override."""
+        """Drops the oldest override, of enabled hosts first: enabled is the state without an override."""
         oldest = min(self.by_host.values(), key=lambda override: (override.is_disabled, override.stamp))
         del self.by_host[oldest.host]
         self.broadcasts.remove(oldest.host)
--- a/loftrelay/gossip/probes.py
+++ b/loftrelay/gossip/probes.py
@@ -1,4 +1,4 @@
-"""Probes that wait for an Ack, and the order in which members are probed. No input or output."""
+"""Probes that wait for an Ack, and the order in which members are probed. Does no input or output."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
     peer: Peer
     ends_us: int
-    is_indirect: bool = False  # other members have been asked to ping it, too
+    is_indirect: bool = False  # other members were asked to ping it as well
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardedProbe:
-    """A ping sent for another relay, whose Ack is forwarded under the requester's sequence number."""
+    """A ping on behalf of another relay; its Ack is forwarded with the requester's sequence number."""
 
     sequence_number: int
     requester: Address
@@ -29,9 +29,9 @@
 
 
 class ProbeOrder:
-    """Round-robin over the members in an order that is shuffled each round (SWIM, section 4.3).
+    """Round-robin over the members, in an order that is shuffled for each round (SWIM, section 4.3).
 
-    No member waits longer than two rounds.
+    No member waits longer than two rounds for its next probe.
     """
 
     def __init__(self, generator: random.Random) -> None:
@@ -39,7 +39,7 @@
         self._names: list[str] = []
 
     def next(self, table: MemberTable) -> Peer | None:
-        """The member to probe next; None if there are no live members."""
+        """Returns the member to probe next; None if there are no live members."""
         while True:
             if not self._names:
                 self._names = table.live_names()
--- a/loftrelay/gossip/settings.py
+++ b/loftrelay/gossip/settings.py
@@ -1,4 +1,4 @@
-"""The operator's settings of the fleet (deploy/fleet.toml), checked and mapped to this package's terms."""
+"""Operator's settings of the fleet (deploy/fleet.toml): parsing and validation."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 TABLE = "fleet"
 LISTEN_VARIABLE = "RELAY_FLEET_LISTEN"
 KEYS = (
-    Key("name", "fleet", "", "name of the fleet: datagrams of other fleets are ignored"),
-    Key("listen", "", "", "address and port for the other relays' datagrams; port 0: a free one"),
-    Key("advertise", "", "", "where the others send them, if that is not `listen`"),
-    Key("seeds", (), "", "addresses and ports of some relays of the fleet"),
+    Key("name", "fleet", "", "name of the fleet; datagrams of other fleets are ignored"),
+    Key("listen", "", "", "local address and port for datagrams of other relays; port 0 selects a free port"),
+    Key("advertise", "", "", "address and port that other relays send to, if it differs from `listen`"),
+    Key("seeds", (), "", "addresses and ports of some relays of the fleet, which this relay joins through"),
     Key("beat_ms", 200, "ms", "probe interval", minimum=20, maximum=60_000),
     Key("suspect_ms", 1000, "ms", "suspicion timeout if several relays suspect", minimum=40, maximum=600_000),
 )
@@ -32,10 +32,10 @@
 
     Attributes:
         name: Name of the fleet.
-        listen: Local address for datagrams; port 0 stands for a free one.
-        advertise: Address that others send to; None: the local one.
-        seeds: Addresses of some relays of the fleet.
-        swim: Intervals.
+        listen: Local address for datagrams; port 0 selects a free port.
+        advertise: Address that other relays send to; None for the local address.
+        seeds: Addresses of some relays of the fleet, which this relay joins through.
+        swim: Timing of the membership protocol.
     """
 
     name: str
@@ -46,21 +46,25 @@
 
 
 def load_gossip_settings(path: Path, environ: Mapping[str, str]) -> GossipSettings:
-    """Reads the file; the variable RELAY_FLEET_LISTEN overrides `listen`.
+    """Reads the settings from a file.
+
+    Args:
+        path: The file.
+        environ: Environment variables; RELAY_FLEET_LISTEN overrides `listen`.
 
     Raises:
-        SettingsError: It names the file, the key and the value.
+        SettingsError: A setting is invalid; the text names the file, the key and the value.
     """
     table = read_toml(path, KEYS, TABLE)
     if find_spec("msgspec") is None:
-        raise SettingsError(f"{path}: needs the extra `fleet`: pip install 'loftrelay[fleet]'")
+        raise SettingsError(f"{path}: requires the extra `fleet`: pip install 'loftrelay[fleet]'")
     name, probe_interval_ms, suspicion_timeout_ms = table["name"], table["beat_ms"], table["suspect_ms"]
     if not 1 <= len(name) <= MAX_NAME_BYTES:
-        raise SettingsError(f"{path}: name = {name!r}: is not a text of 1 to {MAX_NAME_BYTES} characters")
+        raise SettingsError(f"{path}: name = {name!r}: has {len(name)} characters, not 1 to {MAX_NAME_BYTES}")
     if suspicion_timeout_ms < MIN_PROBES_PER_SUSPICION * probe_interval_ms:
         raise SettingsError(
-            f"{path}: suspect_ms = {suspicion_timeout_ms}: is less than two beats"
-            f" (beat_ms = {probe_interval_ms})"
+            f"{path}: suspect_ms = {suspicion_timeout_ms}: is less than {MIN_PROBES_PER_SUSPICION} probe"
+            f" intervals (beat_ms = {probe_interval_ms})"
         )
     seeds = tuple(_parse_setting(seed, f"{path}: seeds", 1) for seed in table["seeds"])
     advertise = _parse_setting(table["advertise"], f"{path}: advertise", 1) if table["advertise"] else None
@@ -75,13 +79,17 @@
     try:
         return _parse_ip_address(text, min_port)
     except ValueError as error:
-        raise SettingsError(f"{source} = {text!r}: is no IP address with a port: {error}") from error
+        raise SettingsError(f"{source} = {text!r}: is not an IP address with a port: {error}") from error
 
 
 def _parse_ip_address(text: str, min_port: int) -> Address:
-    """An IP address with a port; host names aren't resolved."""
+    """Parses an IP address with a port; host names aren't resolved.
+
+    Raises:
+        ValueError: It is invalid, or its port is below `min_port`.
+    """
     host, port = parse_address(text)
     ip_address(host)
     if port < min_port:
-        raise ValueError("port 0 is nobody's")
+        raise ValueError(f"port is {port}, must be at least {min_port}")
     return host, port
--- a/loftrelay/gossip/swim.py
+++ b/loftrelay/gossip/swim.py
@@ -1,9 +1,9 @@
-"""SWIM group membership with Lifeguard's suspicion and local health. No input or output.
+"""SWIM group membership with Lifeguard's suspicion and local health. Does no input or output.
 
-References: Das, Gupta, Motivala, "SWIM" (DSN 2002); Dadgar, Phillips, Currey, "Lifeguard" (2017). What
-differs from them: docs/fleet-links.md. `Membership.handle` takes a received datagram, `Membership.tick` is
-called at `Membership.next_tick_us`; both return the actions to execute, in order. Times are integer
-microseconds of a monotonic clock of the relay itself.
+References: Das, Gupta, Motivala, "SWIM" (DSN 2002); Dadgar, Phillips, Currey, "Lifeguard" (2017).
+docs/fleet-links.md describes the differences. `Membership.handle` is called with each received datagram,
+`Membership.tick` at `Membership.next_tick_us`; both return the actions to execute, in order. Times are
+integer microseconds of the relay's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
 
-INDIRECT_PROBES = 3  # members that are asked to ping one that didn't answer
+INDIRECT_PROBES = 3  # members that are asked to ping a member that did not respond
 ISOLATION_INTERVALS = 4  # probe intervals without an Ack after which this relay may itself be cut off
-REJOIN_INTERVALS = 4  # probe intervals between two pings of a dead member or a seed, which heal a partition
+REJOIN_INTERVALS = 4  # probe intervals between pings of a dead member or a seed, which heal a partition
 
 
 class Membership:
@@ -31,13 +31,13 @@
 
     Args:
         name: Unique name of this relay.
-        address: Where others send datagrams to.
-        incarnation_id: Random number of this run of the process.
-        start_ms: First incarnation, Unix time in milliseconds, so that a later run overrides an earlier one.
+        address: Address that other relays send datagrams to.
+        incarnation_id: Random number that identifies this run of the process.
+        start_ms: First incarnation: Unix time in milliseconds, so that a later run overrides an earlier one.
             If the wall clock was set back, updates about the earlier run are refuted.
         seeds: Addresses of some relays of the fleet.
-        config: Intervals.
-        random_seed: Of the pseudo-random generator.
+        config: Timing.
+        random_seed: Seed of the pseudo-random generator.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         return self.table.entries
 
     def live_peers(self) -> list[Peer]:
-        """Other members that aren't declared dead."""
+        """Returns the other members that aren't declared dead."""
         return self.table.live_peers()
 
     def is_isolated(self, now_us: int) -> bool:
@@ -86,7 +86,7 @@
 
     @property
     def next_tick_us(self) -> int:
-        """When `tick` is to be called at the latest."""
+        """Latest time at which `tick` is to be called."""
         lead_us = self._indirect_probe_lead_us
         times = [
             probe.ends_us if probe.is_indirect else probe.ends_us - lead_us
@@ -97,12 +97,12 @@
 
     @property
     def _probe_interval_us(self) -> int:
-        """Interval scaled by Lifeguard's local health multiplier."""
+        """Probe interval, scaled by Lifeguard's local health multiplier."""
         return self.config.probe_interval_us * (1 + self.health.score)
 
     @property
     def _indirect_probe_lead_us(self) -> int:
-        """How long before its end a probe is also made through other members."""
+        """Time before the end of a probe at which indirect probes through other members begin."""
         return self._probe_interval_us // 2
 
     # Inputs
@@ -111,11 +111,11 @@
         """Pings addresses whose members may be unknown, to join a fleet or to send updates at once."""
         self._actions = []
         for address in addresses:
-            self._ping_anybody(address)
+            self._ping_address(address)
         return self._actions
 
     def resume(self, now_us: int) -> list[Action]:
-        """To be called after this process was paused: Acks missed meanwhile say nothing about others."""
+        """Handles a pause of this process: Acks that it missed meanwhile say nothing about other members."""
         self._actions = []
         self._pending_probes.clear()
         self._forwarded_probes.clear()
@@ -125,7 +125,7 @@
         return self._actions
 
     def tick(self, now_us: int) -> list[Action]:
-        """Does what is due: timeouts of probes and suspicions, and the next probe."""
+        """Handles the timeouts of probes and suspicions that are due, and starts the next probe."""
         self._actions = []
         if self.local.has_name_conflict:
             self.next_probe_us = now_us + self._probe_interval_us
@@ -134,14 +134,16 @@
         self._actions += self.table.expire(now_us, self.is_isolated(now_us))
         if self._forwarded_probes:
             self._forwarded_probes = {
-                number: probe for number, probe in self._forwarded_probes.items() if probe.expires_us > now_us
+                sequence_number: probe
+                for sequence_number, probe in self._forwarded_probes.items()
+                if probe.expires_us > now_us
             }
         if now_us >= self.next_probe_us:
             self._start_probe_round(now_us)
         return self._actions
 
     def handle(self, now_us: int, datagram: Datagram, source: Address) -> list[Action]:
-        """Applies a datagram received from `source`."""
+        """Handles a datagram received from `source`."""
         self._actions = []
         if self.local.has_name_conflict:
             return self._actions
@@ -178,18 +180,18 @@
         self._ping(peer)
 
     def _check_pending_probes(self, now_us: int) -> None:
-        for number, probe in list(self._pending_probes.items()):
+        for sequence_number, probe in list(self._pending_probes.items()):
             if now_us >= probe.ends_us:
-                del self._pending_probes[number]
+                del self._pending_probes[sequence_number]
                 self._handle_probe_timeout(probe, now_us)
             elif not probe.is_indirect and now_us >= probe.ends_us - self._indirect_probe_lead_us:
                 probe.is_indirect = True
-                self._send_ping_requests(number, probe.peer)
+                self._send_ping_requests(sequence_number, probe.peer)
 
-    def _send_ping_requests(self, number: int, target: Peer) -> None:
-        """Asks random members for an indirect probe, and the one that reached the target last.
+    def _send_ping_requests(self, sequence_number: int, target: Peer) -> None:
+        """Asks random members for an indirect probe, and the member that reached the target last.
 
-        That one may be the only path to it.
+        The latter may be the only path to the target.
         """
         others = [p for p in self.live_peers() if p.name != target.name and p.state is MemberState.ALIVE]
         chosen = self.random.sample(others, min(INDIRECT_PROBES, len(others)))
@@ -198,12 +200,12 @@
             chosen += [peer for peer in others if peer.name == last]
         for peer in chosen:
             request = PingRequest(
-                number, target, self.local.peer, self.table.select_updates(self.random, peer.name)
+                sequence_number, target, self.local.peer, self.table.select_updates(self.random, peer.name)
             )
             self._send(peer.address, request)
 
     def _handle_probe_timeout(self, probe: PendingProbe, now_us: int) -> None:
-        """Suspects a member that answered neither a direct nor an indirect probe."""
+        """Suspects a member that responded to neither a direct nor an indirect probe."""
         self.health.degrade()
         entry = self.members.get(probe.peer.name)
         if entry is None or not entry.peer.has_same_incarnation(probe.peer):
@@ -216,21 +218,21 @@
             self._probe_suspect(probe.peer)
 
     def _probe_suspect(self, peer: Peer) -> None:
-        """Sends the suspicion to the member itself, which refutes it; repeated until it does."""
+        """Sends the suspicion to the suspected member so that it can refute it; repeated until it does."""
         self._probe(peer, self.next_probe_us + self._probe_interval_us)
 
     def _ping_dead_or_seed(self) -> None:
-        """Pings a random dead member or absent seed: heals partitions and finds seeds that start late."""
+        """Pings a random dead member or absent seed, to heal partitions and to find seeds that start late."""
         addresses = self.table.dead_addresses()
         live_addresses = {peer.address for peer in self.live_peers()}
         addresses += [seed for seed in self.seeds if seed not in live_addresses]
         if addresses:
-            self._ping_anybody(self.random.choice(addresses))
+            self._ping_address(self.random.choice(addresses))
 
     # Received datagrams
 
     def _handle_ping(self, ping: Ping, source: Address) -> None:
-        # A ping for another name is for an earlier relay at this address.
+        # A ping with another target name is meant for an earlier relay at this address.
         if ping.target_name in ("", self.local.peer.name):
             updates = self.table.select_updates(self.random, ping.sender.name)
             self._send(source, Ack(ping.sequence_number, self.local.peer, updates))
@@ -264,13 +266,15 @@
         return self.sequence_number
 
     def _ping(self, peer: Peer) -> None:
-        """Pings a member under the present sequence number."""
+        """Pings a member with the current sequence number."""
         updates = self.table.select_updates(self.random, peer.name)
         self._send(peer.address, Ping(self.sequence_number, peer.name, self.local.peer, updates))
 
-    def _ping_anybody(self, address: Address) -> None:
-        number = self._next_sequence_number()
-        self._send(address, Ping(number, "", self.local.peer, self.table.select_updates(self.random, "")))
+    def _ping_address(self, address: Address) -> None:
+        sequence_number = self._next_sequence_number()
+        self._send(
+            address, Ping(sequence_number, "", self.local.peer, self.table.select_updates(self.random, ""))
+        )
 
     def _send(self, address: Address, datagram: Datagram) -> None:
         self._actions.append(Send(address, datagram))
--- a/loftrelay/gossip/swim_config.py
+++ b/loftrelay/gossip/swim_config.py
@@ -10,8 +10,8 @@
     """Intervals in microseconds.
 
     Attributes:
-        probe_interval_us: Between two probes.
-        suspicion_timeout_us: Shortest time for which a member is suspected before it is declared dead.
+        probe_interval_us: Time between two probes.
+        suspicion_timeout_us: Shortest time between the suspicion of a member and its declaration as dead.
     """
 
     probe_interval_us: int
--- a/loftrelay/gossip/transport.py
+++ b/loftrelay/gossip/transport.py
@@ -1,4 +1,4 @@
-"""The UDP socket of one relay: executes the actions of its membership and carries operators' overrides."""
+"""UDP transport of one relay: executes the actions of its membership and exchanges operators' overrides."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 log = logging.getLogger(__name__)
 
-IMMEDIATE_RECIPIENTS = 4  # members that receive an override before the next probe
+IMMEDIATE_RECIPIENTS = 4  # members that an override is sent to before the next probe
 
 
 class GossipTransport(asyncio.DatagramProtocol):
     """Socket, timer and counters of one relay's membership.
 
     Args:
-        settings: Of the fleet.
-        name: Of this relay, at most MAX_NAME_BYTES bytes of UTF-8.
-        overrides: This relay's; those of other relays are merged into it.
-        on_overrides: Called with overrides of other relays that hold from now on.
+        settings: Settings of the fleet.
+        name: Name of this relay, at most MAX_NAME_BYTES bytes of UTF-8.
+        overrides: Overrides of this relay, into which those of other relays are merged.
+        on_overrides: Called with overrides of other relays that were put in force.
 
     Attributes:
         membership: None until the socket is open.
-        counters: Datagrams by outcome, by the names that the metrics use.
+        counters: Numbers of datagrams by outcome, under the names that the metrics use.
     """
 
     def __init__(
@@ -51,13 +51,13 @@
         self.membership: Membership | None = None
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due_us = 0  # 0: a pause has been noticed, or no timer was set
+        self._timer_due_us = 0  # 0: a pause has been handled, or no timer was set
 
     async def open(self, start_ms: int) -> Address:
         """Opens the socket and announces this relay to the seeds.
 
         Args:
-            start_ms: Present Unix time in milliseconds.
+            start_ms: Current Unix time in milliseconds.
 
         Returns:
             The local address.
@@ -66,7 +66,8 @@
             OSError: The socket can't be opened, or the relay's name is too long.
         """
         if len(self.name.encode()) > MAX_NAME_BYTES:
-            raise OSError(f"in a fleet a relay's name has {MAX_NAME_BYTES} bytes at most: {self.name!r}")
+            size = len(self.name.encode())
+            raise OSError(f"relay name {self.name!r} has {size} bytes; at most {MAX_NAME_BYTES} in a fleet")
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.settings.listen)
         self._transport = transport
@@ -81,14 +82,14 @@
             self.settings.swim,
             random_seed,
         )
-        # Relays that start at the same time don't probe at the same time.
+        # A random offset, so that relays that start at the same time don't probe at the same time.
         first_probe_us = secrets.randbelow(self.settings.swim.probe_interval_us)
         self.membership.next_probe_us = self._now_us() + first_probe_us
         self._execute(self.membership.announce_to(self.membership.seeds))
         return host, port
 
     def close(self) -> None:
-        """Closes the socket; other relays will declare this one dead."""
+        """Closes the socket without notice; other relays will declare this one dead."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
@@ -100,7 +101,7 @@
         return [] if self.membership is None else self.membership.live_peers()
 
     def broadcast_now(self) -> None:
-        """Sends new overrides to some members at once, ahead of the next probe."""
+        """Sends new overrides to some members at once, before the next probe."""
         if self.membership is not None and not self.membership.local.has_name_conflict:
             peers = self.membership.live_peers()
             chosen = self.membership.random.sample(peers, min(IMMEDIATE_RECIPIENTS, len(peers)))
@@ -109,7 +110,7 @@
     # Socket
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Handles a datagram; one that can't be used is counted and dropped."""
+        """Handles a datagram; an invalid one, or one of another fleet, is counted and dropped."""
         self.counters["received"] += 1
         try:
             fleet, datagram, overrides = decode(data)
@@ -130,7 +131,7 @@
             self.on_overrides(applied)
 
     def error_received(self, _exc: Exception) -> None:
-        """Counts an error of the socket, such as a closed port on loopback."""
+        """Counts a socket error, such as a closed port on loopback."""
         self.counters["errors"] += 1
 
     def _send(self, address: Address, datagram: Datagram) -> None:
@@ -141,7 +142,7 @@
         if transport.is_closing():
             return
         if transport.get_write_buffer_size():
-            self.counters["not_sent"] += 1  # it would be outdated when the socket's buffer has room
+            self.counters["not_sent"] += 1  # it would be outdated by the time the socket's buffer has space
             return
         self.counters["sent"] += 1
         self.counters["sent_bytes"] += len(data)
@@ -158,7 +159,7 @@
         self._execute(self.membership.tick(self._now_us()))
 
     def _check_for_pause(self) -> None:
-        """Notices by an overdue timer that this process was paused, before a datagram is handled."""
+        """Detects by an overdue timer that this process was paused, before a datagram is handled."""
         if self.membership is None or not self._timer_due_us:
             return
         now_us = self._now_us()
@@ -173,7 +174,9 @@
                 case Send(address, datagram):
                     self._send(address, datagram)
                 case StateChanged(peer):
-                    log.info("Relay %s at %s:%d is %s", peer.name, *peer.address, peer.state.name.lower())
+                    log.info(
+                        "gossip: relay %s at %s:%d is %s", peer.name, *peer.address, peer.state.name.lower()
+                    )
                     if peer.state is MemberState.ALIVE:
                         self.overrides.rebroadcast_all()
                 case NameConflict(address):
--- a/loftrelay/simulation/__init__.py
+++ b/loftrelay/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Fault injection between relays: a simulated fleet in virtual time, and a UDP proxy for real processes."""
+"""Fault injection between relays: a fleet simulated in virtual time, and a UDP proxy for real processes."""
--- a/loftrelay/simulation/fleet.py
+++ b/loftrelay/simulation/fleet.py
@@ -1,7 +1,7 @@
 """Simulated fleet: the membership of many relays in virtual time, over links with faults.
 
-Links lose, delay, duplicate, reorder and cut datagrams. No input or output. All random numbers come from one
-seed, so that a schedule can be replayed.
+Links lose, delay, duplicate and reorder datagrams, or are cut. All random numbers derive from one seed, so
+that a run can be replayed. Does no input or output.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.net.address import Address
 
-MS = 1_000  # microseconds
-SECOND = 1_000 * MS
+MS = 1_000  # microseconds in a millisecond
+SECOND = 1_000 * MS  # microseconds in a second
 FIRST_PORT = 7000
 
 
@@ -33,8 +33,8 @@
     Attributes:
         loss: Probability that a datagram is lost.
         duplication: Probability that it arrives twice.
-        delay_us: Least and greatest delay, drawn evenly for each datagram, which reorders them.
-        is_cut: Whether nothing passes from a sender to a recipient now, by their keys in the fleet.
+        delay_us: Range of the uniformly distributed delay of each datagram, which reorders datagrams.
+        is_cut: Returns whether the link from a sender to a recipient, given by their keys, is cut now.
     """
 
     loss: float = 0.0
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Death:
-    """A relay has declared a member dead."""
+    """Declaration of a member as dead by a relay."""
 
     at_us: int
     name: str
@@ -59,13 +59,13 @@
     Attributes:
         membership: Its view of the fleet.
         address: Where it receives datagrams.
-        is_paused: The process is stopped; its socket still receives.
-        is_running: It was not killed.
+        is_paused: Whether the process is stopped; its socket still receives.
+        is_running: Whether the process was not killed.
         receive_buffer: Datagrams received while paused, with their source.
-        next_tick_us: When its timer runs; -1 if none is set.
+        next_tick_us: Time of its timer; -1 if none is set.
         declared_dead: Members that it has declared dead, over all its runs.
-        has_name_conflict: It has left the fleet to another relay of its name.
-        datagrams_sent: Number of datagrams.
+        has_name_conflict: Whether it has left the fleet because another relay uses its name.
+        datagrams_sent: Number of datagrams sent.
     """
 
     membership: Membership
@@ -84,16 +84,16 @@
 
     Args:
         count: Number of relays that start at time 0.
-        seed: Of the pseudo-random generator.
-        config: Intervals of the membership protocol.
+        seed: Seed of the pseudo-random generator.
+        config: Timing of the membership protocol.
         links: Faults; none by default.
-        seeds: Number of the first addresses that serve as seeds.
-        start: Unix time at time 0, milliseconds.
+        seeds: Number of relays, from r0 on, whose addresses are the seeds of the fleet.
+        start_ms: Unix time in milliseconds at virtual time 0.
 
     Attributes:
-        now_us: Virtual time, microseconds.
-        relays: Latest run of each relay by its key, which is its name unless two relays share one.
-        key_by_address: Which relay receives what is sent to an address.
+        now_us: Virtual time in microseconds.
+        relays: Latest run of each relay by its key, which is its name unless two relays share a name.
+        key_by_address: Key of the relay that receives the datagrams sent to an address.
     """
 
     def __init__(
@@ -103,35 +103,35 @@
         config: SwimConfig,
         links: LinkFaults | None = None,
         seeds: int = 2,
-        start: int = 1_000_000,
+        start_ms: int = 1_000_000,
     ) -> None:
         self.random = random.Random(seed)
         self.config = config
         self.links = links or LinkFaults()
         self.now_us = 0
-        self.events: list[tuple[int, int, Callable[[], None]]] = []  # heap of time, order, event
+        self.events: list[tuple[int, int, Callable[[], None]]] = []  # heap of (time, order, event)
         self.relays: dict[str, SimulatedRelay] = {}
         self._event_count = 0
         self.key_by_address: dict[Address, str] = {}
         self._seeds = [("127.0.0.1", FIRST_PORT + number) for number in range(seeds)]
-        self._start_ms = start
+        self._start_ms = start_ms
         for number in range(count):
             self.start(f"r{number}", ("127.0.0.1", FIRST_PORT + number))
 
     # Schedule
 
-    def start(self, name: str, address: Address, start: int | None = None, node: str = "") -> None:
+    def start(self, name: str, address: Address, start_ms: int | None = None, key: str = "") -> None:
         """Starts a relay, or restarts it without its state.
 
         Args:
             name: Its name in the fleet.
             address: Where it receives datagrams.
-            start: Unix time in milliseconds; by default that of the virtual time.
-            node: Its key, if another relay has the same name.
+            start_ms: Unix time in milliseconds; by default it follows from the virtual time.
+            key: Its key, if another relay has the same name.
         """
-        key = node or name
+        key = key or name
         incarnation_id = self.random.getrandbits(63)
-        start_ms = self._start_ms + self.now_us // MS if start is None else start
+        start_ms = self._start_ms + self.now_us // MS if start_ms is None else start_ms
         random_seed = self.random.getrandbits(32)
         membership = Membership(
             name, address, incarnation_id, start_ms, self._seeds, self.config, random_seed
@@ -145,7 +145,7 @@
         self._schedule_tick(key)
 
     def kill(self, name: str) -> None:
-        """Ends a relay's process."""
+        """Kills a relay's process."""
         self.relays[name].is_running = False
         self.relays[name].receive_buffer.clear()
 
@@ -154,7 +154,7 @@
         self.relays[name].is_paused = True
 
     def resume(self, name: str) -> None:
-        """Continues a paused process, which reads its socket after it has noticed the pause."""
+        """Continues a paused process, which detects the pause and then reads its socket."""
         relay = self.relays[name]
         relay.is_paused = False
         self._execute(name, relay.membership.resume(self.now_us))
@@ -164,7 +164,7 @@
         self._schedule_tick(name)
 
     def schedule(self, at_us: int, event: Callable[[], None]) -> None:
-        """Runs an event at a virtual time; events of one time run in the order of these calls."""
+        """Schedules an event at a virtual time; events at the same time run in the order of scheduling."""
         self._event_count += 1
         heapq.heappush(self.events, (at_us, self._event_count, event))
 
@@ -176,20 +176,20 @@
         self.now_us = until_us
 
     def run_while(self, condition: Callable[[], bool], limit_us: int, step_us: int = 50 * MS) -> int:
-        """Runs until the condition, checked after each step, is false.
+        """Runs until the condition, which is checked after each step, is false.
 
         Returns:
-            The time that it took; at least `limit_us` if the condition still holds.
+            The elapsed virtual time; at least `limit_us` if the condition is still true.
         """
-        began_us = self.now_us
-        while condition() and self.now_us - began_us < limit_us:
+        started_us = self.now_us
+        while condition() and self.now_us - started_us < limit_us:
             self.run(self.now_us + step_us)
-        return self.now_us - began_us
+        return self.now_us - started_us
 
     # Observation
 
     def running(self) -> list[str]:
-        """Keys of the relays that run, aren't paused and haven't left because of a name conflict."""
+        """Returns the keys of the relays that run, aren't paused and haven't left due to a name conflict."""
         return [
             key
             for key, relay in self.relays.items()
@@ -197,7 +197,7 @@
         ]
 
     def is_converged(self, names: list[str] | None = None) -> bool:
-        """Whether each of these relays (default: all running) sees exactly the others of them as alive."""
+        """Returns whether each of these relays (default: all running) sees exactly the others as alive."""
         keys = set(names if names is not None else self.running())
         incarnation_ids = {key: self.relays[key].membership.local.peer.incarnation_id for key in keys}
         for key in keys:
@@ -208,7 +208,7 @@
         return True
 
     def false_deaths(self) -> int:
-        """Number of times that a relay was declared dead in a run that goes on and isn't paused now."""
+        """Returns how often a relay was declared dead during a run that still runs and isn't paused now."""
         running = {
             relay.membership.local.peer.incarnation_id
             for relay in self.relays.values()
--- a/loftrelay/simulation/proxy.py
+++ b/loftrelay/simulation/proxy.py
@@ -1,8 +1,8 @@
-"""UDP proxy with faults between real relays: loss, delay, duplication, reordering and cuts, by direction.
+"""UDP proxy that injects faults between real relays: loss, delay, duplication, reordering and cut links.
 
-Each relay listens on an address of its own and advertises an address of the proxy. The sender of a datagram
-is known by its source address; the datagram leaves from the address that the sender advertises, so that
-responses return through the proxy.
+Faults are set for each direction. Each relay listens on its own address and advertises an address of the
+proxy. The proxy identifies the sender of a datagram by its source address, and forwards the datagram from the
+address that the sender advertises, so that responses return through the proxy.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
     """Faults of one direction between two relays.
 
     Attributes:
-        is_cut: Nothing passes.
+        is_cut: Whether all datagrams are dropped.
         loss: Probability that a datagram is lost.
         duplication: Probability that it arrives twice.
-        delay_s: Least and greatest delay, drawn evenly for each datagram, which reorders them.
+        delay_s: Range of the uniformly distributed delay of each datagram, which reorders datagrams.
     """
 
     is_cut: bool = False
@@ -35,7 +35,7 @@
 
 
 class _AdvertisedSocket(asyncio.DatagramProtocol):
-    """Receives what is sent to one relay."""
+    """Receives datagrams sent to the advertised address of one relay."""
 
     def __init__(self, proxy: FaultProxy, recipient: str) -> None:
         self.proxy = proxy
@@ -58,11 +58,11 @@
     """The proxy of one fleet.
 
     Attributes:
-        seed: Of the pseudo-random generator.
-        faults: By path.
-        default_faults: Of all other paths.
-        forwarded: Number of datagrams that were sent on, by path.
-        dropped: Number of datagrams that were lost or cut, by path.
+        seed: Seed of the pseudo-random generator.
+        faults: Faults by path.
+        default_faults: Faults of all other paths.
+        forwarded: Number of forwarded datagrams by path.
+        dropped: Number of dropped datagrams by path.
     """
 
     seed: int
@@ -81,7 +81,7 @@
         """Adds a relay that listens on `address`.
 
         Returns:
-            The address that it is to advertise.
+            The address that the relay is to advertise.
 
         Raises:
             OSError: The proxy's socket can't be opened.
@@ -96,13 +96,13 @@
         return host, port
 
     def cut(self, sender: str, recipient: str, both_directions: bool = True) -> None:
-        """Lets nothing pass from one relay to another, by default in both directions."""
+        """Drops all datagrams from one relay to another, by default in both directions."""
         self.faults[sender, recipient] = PathFaults(is_cut=True)
         if both_directions:
             self.faults[recipient, sender] = PathFaults(is_cut=True)
 
     def heal(self) -> None:
-        """Removes the faults of single paths; `default_faults` stay."""
+        """Removes the faults of individual paths; `default_faults` stay."""
         self.faults.clear()
 
     def close(self) -> None:
@@ -111,7 +111,7 @@
             relay.transport.abort()
 
     def forward(self, recipient: str, data: bytes, source: Address) -> None:
-        """Forwards a datagram subject to the faults of its path; one from an unknown source is ignored."""
+        """Forwards a datagram, subject to the faults of its path; ignores one from an unknown source."""
         sender = self._name_by_address.get(source)
         if sender is None:
             return
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams as bytes: read as they were written, other bytes refused, the wire as recorded."""
+"""Encoding of gossip datagrams: round trip, invalid bytes, versions, and recorded bytes."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 peers = st.builds(
     Peer, texts, st.tuples(texts, st.integers(1, 65535)), numbers, numbers, st.sampled_from(list(MemberState))
 )
-news = st.lists(peers, max_size=24).map(tuple)
+updates = st.lists(peers, max_size=24).map(tuple)
 datagrams = st.one_of(
-    st.builds(Ping, numbers, texts, peers, news),
-    st.builds(Ack, numbers, peers, news),
-    st.builds(PingRequest, numbers, peers, peers, news),
+    st.builds(Ping, numbers, texts, peers, updates),
+    st.builds(Ack, numbers, peers, updates),
+    st.builds(PingRequest, numbers, peers, peers, updates),
 )
 override_lists = st.lists(
     st.builds(OperatorOverride, texts, st.booleans(), st.integers(0, 1 << 53), texts), max_size=7
@@ -31,56 +31,58 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(datagrams, override_lists)
-def test_encoded_datagram_decodes_as_far_as_it_fits(
+def test_encode_decode_round_trip_keeps_updates_and_overrides_that_fit(
     datagram: Datagram, overrides: list[OperatorOverride]
 ) -> None:
     data = encode("f", datagram, overrides)
     assert len(data) <= MAX_DATAGRAM_BYTES
-    fleet, read, decoded_overrides = decode(data)
+    fleet, decoded, decoded_overrides = decode(data)
     assert fleet == "f"
-    assert type(read) is type(datagram)
+    assert type(decoded) is type(datagram)
     assert decoded_overrides == overrides[: len(decoded_overrides)]
-    assert read.updates == datagram.updates[: len(read.updates)]
-    assert read.sender == datagram.sender
-    assert read.sequence_number == datagram.sequence_number
+    assert decoded.updates == datagram.updates[: len(decoded.updates)]
+    assert decoded.sender == datagram.sender
+    assert decoded.sequence_number == datagram.sequence_number
     if len(data) < MAX_DATAGRAM_BYTES // 2:
-        assert read == datagram
+        assert decoded == datagram
         assert decoded_overrides == overrides
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=200), st.integers(0, 60), datagrams)
-def test_arbitrary_bytes_raise_only_datagram_error(noise: bytes, at: int, datagram: Datagram) -> None:
-    whole = encode("f", datagram, [])
-    changed = whole[:at] + noise[:3] + whole[at + 2 :]
-    for data in (noise, b"LR\x01" + noise, changed, whole[: len(whole) // 2]):
+def test_decode_arbitrary_bytes_raises_only_datagram_error(
+    noise: bytes, position: int, datagram: Datagram
+) -> None:
+    valid = encode("f", datagram, [])
+    corrupted = valid[:position] + noise[:3] + valid[position + 2 :]
+    for data in (noise, b"LR\x01" + noise, corrupted, valid[: len(valid) // 2]):
         with contextlib.suppress(DatagramError):
             decode(data)
 
 
-def test_additional_fields_are_skipped_and_other_versions_refused() -> None:
-    probe = Ping(4, "b", Peer("a", ("127.0.0.1", 7), 1, 2))
-    data = encode("f", probe, [OperatorOverride("h", True, 3, "a")])
+def test_decode_skips_additional_fields_and_rejects_other_versions() -> None:
+    ping = Ping(4, "b", Peer("a", ("127.0.0.1", 7), 1, 2))
+    data = encode("f", ping, [OperatorOverride("h", True, 3, "a")])
     rows = msgspec.msgpack.decode(data[3:])
-    rows[5] += ["a field that came later"]
-    rows += [{"and": "another"}]
-    later = decode(data[:3] + msgspec.msgpack.encode(rows))
-    assert later == decode(data) == ("f", probe, [OperatorOverride("h", True, 3, "a")])
+    rows[5] += ["field of a later version"]
+    rows += [{"another": "field"}]
+    decoded = decode(data[:3] + msgspec.msgpack.encode(rows))
+    assert decoded == decode(data) == ("f", ping, [OperatorOverride("h", True, 3, "a")])
     with pytest.raises(DatagramVersionError):
         decode(data[:2] + b"\x02" + data[3:])
     assert (
         decode(
             encode(
-                "f", probe, [OperatorOverride("h" * 300, True, 3, "a"), OperatorOverride("h", True, 3, "a")]
+                "f", ping, [OperatorOverride("h" * 300, True, 3, "a"), OperatorOverride("h", True, 3, "a")]
             )
         )
-        == later
+        == decoded
     )
     with pytest.raises(DatagramError):
         encode("f", Ping(4, "b" * 200, Peer("a" * 200, ("h" * 900, 7), 1, 2)), [])
 
 
-GOLDEN = {
+RECORDED_HEX = {
     "ping": "4c520198a1660006a162c096a161a93132372e302e302e310701020091"
     "96a162a33a3a31080304019194a168c305a161",
     "ack": "4c520198a1660106a0c096a161a93132372e302e302e31070102009196a162a33a3a310803040190",
@@ -88,10 +90,10 @@
 }
 
 
-def test_bytes_of_each_kind_of_datagram_are_as_recorded() -> None:
+def test_encode_each_kind_of_datagram_gives_recorded_bytes() -> None:
     sender = Peer("a", ("127.0.0.1", 7), 1, 2)
     suspected = Peer("b", ("::1", 8), 3, 4, MemberState.SUSPECT)
     overrides = [OperatorOverride("h", True, 5, "a")]
-    assert encode("f", Ping(6, "b", sender, (suspected,)), overrides).hex() == GOLDEN["ping"]
-    assert encode("f", Ack(6, sender, (suspected,)), []).hex() == GOLDEN["ack"]
-    assert encode("f", PingRequest(6, suspected, sender), []).hex() == GOLDEN["ping request"]
+    assert encode("f", Ping(6, "b", sender, (suspected,)), overrides).hex() == RECORDED_HEX["ping"]
+    assert encode("f", Ack(6, sender, (suspected,)), []).hex() == RECORDED_HEX["ack"]
+    assert encode("f", PingRequest(6, suspected, sender), []).hex() == RECORDED_HEX["ping request"]
--- a/tests/gossip/test_datagram_bytes.py
+++ b/tests/gossip/test_datagram_bytes.py
@@ -1,4 +1,4 @@
-"""Datagrams of a fleet are, byte for byte, those of the program of commit 32c0038, and are read as there."""
+"""Datagrams are encoded and decoded exactly as recorded from commit 32c0038."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 ROWS: list[dict[str, Any]] = [json.loads(line) for line in FIXTURE.read_text().splitlines()]
 
 
-def peer(row: list[Any]) -> Peer:
+def make_peer(row: list[Any]) -> Peer:
     name, (host, port), incarnation_id, incarnation, state = row
     return Peer(name, (host, port), incarnation_id, incarnation, MemberState(state))
 
 
-def datagram(row: dict[str, Any], news: int | None = None) -> Datagram:
-    """`news`: how many of them it holds; None: all."""
-    sender, told = peer(row["sender"]), tuple(peer(told) for told in row["news"][:news])
+def make_datagram(row: dict[str, Any], update_count: int | None = None) -> Datagram:
+    """Returns the datagram of a row with its first `update_count` updates; None for all."""
+    sender, updates = make_peer(row["sender"]), tuple(make_peer(item) for item in row["news"][:update_count])
     match row["kind"]:
         case "probe":
-            return Ping(row["number"], row["name"], sender, told)
+            return Ping(row["number"], row["name"], sender, updates)
         case "answer":
-            return Ack(row["number"], sender, told)
-    return PingRequest(row["number"], peer(row["target"]), sender, told)
+            return Ack(row["number"], sender, updates)
+    return PingRequest(row["number"], make_peer(row["target"]), sender, updates)
 
 
 @pytest.mark.parametrize("row", ROWS, ids=range(len(ROWS)))
-def test_a_datagram_is_written_as_before(row: dict[str, Any]) -> None:
-    calls = [OperatorOverride(*call) for call in row["calls"]]
-    assert encode("windwacht", datagram(row), calls).hex() == row["hex"]
+def test_encode_gives_recorded_bytes(row: dict[str, Any]) -> None:
+    overrides = [OperatorOverride(*fields) for fields in row["calls"]]
+    assert encode("windwacht", make_datagram(row), overrides).hex() == row["hex"]
 
 
 @pytest.mark.parametrize("row", ROWS, ids=range(len(ROWS)))
-def test_a_datagram_is_read_as_before(row: dict[str, Any]) -> None:
-    fleet, actual, calls = decode(bytes.fromhex(row["hex"]))
-    readable = [OperatorOverride(*call) for call in row["calls"] if len(call[0]) <= 200]
+def test_decode_recorded_bytes_gives_recorded_datagram(row: dict[str, Any]) -> None:
+    fleet, datagram, overrides = decode(bytes.fromhex(row["hex"]))
+    valid = [OperatorOverride(*fields) for fields in row["calls"] if len(fields[0]) <= 200]
     assert fleet == "windwacht"
-    assert actual == datagram(row, row["fits"]["news"])
-    assert calls == readable[: row["fits"]["calls"]]
+    assert datagram == make_datagram(row, row["fits"]["news"])
+    assert overrides == valid[: row["fits"]["calls"]]
--- a/tests/gossip/test_gossip_member.py
+++ b/tests/gossip/test_gossip_member.py
@@ -1,4 +1,4 @@
-"""An override of another relay is applied as soon as possible, and survives a restart."""
+"""GossipMember: overrides of other relays are retried until applied, and restored after a restart."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 
 
 class FakeEngine:
-    """The part of the engine that a member observes; refuses the first changes."""
+    """Part of the engine that a member observes. Rejects the first two overrides."""
 
     def __init__(self) -> None:
         self.disabled: set[str] = set()
         self.observers: list[Any] = []
-        self.refusals = 2
+        self.remaining_rejections = 2
         self.context = self.endpoints = self
 
-    def change(self, host: str, out: bool) -> str | None:
-        if self.refusals:
-            self.refusals -= 1
-            return "another process of this relay is about to decide"
-        (self.disabled.add if out else self.disabled.discard)(host)
+    def apply_override(self, host: str, is_disabled: bool) -> str | None:
+        if self.remaining_rejections:
+            self.remaining_rejections -= 1
+            return "a handover is in progress"
+        (self.disabled.add if is_disabled else self.disabled.discard)(host)
         for observer in self.observers:
-            (observer.endpoint_disabled if out else observer.endpoint_enabled)(host)
+            (observer.endpoint_disabled if is_disabled else observer.endpoint_enabled)(host)
         return None
 
 
-def test_remote_override_is_retried_until_applied_and_restored_after_a_restart(
+def test_gossip_member_remote_override_is_retried_until_applied_and_restored_after_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(gossip_member, "APPLY_RETRY_S", 0.001)
 
     async def main() -> None:
         engine = FakeEngine()
-        member = gossip_member.GossipMember(SETTINGS, "a", tmp_path, cast(Any, engine), engine.change)
+        member = gossip_member.GossipMember(SETTINGS, "a", tmp_path, cast(Any, engine), engine.apply_override)
         await member.start(wait=False)
         override = OperatorOverride("h", True, 7, "b")
         member._on_remote_overrides(member.overrides.merge([override]))
@@ -50,11 +50,13 @@
         async with asyncio.timeout(10):
             while not engine.endpoints.disabled:
                 await asyncio.sleep(0.001)
-        assert member.overrides.by_host == {"h": override}  # with the other relay as its origin
+        assert member.overrides.by_host == {"h": override}  # the other relay remains its origin
         member.close()
         engine = FakeEngine()
-        engine.refusals = 0
-        restarted = gossip_member.GossipMember(SETTINGS, "a", tmp_path, cast(Any, engine), engine.change)
+        engine.remaining_rejections = 0
+        restarted = gossip_member.GossipMember(
+            SETTINGS, "a", tmp_path, cast(Any, engine), engine.apply_override
+        )
         await restarted.start(wait=False)
         assert engine.endpoints.disabled == {"h"}
         assert restarted.overrides.by_host == {"h": override}
--- a/tests/gossip/test_replay.py
+++ b/tests/gossip/test_replay.py
@@ -1,4 +1,4 @@
-"""Schedules of faults by fixed seeds: each datagram and each change of state as recorded at 32c0038."""
+"""Simulated fleets with faults by fixed seeds: every datagram and change of state as recorded at 32c0038."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.simulation.fleet import MS, SECOND, LinkFaults, SimulatedFleet
 
-RECORDED = [
+RECORDED_DIGESTS = [
     "89cb66c159af7cf6",
     "f9295b584612a6e6",
     "9454dc4414167ac4",
@@ -26,7 +26,7 @@
 
 
 class RecordedFleet(SimulatedFleet):
-    """Hashes what each relay's membership does, in order."""
+    """Hashes the actions of each relay's membership, in order."""
 
     def __init__(self, count: int, seed: int, links: LinkFaults) -> None:
         self.digest = hashlib.sha256()
@@ -41,43 +41,46 @@
                 case StateChanged(peer):
                     row = (peer.name, peer.address, peer.incarnation_id, peer.incarnation, int(peer.state))
                     self.digest.update(f"changed {row}".encode())
-                case NameConflict(by):
-                    self.digest.update(f"contested {by}".encode())
+                case NameConflict(other_address):
+                    self.digest.update(f"contested {other_address}".encode())
         super()._execute(name, actions)
 
 
-def play(seed: int) -> str:
-    chance = random.Random(seed)
-    f = RecordedFleet(9, seed, LinkFaults(loss=0.05, duplication=0.05, delay_us=(200, 30 * MS)))
-    f.run(5 * SECOND)
+def run_recorded_schedule(seed: int) -> str:
+    """Returns the digest of all actions."""
+    generator = random.Random(seed)
+    fleet = RecordedFleet(9, seed, LinkFaults(loss=0.05, duplication=0.05, delay_us=(200, 30 * MS)))
+    fleet.run(5 * SECOND)
     for step in range(16):
-        name = chance.choice(list(f.relays))
-        match chance.randrange(6):
+        name = generator.choice(list(fleet.relays))
+        match generator.randrange(6):
             case 0:
-                f.kill(name)
-                f.run(f.now_us + chance.randrange(30 * SECOND))
-                f.start(name, f.relays[name].address, start=1_000_000 if step % 2 else None)
+                fleet.kill(name)
+                fleet.run(fleet.now_us + generator.randrange(30 * SECOND))
+                fleet.start(name, fleet.relays[name].address, start_ms=1_000_000 if step % 2 else None)
             case 1:
-                f.pause(name)
-                f.run(f.now_us + chance.randrange(8 * SECOND))
-                f.resume(name)
+                fleet.pause(name)
+                fleet.run(fleet.now_us + generator.randrange(8 * SECOND))
+                fleet.resume(name)
             case 2:
-                side = {n for n in f.relays if chance.random() < 0.5}
-                f.links.is_cut = lambda here, there, side=side: here in side and there not in side  # type: ignore[misc]
+                side = {other for other in fleet.relays if generator.random() < 0.5}
+                fleet.links.is_cut = lambda sender, recipient, side=side: (
+                    sender in side and recipient not in side
+                )  # type: ignore[misc]
             case 3:
-                f.links.is_cut = lambda here, there: False
+                fleet.links.is_cut = lambda sender, recipient: False
             case 4:
-                f.links.is_cut = lambda here, there, name=name: name in (here, there)  # type: ignore[misc]
+                fleet.links.is_cut = lambda sender, recipient, name=name: name in (sender, recipient)  # type: ignore[misc]
             case 5 if step < 8:
-                f.start(name, ("127.0.0.1", 8000 + step), node=f"{name}-again-{step}")
+                fleet.start(name, ("127.0.0.1", 8000 + step), key=f"{name}-again-{step}")
             case _:
                 pass
-        f.run(f.now_us + chance.randrange(6 * SECOND))
-    f.links.is_cut, f.links.loss = lambda here, there: False, 0.0
-    f.run(f.now_us + 20 * SECOND)
-    return f.digest.hexdigest()[:16]
+        fleet.run(fleet.now_us + generator.randrange(6 * SECOND))
+    fleet.links.is_cut, fleet.links.loss = lambda sender, recipient: False, 0.0
+    fleet.run(fleet.now_us + 20 * SECOND)
+    return fleet.digest.hexdigest()[:16]
 
 
-@pytest.mark.parametrize("seed", range(len(RECORDED)))
-def test_a_replayed_schedule_gives_the_recorded_datagrams_and_states(seed: int) -> None:
-    assert play(seed) == RECORDED[seed]
+@pytest.mark.parametrize("seed", range(len(RECORDED_DIGESTS)))
+def test_membership_replayed_schedule_gives_recorded_datagrams_and_states(seed: int) -> None:
+    assert run_recorded_schedule(seed) == RECORDED_DIGESTS[seed]
