--- a/loftrelay/server/admin/commands.py
+++ b/loftrelay/server/admin/commands.py
@@ -1,4 +1,4 @@
-"""Carries out operators' commands on one relay."""
+"""Executes operators' commands on one relay."""
 
 from __future__ import annotations
 
@@ -14,30 +14,34 @@
 
 
 class DisabledHostStore(Protocol):
-    """Stores which hosts operators have disabled, so that it survives a restart."""
+    """Stores the hosts that operators have disabled, for a restart of the relay."""
 
     def save(self, hosts: Iterable[str]) -> None:
-        """Replaces the stored hosts; raises OSError."""
+        """Replaces the stored hosts.
+
+        Raises:
+            OSError: They can't be written.
+        """
 
 
 class OwnerProcess(Protocol):
     """Forwards commands to the process that owns the relay's state during a handover."""
 
     def request_override(self, host: str, is_disabled: bool, done: OnDone, /) -> None:
-        """Disables or enables a host there, now or once the owner is known."""
+        """Disables or enables a host at the owner, now or once the owner is known; then calls `done`."""
 
 
 class RelayAdmin:
     """Operators' commands for one relay; see AdminHandler.
 
     Args:
-        store: Of the hosts that operators have disabled.
+        store: Store of the hosts that operators have disabled.
 
     Attributes:
-        engine: None until it is loaded.
-        owner: Takes the commands instead, while another process owns the relay's state.
+        engine: Engine of the relay; None until it is loaded.
+        owner: Process that commands are forwarded to; None while this process owns the relay's state.
         is_serving: Whether this process serves clients.
-        metric_sources: Further statistics, of parts that not every relay has.
+        metric_sources: Functions that return the statistics of optional parts of the relay.
     """
 
     def __init__(self, store: DisabledHostStore) -> None:
@@ -53,18 +57,18 @@
         return self.is_serving
 
     def metric_lines(self) -> list[str]:
-        """Statistics, one line each; all zero until the engine is loaded."""
+        """Returns the statistics, one per line; all zero until the engine is loaded."""
         if self.engine is None:
             return Metrics().lines(Gauges(0, 0, 0))
         lines = self.engine.metric_lines()
         return [*lines, *(line for source in self.metric_sources for line in source())]
 
     def disable_host(self, host: str, done: OnDone) -> None:
-        """Sends no further messages to a host, until `enable_host`."""
+        """Stops sending messages to a host until `enable_host`; `done` is called once that is stored."""
         self.set_disabled(host, True, done)
 
     def enable_host(self, host: str, done: OnDone) -> None:
-        """Lifts `disable_host`."""
+        """Reverts `disable_host`; `done` is called once that is stored."""
         self.set_disabled(host, False, done)
 
     def set_disabled(self, host: str, is_disabled: bool, done: OnDone) -> None:
@@ -75,17 +79,21 @@
         done(self._set_disabled(host, is_disabled, must_exist=True))
 
     def apply_fleet_override(self, host: str, is_disabled: bool) -> str | None:
-        """Applies an operator's command given at another relay, where the host may be listed earlier.
+        """Applies an override from another relay; its host may not be in this relay's endpoint list yet.
 
         Returns:
-            Why it can't be applied now, or None.
+            The reason if it can't be applied now; otherwise None.
         """
         if self.owner is not None:
-            return "another process of this relay is about to decide"  # it receives the override itself
+            return "another process of this relay is taking over"  # it receives the override itself
         return self._set_disabled(host, is_disabled, must_exist=False)
 
     def _set_disabled(self, host: str, is_disabled: bool, must_exist: bool) -> str | None:
-        """Stores the change before it is applied, so that no restart reverts a command that succeeded."""
+        """Stores a change and then applies it, so that no restart reverts a command that succeeded.
+
+        Returns:
+            The reason if the change failed; otherwise None.
+        """
         engine = self.engine
         if engine is None:
             return "not ready"
@@ -97,7 +105,8 @@
         try:
             self.store.save(disabled | {host} if is_disabled else disabled - {host})
         except OSError as error:
-            log.error("Disabled hosts can't be written: %s", error)
+            state = "disabled" if is_disabled else "enabled"
+            log.error("admin: host %s not %s, the change can't be stored: %s", host, state, error)
             return f"it can't be written down: {error}"
         if is_disabled:
             engine.endpoints.disable(host)
--- a/loftrelay/server/admin/protocol.py
+++ b/loftrelay/server/admin/protocol.py
@@ -1,7 +1,7 @@
-"""Line protocol of the admin endpoint. No input or output.
+"""Line protocol of the admin endpoint. Does no input or output.
 
-A client sends one line and gets one reply: `YES`, `NO` with a reason, or for `show-stat` the statistics and a
-line `END`.
+A client sends one line and gets one reply: `YES`, `NO` with a reason, or, for `show-stat`, the statistics
+followed by a line `END`.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_LINE_BYTES = 512  # without the end of line
+MAX_LINE_BYTES = 512  # without the line ending
 MIN_HOST_ID_CHARS = 1
 MAX_HOST_ID_CHARS = 128
 
@@ -27,36 +27,36 @@
 
 
 class CommandError(Exception):
-    """The line is no valid command; the text says why and is sent as the reason."""
+    """The line is not a valid command; the text is sent to the client as the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """One command; `host` is the id of a host, empty for a command without an argument."""
+    """A command; `host` is the id of a host, or empty if the command takes no argument."""
 
     name: CommandName
     host: str = ""
 
 
 class LineReader:
-    """Assembles the line of one connection from received pieces."""
+    """Assembles the line of one connection from received data."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
         self.is_finished = False
 
     def feed(self, data: bytes) -> Command | None:
-        """Adds received bytes; what follows the line is ignored.
+        """Adds received bytes; bytes after the line are ignored.
 
         Returns:
-            The command, once its line is complete; None before and after that.
+            The command when its line is complete; None before and after that.
 
         Raises:
-            CommandError: The line is too long or no command; raised once.
+            CommandError: The line is too long or not a valid command; raised once.
         """
         if self.is_finished:
             return None
-        # The two bytes more are the end of a line of the greatest length.
+        # Two more bytes, for the line ending (CR LF) of a line of the maximum length.
         self.buffer += data[: MAX_LINE_BYTES + 2 - len(self.buffer)]
         line, newline, _ = self.buffer.partition(b"\n")
         if not newline and len(line) <= MAX_LINE_BYTES + 1:
@@ -67,7 +67,7 @@
         return parse_command(bytes(line))
 
     def end(self) -> None:
-        """The client has sent its last byte.
+        """Handles the end of the received data.
 
         Raises:
             CommandError: The line is incomplete.
@@ -78,10 +78,10 @@
 
 
 def parse_command(line: bytes) -> Command:
-    """Parses a line without its newline; a carriage return at its end is ignored.
+    """Parses a line without its newline; a trailing carriage return is ignored.
 
     Raises:
-        CommandError: It is no command.
+        CommandError: It is not a valid command.
     """
     try:
         words = line.removesuffix(b"\r").decode("utf-8").split(" ")
@@ -102,17 +102,17 @@
 
 
 def success_reply() -> bytes:
-    """Reply to a command that was carried out."""
+    """Returns the reply to a command that was executed."""
     return b"YES\n"
 
 
 def error_reply(reason: str) -> bytes:
-    """Reply to a command that was not carried out; the reason is folded into one line."""
+    """Returns the reply to a command that was not executed; the reason is folded into one line."""
     return ("NO " + " ".join(reason.split()) + "\n").encode("utf-8", "replace")
 
 
 def statistics_reply(lines: list[str]) -> bytes:
-    """Reply to `show-stat`."""
+    """Returns the reply to `show-stat`."""
     return "".join(f"{line}\n" for line in (*lines, "END")).encode()
 
 
--- a/loftrelay/server/admin/server.py
+++ b/loftrelay/server/admin/server.py
@@ -1,4 +1,4 @@
-"""TCP server of the admin endpoint, bounded in connections, bytes and time so that it always answers."""
+"""TCP server of the admin endpoint; limits on connections, bytes and time keep it responsive."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 )
 
 MAX_CONNECTIONS = 24
-TIMEOUT_S = 10.0  # from the connection to its line, and to the end of its reply
+TIMEOUT_S = 10.0  # from the start of a connection to its complete line, and to the end of its reply
 LISTEN_BACKLOG = 128
 ACCEPTS_PER_PASS = 8  # connections accepted in one pass of the event loop
 
-# Called once, when a command is done; with the reason if it was not carried out.
+# Called once, when a command is done: with None, or with the reason if it was not executed.
 OnDone = Callable[[str | None], None]
 
 
 class AdminHandler(Protocol):
-    """Carries out operators' commands."""
+    """Executes operators' commands."""
 
     @property
     def is_ready(self) -> bool:
         """Whether the relay serves clients."""
 
     def metric_lines(self) -> list[str]:
-        """Statistics, one line each."""
+        """Returns the statistics, one per line."""
 
     def disable_host(self, host: str, done: OnDone) -> None:
-        """Sends no further messages to a host."""
+        """Stops sending messages to a host."""
 
     def enable_host(self, host: str, done: OnDone) -> None:
-        """Lifts `disable_host`."""
+        """Reverts `disable_host`."""
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection, for one command."""
+    """A connection, which serves one command."""
 
     def __init__(self, server: AdminServer) -> None:
         self._server = server
@@ -54,14 +54,14 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Starts the timeout."""
+        """Adds the connection to its server, and starts its timeout."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._timer = asyncio.get_running_loop().call_later(TIMEOUT_S, self._on_timeout)
         self._server.add(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Frees the connection's slot."""
+        """Removes the connection from its server."""
         if self._timer is not None:
             self._timer.cancel()
         self._server.remove(self)
@@ -91,7 +91,7 @@
 
     def _on_timeout(self) -> None:
         if self._reader.is_finished:
-            self.abort()  # the client doesn't read its reply
+            self.abort()  # the client does not read its reply
         else:
             self._reader.is_finished = True
             self._reply(error_reply("the line did not come in time"))
@@ -103,19 +103,19 @@
 
 
 class AdminServer:
-    """The listener and its connections.
+    """Listener of the admin endpoint, and its connections.
 
     Args:
-        handler: Carries out the commands.
+        handler: Executes the commands.
     """
 
     def __init__(self, handler: AdminHandler) -> None:
         self.handler = handler
-        self.connections: dict[AdminConnection, None] = {}  # in the order of arrival
+        self.connections: dict[AdminConnection, None] = {}  # in order of arrival
         self._listener: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
-        """Listens on an address; port 0 stands for a free one.
+        """Listens on an address; port 0 selects a free port.
 
         Returns:
             The address in use.
@@ -125,13 +125,13 @@
         """
         loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        listening = socket.create_server(address, family=family)
+        listening_socket = socket.create_server(address, family=family)
         self._listener = await loop.create_server(
-            lambda: AdminConnection(self), sock=listening, backlog=ACCEPTS_PER_PASS
+            lambda: AdminConnection(self), sock=listening_socket, backlog=ACCEPTS_PER_PASS
         )
-        # asyncio's backlog is also the number of connections that it accepts in one pass.
-        listening.listen(LISTEN_BACKLOG)
-        host, port = listening.getsockname()[:2]
+        # asyncio also uses its backlog as the number of connections that it accepts in one pass.
+        listening_socket.listen(LISTEN_BACKLOG)
+        host, port = listening_socket.getsockname()[:2]
         return host, port
 
     def close(self) -> None:
@@ -142,7 +142,7 @@
             connection.abort()
 
     def add(self, connection: AdminConnection) -> None:
-        """Adds a connection; beyond MAX_CONNECTIONS the oldest one is closed."""
+        """Adds a connection; if there are more than MAX_CONNECTIONS, closes the oldest one."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
@@ -150,7 +150,7 @@
             oldest.abort()
 
     def remove(self, connection: AdminConnection) -> None:
-        """Removes a connection that is closed."""
+        """Removes a closed connection."""
         self.connections.pop(connection, None)
 
     def execute(self, command: Command, reply: Callable[[bytes], None]) -> None:
--- a/loftrelay/server/http/connection.py
+++ b/loftrelay/server/http/connection.py
@@ -20,26 +20,26 @@
 if TYPE_CHECKING:
     from loftrelay.server.http.server import HTTPServer
 
-REQUEST_TIMEOUT_S = 2.0  # from a request's first byte to its last; of the first request, from the connection
+REQUEST_TIMEOUT_S = 2.0  # from a request's first byte to its last; for the first request, since connecting
 IDLE_TIMEOUT_S = 3.0  # between two requests
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client connection, which serves one request at a time.
+    """A client connection, which serves one request at a time.
 
-    It is idle, receives a request, waits for the engine's answer, or is in its lingering close.
+    It is idle, receives a request, waits for the engine's response, or is in its lingering close.
 
     Args:
-        server: The server that it belongs to.
-        inherited: State from another process that has served the connection before.
+        server: Server of the connection.
+        inherited: State of the connection in the process that served it before; None if it is new.
 
     Attributes:
         transport: None until connected.
-        partial_request: Bytes received of an incomplete request.
-        is_receiving: A request has begun and is incomplete.
-        is_closing: In its lingering close, or handed over: what still arrives is discarded.
-        deadline: When `on_timeout` is to be called, by the loop's clock.
-        idle_since: When it was added or had its last response, by the loop's clock.
+        partial_request: Received bytes of an incomplete request.
+        is_receiving: Whether a request has begun and is incomplete.
+        is_closing: Whether it is in its lingering close or handed over; received bytes are discarded then.
+        deadline: Time at which `on_timeout` is to be called, by the event loop's clock.
+        idle_since: Time of its addition or of its last response, by the event loop's clock.
     """
 
     def __init__(self, server: HTTPServer, inherited: ConnectionState | None = None) -> None:
@@ -52,13 +52,13 @@
         self.idle_since = 0.0
         self._inherited = inherited
         self._exchange = Exchange()
-        self._pending_id: str | None = None  # the message whose answer the client waits for
+        self._pending_message_id: str | None = None  # message whose response the client waits for
         self._lingering_close = LingeringClose()
 
     # Events of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Starts serving, where another process has left off if it did."""
+        """Starts serving the connection, or resumes where another process stopped."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self._set_timeout(REQUEST_TIMEOUT_S)
@@ -72,37 +72,38 @@
             self.server.on_connected_while_paused(self, kind)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Cancels the message whose answer the client waited for."""
+        """Cancels the message whose response the client was waiting for."""
         self.server.connections.remove(self)
         self._cancel_pending()
 
     def eof_received(self) -> bool:
-        """Closes: a client that ends its sending gives up its request."""
+        """Lets asyncio close the connection: a client that closes its sending side gives up its request."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Reads a request; submits it once it is complete, and responds if it can't be read."""
+        """Reads a request and handles it once it is complete; rejects an invalid one."""
         if self.is_closing:
             if self._lingering_close.discard(data):
                 self.abort()
             return
-        if self._pending_id is not None:
-            self._refuse(400, "one request at a time")
+        if self._pending_message_id is not None:
+            self._respond_and_close(400, "one request at a time")
             return
         self.partial_request += data
         if not self.is_receiving:
             self.is_receiving = True
-            if not self.server.connections.is_new(self):  # a new client's timeout runs since it connected
+            # The timeout of a new client runs since it connected.
+            if not self.server.connections.is_new(self):
                 self._set_timeout(REQUEST_TIMEOUT_S)
         try:
             self._read_request(data)
         except h11.RemoteProtocolError as error:
-            self._refuse(error.error_status_hint, str(error))
+            self._respond_and_close(error.error_status_hint, str(error))
         except RequestError as error:
-            self._refuse(error.status, error.reason)
+            self._respond_and_close(error.status, error.reason)
 
     def on_timeout(self) -> None:
-        """Handles the deadline, depending on what the connection waits for."""
+        """Handles the deadline, depending on the state of the connection."""
         if self.is_closing:
             self.end_lingering()
         elif self.is_idle and not self.is_evictable:
@@ -111,27 +112,27 @@
             if not self.server.keeps_idle_connections:
                 self.close()
         else:
-            self._refuse(HTTPStatus.REQUEST_TIMEOUT, "the request did not come in time")
+            self._respond_and_close(HTTPStatus.REQUEST_TIMEOUT, "the request did not come in time")
 
     # State
 
     @property
     def is_idle(self) -> bool:
-        """Between two requests."""
-        return self._pending_id is None and not self.is_receiving and not self.is_closing
+        """Whether the connection is between two requests."""
+        return self._pending_message_id is None and not self.is_receiving and not self.is_closing
 
     @property
     def is_evictable(self) -> bool:
-        """Idle, with no unread bytes: closing over a request that has arrived would lose it."""
+        """Whether it is idle and has no unread bytes; a request that has arrived would be lost by a close."""
         return self.is_idle and self.transport is not None and not peek_unread(self.transport)
 
     @property
     def can_be_handed_over(self) -> bool:
-        """Whether another process can continue it: no message is submitted and no response unsent."""
+        """Whether another process can continue it: no message is pending and no response unsent."""
         transport = self.transport
         return (
             not self.is_closing
-            and self._pending_id is None
+            and self._pending_message_id is None
             and transport is not None
             and not transport.is_closing()
             and not transport.get_write_buffer_size()
@@ -140,7 +141,7 @@
     # Closing
 
     def close(self) -> None:
-        """Begins the lingering close; requests that still arrive are discarded."""
+        """Begins the lingering close; further requests are discarded."""
         self.is_closing = True
         self._set_timeout(LINGER_TIMEOUT_S)
         self.server.on_lingering(self)
@@ -148,14 +149,14 @@
             self._lingering_close.begin(self.transport)
 
     def end_lingering(self) -> None:
-        """Ends the lingering close, whether the client has closed its side or not."""
+        """Ends the lingering close, whether or not the client has closed its side."""
         if self.transport is not None:
             self._lingering_close.end(self.transport)
 
     def reject(self, reason: str) -> None:
-        """Responds that the client is to retry later or elsewhere: its request was not admitted."""
+        """Responds with 503, so that the client retries later or elsewhere; its request is not admitted."""
         if not self.is_closing:
-            self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, reason)
+            self._respond_and_close(HTTPStatus.SERVICE_UNAVAILABLE, reason)
 
     def abort(self) -> None:
         """Closes the connection at once."""
@@ -190,11 +191,11 @@
             return
         if request.method not in (b"GET", b"HEAD"):
             raise RequestError(405, "only GET and HEAD")
-        self._answer(503 if self.server.engine.endpoints.has_no_list else 200)
+        self._respond(503 if self.server.engine.endpoints.has_no_list else 200)
 
     def _submit(self, request: h11.Request) -> None:
         engine = self.server.engine
-        # The timeout counts from when the client sent the request, which was earlier if the loop is late.
+        # The timeout starts when the client sent the request, which is earlier than now if the loop is late.
         age_s = engine.context.stall_detector.input_age(asyncio.get_running_loop().time())
         received_at_us = wall_clock() - int(age_s * 1e6)
         body = bytes(self._exchange.body)
@@ -202,24 +203,24 @@
         if engine.intake.is_client_waiting(message.id):
             raise RequestError(409, "a request with this id is open")
         if (known := engine.intake.known_response(message.id)) is not None:
-            self._answer(*known)
+            self._respond(*known)
         else:
-            self._pending_id = message.id
+            self._pending_message_id = message.id
             self.deadline = math.inf
-            engine.intake.submit(message, self._answer)
+            engine.intake.submit(message, self._respond)
 
     def _cancel_pending(self) -> None:
-        if self._pending_id is not None:
-            self.server.engine.intake.cancel(self._pending_id)
-            self._pending_id = None
+        if self._pending_message_id is not None:
+            self.server.engine.intake.cancel(self._pending_message_id)
+            self._pending_message_id = None
 
     # Responses
 
-    def _answer(self, status: int, retry_after_ms: int = 0) -> None:
+    def _respond(self, status: int, retry_after_ms: int = 0) -> None:
         """Responds to a complete request."""
-        if self._pending_id is None and self.transport is not None and self.transport.is_closing():
+        if self._pending_message_id is None and self.transport is not None and self.transport.is_closing():
             return  # the client disconnected before its final status was recorded
-        self._pending_id = None
+        self._pending_message_id = None
         headers = _retry_after(retry_after_ms) if retry_after_ms else []
         if self.server.is_shutting_down:
             headers.append(("Connection", "close"))
@@ -230,8 +231,8 @@
         else:
             self.close()
 
-    def _refuse(self, status: int, reason: str) -> None:
-        """Responds to a request that is not admitted, if that is still possible, and closes."""
+    def _respond_and_close(self, status: int, reason: str) -> None:
+        """Responds to a request that is not admitted, if a response can still be sent, and closes."""
         self._cancel_pending()
         if not self._exchange.can_respond:
             self.abort()
--- a/loftrelay/server/http/connection_state.py
+++ b/loftrelay/server/http/connection_state.py
@@ -1,4 +1,4 @@
-"""State of a client connection that goes from one process of the relay to another."""
+"""State of a client connection that one process of the relay hands over to another."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class ClientKind(Enum):
-    """Clients by their number of requests; the names are those of the handover protocol."""
+    """Kind of a client, by its number of complete requests. The names are part of the handover protocol."""
 
-    NEW = auto()  # no complete request yet
-    ONCE = auto()
-    REGULAR = auto()
+    NEW = auto()  # no request yet
+    ONCE = auto()  # one request
+    REGULAR = auto()  # several requests
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionState:
-    """A connection that another process can continue.
+    """State from which another process can continue a connection.
 
     Attributes:
-        kind: Kind of client.
-        partial_request: Bytes received of an incomplete request.
+        kind: Kind of the client.
+        partial_request: Received bytes of an incomplete request.
         fd: Descriptor of the socket.
     """
 
@@ -32,10 +32,15 @@
     fd: int
 
     def row(self) -> dict[str, Any]:
-        """JSON form, without the descriptor."""
+        """Returns the JSON form, without the descriptor."""
         return {"kind": self.kind.name, "raw": base64.b64encode(self.partial_request).decode()}
 
     @classmethod
     def read(cls, row: Mapping[str, Any], fd: int) -> ConnectionState:
-        """Reads the JSON form; raises KeyError or ValueError if it is invalid."""
+        """Parses the JSON form.
+
+        Raises:
+            KeyError: A field is missing, or the kind is unknown.
+            ValueError: The partial request is not valid base64.
+        """
         return cls(ClientKind[row["kind"]], base64.b64decode(row["raw"]), fd)
--- a/loftrelay/server/http/connection_table.py
+++ b/loftrelay/server/http/connection_table.py
@@ -1,6 +1,6 @@
-"""Client connections of the server, their limit, and which of them is closed to admit another one.
+"""Client connections of the server: their limit, and the choice of one to close in favor of a new one.
 
-No input or output of its own.
+Does no input or output.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from loftrelay.server.http.connection import ClientConnection
 
-MAX_LINGERING = 8  # lingering connections beyond the limit
-REQUEST_GRACE_S = 0.1  # in which a client that has just connected or been answered may send a request
+MAX_LINGERING = 8  # lingering connections in addition to the limit of active ones
+REQUEST_GRACE_S = 0.1  # time for a client to send a request after connecting or getting a response
 
 
 class ConnectionTable:
-    """Connections by kind, each kind in the order of arrival or of the latest response.
+    """Connections by kind of client, each kind in order of arrival or of the latest response.
 
     Attributes:
-        limit: Greatest number of active connections.
+        limit: Maximum number of active connections.
         lingering: Connections in their lingering close, the oldest first.
     """
 
@@ -30,11 +30,11 @@
         self._by_kind: dict[ClientKind, dict[ClientConnection, None]] = {kind: {} for kind in ClientKind}
 
     def active(self) -> list[ClientConnection]:
-        """All connections that aren't in their lingering close."""
+        """Returns all connections that aren't in their lingering close."""
         return [client for clients in self._by_kind.values() for client in clients]
 
     def of_kind(self, kind: ClientKind) -> list[ClientConnection]:
-        """Active connections of one kind."""
+        """Returns the active connections of one kind."""
         return list(self._by_kind[kind])
 
     @property
@@ -44,7 +44,7 @@
 
     @property
     def is_over_limit(self) -> bool:
-        """Whether one connection has to be closed."""
+        """Whether there are more active connections than the limit."""
         return self.active_count > self.limit
 
     @property
@@ -53,7 +53,7 @@
         return not self.active_count and not self.lingering
 
     def is_new(self, client: ClientConnection) -> bool:
-        """Whether no complete request has arrived yet."""
+        """Returns whether the client has not sent a complete request yet."""
         return client in self._by_kind[ClientKind.NEW]
 
     def add(self, client: ClientConnection, kind: ClientKind, now_s: float) -> None:
@@ -63,7 +63,7 @@
         client.idle_since = now_s
 
     def remove(self, client: ClientConnection) -> None:
-        """Removes a connection."""
+        """Removes a connection, active or lingering, if it is in the table."""
         for clients in self._by_kind.values():
             clients.pop(client, None)
         self.lingering.pop(client, None)
@@ -72,29 +72,29 @@
         """Moves a connection to its lingering close.
 
         Returns:
-            The oldest lingering connection, removed, if there are too many.
+            The oldest lingering connection, now removed, if there are too many; otherwise None.
         """
         self.remove(client)
         self.lingering[client] = None
         if self.active_count + len(self.lingering) <= self.limit + MAX_LINGERING:
             return None
         oldest = next(iter(self.lingering))
-        del self.lingering[oldest]  # now: its connection_lost runs only in a later pass of the loop
+        del self.lingering[oldest]  # not left to connection_lost, which runs in a later pass of the loop
         return oldest
 
-    def choose_eviction(self, newcomer: ClientConnection, now_s: float) -> ClientConnection:
-        """Selects the connection to close so that a newcomer can stay; the newcomer itself if there is none.
+    def choose_eviction(self, new_client: ClientConnection, now_s: float) -> ClientConnection:
+        """Selects the connection to close in favor of a new one; the new one if no other can be closed.
 
-        Candidates are the oldest new connection without a request and the longest idle one, clients with one
-        request before regular ones. A candidate that is older than REQUEST_GRACE_S goes first; of two, the
-        one without a request.
+        Candidates are the oldest connection without a request, and the longest idle one, where clients with
+        one request precede regular ones. A candidate older than REQUEST_GRACE_S is preferred; if both or
+        neither are, the one without a request.
         """
         new = self._by_kind[ClientKind.NEW]
-        silent = next((c for c in new if c.is_evictable and c is not newcomer), None)
+        silent = next((c for c in new if c.is_evictable and c is not new_client), None)
         served = (*self._by_kind[ClientKind.ONCE], *self._by_kind[ClientKind.REGULAR])
         idle = next((c for c in served if c.is_evictable), None)
         if silent is not None and (idle is None or now_s - silent.idle_since > REQUEST_GRACE_S):
             return silent
         if idle is not None and (silent is None or now_s - idle.idle_since > REQUEST_GRACE_S):
             return idle
-        return silent or idle or newcomer
+        return silent or idle or new_client
--- a/loftrelay/server/http/exchange.py
+++ b/loftrelay/server/http/exchange.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 framing of one client connection on h11. No input or output."""
+"""HTTP/1.1 framing of one client connection, based on h11. Does no input or output."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ReadResult(Enum):
-    """What received bytes amount to."""
+    """Result of parsing received bytes."""
 
     INCOMPLETE = auto()
     REQUEST_COMPLETE = auto()
@@ -19,28 +19,28 @@
 
 
 class Exchange:
-    """Reads requests from received bytes and encodes responses.
+    """Parses requests from received bytes and encodes responses.
 
     Attributes:
         request: Head of the latest request; None before the first one.
-        body: Body of that request, as far as it has arrived.
+        body: Received part of the body of that request.
     """
 
     def __init__(self) -> None:
         self.request: h11.Request | None = None
         self.body = bytearray()
-        self._wire = h11.Connection(h11.SERVER)
+        self._connection = h11.Connection(h11.SERVER)
 
     def receive(self, data: bytes) -> ReadResult:
         """Adds received bytes.
 
         Raises:
-            RequestError: The request is refused.
-            h11.RemoteProtocolError: The bytes are no HTTP/1.1.
+            RequestError: The request is rejected.
+            h11.RemoteProtocolError: The bytes are not valid HTTP/1.1.
         """
-        self._wire.receive_data(data)
+        self._connection.receive_data(data)
         while True:
-            event = self._wire.next_event()
+            event = self._connection.next_event()
             if event is h11.NEED_DATA:
                 return ReadResult.INCOMPLETE
             if isinstance(event, h11.Request):
@@ -56,18 +56,18 @@
                 return ReadResult.CONNECTION_CLOSED
 
     def continue_response(self) -> bytes | None:
-        """The interim response, if the client waits for it before it sends the body."""
-        if not self._wire.they_are_waiting_for_100_continue:
+        """Returns a 100 (Continue) response if the client waits for it before it sends the body; or None."""
+        if not self._connection.they_are_waiting_for_100_continue:
             return None
-        return self._wire.send(h11.InformationalResponse(status_code=100, headers=[]))
+        return self._connection.send(h11.InformationalResponse(status_code=100, headers=[]))
 
     @property
     def can_respond(self) -> bool:
-        """Whether no response to the present request has begun."""
-        return self._wire.our_state in (h11.IDLE, h11.SEND_RESPONSE)
+        """Whether no response to the current request has begun."""
+        return self._connection.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
     def response(self, status: int, headers: list[tuple[str, str]], reason: str) -> bytes:
-        """Encodes a response; a reason becomes its body."""
+        """Encodes a response; a non-empty reason becomes its body."""
         body = f"{reason}\n".encode() if reason else b""
         if self.request is not None and self.request.method == b"HEAD":
             body = b""
@@ -76,26 +76,28 @@
             reason=HTTPStatus(status).phrase,
             headers=[*headers, ("Content-Length", str(len(body)))],
         )
-        return b"".join(self._wire.send(event) or b"" for event in (head, h11.Data(body), h11.EndOfMessage()))
+        return b"".join(
+            self._connection.send(event) or b"" for event in (head, h11.Data(body), h11.EndOfMessage())
+        )
 
     def start_next(self) -> bool:
-        """Prepares for the next request; returns whether the connection can be used for one."""
-        if self._wire.our_state is not h11.DONE or self._wire.their_state is not h11.DONE:
+        """Prepares for the next request; returns False if the connection can't be reused."""
+        if self._connection.our_state is not h11.DONE or self._connection.their_state is not h11.DONE:
             return False
-        self._wire.start_next_cycle()
+        self._connection.start_next_cycle()
         return True
 
     @property
     def is_readiness_check(self) -> bool:
-        """Whether the request is for the relay's readiness."""
+        """Whether the request checks the relay's readiness."""
         return self.request is not None and self.request.target == READINESS_PATH
 
     @property
     def allowed_methods(self) -> str:
-        """Value of the header Allow for the request's path."""
+        """Value of the Allow header for the path of the request."""
         return "GET, HEAD" if self.is_readiness_check else "POST"
 
     def _check_no_pipelining(self) -> None:
-        """Refuses bytes after a request: a wrong length, or an attempt to smuggle a second request."""
-        if self._wire.trailing_data[0]:
+        """Rejects bytes after a request, which may be a wrong length or request smuggling."""
+        if self._connection.trailing_data[0]:
             raise RequestError(400, "more than one request at a time")
--- a/loftrelay/server/http/lingering_close.py
+++ b/loftrelay/server/http/lingering_close.py
@@ -1,8 +1,8 @@
 """Lingering close of a client connection.
 
-A close with unread bytes in the socket resets the connection, and the client may never see its response
-(RFC 9112, section 9.6). So the sending side is closed first, and what still arrives is read and discarded
-until the client closes its side, or a timeout or a limit of bytes is reached.
+Closing a socket with unread bytes resets the connection, and the client may never receive its response
+(RFC 9112, section 9.6). Therefore the sending side is closed first, and received bytes are discarded until
+the client closes its side, or until a timeout or a limit of bytes is reached.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 
 class LingeringClose:
-    """Discards what a client sends after the relay has ended the connection."""
+    """Discards bytes from a client after the relay has closed its sending side."""
 
     def __init__(self) -> None:
         self._remaining_bytes = MAX_DISCARDED_BYTES
 
     def begin(self, transport: asyncio.Transport) -> None:
-        """Closes the sending side once what was written is sent."""
+        """Closes the sending side once all written bytes are sent."""
         if not transport.is_closing():
             transport.resume_reading()
             transport.write_eof()
@@ -33,7 +33,7 @@
         return self._remaining_bytes < 0
 
     def end(self, transport: asyncio.Transport) -> None:
-        """Closes the connection, without a reset unless bytes are unread or unsent."""
+        """Closes the connection; with a reset only if bytes are unread or unsent."""
         if not peek_unread(transport) and not transport.get_write_buffer_size():
             transport.close()
         else:
--- a/loftrelay/server/http/listener.py
+++ b/loftrelay/server/http/listener.py
@@ -1,6 +1,6 @@
 """Listening socket of the HTTP server.
 
-It has a reader of its own: asyncio's server drops connections that it accepted in the pass before its close.
+It accepts connections itself, since asyncio's server drops those accepted in the pass before its close.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPTS_PER_PASS = 8  # few, so that connections can be closed in between; the system queues the others
+ACCEPTS_PER_PASS = 8  # few, so that connections can be closed in between; the kernel queues the others
 LISTEN_BACKLOG = 1024
-ACCEPT_PAUSE_S = 0.1  # after the descriptors have run out
+ACCEPT_PAUSE_S = 0.1  # after accept has failed, as when the process is out of descriptors
 
 
 class Listener:
@@ -29,18 +29,18 @@
 
     Attributes:
         socket: The listening socket; None while it is closed.
-        inherited_fd: Descriptor of a listening socket shared with other processes of the relay; or None.
+        inherited_fd: Descriptor of a listening socket that other processes of the relay share; or None.
     """
 
     def __init__(self, create_protocol: Callable[[], asyncio.Protocol]) -> None:
         self.socket: socket.socket | None = None
         self.inherited_fd: int | None = None
         self._create_protocol = create_protocol
-        self._attaching: set[asyncio.Task[None]] = set()
+        self._attach_tasks: set[asyncio.Task[None]] = set()
         self._pause_timer: asyncio.TimerHandle | None = None
 
     def open(self, address: Address, inherited_fd: int | None) -> Address:
-        """Listens on the inherited socket, or else on an address, where port 0 stands for a free one.
+        """Listens on the inherited socket, or else on an address; port 0 selects a free port.
 
         Returns:
             The address in use.
@@ -50,12 +50,12 @@
         """
         self.inherited_fd = inherited_fd
         if inherited_fd is not None:
-            listening = socket.socket(fileno=os.dup(inherited_fd))
+            listening_socket = socket.socket(fileno=os.dup(inherited_fd))
         else:
             family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-            listening = socket.create_server(address, family=family)
-        self._listen(listening)
-        host, port = listening.getsockname()[:2]
+            listening_socket = socket.create_server(address, family=family)
+        self._listen(listening_socket)
+        host, port = listening_socket.getsockname()[:2]
         return host, port
 
     def reopen(self) -> None:
@@ -64,7 +64,7 @@
             self._listen(socket.socket(fileno=os.dup(self.inherited_fd)))
 
     def close(self) -> None:
-        """Accepts no further connections; those that are queued are reset unless the socket is shared."""
+        """Stops accepting connections; queued ones are reset unless the socket is shared."""
         if self._pause_timer is not None:
             self._pause_timer.cancel()
         if self.socket is not None:
@@ -73,17 +73,17 @@
             self.socket = None
 
     async def drain_and_close(self) -> None:
-        """Accepts what is queued, unless another process will, and closes the socket."""
+        """Accepts the queued connections, unless another process will do so, and closes the socket."""
         if self.socket is not None and self.inherited_fd is None:
             self._accept(LISTEN_BACKLOG)
         self.close()
-        if self._attaching:
-            await asyncio.wait(self._attaching)
+        if self._attach_tasks:
+            await asyncio.wait(self._attach_tasks)
 
-    def _listen(self, listening: socket.socket) -> None:
-        listening.setblocking(False)
-        listening.listen(LISTEN_BACKLOG)
-        self.socket = listening
+    def _listen(self, listening_socket: socket.socket) -> None:
+        listening_socket.setblocking(False)
+        listening_socket.listen(LISTEN_BACKLOG)
+        self.socket = listening_socket
         self._resume_accepting()
 
     def _resume_accepting(self) -> None:
@@ -104,14 +104,16 @@
                 accepted, _ = self.socket.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except OSError as error:  # descriptors have run out
-                log.warning("Listener: a connection can't be accepted: %s", error)
+            except OSError as error:  # the process is out of descriptors
+                log.warning(
+                    "HTTP listener can't accept a connection: %s; retrying in %g s", error, ACCEPT_PAUSE_S
+                )
                 self._pause_accepting()
                 return
             accepted.setblocking(False)
             task = asyncio.get_running_loop().create_task(self._attach(accepted))
-            self._attaching.add(task)
-            task.add_done_callback(self._attaching.discard)
+            self._attach_tasks.add(task)
+            task.add_done_callback(self._attach_tasks.discard)
 
     async def _attach(self, accepted: socket.socket) -> None:
         with contextlib.suppress(OSError):  # the client has disconnected
--- a/loftrelay/server/http/request.py
+++ b/loftrelay/server/http/request.py
@@ -1,4 +1,4 @@
-"""Validates requests and maps them to messages. No input or output.
+"""Validates requests and maps them to messages. Does no input or output.
 
 The reasons in errors are sent to the client.
 """
@@ -40,11 +40,11 @@
 
 
 class RequestError(Exception):
-    """The request is refused.
+    """The request is rejected.
 
     Attributes:
         status: HTTP status of the response.
-        reason: Its body.
+        reason: Body of the response.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -54,7 +54,7 @@
 
 
 def validate_head(request: h11.Request) -> None:
-    """Checks what can be checked before the body arrives.
+    """Validates the head of a request, before its body arrives.
 
     Raises:
         RequestError: A header is repeated, the framing is ambiguous (RFC 9112, section 6.3), or the body is
@@ -71,7 +71,7 @@
 
 
 def check_body_size(size_bytes: int) -> None:
-    """Raises RequestError for a body over MAX_BODY_BYTES."""
+    """Raises a RequestError if a body exceeds MAX_BODY_BYTES."""
     if size_bytes > MAX_BODY_BYTES:
         raise RequestError(413, "a body holds at most 64 KiB")
 
@@ -83,9 +83,9 @@
 
     Args:
         accepted: Message classes and tenants that are accepted now.
-        request: Its head.
-        received_at_us: When the client sent it, wall clock.
-        body: Its body.
+        request: Head of the request.
+        received_at_us: Wall-clock time at which the client sent the request.
+        body: Body of the request.
 
     Raises:
         RequestError: The request is invalid.
@@ -99,11 +99,11 @@
         raise RequestError(405, "messages are handed in with POST")
     if headers.get("request-class") != message_class.name:
         raise RequestError(400, "Request-Class does not name the class of the path")
-    message_id = _message_id(headers)
-    tenant = _tenant(headers, accepted)
-    timeout_us = _timeout_us(headers, message_class)
-    destination = _destination(headers)
-    ordering_key = _ordering_key(path, message_class)
+    message_id = _parse_message_id(headers)
+    tenant = _parse_tenant(headers, accepted)
+    timeout_us = _parse_timeout_us(headers, message_class)
+    destination = _parse_destination(headers)
+    ordering_key = _parse_ordering_key(path, message_class)
     return Message(
         id=message_id,
         sequence=0,
@@ -114,25 +114,25 @@
         admitted_at=received_at_us,
         deadline=received_at_us + timeout_us,
         body=body,
-        idempotency_key=_idempotency_key(headers),
+        idempotency_key=_parse_idempotency_key(headers),
     )
 
 
-def _message_id(headers: Headers) -> str:
+def _parse_message_id(headers: Headers) -> str:
     message_id = headers.get("request-id", "")
     if not MESSAGE_ID.fullmatch(message_id):
         raise RequestError(400, "Request-Id is missing or malformed")
     return message_id
 
 
-def _tenant(headers: Headers, accepted: AcceptedClasses) -> str | None:
+def _parse_tenant(headers: Headers, accepted: AcceptedClasses) -> str | None:
     tenant, tenants = headers.get("tenant"), accepted.settings.tenants
     if tenants and tenant not in tenants:
         raise RequestError(400, "Tenant is missing or unknown")
     return tenant
 
 
-def _timeout_us(headers: Headers, message_class: MessageClass) -> int:
+def _parse_timeout_us(headers: Headers, message_class: MessageClass) -> int:
     timeout_ms = headers.get("request-timeout-ms", "")
     if not TIMEOUT_MS.fullmatch(timeout_ms):
         raise RequestError(400, "Request-Timeout-Ms is missing or malformed")
@@ -142,21 +142,21 @@
     return timeout_us
 
 
-def _destination(headers: Headers) -> int:
+def _parse_destination(headers: Headers) -> int:
     match = DESTINATION.search(headers.get("x-consignee", ""))
     if match is None:
         raise RequestError(400, "X-Consignee names no dest")
     return int(match[1])
 
 
-def _ordering_key(path: list[str], message_class: MessageClass) -> str | None:
+def _parse_ordering_key(path: list[str], message_class: MessageClass) -> str | None:
     key = path[1] if len(path) == 2 else ""
     if len(key) > MAX_ORDERING_KEY_CHARS:
         raise RequestError(400, "the key is too long")
     return key if message_class.is_ordered and key else None
 
 
-def _idempotency_key(headers: Headers) -> str | None:
+def _parse_idempotency_key(headers: Headers) -> str | None:
     key = headers.get("idempotency-key")
     if key is not None and not IDEMPOTENCY_KEY.fullmatch(key):
         raise RequestError(400, "Idempotency-Key is malformed")
--- a/loftrelay/server/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -1,4 +1,4 @@
-"""HTTP server of one relay: startup, shutdown, limit of clients, and handover to another process."""
+"""HTTP server of one relay: startup, shutdown, connection limit, and handover to another process."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 class HTTPServer:
-    """Serves clients on behalf of an engine.
+    """Serves clients of a relay.
 
     Args:
-        engine: Takes the messages.
-        max_clients: Greatest number of connections; beyond it one is closed or rejected.
+        engine: Engine that messages are submitted to.
+        max_clients: Maximum number of connections; beyond it, an idle or the new connection is closed.
 
     Attributes:
         connections: All connections.
-        keeps_idle_connections: Idle connections are not closed, since no new ones will be accepted.
-        is_shutting_down: Each response closes its connection.
-        is_paused: Nothing is accepted or read, during a handover.
+        keeps_idle_connections: Whether idle connections stay open, since no new ones will be accepted.
+        is_shutting_down: Whether each response closes its connection.
+        is_paused: Whether nothing is accepted or read, during a handover.
     """
 
     def __init__(self, engine: Engine, max_clients: int) -> None:
@@ -50,7 +50,7 @@
         """Listens for clients.
 
         Args:
-            address: Local address; port 0 stands for a free one.
+            address: Local address; port 0 selects a free port.
             inherited_fd: Descriptor of a listening socket that is shared with other processes of the relay;
                 the address is not used then.
 
@@ -65,9 +65,9 @@
         return local_address
 
     async def shutdown(self) -> None:
-        """Accepts what is queued and closes idle connections; requests that are open are still answered.
+        """Accepts queued connections and closes idle ones; open requests still get their responses.
 
-        New clients without a request yet are kept, since they may be about to send one.
+        New clients without a request stay connected, since they may be about to send one.
         """
         self.is_shutting_down = True
         await self.listener.drain_and_close()
@@ -76,19 +76,19 @@
                 client.close()
 
     def reject_remaining(self) -> None:
-        """Responds to all clients that have no answer yet; the process ends next."""
+        """Responds with 503 to all clients that wait for a response, since the process is about to exit."""
         for client in self.connections.active():
             client.reject("the relay ends")
 
     @property
     def has_clients(self) -> bool:
-        """Whether any connection is left, be it in its lingering close."""
+        """Whether any connection is left, active or lingering."""
         return not self.connections.is_empty
 
     # Handover between processes
 
     def pause(self) -> None:
-        """Accepts and reads nothing; what clients send waits in their sockets."""
+        """Stops accepting and reading; data from clients waits in their sockets."""
         self.is_paused = True
         self.listener.close()
         for client in self.connections.active():
@@ -96,7 +96,7 @@
                 client.transport.pause_reading()
 
     async def resume(self) -> None:
-        """Continues after `pause`."""
+        """Accepts and reads again after `pause`."""
         self.is_paused = False
         for client in self.connections.active():
             if client.transport is not None and not client.is_closing:
@@ -106,7 +106,7 @@
     def hand_over(self, transfer: TransferConnection) -> None:
         """Hands over each connection that another process can continue, and closes the others.
 
-        A connection that is accepted later is handed over, too.
+        A connection that is accepted or adopted afterwards is handed over as well.
         """
         self._transfer = transfer
         for kind in ClientKind:
@@ -114,10 +114,10 @@
                 self._transfer_connection(client, kind, transfer)
 
     async def adopt(self, row: Mapping[str, Any], fd: int) -> None:
-        """Continues a connection of another process; the descriptor is owned by the server from now on.
+        """Continues a connection of another process, whose descriptor the server owns from now on.
 
         Raises:
-            KeyError: The row is invalid; the descriptor is still the caller's.
+            KeyError: The row is invalid; the caller still owns the descriptor.
             ValueError: As KeyError.
         """
         state = ConnectionState.read(row, fd)
@@ -137,7 +137,7 @@
             fd = transport.get_extra_info("socket").fileno()
             transfer(ConnectionState(kind, bytes(client.partial_request), fd).row(), fd)
             self.connections.remove(client)
-            client.is_closing = True  # in this process
+            client.is_closing = True  # in this process only
             transport.abort()
         elif not client.is_closing:
             client.close()
@@ -145,7 +145,7 @@
     # Events of connections
 
     def on_connected(self, client: ClientConnection) -> None:
-        """Adds a connection; beyond the limit one is closed, or the new one rejected."""
+        """Adds a connection; if the limit is exceeded, closes an idle one or rejects the new one."""
         self.add(client, ClientKind.NEW)
         if not self.connections.is_over_limit:
             return
@@ -156,22 +156,22 @@
             evicted.close()
 
     def on_connected_while_paused(self, client: ClientConnection, kind: ClientKind) -> None:
-        """Hands over a connection that was accepted or adopted just before the others were."""
+        """Hands over a connection that was still being attached when the others were handed over."""
         if self._transfer is not None:
             self._transfer_connection(client, kind, self._transfer)
 
     def on_response(self, client: ClientConnection) -> None:
-        """A client had the response to its request, and may send another one."""
+        """Updates the kind of a client that has got a response and may send another request."""
         self.add(client, ClientKind.ONCE if self.connections.is_new(client) else ClientKind.REGULAR)
 
     def on_lingering(self, client: ClientConnection) -> None:
-        """A connection has begun its lingering close."""
+        """Records that a connection has begun its lingering close; ends the oldest if there are too many."""
         oldest = self.connections.add_lingering(client)
         if oldest is not None:
             oldest.end_lingering()
 
     def add(self, client: ClientConnection, kind: ClientKind) -> None:
-        """Adds a connection, or moves it to the end of a kind."""
+        """Adds a connection, or moves it to the end of its kind."""
         self.connections.add(client, kind, asyncio.get_running_loop().time())
 
     # Timeouts
--- a/tests/gossip/test_gossip_member.py
+++ b/tests/gossip/test_gossip_member.py
@@ -28,7 +28,7 @@
     def apply_override(self, host: str, is_disabled: bool) -> str | None:
         if self.remaining_rejections:
             self.remaining_rejections -= 1
-            return "a handover is in progress"
+            return "another process of this relay is taking over"
         (self.disabled.add if is_disabled else self.disabled.discard)(host)
         for observer in self.observers:
             (observer.endpoint_disabled if is_disabled else observer.endpoint_enabled)(host)
--- a/tests/server/admin/test_protocol.py
+++ b/tests/server/admin/test_protocol.py
@@ -1,4 +1,4 @@
-"""The line protocol of the admin endpoint, without sockets."""
+"""Line protocol of the admin endpoint: parsing of commands, and replies."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     statistics_reply,
 )
 
-CALLS = [
+COMMANDS = [
     (b"ready\n", Command(CommandName.READY)),
     (b"show-stat\r\n", Command(CommandName.SHOW_STAT)),
     (b"disable-server s-01018ac7\n", Command(CommandName.DISABLE_SERVER, "s-01018ac7")),
@@ -25,8 +25,8 @@
 ]
 
 
-@pytest.mark.parametrize(("line", "command"), CALLS)
-def test_command_is_read_however_it_is_split(line: bytes, command: Command) -> None:
+@pytest.mark.parametrize(("line", "command"), COMMANDS)
+def test_line_reader_returns_command_for_every_split_of_the_line(line: bytes, command: Command) -> None:
     for first in range(len(line) + 1):
         for second in range(first, len(line) + 1):
             reader = LineReader()
@@ -34,7 +34,7 @@
             assert [result for result in results if result is not None] == [command]
 
 
-def test_bytes_after_the_line_are_ignored() -> None:
+def test_line_reader_ignores_bytes_after_the_line() -> None:
     reader = LineReader()
     assert reader.feed(b"ready\nshow-stat\n") == Command(CommandName.READY)
     assert reader.feed(b"show-stat\n") is None
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "why"),
+    ("line", "reason"),
     [
         (b"", "no call"),
         (b"  \r", "no call"),
@@ -56,12 +56,12 @@
         (b"ready\xff", "not UTF-8"),
     ],
 )
-def test_invalid_command_is_answered_with_the_reason(line: bytes, why: str) -> None:
-    with pytest.raises(CommandError, match=why):
+def test_parse_command_invalid_line_raises_with_reason(line: bytes, reason: str) -> None:
+    with pytest.raises(CommandError, match=reason):
         parse_command(line)
 
 
-def test_line_that_is_too_long_is_refused_before_its_end() -> None:
+def test_line_reader_rejects_too_long_line_before_its_end() -> None:
     for size in (MAX_LINE_BYTES, MAX_LINE_BYTES + 1):
         reader = LineReader()
         with pytest.raises(CommandError, match="no such call" if size == MAX_LINE_BYTES else "at most"):
@@ -73,7 +73,7 @@
     assert len(reader.buffer) <= MAX_LINE_BYTES + 2
 
 
-def test_end_of_input_within_the_line() -> None:
+def test_line_reader_end_of_input_within_the_line_raises() -> None:
     reader = LineReader()
     assert reader.feed(b"rea") is None
     with pytest.raises(CommandError, match="did not end"):
@@ -82,19 +82,19 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=30))
-def test_arbitrary_bytes_give_at_most_one_command_or_error(parts: list[bytes]) -> None:
-    reader, outcomes = LineReader(), 0
+def test_line_reader_arbitrary_bytes_give_at_most_one_command_or_error(parts: list[bytes]) -> None:
+    reader, outcome_count = LineReader(), 0
     for part in parts:
         try:
-            outcomes += reader.feed(part) is not None
+            outcome_count += reader.feed(part) is not None
         except CommandError as error:
-            outcomes += 1
+            outcome_count += 1
             assert error_reply(str(error)).startswith(b"NO ")
             assert error_reply(str(error)).count(b"\n") == 1
-    assert outcomes == (b"\n" in b"".join(parts) or len(b"".join(parts)) > MAX_LINE_BYTES + 1)
+    assert outcome_count == (b"\n" in b"".join(parts) or len(b"".join(parts)) > MAX_LINE_BYTES + 1)
     assert len(reader.buffer) <= MAX_LINE_BYTES + 2
 
 
-def test_reason_is_folded_into_one_line() -> None:
+def test_error_reply_folds_reason_into_one_line() -> None:
     assert error_reply("a\nb \ud800") == b"NO a b ?\n"
     assert statistics_reply(["app.x=1"]) == b"app.x=1\nEND\n"
--- a/tests/server/admin/test_server.py
+++ b/tests/server/admin/test_server.py
@@ -1,4 +1,4 @@
-"""The admin endpoint over loopback sockets, by itself and in a relay that runs."""
+"""Admin endpoint over loopback sockets: the server alone, and in a running relay."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FakeHandler:
-    """Accepts every host but one."""
+    """Executes commands for every host except "nobody"."""
 
     is_ready = False
 
@@ -29,7 +29,8 @@
     enable_host = disable_host
 
 
-async def call(address: tuple[str, int], line: bytes) -> bytes:
+async def send_line(address: tuple[str, int], line: bytes) -> bytes:
+    """Returns the reply, read until the server closes the connection."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(line)
@@ -39,24 +40,24 @@
         writer.close()
 
 
-def test_each_command_is_answered_and_the_connection_closed() -> None:
+def test_admin_server_answers_each_command_and_closes_the_connection() -> None:
     async def main() -> None:
         handler = FakeHandler()
         server = AdminServer(handler)
         address = await server.listen(("127.0.0.1", 0))
-        assert await call(address, b"ready\n") == b"NO not ready\n"
+        assert await send_line(address, b"ready\n") == b"NO not ready\n"
         handler.is_ready = True
-        assert await call(address, b"ready\r\n") == b"YES\n"
-        assert await call(address, b"show-stat\n") == b"app.forwards=3\nEND\n"
-        assert await call(address, b"disable-server s-1\n") == b"YES\n"
-        assert await call(address, b"disable-server nobody\n") == b"NO no such host\n"
-        assert (await call(address, b"restart\n")).startswith(b"NO no such call")
+        assert await send_line(address, b"ready\r\n") == b"YES\n"
+        assert await send_line(address, b"show-stat\n") == b"app.forwards=3\nEND\n"
+        assert await send_line(address, b"disable-server s-1\n") == b"YES\n"
+        assert await send_line(address, b"disable-server nobody\n") == b"NO no such host\n"
+        assert (await send_line(address, b"restart\n")).startswith(b"NO no such call")
         server.close()
 
     asyncio.run(main())
 
 
-def test_idle_connections_do_not_block_a_command() -> None:
+def test_admin_server_with_idle_connections_answers_a_command() -> None:
     """The oldest idle connection is closed, never the one that sends a command."""
 
     async def main() -> None:
@@ -65,7 +66,7 @@
         idle = [await asyncio.open_connection(*address) for _ in range(64)]
         for _, writer in idle[::2]:
             writer.write(b"rea")
-        assert await call(address, b"show-stat\n") == b"app.forwards=3\nEND\n"
+        assert await send_line(address, b"show-stat\n") == b"app.forwards=3\nEND\n"
         assert len(server.connections) <= MAX_CONNECTIONS
         assert await idle[0][0].read() == b""  # closed to make room
         idle[-1][1].write(b"show-stat\n")
@@ -77,7 +78,7 @@
     asyncio.run(main())
 
 
-def test_half_closed_connection_gets_its_reply() -> None:
+def test_admin_server_half_closed_connection_gets_its_reply() -> None:
     async def main() -> None:
         server = AdminServer(FakeHandler())
         address = await server.listen(("127.0.0.1", 0))
@@ -96,7 +97,7 @@
     asyncio.run(main())
 
 
-def test_incomplete_line_is_answered_at_the_timeout() -> None:
+def test_admin_server_incomplete_line_is_answered_at_timeout() -> None:
     async def main() -> None:
         server = AdminServer(FakeHandler())
         address = await server.listen(("127.0.0.1", 0))
@@ -113,21 +114,21 @@
     asyncio.run(main())
 
 
-def test_relay_serves_statistics_on_the_configured_address(tmp_path: Path) -> None:
+def test_relay_serves_statistics_on_the_configured_admin_address(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
         port = free_port()
         w.control = f"127.0.0.1:{port}"
         await w.start()
-        assert await call(("127.0.0.1", port), b"ready\n") == b"YES\n"
+        assert await send_line(("127.0.0.1", port), b"ready\n") == b"YES\n"
         assert await w.hand_in("m1") == 202
         assert await w.hand_in("m2", dest=9) == 503
         await w.until(lambda: host.answered == 1)
         while "app.succeeded.status=1" not in (text := (await w.call("show-stat"))):
             pass
-        figures = dict(line.split("=") for line in text.splitlines()[:-1])
+        statistics = dict(line.split("=") for line in text.splitlines()[:-1])
         assert text.endswith("\nEND\n")
-        assert figures == {
+        assert statistics == {
             "app.succeeded.status": "1",
             "app.succeeded.order": "0",
             "app.declined.status": "1",
@@ -145,8 +146,8 @@
     run(scenario, tmp_path)
 
 
-def test_disabled_host_gets_no_message_until_enabled(tmp_path: Path) -> None:
-    """Neither a new list nor a restart of the relay lifts it."""
+def test_disable_server_host_gets_no_message_until_enabled(tmp_path: Path) -> None:
+    """The host stays disabled after a new endpoint list and a restart of the relay."""
 
     async def scenario(w: World) -> None:
         first, second = await w.host(deliver), await w.host(deliver)
@@ -157,10 +158,10 @@
         assert (await w.call("disable-server h7")).startswith("NO no host has the id h7")
         assert (await w.call("enable-server h7")).startswith("NO ")
         while "app.ejected=1" not in await w.call("show-stat"):
-            pass  # the module hears of it in its next turn
+            pass  # the scheduler applies it in its next batch
         assert await w.hand_in("m1") == 202
         await w.until(lambda: second.answered == 1)
-        w.list_host(2, "plain", "Ready", second.address)  # a new revision, with h0 ready
+        w.list_host(2, "plain", "Ready", second.address)  # a new revision, in which h0 is ready
         await w.hand_in_once_listed("other", dest=2)
         assert await w.hand_in("m2") == 202
         await w.restart()
@@ -176,11 +177,11 @@
     run(scenario, tmp_path)
 
 
-def test_change_that_cannot_be_stored_is_refused(tmp_path: Path) -> None:
+def test_disable_server_is_rejected_if_it_cannot_be_stored(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         await w.host(deliver)
         w.control = f"127.0.0.1:{free_port()}"
-        (tmp_path / "state" / "hosts-out.json").mkdir(parents=True)  # nothing can take its place
+        (tmp_path / "state" / "hosts-out.json").mkdir(parents=True)  # a directory, which a file can't replace
         await w.start()
         assert (await w.call("disable-server h0")).startswith("NO it can't be written down")
         assert "app.ejected=0" in await w.call("show-stat")
@@ -188,11 +189,13 @@
     run(scenario, tmp_path)
 
 
-@pytest.mark.parametrize(("control", "status"), [("here", 2), ("127.0.0.1:99999", 2), ("192.0.2.1:7", 1)])
-def test_unusable_address_ends_the_start_with_one_line(tmp_path: Path, control: str, status: int) -> None:
+@pytest.mark.parametrize(("address", "status"), [("here", 2), ("127.0.0.1:99999", 2), ("192.0.2.1:7", 1)])
+def test_relay_with_unusable_admin_address_exits_with_one_error_line(
+    tmp_path: Path, address: str, status: int
+) -> None:
     world = World(tmp_path)
     path = world.configure("127.0.0.1:9")
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "loftrelay"],
         cwd=ROOT,
         capture_output=True,
@@ -202,15 +205,15 @@
             **os.environ,
             "RELAY_CONFIG": str(path),
             "RELAY_STATE": str(tmp_path / "s"),
-            "RELAY_CONTROL": control,
+            "RELAY_CONTROL": address,
         },
     )
-    assert done.returncode == status
-    assert done.stderr.count("\n") == 1
-    assert done.stderr.startswith("loftrelay: ")
+    assert completed.returncode == status
+    assert completed.stderr.count("\n") == 1
+    assert completed.stderr.startswith("loftrelay: ")
 
 
-def test_failed_host_is_counted_as_ejected(tmp_path: Path) -> None:
+def test_relay_counts_failed_host_as_ejected(tmp_path: Path) -> None:
     async def scenario(w: World) -> None:
         async def fail(_: object) -> bytes:
             return reply(500)
@@ -226,8 +229,8 @@
     run(scenario, tmp_path)
 
 
-def test_clients_that_use_up_descriptors_do_not_block_the_admin_endpoint(tmp_path: Path) -> None:
-    """Clients and operators have descriptors of their own: each command is answered."""
+def test_relay_answers_admin_commands_while_clients_exhaust_descriptors(tmp_path: Path) -> None:
+    """Descriptors are reserved for the admin endpoint, so clients can't use them up."""
 
     async def scenario(w: World) -> None:
         await w.host(deliver)
--- a/tests/server/http/test_connection_close.py
+++ b/tests/server/http/test_connection_close.py
@@ -26,31 +26,31 @@
     run,
 )
 
-ASK = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-READY = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+READY_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-def serve(
+def run_server(
     scenario: Callable[[HTTPServer, Callable[[], Awaitable[Streams]]], Awaitable[None]],
     folder: Path,
-    places: int = 10,
+    max_clients: int = 10,
 ) -> None:
-    """Runs a server in this process. `come` connects and sends one request."""
+    """Runs a scenario with a server and a function that connects a client and completes one request."""
 
     async def main() -> None:
         engine: Engine = make_engine(folder)
-        server = HTTPServer(engine, places)
+        server = HTTPServer(engine, max_clients)
         address = await server.startup(("127.0.0.1", 0))
 
-        async def come() -> Streams:
+        async def connect_client() -> Streams:
             reader, writer = await asyncio.open_connection(*address)
-            writer.write(ASK)
-            assert await reader.readexactly(len(READY)) == READY
+            writer.write(READINESS_REQUEST)
+            assert await reader.readexactly(len(READY_RESPONSE)) == READY_RESPONSE
             return reader, writer
 
         async with asyncio.timeout(HANG):
-            await scenario(server, come)
+            await scenario(server, connect_client)
         assert not engine.context.journal.messages
         await server.shutdown()
         engine.context.status_reporter.close()
@@ -61,50 +61,57 @@
 
 
 async def expect_close_without_reset(reader: asyncio.StreamReader) -> None:
-    """Raises ConnectionResetError otherwise."""
+    """Reads until the connection is closed; raises ConnectionResetError if it is reset."""
     assert await reader.read() == b""
 
 
-@pytest.mark.parametrize("written", [message("m"), message("m")[:-3], b"P"], ids=["whole", "half", "a byte"])
-@pytest.mark.parametrize("why", ["idle", "eviction", "last phase"])
-def test_request_that_crosses_the_close(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, written: bytes, why: str
+@pytest.mark.parametrize(
+    "request_bytes", [message("m"), message("m")[:-3], b"P"], ids=["complete", "partial", "one byte"]
+)
+@pytest.mark.parametrize("cause", ["idle", "eviction", "shutdown"])
+def test_connection_closed_while_a_request_arrives_is_not_reset(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, request_bytes: bytes, cause: str
 ) -> None:
-    """Sent after the relay has checked for unread bytes, before it closes: nothing of it is admitted, and the
-    client sees the end of the connection, not a reset."""
+    """The request arrives after the relay has checked for unread bytes and before it closes the connection.
+
+    It is not admitted, and the client sees the connection closed without a reset.
+    """
 
-    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
-        reader, writer = await come()
+    async def scenario(server: HTTPServer, connect_client: Callable[[], Awaitable[Streams]]) -> None:
+        reader, writer = await connect_client()
         (client,) = server.connections.active()
-        assert client.is_evictable  # the look
-        if why == "eviction":
+        assert client.is_evictable  # the check for unread bytes
+        if cause == "eviction":
 
-            def look(newcomer: ClientConnection, now_s: float) -> ClientConnection:
-                writer.write(written)
+            def choose_client(new_client: ClientConnection, now_s: float) -> ClientConnection:
+                writer.write(request_bytes)
                 return client
 
-            monkeypatch.setattr(server.connections, "choose_eviction", look)
+            monkeypatch.setattr(server.connections, "choose_eviction", choose_client)
             server.connections.limit = 1
-            await come()
+            await connect_client()
         else:
-            writer.write(written)  # the loop does not run before the end
+            writer.write(request_bytes)  # the event loop does not run before the close
             client.close()
-            if why == "last phase":
+            if cause == "shutdown":
                 await server.shutdown()
         await expect_close_without_reset(reader)
         writer.close()
         while server.connections.lingering:
             await asyncio.sleep(0)
 
-    serve(scenario, tmp_path)
+    run_server(scenario, tmp_path)
 
 
-@pytest.mark.parametrize("raw", [b"no HTTP\r\n\r\n", message("m", Tenant="nobody"), ASK + ASK])
-def test_response_reaches_a_client_that_still_sends(tmp_path: Path, raw: bytes) -> None:
-    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
-        reader, writer = await come()
-        writer.write(raw)
-        writer.write(b"x" * (300 << 10))  # more than the relay reads at once, and more comes later
+@pytest.mark.parametrize(
+    "request_bytes",
+    [b"no HTTP\r\n\r\n", message("m", Tenant="nobody"), READINESS_REQUEST + READINESS_REQUEST],
+)
+def test_error_response_reaches_a_client_that_is_still_sending(tmp_path: Path, request_bytes: bytes) -> None:
+    async def scenario(server: HTTPServer, connect_client: Callable[[], Awaitable[Streams]]) -> None:
+        reader, writer = await connect_client()
+        writer.write(request_bytes)
+        writer.write(b"x" * (300 << 10))  # more than the relay reads at once; further bytes follow
         for _ in range(20):
             await asyncio.sleep(0.002)
             with contextlib.suppress(ConnectionError):
@@ -112,59 +119,59 @@
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 400 ")
         writer.close()
 
-    serve(scenario, tmp_path)
+    run_server(scenario, tmp_path)
 
 
 def test_lingering_closes_are_bounded_in_time_and_number(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Clients that never close their side occupy no connection for longer."""
+    """Clients that never close their side don't occupy connections for longer."""
 
-    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
-        streams = [await come() for _ in range(20)]
+    async def scenario(server: HTTPServer, connect_client: Callable[[], Awaitable[Streams]]) -> None:
+        streams = [await connect_client() for _ in range(20)]
         assert server.connections.active_count == 4
         assert len(server.connections.lingering) <= 3
         for client in server.connections.active():
             client.close()
         assert len(server.connections.lingering) <= 4 + 3
         while server.has_clients:
-            await asyncio.sleep(0.01)  # nobody ends but the relay
+            await asyncio.sleep(0.01)  # only the relay closes connections
         for reader, writer in streams:
             await expect_close_without_reset(reader)
             writer.close()
 
     monkeypatch.setattr(connection, "LINGER_TIMEOUT_S", 0.05)
     monkeypatch.setattr(connection_table, "MAX_LINGERING", 3)
-    serve(scenario, tmp_path, places=4)
+    run_server(scenario, tmp_path, max_clients=4)
 
 
-def test_new_client_is_rejected_if_no_connection_can_be_evicted(tmp_path: Path) -> None:
-    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
-        streams = [await come() for _ in range(server.connections.limit)]
+def test_server_rejects_new_client_if_no_connection_can_be_evicted(tmp_path: Path) -> None:
+    async def scenario(server: HTTPServer, connect_client: Callable[[], Awaitable[Streams]]) -> None:
+        streams = [await connect_client() for _ in range(server.connections.limit)]
         for _, writer in streams:
             writer.write(b"POST /sta")
         while not all(client.is_receiving for client in server.connections.active()):
             await asyncio.sleep(0)
         assert server.listener.socket is not None
         reader, writer = await asyncio.open_connection(*server.listener.socket.getsockname())
-        answer = await reader.readuntil(b"\r\n\r\n")
-        assert answer.startswith(b"HTTP/1.1 503 ")
-        assert b"Retry-After: 1\r\n" in answer
+        response = await reader.readuntil(b"\r\n\r\n")
+        assert response.startswith(b"HTTP/1.1 503 ")
+        assert b"Retry-After: 1\r\n" in response
         for stream in (*streams, (reader, writer)):
             stream[1].close()
 
-    serve(scenario, tmp_path)
+    run_server(scenario, tmp_path)
 
 
-def test_shutdown_accepts_queued_connections(tmp_path: Path) -> None:
-    """The system would reset them once the relay stops listening."""
+def test_server_shutdown_accepts_queued_connections(tmp_path: Path) -> None:
+    """The kernel would reset them once the relay stops listening."""
 
-    async def scenario(server: HTTPServer, come: Callable[[], Awaitable[Streams]]) -> None:
+    async def scenario(server: HTTPServer, connect_client: Callable[[], Awaitable[Streams]]) -> None:
         assert server.listener.socket is not None
         queued = []
-        for _ in range(20):  # the loop does not run meanwhile
+        for _ in range(20):  # the event loop does not run meanwhile
             queued.append(socket.create_connection(server.listener.socket.getsockname()))
-            queued[-1].sendall(ASK)
+            queued[-1].sendall(READINESS_REQUEST)
         await server.shutdown()
         for sock in queued:
             sock.setblocking(False)
@@ -172,37 +179,36 @@
             assert (await reader.read()).startswith(b"HTTP/1.1 200 OK\r\nConnection: close")
             writer.close()
 
-    serve(scenario, tmp_path, places=100)
+    run_server(scenario, tmp_path, max_clients=100)
 
 
-def test_shutdown_of_the_process(tmp_path: Path) -> None:
-    """Idle connections are closed, an incomplete request is answered, no connection is reset, and nothing
-    that is sent after the close is admitted."""
+def test_relay_shutdown_closes_idle_connections_and_admits_no_later_request(tmp_path: Path) -> None:
+    """An incomplete request gets a response, and no connection is reset."""
 
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
         await w.start()
         assert w.process is not None
-        resting = [await asyncio.open_connection(*w.address) for _ in range(3)]
-        for i, (reader, writer) in enumerate(resting):
-            writer.write(message(f"m{i}"))
+        idle = [await asyncio.open_connection(*w.address) for _ in range(3)]
+        for number, (reader, writer) in enumerate(idle):
+            writer.write(message(f"m{number}"))
             assert (await read_message(reader))[0].startswith("HTTP/1.1 202")
         await w.until(lambda: len(host.ids) == 3)
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         w.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(2.9)
-        half = await asyncio.open_connection(*w.address)
-        half[1].write(message("half")[:-3])
+        partial = await asyncio.open_connection(*w.address)
+        partial[1].write(message("half")[:-3])
         async with asyncio.timeout(HANG):
-            for reader, writer in resting:
+            for reader, writer in idle:
                 await expect_close_without_reset(reader)
                 writer.write(message("late"))  # half-closed: it may still write
-            answer = await half[0].read()
-            assert answer.startswith(b"HTTP/1.1 503 ")
-            assert b"Connection: close" in answer
+            response = await partial[0].read()
+            assert response.startswith(b"HTTP/1.1 503 ")
+            assert b"Connection: close" in response
             assert await w.process.wait() == 0
-        assert asyncio.get_running_loop().time() - began < 3.7 + 0.5  # SIGKILL comes from 3.7 s on
-        for _, writer in (*resting, half):
+        assert asyncio.get_running_loop().time() - started_at < 3.7 + 0.5  # SIGKILL may follow from 3.7 s on
+        for _, writer in (*idle, partial):
             writer.close()
         await w.start()
         assert await w.hand_in("again") == 202
@@ -212,15 +218,15 @@
     run(scenario, tmp_path)
 
 
-def test_disconnects_floods_and_slow_clients_harm_nobody(tmp_path: Path) -> None:
-    """Bursts of clients that disconnect at once, that send much, or that send a byte now and then."""
+def test_relay_serves_clients_beside_disconnecting_flooding_and_slow_ones(tmp_path: Path) -> None:
+    """Bursts of clients that disconnect at once, that send too much, or that send single bytes slowly."""
 
     async def scenario(w: World) -> None:
         host = await w.host(deliver)
         await w.start()
         loop = asyncio.get_running_loop()
 
-        async def leave(number: int) -> None:
+        async def disconnect(number: int) -> None:
             reader, writer = await asyncio.open_connection(*w.address)
             writer.write(message(f"leaver{number}"))
             if number % 3 == 0:
@@ -238,24 +244,26 @@
 
         async def write_slowly() -> bytes:
             reader, writer = await asyncio.open_connection(*w.address)
-            heard = asyncio.create_task(reader.read())
+            response = asyncio.create_task(reader.read())
             for byte in message("slow"):
                 writer.write(bytes([byte]))
-                if (await asyncio.wait([heard], timeout=0.2))[0]:
+                if (await asyncio.wait([response], timeout=0.2))[0]:
                     break
             writer.close()
-            return await heard
+            return await response
 
         slow = asyncio.create_task(write_slowly())
         async with asyncio.timeout(HANG):
-            await asyncio.gather(*(leave(n) for n in range(60)), *(flood(n) for n in range(10)))
-            began = loop.time()
+            await asyncio.gather(
+                *(disconnect(number) for number in range(60)), *(flood(number) for number in range(10))
+            )
+            started_at = loop.time()
             assert await w.hand_in("good") == 202
-            assert loop.time() - began < 5
+            assert loop.time() - started_at < 5
             assert (await slow).startswith(b"HTTP/1.1 408 ")
         await w.until(lambda: "good" in host.ids)
-        taken = {f"leaver{n}" for n in range(0, 60, 3)}
-        await w.until(lambda: taken <= set(host.ids))  # each that had its 202
+        admitted = {f"leaver{number}" for number in range(0, 60, 3)}  # those that got a 202
+        await w.until(lambda: admitted <= set(host.ids))
         assert len(host.ids) == len(set(host.ids))
 
     run(scenario, tmp_path)
