--- a/loftrelay/service/__init__.py
+++ b/loftrelay/service/__init__.py
@@ -1,1 +1,1 @@
-"""One relay as a process: assembles its parts and runs them from startup to shutdown."""
+"""Process of one relay: assembles its parts and runs them from startup to shutdown."""
--- a/loftrelay/service/assembly.py
+++ b/loftrelay/service/assembly.py
@@ -1,4 +1,4 @@
-"""Assembles the parts of one relay: the only place that knows them all."""
+"""Assembles the parts of one relay. This is the only module that depends on all of them."""
 
 from __future__ import annotations
 
@@ -31,32 +31,32 @@
     received_state: HandoverState | None = None,
     subscription: SubscriptionSettings | None = None,
 ) -> tuple[Engine, Journal]:
-    """Builds one relay and starts its engine, within a running event loop.
+    """Builds the engine of one relay and starts it. Call it within a running event loop.
 
     Args:
-        config: of the platform.
-        pool_settings: limits of connections to hosts.
-        journal: the journal that a predecessor has handed over; None: the one in the state folder.
-        store: the store of record, where the operator has set one.
-        received_state: the state of the predecessor; None: recover from the journal alone.
-        subscription: the registries, where destinations are subscribed to.
+        config: Configuration of the platform.
+        pool_settings: Limits of connections to hosts.
+        journal: Journal that a predecessor has handed over; None opens the one in the state folder.
+        store: Store of record; None if the operator has configured none.
+        received_state: State of the predecessor; None recovers from the journal alone.
+        subscription: Registries to subscribe at; None polls discovery for all destinations.
 
     Returns:
-        The engine with all its parts, running, and its journal.
+        The running engine with all its parts, and its journal.
 
     Raises:
-        OSError: the state folder can't be used.
+        OSError: The state folder can't be used.
     """
     journal = journal or Journal(config.state_dir, config.journal_bytes)
     engine = Engine(config.seed, config.settings, journal, store)
-    delivery = _host_client(config, pool_settings, journal, engine)
+    delivery = _build_host_client(config, pool_settings, journal, engine)
     address = config.discovery if received_state is None else received_state.discovery
     discovery: EndpointDirectory
     subscribed: SubscribedDirectory | None = None
     if subscription is None:
-        discovery = _discovery_client(config, address, engine)
+        discovery = _build_discovery_client(config, address, engine)
     else:
-        discovery = subscribed = _subscriber(config, subscription, address, engine)
+        discovery = subscribed = _build_subscriber(config, subscription, address, engine)
     status_reporter = FinalStatusReporter(address, engine.final_statuses.report_acknowledged)
     if received_state is not None:
         engine.take_over(delivery, discovery, status_reporter, received_state, subscribed)
@@ -67,7 +67,9 @@
     return engine, journal
 
 
-def _host_client(config: Config, pool_settings: PoolSettings, journal: Journal, engine: Engine) -> HostClient:
+def _build_host_client(
+    config: Config, pool_settings: PoolSettings, journal: Journal, engine: Engine
+) -> HostClient:
     return HostClient(
         config.settings.connect_timeout,
         config.settings.connection_idle_timeout,
@@ -84,7 +86,7 @@
     )
 
 
-def _discovery_client(config: Config, address: Address, engine: Engine) -> DiscoveryClient:
+def _build_discovery_client(config: Config, address: Address, engine: Engine) -> DiscoveryClient:
     return DiscoveryClient(
         address,
         config.settings.poll_interval,
@@ -94,10 +96,10 @@
     )
 
 
-def _subscriber(
+def _build_subscriber(
     config: Config, subscription: SubscriptionSettings, address: Address, engine: Engine
 ) -> Subscriber:
-    from loftrelay.discovery.subscriber import Subscriber  # loaded only where it is used
+    from loftrelay.discovery.subscriber import Subscriber  # imported only if it is used
 
     return Subscriber(
         subscription,
--- a/loftrelay/service/configuration.py
+++ b/loftrelay/service/configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration in force: reread on SIGHUP, and kept for a start that finds a broken file."""
+"""Platform's configuration in force: reloaded on SIGHUP, and stored for a start with an invalid file."""
 
 from __future__ import annotations
 
@@ -21,27 +21,30 @@
     """Applies a new configuration to a running engine.
 
     Args:
-        config: the configuration of the start.
-        apply_to_store: given the new settings, where there is a store.
+        config: Configuration at startup.
+        apply_to_store: Applies new settings to the store of record, if there is one.
+
+    Attributes:
+        document: Document of the configuration in force, as read from the file.
     """
 
     def __init__(self, config: Config, apply_to_store: Callable[[RelaySettings], None]) -> None:
-        self.document = config.document  # in force
+        self.document = config.document
         self.last_config = LastConfigFile(config.state_dir)
         self.apply_to_store = apply_to_store
 
     def save(self) -> None:
-        """Keeps the configuration in force for the next start."""
+        """Stores the configuration in force for the next start."""
         self.last_config.save(self.document)
 
     def reload(self, engine: Engine) -> None:
-        """Reads the configuration again; nothing changes if anything in it is wrong."""
+        """Reloads the configuration; an invalid one is logged, counted, and changes nothing."""
         metrics = engine.context.metrics
         try:
             reloaded = reload_config(os.environ, self.document)
         except ConfigError as error:
             metrics.sighup_rejected += 1
-            log.error("configuration unchanged: %s", error)
+            log.error("configuration unchanged, the new one is invalid: %s", error)
             return
         self._adopt(reloaded)
         self.apply_to_store(reloaded.settings)
@@ -49,7 +52,7 @@
         metrics.sighup_applied += 1
 
     def reload_if_replaced(self, engine: Engine) -> None:
-        """Applies a file that was replaced while the predecessor still got the SIGHUP for it."""
+        """Applies a file that was replaced during a handover, when the SIGHUP went to the predecessor."""
         try:
             reloaded = reload_config(os.environ, self.document)
         except ConfigError:
--- a/loftrelay/service/gossip_member.py
+++ b/loftrelay/service/gossip_member.py
@@ -1,4 +1,4 @@
-"""Makes one relay a member of its fleet: operators' overrides of its hosts are replicated to all relays."""
+"""Membership of one relay in its fleet, which replicates operators' overrides of hosts to all relays."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 APPLY_RETRY_S = 1.0  # between attempts to apply an override of another relay
-OPEN_RETRY_S = 0.1  # between attempts to open a socket that the previous process still uses
+OPEN_RETRY_S = 0.1  # between attempts to open a socket that the predecessor still uses
 TRANSPORT_COUNTERS = (
     "sent",
     "sent_bytes",
@@ -33,18 +33,18 @@
     "stalls",
 )
 
-# Applies an override: the host, and whether it is disabled. Returns why it can't be applied now, or None.
+# Applies an override, given a host and whether it is disabled; returns the reason if it failed, else None.
 ApplyOverride = Callable[[str, bool], str | None]
 
 
 class GossipMember:
-    """Membership of one relay, which observes the engine for local overrides.
+    """Gossip of one relay; observes the engine for overrides given at this relay.
 
     Args:
-        settings: Of the fleet.
-        name: Of this relay.
-        directory: For the stored overrides.
-        engine: Whose hosts the overrides are about.
+        settings: Settings of the fleet.
+        name: Name of this relay.
+        folder: State folder, in which overrides are stored.
+        engine: Engine whose hosts are disabled and enabled.
         apply_override: Applies an override of another relay to this one.
     """
 
@@ -52,13 +52,13 @@
         self,
         settings: GossipSettings,
         name: str,
-        directory: Path,
+        folder: Path,
         engine: Engine,
         apply_override: ApplyOverride,
     ) -> None:
         self.engine = engine
         self.apply_override = apply_override
-        self.file = OverrideFile(directory)
+        self.file = OverrideFile(folder)
         self.overrides = Overrides(name, secrets.randbits(32))
         self.transport = GossipTransport(settings, name, self.overrides, self._on_remote_overrides)
         self._retry_timer: asyncio.TimerHandle | None = None
@@ -67,10 +67,10 @@
         """Restores the stored overrides and joins the fleet.
 
         Args:
-            wait: Retry while the previous process of this relay still uses the address.
+            wait: Whether to retry while the predecessor still uses the address.
 
         Raises:
-            OSError: The socket can't be opened, and `wait` is false.
+            OSError: The socket can't be opened, and `wait` is False.
         """
         self.overrides.restore(self.file.load(), self.engine.endpoints.disabled)
         self._apply_all()
@@ -83,11 +83,11 @@
                     raise
                 await asyncio.sleep(OPEN_RETRY_S)
             else:
-                log.info("Fleet %s: gossip socket open on %s:%d", self.transport.settings.name, host, port)
+                log.info("gossip: socket of fleet %s open on %s:%d", self.transport.settings.name, host, port)
                 return
 
     def close(self) -> None:
-        """Leaves the fleet without notice."""
+        """Leaves the fleet without notifying it."""
         if self in self.engine.context.observers:
             self.engine.context.observers.remove(self)
         if self._retry_timer is not None:
@@ -95,7 +95,7 @@
         self.transport.close()
 
     def metric_lines(self) -> list[str]:
-        """Lines for the admin endpoint's statistics."""
+        """Returns the lines for the statistics of the admin endpoint."""
         states = [peer.state for peer in self.transport.live_peers]
         metrics = {
             "fleet_alive": states.count(MemberState.ALIVE),
@@ -105,17 +105,17 @@
         }
         return [f"app.{name}={value}" for name, value in metrics.items()]
 
-    # Local overrides, observed on the engine
+    # Local overrides, observed at the engine
 
-    def attempt_ended(self, held: Message, host: str, ending: AttemptResult) -> None:
-        """Not replicated."""
+    def attempt_ended(self, message: Message, host: str, result: AttemptResult) -> None:
+        """Does nothing: attempts are not replicated."""
 
     def endpoint_disabled(self, host: str) -> None:
-        """An operator has disabled the host at this relay, or an override of another relay was applied."""
+        """Replicates that the host was disabled, unless an override of another relay caused that."""
         self._set_local(host, is_disabled=True)
 
     def endpoint_enabled(self, host: str) -> None:
-        """An operator has enabled the host at this relay, or an override of another relay was applied."""
+        """Replicates that the host was enabled, unless an override of another relay caused that."""
         self._set_local(host, is_disabled=False)
 
     def _set_local(self, host: str, is_disabled: bool) -> None:
@@ -130,21 +130,29 @@
 
     def _on_remote_overrides(self, overrides: list[OperatorOverride]) -> None:
         for override in overrides:
-            verb = "disabled" if override.is_disabled else "enabled"
-            log.info("Host %s is %s by an operator at relay %s", override.host, verb, override.origin)
+            state = "disabled" if override.is_disabled else "enabled"
+            log.info(
+                "gossip: host %s was %s by an operator at relay %s", override.host, state, override.origin
+            )
         self._save()
         self._apply(overrides)
         self.transport.broadcast_now()
 
     def _apply(self, overrides: Iterable[OperatorOverride]) -> None:
-        """Applies overrides; one that can't be applied, as during a handover, is retried."""
+        """Applies overrides; retries those that can't be applied now, as during a handover."""
         for override in overrides:
             if (override.host in self.engine.endpoints.disabled) == override.is_disabled:
                 continue
             reason = self.apply_override(override.host, override.is_disabled)
             if reason is None:
                 continue
-            log.error("Host %s: override of %s not applied: %s", override.host, override.origin, reason)
+            log.error(
+                "gossip: override of host %s from relay %s not applied: %s; retrying in %g s",
+                override.host,
+                override.origin,
+                reason,
+                APPLY_RETRY_S,
+            )
             if self._retry_timer is None:
                 self._retry_timer = asyncio.get_running_loop().call_later(APPLY_RETRY_S, self._apply_all)
 
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -1,4 +1,4 @@
-"""One relay as a process: startup, serving until it is told to stop, and graceful shutdown or handover."""
+"""Process of one relay: startup, serving until it is requested to stop, graceful shutdown or handover."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from loftrelay.upgrade.receiver import HandoverReceiver
 from loftrelay.upgrade.sender import HandoverSender, ServiceCallbacks
 
-if TYPE_CHECKING:  # each is loaded only where the operator asks for it, which keeps other starts quick
+if TYPE_CHECKING:  # imported at runtime only if configured, which keeps other starts quick
     from loftrelay.decisions.settings import RelaySettings
     from loftrelay.discovery.settings import SubscriptionSettings
     from loftrelay.gossip.settings import GossipSettings
@@ -35,54 +35,65 @@
 
 log = logging.getLogger("loftrelay")
 
-POLL_INTERVAL_S = 0.02  # between checks of what is still in flight
-MAX_RESOLUTION_WAIT_S = 1.0  # of a start, for the destinations of recovered messages
-MAX_REGISTRY_WAIT_S = 2.0  # of a start, for an answer of a registry
-MAX_CATCH_UP_S = 1.0  # of a start, for reports of messages whose time is over
+POLL_INTERVAL_S = 0.02  # between checks for unfinished work
+MAX_RESOLUTION_WAIT_S = 1.0  # wait at startup for the destinations of recovered messages
+MAX_REGISTRY_WAIT_S = 2.0  # wait at startup for a response of a registry
+MAX_CATCH_UP_S = 1.0  # wait at startup for reports of messages whose deadline has passed
 
 
 class StoppedBeforeServingError(Exception):
-    """The process was told to stop while it still waited to own the state."""
+    """The process was requested to stop before it owned the state."""
 
 
 @dataclass(frozen=True, slots=True)
 class OwnedState:
-    """The state folder of a relay, owned by this process."""
+    """State folder of a relay that this process owns.
+
+    Attributes:
+        lock: Lock of the folder.
+        journal: Journal in the folder.
+        receiver: Receiver of messages from a predecessor; None if the relay has no shared listening socket.
+    """
 
     lock: Lock
     journal: Journal
-    receiver: HandoverReceiver | None  # None: there was no predecessor to take over from
+    receiver: HandoverReceiver | None
 
 
 class RelayProcess:
-    """One relay.
+    """Process of one relay.
 
     Args:
-        config: of the platform.
-        connections: limits of connections to hosts.
-        record: the store of record, where the operator has set one.
-        fleet: the gossip group, where the operator has set one.
-        subscription: the registries, where the operator has set some.
+        config: Configuration of the platform.
+        pool_settings: Limits of connections to hosts.
+        store_settings: Settings of the store of record; None if the operator has configured none.
+        gossip_settings: Settings of the fleet; None if the operator has configured none.
+        subscription: Settings of the registries; None if the operator has configured none.
+
+    Attributes:
+        should_exit: Set when the process is to stop serving.
+        owns_state: Whether the process owns the state when it exits.
+        is_reload_pending: Whether a SIGHUP was received while the configuration could not be reloaded.
     """
 
     def __init__(
         self,
         config: Config,
-        connections: PoolSettings,
-        record: StoreSettings | None = None,
-        fleet: GossipSettings | None = None,
+        pool_settings: PoolSettings,
+        store_settings: StoreSettings | None = None,
+        gossip_settings: GossipSettings | None = None,
         subscription: SubscriptionSettings | None = None,
     ) -> None:
         self.config = config
-        self.connections = connections
-        self.record = record
-        self.fleet = fleet
+        self.pool_settings = pool_settings
+        self.store_settings = store_settings
+        self.gossip_settings = gossip_settings
         self.subscription = subscription
         self.admin = RelayAdmin(DisabledHostsFile(config.state_dir))
         self.configuration = ConfigurationReloader(config, self._apply_to_store)
         self.should_exit = asyncio.Event()
-        self.owns_state = True  # at its end
-        self.is_reload_pending = False  # SIGHUP came while nothing could be reloaded
+        self.owns_state = True
+        self.is_reload_pending = False
         self.admin_server: AdminServer | None = None
         self.recorder: Recorder | None = None
         self.sender: HandoverSender | None = None
@@ -99,7 +110,7 @@
             self.should_exit.set()
 
     def reload(self) -> None:
-        """Handles SIGHUP: reads the configuration again, now or once this process decides."""
+        """Handles SIGHUP: reloads the configuration, now or once this process makes the decisions."""
         engine = self.admin.engine
         if engine is not None and not engine.context.is_paused:
             self.configuration.reload(engine)
@@ -109,19 +120,19 @@
             self.sender.forwarder.configuration_replaced()
 
     def _apply_to_store(self, settings: RelaySettings) -> None:
-        if self.record is None or self.recorder is None:
+        if self.store_settings is None or self.recorder is None:
             return
         from loftrelay.service.store_setup import durability_modes
 
-        self.recorder.modes = {**self.recorder.modes, **durability_modes(settings, self.record)}
+        self.recorder.modes = {**self.recorder.modes, **durability_modes(settings, self.store_settings)}
 
     # Startup, serving, shutdown
 
     async def run(self) -> None:
-        """Runs until the process is told to stop.
+        """Runs until the process is requested to stop.
 
         Raises:
-            OSError: it can't serve.
+            OSError: The relay can't serve.
         """
         await self._open_admin_server()
         try:
@@ -134,7 +145,7 @@
         await self._close(engine, state)
 
     async def startup(self, state: OwnedState) -> tuple[Engine, HTTPServer]:
-        """Starts the engine, catches up, and then listens to clients."""
+        """Starts the engine, reports overdue messages, and then listens for clients."""
         engine = await self._start_engine(state)
         server = HTTPServer(engine, self.config.max_client_connections)
         address = await server.startup(self.config.listen, self.config.listen_fd)
@@ -148,21 +159,23 @@
         return engine, server
 
     async def shutdown(self, engine: Engine, server: HTTPServer) -> None:
-        """Ends serving, within the time before SIGKILL."""
-        began = asyncio.get_running_loop().time()
+        """Stops serving, within the time before SIGKILL."""
+        started_at = asyncio.get_running_loop().time()
         self.admin.is_serving = False
         if self.gossip_start is not None:
             self.gossip_start.cancel()
         if self.gossip is not None:
             self.gossip.close()
         if self.owns_state:
-            await self._shut_down_gracefully(server, began)
+            await self._shut_down_gracefully(server, started_at)
         else:
-            await self._finish_handover(engine, began)
+            await self._finish_handover(engine, started_at)
 
     async def _close(self, engine: Engine, state: OwnedState) -> None:
-        kept = f"{len(state.journal.messages)} messages in its journal" if self.owns_state else "no messages"
-        log.info("%s exits, keeping %s", self.config.name, kept)
+        messages = (
+            f"{len(state.journal.messages)} messages in its journal" if self.owns_state else "no messages"
+        )
+        log.info("%s exits, keeping %s", self.config.name, messages)
         engine.context.status_reporter.close()
         engine.context.discovery.close()
         engine.context.delivery.close()
@@ -185,7 +198,12 @@
         log.info("%s accepts admin commands on %s:%d", self.config.name, *address)
 
     async def _acquire_state(self) -> OwnedState:
-        """Owns the state folder: alone, or after the process that serves with the same socket."""
+        """Acquires the state folder, by a handover if another process serves with the same listening socket.
+
+        Raises:
+            OSError: The folder can't be used, or another process owns it.
+            StoppedBeforeServingError: The process was requested to stop meanwhile.
+        """
         config = self.config
         if config.listen_fd is None:
             lock = Lock.acquire(config.state_dir)
@@ -208,34 +226,34 @@
         raise StoppedBeforeServingError
 
     async def _start_engine(self, state: OwnedState) -> Engine:
-        received = state.receiver.received_state if state.receiver is not None else None
+        received_state = state.receiver.received_state if state.receiver is not None else None
         await self._open_store(state.journal)
         engine, _ = build_engine(
-            self.config, self.connections, state.journal, self.recorder, received, self.subscription
+            self.config, self.pool_settings, state.journal, self.recorder, received_state, self.subscription
         )
         self.admin.engine = engine
         self.configuration.save()
         if self.subscription is not None:
-            await self._subscribe(engine, has_predecessor=received is not None)
+            await self._subscribe(engine, has_predecessor=received_state is not None)
         if state.receiver is None:
             await self._catch_up(engine)
         return engine
 
     async def _open_store(self, journal: Journal) -> None:
-        if self.record is None:
+        if self.store_settings is None:
             return
         from loftrelay.service.store_setup import open_store
         from loftrelay.store.backend import StoreError
 
         try:
-            self.recorder = await open_store(self.config, self.record, journal)
+            self.recorder = await open_store(self.config, self.store_settings, journal)
         except StoreError as error:
             raise OSError(str(error)) from error
 
     async def _subscribe(self, engine: Engine, *, has_predecessor: bool) -> None:
-        """Waits for a registry, and for the destinations of recovered messages, both for a limited time.
+        """Waits a limited time for a registry, and for the destinations of recovered messages.
 
-        Without an answer it serves all the same: the first messages of unknown destinations are rejected.
+        Without a response the relay still serves, and rejects the first messages of unknown destinations.
         """
         from loftrelay.discovery.subscriber import Subscriber
 
@@ -246,9 +264,9 @@
         if has_predecessor:
             return
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        while not self.should_exit.is_set() and loop.time() < began + MAX_REGISTRY_WAIT_S:
-            if engine.recovery.unresolved and loop.time() >= began + MAX_RESOLUTION_WAIT_S:
+        started_at = loop.time()
+        while not self.should_exit.is_set() and loop.time() < started_at + MAX_REGISTRY_WAIT_S:
+            if engine.recovery.unresolved and loop.time() >= started_at + MAX_RESOLUTION_WAIT_S:
                 engine.recovery.replay()
             if subscriber.first_response.is_set() and not engine.recovery.unresolved:
                 break
@@ -256,10 +274,10 @@
         engine.recovery.replay()
 
     async def _catch_up(self, engine: Engine) -> None:
-        """Reports messages whose time ran out while the relay was down, before any client connects.
+        """Reports messages whose deadline passed while the relay was down, before any client can connect.
 
-        A relay that listens before its event loop runs freely leaves clients without an answer, where a
-        refused connection would have told them at once.
+        If the relay listened while its event loop is busy, clients would wait without a response; a refused
+        connection tells them at once.
         """
         loop, interval = asyncio.get_running_loop(), engine.context.batch_loop.interval
         deadline = loop.time() + MAX_CATCH_UP_S
@@ -272,23 +290,27 @@
             await asyncio.sleep(interval)
 
     def _join_handover(self, state: OwnedState, engine: Engine, server: HTTPServer) -> None:
-        """Takes what the predecessor still sends, and is ready to be a predecessor itself."""
+        """Applies messages that the predecessor still sends, and accepts requests for the next handover."""
         assert state.receiver is not None
         state.receiver.attach(engine, server.adopt, self.admin.set_disabled, self.reload)
         if self.recorder is not None:
-            return  # what the store has not confirmed yet can't be handed over
-        callbacks = ServiceCallbacks(self._on_moved, self.admin.set_disabled, self._on_stop, _restart)
+            return  # records that the store has not confirmed yet can't be handed over
+        callbacks = ServiceCallbacks(
+            self._on_forwarding_changed, self.admin.set_disabled, self._request_exit, _restart
+        )
         self.sender = HandoverSender(self.config.state_dir, state.lock, engine, server, callbacks)
 
     async def _join_gossip(self, engine: Engine) -> None:
-        """Joins the gossip group; beside a predecessor, once that has closed its socket."""
-        if self.fleet is None:
+        """Joins the fleet; while there is a predecessor, once that has closed its socket."""
+        if self.gossip_settings is None:
             return
         from loftrelay.service.gossip_member import GossipMember
 
         config, has_predecessor = self.config, self.config.listen_fd is not None
-        override = self.admin.apply_fleet_override
-        self.gossip = GossipMember(self.fleet, config.name, config.state_dir, engine, override)
+        apply_override = self.admin.apply_fleet_override
+        self.gossip = GossipMember(
+            self.gossip_settings, config.name, config.state_dir, engine, apply_override
+        )
         self.admin.metric_sources.append(self.gossip.metric_lines)
         self.gossip_start = asyncio.create_task(self.gossip.start(wait=has_predecessor))
         if not has_predecessor:
@@ -303,51 +325,51 @@
 
     # Steps of the shutdown
 
-    async def _shut_down_gracefully(self, server: HTTPServer, began: float) -> None:
+    async def _shut_down_gracefully(self, server: HTTPServer, started_at: float) -> None:
         loop, engine = asyncio.get_running_loop(), server.engine
         schedule = shutdown_schedule(engine.context.settings.classes.values())
         server.keeps_idle_connections = True
-        await asyncio.sleep(began + schedule.last_call - loop.time())
+        await asyncio.sleep(started_at + schedule.last_call - loop.time())
         engine.intake.stop()
         log.info("%s: graceful shutdown, no new attempts", self.config.name)
-        await asyncio.sleep(began + schedule.last_admission - loop.time())
+        await asyncio.sleep(started_at + schedule.last_admission - loop.time())
         await server.shutdown()
-        await self._wait_for_work(engine, server, began + schedule.last_response)
+        await self._wait_for_work(engine, server, started_at + schedule.last_response)
         server.reject_remaining()
-        await self._wait_for_work(engine, server, began + schedule.exit)
+        await self._wait_for_work(engine, server, started_at + schedule.exit)
 
     async def _wait_for_work(self, engine: Engine, server: HTTPServer, deadline: float) -> None:
         loop = asyncio.get_running_loop()
         while loop.time() < deadline and (engine.has_unfinished_work or server.has_clients):
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _finish_handover(self, engine: Engine, began: float) -> None:
-        """Waits for calls in flight, whose outcomes go to the successor."""
+    async def _finish_handover(self, engine: Engine, started_at: float) -> None:
+        """Waits for calls in flight, whose outcomes are forwarded to the successor."""
         assert self.sender is not None
         schedule = shutdown_schedule(engine.context.settings.classes.values())
         loop = asyncio.get_running_loop()
         while engine.context.delivery.is_busy or self.sender.has_unfinished_work:
-            if loop.time() >= began + schedule.exit:
+            if loop.time() >= started_at + schedule.exit:
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
 
     # Callbacks of a handover
 
-    def _on_moved(self, is_elsewhere: bool) -> None:
-        """Another process decides now, or this one does again."""
+    def _on_forwarding_changed(self, is_forwarding: bool) -> None:
+        """Starts or stops forwarding operators' commands, while another process makes the decisions."""
         assert self.sender is not None
-        self.admin.owner = self.sender.forwarder if is_elsewhere else None
-        self.admin.is_serving = not is_elsewhere
-        if not is_elsewhere and self.is_reload_pending:
+        self.admin.owner = self.sender.forwarder if is_forwarding else None
+        self.admin.is_serving = not is_forwarding
+        if not is_forwarding and self.is_reload_pending:
             self.is_reload_pending = False
             self.reload()
 
-    def _on_stop(self, owns_state: bool) -> None:
+    def _request_exit(self, owns_state: bool) -> None:
         self.owns_state = owns_state
         self.should_exit.set()
 
 
 def _restart() -> None:
-    """Starts this program anew in the same process: the platform goes on knowing it by its id."""
+    """Restarts this program in the same process, whose id the platform keeps monitoring."""
     sys.stderr.flush()
     os.execv(sys.executable, sys.orig_argv)
--- a/loftrelay/service/override_file.py
+++ b/loftrelay/service/override_file.py
@@ -1,4 +1,4 @@
-"""Stores the operators' overrides of a fleet in the state directory, so that they survive a restart."""
+"""Stores the operators' overrides of a fleet in the state folder, for a restart of the relay."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 log = logging.getLogger(__name__)
 
 FILE_NAME = "fleet-calls.json"
-MAX_FILE_BYTES = 128_000  # holds 1,024 overrides with host ids and relay names of 40 characters
+MAX_FILE_BYTES = 128_000  # enough for 1,024 overrides with host ids and relay names of 40 characters
 
 
 class OverrideFile:
-    """The file: a JSON list of rows of host id, whether it is disabled, stamp and origin."""
+    """File of overrides: a JSON list of rows [host id, whether it is disabled, stamp, origin]."""
 
-    def __init__(self, directory: Path) -> None:
-        self.path = directory / FILE_NAME
+    def __init__(self, folder: Path) -> None:
+        self.path = folder / FILE_NAME
 
     def load(self) -> list[OperatorOverride]:
-        """Stored overrides; none if the file is missing or invalid, then other relays send theirs."""
+        """Returns the stored overrides; none if the file is missing or invalid: other relays send theirs."""
         try:
             return [_parse_row(row) for row in json.loads(self.path.read_bytes())]
         except FileNotFoundError:
             return []
         except (OSError, ValueError, TypeError, RecursionError) as error:
-            log.error("%s can't be read, other relays will send their overrides: %s", self.path, error)
+            log.error("gossip: %s ignored, other relays will send their overrides: %s", self.path, error)
             return []
 
     def save(self, overrides: Iterable[OperatorOverride]) -> None:
-        """Replaces the file; an error is only logged, since other relays hold the overrides, too."""
+        """Replaces the file; an error is only logged, since other relays have the overrides as well."""
         rows = [[item.host, item.is_disabled, item.stamp, item.origin] for item in overrides]
         try:
             write_atomically(self.path, json.dumps(rows, separators=(",", ":")).encode(), MAX_FILE_BYTES)
         except OSError as error:
-            log.error("Overrides of the fleet can't be written: %s", error)
+            log.error("gossip: overrides can't be written to %s: %s", self.path, error)
 
 
 def _parse_row(row: Any) -> OperatorOverride:
     host, is_disabled, stamp, origin = row
     override = OperatorOverride(str(host), bool(is_disabled), int(stamp), str(origin))
     if not 0 <= override.stamp <= MAX_STAMP_MS:
-        raise ValueError(f"stamp {override.stamp} is out of range")
+        raise ValueError(f"stamp {override.stamp} of host {host!r} is not in 0 to {MAX_STAMP_MS}")
     return override
--- a/loftrelay/service/store_setup.py
+++ b/loftrelay/service/store_setup.py
@@ -1,4 +1,4 @@
-"""Opens the store of record that the operator has set, for one relay."""
+"""Opens the store of record that the operator has configured, for one relay."""
 
 from __future__ import annotations
 
@@ -17,22 +17,34 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_INTERVAL_S = 0.5  # seconds between looks for a store that is away at the start
+RETRY_INTERVAL_S = 0.5  # between attempts to open a store that is unavailable at startup
 
 
 def durability_modes(settings: RelaySettings, store_settings: StoreSettings) -> dict[str, DurabilityMode]:
-    """How each class is recorded: by its effect."""
-    harmless = (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED)
+    """Returns the durability mode of each class, which depends on its delivery semantics."""
+    repeatable = (DeliverySemantics.IDEMPOTENT, DeliverySemantics.DEDUPLICATED)
     return {
         name: store_settings.repeatable_mode
-        if about.semantics in harmless
+        if message_class.semantics in repeatable
         else store_settings.at_most_once_mode
-        for name, about in settings.classes.items()
+        for name, message_class in settings.classes.items()
     }
 
 
 async def open_store(config: Config, store_settings: StoreSettings, journal: Journal) -> Recorder:
-    """The store of record, read. Waits for one that is away, and raises Unusable for one that stays so."""
+    """Opens the store of record and reads it; retries while the store is unavailable.
+
+    Args:
+        config: Configuration of the relay.
+        store_settings: Operator's settings of the store.
+        journal: Journal whose messages are looked up in the store.
+
+    Returns:
+        The recorder, which has loaded the records.
+
+    Raises:
+        StoreError: The store can't be used.
+    """
     writer = Writer(
         store_opener(store_settings), store_settings.max_queued, store_settings.max_changes_per_commit
     )
@@ -48,7 +60,7 @@
         try:
             await recorder.load(list(journal.messages))
         except StoreUnavailableError as error:
-            log.warning("the relay waits for its store of record: %s", error)
+            log.warning("relay waits for its store of record: %s; retrying in %g s", error, RETRY_INTERVAL_S)
             await asyncio.sleep(RETRY_INTERVAL_S)
         except BaseException:
             await recorder.close()
--- a/loftrelay/upgrade/sender.py
+++ b/loftrelay/upgrade/sender.py
@@ -55,7 +55,7 @@
 class ServiceCallbacks:
     """Callbacks from a handover to the service that runs it."""
 
-    on_moved: Callable[[bool], None]  # whether operators' overrides now go to `HandoverSender.forwarder`
+    on_forwarding_changed: Callable[[bool], None]  # whether overrides now go to `HandoverSender.forwarder`
     apply_override: Callable[[str, bool, OnAnswer], None]  # host, whether it is disabled, callback
     stop: Callable[[bool], None]  # stops the process; given whether it owns the state
     restart: Callable[[], None]  # restarts the program from the journal, in the same process
@@ -173,7 +173,7 @@
 
     def _pause(self) -> None:
         self._paused_at_us = self._now_us()
-        self._callbacks.on_moved(True)
+        self._callbacks.on_forwarding_changed(True)
         self._server.pause()
         self._engine.handover.pause(self.forwarder)
         fault_point("frozen")
@@ -189,7 +189,7 @@
         log.warning("handover cancelled: the successor was lost or too slow; this process resumes serving")
         self._cancel_timer()
         self._engine.handover.resume()
-        self._callbacks.on_moved(False)
+        self._callbacks.on_forwarding_changed(False)
         for message in self.forwarder.drain_queue():
             self._apply_queued(message)
         for request, on_answer in self.forwarder.drain_overrides():
