--- a/tests/program/test_fleet.py
+++ b/tests/program/test_fleet.py
@@ -131,7 +131,7 @@
         others = [0, 1, 2, 3]
         for n in others:
             way = (f"r{n}", "r4") if deaf else ("r4", f"r{n}")
-            fleet.proxy.cut(*way, both=False)
+            fleet.proxy.cut(*way, both_directions=False)
         await fleet.until_gone(others)
         await fleet.say(1, "disable-server h1")
         await fleet.shows("ejected", 1, others)
@@ -205,7 +205,7 @@
         twin.name_ = "r3"
         await twin.start()
         async with asyncio.timeout(HANG):
-            while not any("goes by the name r3, too" in line for n in (3, 4) for line in fleet.worlds[n].log):
+            while not any("also uses the name r3" in line for n in (3, 4) for line in fleet.worlds[n].log):
                 await asyncio.sleep(0.02)
         await fleet.shows("fleet_alive", 3, [0, 1, 2])
         await fleet.say(0, "disable-server h0")
