--- a/loftrelay/decisions/availability.py
+++ b/loftrelay/decisions/availability.py
@@ -16,7 +16,7 @@
 from loftrelay.decisions.units import NEVER
 
 PROBING_RELAYS = 4  # relays that may each probe a failing destination once per MAX_PROBE_INTERVAL_US
-MIN_BUDGET = 1e-6
+MIN_BUDGET = 1e-6  # prevents a division by zero
 
 
 def next_call_at(state: DecisionState, gate: Gate, destination: Destination) -> int:
--- a/loftrelay/decisions/dispatch.py
+++ b/loftrelay/decisions/dispatch.py
@@ -18,7 +18,8 @@
 from loftrelay.decisions.units import NEVER, SECOND_US
 
 MIN_SLOT_TIME_US = SECOND_US / 20
-CONCLUSIVE_TIMEOUT_DIVISOR = 2  # a failure with less time than the timeout over this is inconclusive
+# A failed call with less time than its timeout divided by this does not count against its endpoint.
+CONCLUSIVE_TIMEOUT_DIVISOR = 2
 
 
 @dataclass(slots=True, frozen=True)
--- a/loftrelay/decisions/endpoint_table.py
+++ b/loftrelay/decisions/endpoint_table.py
@@ -55,7 +55,11 @@
 
 
 def enable(state: DecisionState, name: str) -> None:
-    """Enables an endpoint that the operator has restarted: clears its failures and begins slow start."""
+    """Enables an endpoint that the operator has restarted.
+
+    A restarted endpoint is cold, and earlier failures say nothing about it: they are cleared, and slow start
+    begins unless available siblings share its gate.
+    """
     if (endpoint := state.endpoints.get(name)) is not None and endpoint.is_disabled:
         _restart(state, endpoint)
     elif name in state.disabled_endpoints:
@@ -125,7 +129,10 @@
 
 
 def _drop_if_unused(state: DecisionState, endpoint: Endpoint) -> None:
-    """Drops a removed endpoint unless a call, a Retry-After, an open circuit or slow start still needs it."""
+    """Drops a removed endpoint unless something still refers to it.
+
+    This may be a call, a Retry-After, or an open circuit or slow start of a gate of its own.
+    """
     gate, destination = endpoint.gate, endpoint.destination
     is_failing = gate is not destination.gate and (gate.breaker.is_open or gate.slow_start.is_active)
     if endpoint.in_flight or is_failing or gate.retry_after_until > state.now:
--- a/loftrelay/decisions/events.py
+++ b/loftrelay/decisions/events.py
@@ -83,7 +83,7 @@
     submission: MessageSubmitted
     age: int
     attempts: int
-    first_attempt_age: int | None  # since the first attempt that may have taken effect; None: none has
+    first_attempt_age: int | None  # since the first attempt that may have taken effect; None: there was none
     first_attempt_endpoint: str | None
     is_ended: bool  # its end was decided; only FinalStatusReported is outstanding
 
--- a/loftrelay/decisions/feedback.py
+++ b/loftrelay/decisions/feedback.py
@@ -105,7 +105,7 @@
 
 
 def _lower_rate_limit(state: DecisionState, endpoint: Endpoint, demand: float) -> None:
-    """Lowers the learned rate below the rate of calls sent, but not below the demand in full batches."""
+    """Lowers the learned rate below that of the calls sent or of the demand in full batches, if higher."""
     gate = endpoint.gate
     observed = (len(gate.slow_start.recent_calls) - 1) * SECOND_US / state.limits.overload_window
     gate.rate_limiter.decrease(observed, demand / endpoint.max_batch_size)
--- a/loftrelay/decisions/idempotency.py
+++ b/loftrelay/decisions/idempotency.py
@@ -16,7 +16,7 @@
 GLOBAL_SCOPE = "all"
 ZONE_SCOPE = "zone"
 WINDOW_MARGIN_US = SECOND_US // 10  # the transit times of two calls may differ by this much
-WINDOW_MARGIN_DIVISOR = 10  # the margin is at most this fraction (1/n) of the window
+WINDOW_MARGIN_DIVISOR = 10  # the margin is at most the window divided by this
 # After these outcomes the attempt may have taken effect.
 UNCERTAIN_STATUSES = (
     AttemptStatus.ERROR,
--- a/loftrelay/decisions/idle_connections.py
+++ b/loftrelay/decisions/idle_connections.py
@@ -13,7 +13,8 @@
 from loftrelay.decisions.state import DecisionState, IdleResetCounts
 from loftrelay.decisions.units import NEVER, SECOND_US
 
-MIN_IDLE_US = SECOND_US // 8  # a reset sooner than this may have crossed a response: not due to idle time
+# A reset after a shorter idle time may have crossed a response, and says nothing about idle connections.
+MIN_IDLE_US = SECOND_US // 8
 RESET_SPAN_US = 60 * SECOND_US
 MIN_RESETS = 2  # recent resets of an octave above which its share counts
 EXCESS_RESET_SHARE = 0.05  # in addition to twice the share of connections idle for less than MIN_IDLE_US
--- a/loftrelay/decisions/lifecycle.py
+++ b/loftrelay/decisions/lifecycle.py
@@ -16,7 +16,7 @@
 from loftrelay.decisions.units import NEVER, SECOND_US
 
 LAST_ATTEMPT_MARGIN_US = SECOND_US // 4  # time reserved at the end of the dedup window for a last attempt
-LAST_ATTEMPT_DIVISOR = 4  # the margin is at most this fraction (1/n) of the window
+LAST_ATTEMPT_DIVISOR = 4  # the margin is at most the window divided by this
 
 
 def admit(state: DecisionState, event: MessageSubmitted, age: int = 0) -> OpenMessage:
--- a/loftrelay/decisions/load_shedding.py
+++ b/loftrelay/decisions/load_shedding.py
@@ -15,7 +15,7 @@
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import SECOND_US
 
-QUEUE_HEADROOM_DIVISOR = 8  # this fraction (1/n) of the open messages limit is kept free
+QUEUE_HEADROOM_DIVISOR = 8  # the limit of open messages divided by this is kept free
 MIN_QUEUE_HEADROOM = 2  # messages
 BACKLOG_DRAIN_RATE_PER_S = 8  # messages; assumed to estimate the wait behind a backlog
 MIN_SHED_WAIT_US = SECOND_US  # messages with a shorter expected wait are not shed
--- a/loftrelay/decisions/quota.py
+++ b/loftrelay/decisions/quota.py
@@ -1,7 +1,7 @@
 """Tenant quota: messages beyond a tenant's quota get a lower priority weight and are sent after the others.
 
-The quota is a token bucket, refilled at the tenant's rate or at its share of this relay's arrivals, whichever
-is higher.
+The quota is a token bucket, refilled at this relay's part of the tenant's rate or at the tenant's share of
+this relay's arrivals, whichever is higher.
 """
 
 from __future__ import annotations
--- a/loftrelay/decisions/rate_limit.py
+++ b/loftrelay/decisions/rate_limit.py
@@ -16,7 +16,8 @@
 BACKLOG_INCREASE_PER_S = 0.15
 BACKLOG_MESSAGES = 10  # from this many waiting messages on, the rate also grows by BACKLOG_INCREASE_PER_S
 MIN_RATE_OF_DEMAND = 0.5  # the rate is never lowered below this share of this relay's own demand
-JITTER_RANGE = (0.3, 1.7)  # factor on the part of an interval beyond one second
+# Factor on the part of a rate limit interval beyond one second, and on the whole interval between probes.
+JITTER_RANGE = (0.3, 1.7)
 
 
 @dataclass(slots=True)
--- a/loftrelay/decisions/retry.py
+++ b/loftrelay/decisions/retry.py
@@ -16,7 +16,7 @@
 BACKOFF_FACTOR = 2
 BACKOFF_MAX_EXPONENT = 16
 BACKOFF_JITTER = 0.15  # added share, uniform from 0, so that relays do not retry in step
-# Short enough to notice the end of an outage of a few seconds.
+# Between probes of a failing destination; short enough to notice the end of an outage of a few seconds.
 MAX_PROBE_INTERVAL_US = 4 * SECOND_US
 
 TIMEOUT_DEVIATIONS = 6  # mean deviations above the smoothed call time
--- a/loftrelay/decisions/routing.py
+++ b/loftrelay/decisions/routing.py
@@ -15,7 +15,7 @@
 ZONE_COST_WEIGHT = 300.0  # cost factor per unit of zone cost
 MIN_KNOWN_RATE_PER_S = 1.0  # messages; with less demand the choice is randomized
 RISKY_ERROR_RATE = 0.3  # at-most-once messages avoid a destination from this error rate on ...
-RISKY_ERROR_MEMORY_US = MAX_PROBE_INTERVAL_US  # ... for this long after the last one
+RISKY_ERROR_MEMORY_US = MAX_PROBE_INTERVAL_US  # ... for this long after the last failure
 
 
 def available_endpoints(state: DecisionState, destination: Destination) -> list[Endpoint]:
--- a/loftrelay/decisions/snapshot.py
+++ b/loftrelay/decisions/snapshot.py
@@ -26,7 +26,7 @@
 from loftrelay.decisions.units import NEVER
 
 FORMAT_VERSION = 2
-# Class or type alias -> its name among the stored types, where the two differ.
+# Renamed class or type alias -> its stored name, for the test that compares RECORDS with the classes.
 STORED_TYPE_NAMES: Mapping[str, str] = {}
 
 RECORDS: Mapping[str, RecordFormat] = {**STATE_RECORDS, **EVENT_RECORDS}
