--- a/loftrelay/journal/compaction.py
+++ b/loftrelay/journal/compaction.py
@@ -1,7 +1,7 @@
 """Compaction of a journal: copies the live entries of the oldest segments, then deletes these segments.
 
 Live entries take at most half of the disk budget (see `Journal.admit`), so a pass over all segments always
-frees space. A pass is divided into steps of bounded size, one for each written record, so that no caller
+frees space. A pass is divided into steps of bounded size, taken after records are written, so that no caller
 waits for a whole segment to be copied unless space is short.
 """
 
--- a/loftrelay/journal/journal.py
+++ b/loftrelay/journal/journal.py
@@ -54,8 +54,8 @@
         Args:
             folder: the folder with the segments.
             disk_bytes: the most bytes that all segments may take together.
-            is_read_only: whether another process owns the journal; nothing is written before
-                `take_ownership` then.
+            is_read_only: whether another process owns the journal; if so, nothing is written before
+                `take_ownership`.
             clock: returns the time in wall-clock microseconds.
 
         Raises:
--- a/loftrelay/metrics/counters.py
+++ b/loftrelay/metrics/counters.py
@@ -17,7 +17,7 @@
     """Final status of a message as its client or the platform was told. Values are used in metric names."""
 
     SUCCEEDED = "succeeded"  # delivered
-    REJECTED = "declined"  # rejected at admission, or later without having had an effect
+    REJECTED = "declined"  # rejected, at admission or later; the client can safely submit it again
     ABORTED = "aborted"  # failed
 
 
--- a/loftrelay/relay/attempts.py
+++ b/loftrelay/relay/attempts.py
@@ -30,7 +30,7 @@
 MAX_GATE_WAIT_UNCHANGED_S = 1.0  # if no list entry, failure or Retry-After of the destination came since
 # A call times out this long before the earliest deadline in it, because later responses don't count.
 RESPONSE_MARGIN_US = 20_000
-MIN_GATE_RETRY_MS = 20  # delay before an attempt that a gate refused is scheduled again
+MIN_GATE_RETRY_MS = 20  # shortest delay before an attempt that a gate did not allow is scheduled again
 LONG_RETRY_AFTER_US = 60_000_000  # from here on a Retry-After is logged, as a restart loses it
 
 
--- a/loftrelay/relay/context.py
+++ b/loftrelay/relay/context.py
@@ -75,7 +75,7 @@
         self.batch_loop.post(event)
 
     def note_change(self, destination: int) -> None:
-        """Notes a list entry or a failure, which may invalidate earlier decisions for a destination."""
+        """Notes a list entry, failure or Retry-After, which may invalidate decisions for a destination."""
         if self.attempt_gates:
             self.changed_at[destination] = asyncio.get_running_loop().time()
 
--- a/loftrelay/relay/final_statuses.py
+++ b/loftrelay/relay/final_statuses.py
@@ -109,7 +109,7 @@
             counted = FinalStatus.ABORTED if has_failed else FinalStatus.REJECTED
             context.metrics.count_final_status(message.class_name, counted)
         context.message_states.complete(message_id)
-        # A rejected message had no effect, so its id is free for another submission.
+        # A rejection guarantees that submitting the message again is safe, so its id is free.
         is_remembered = has_failed and message is not None and not is_idempotent(message.packed_terms)
         context.journal.complete(message_id, FAILED if is_remembered else 0)
         if context.store is not None:
