--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -144,7 +144,10 @@
 
 
 def test_listed_endpoint_uses_bounded_memory() -> None:
-    """Each with its own destination. Guards against an empty deque, which was two fifths of 1.6 KB."""
+    """Each endpoint has its own destination.
+
+    Guards against an empty deque for each entry, which took two fifths of 1.6 KB.
+    """
     size = 2_000
     endpoint_list = EndpointListReceived(
         EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size))
--- a/tests/decisions/test_hibernation.py
+++ b/tests/decisions/test_hibernation.py
@@ -241,7 +241,7 @@
 
 @pytest.mark.parametrize("kind", ["shared_limits", "own_limits"])
 def test_open_circuit_is_kept_until_a_call_succeeds(kind: str) -> None:
-    """However long ago the outage was: spaced single probes, and slow start after the first success."""
+    """An outage is followed by spaced single probes, however long ago it was, and then by slow start."""
     driver = SchedulerDriver(make_entry("a", kind=kind))
     driver.run_successful_calls()
     run_outage(driver)
@@ -329,7 +329,7 @@
 
 
 def test_endpoints_with_own_limits_are_restored_separately() -> None:
-    """Also if they are listed later than their siblings, or only after a second release."""
+    """This holds if one is listed later than its siblings, or only after a second release."""
     driver = SchedulerDriver(
         make_entry("a", kind="own_limits"),
         make_entry("b", kind="own_limits"),
@@ -555,7 +555,7 @@
 
 
 def test_hibernated_destination_uses_bounded_memory() -> None:
-    """Upper bound: an open circuit, a Retry-After and one endpoint per destination."""
+    """The most expensive case: each destination has an open circuit, a Retry-After and its own endpoint."""
     size = 2_000
     scheduler = Scheduler(1, SETTINGS)
     scheduler.handle_batch(
--- a/tests/decisions/test_list_polling.py
+++ b/tests/decisions/test_list_polling.py
@@ -63,7 +63,10 @@
 def test_list_polling_of_overloaded_discovery_reaches_all_relays_at_limited_rate(
     seed: int, available_from: int
 ) -> None:
-    """Within 1.5 times the time that discovery needs to serve all; at most one request per relay in 1.4 s."""
+    """All relays receive the list within 1.5 times the time that discovery needs to serve them.
+
+    Each relay sends at most one request per 1.4 s.
+    """
     received_at, requests = simulate_polling(seed, available_from)
     assert min(received_at) >= 0
     assert max(received_at) - available_from <= 12 * SECOND_US
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -74,7 +74,7 @@
         assert not missing, f"messages without an end: {missing}"
 
     def limits_scope(self, endpoint: str) -> object:
-        """Returns kind shares its limits with an endpoint: itself, or its destination."""
+        """Returns what the limits of an endpoint apply to: the endpoint, or the whole destination."""
         return endpoint if endpoint in "cde" else DESTINATION[endpoint]
 
     def step(self, kind: str, pick: int, delay: int, status: AttemptStatus) -> None:
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -73,7 +73,10 @@
 
 
 def test_retry_after_survives_changes_of_list_and_settings() -> None:
-    """The endpoint is removed and listed again under its name, and the settings change."""
+    """The endpoint is removed and listed again under its name, and the settings change.
+
+    A Retry-After applies to whatever is listed under the name of the endpoint that sent it.
+    """
     for kind in ("shared_limits", "own_limits"):
         driver = SchedulerDriver(make_entry("a", kind=kind), make_entry("b", 2))
         driver.scheduler.apply_retry_after(driver.now, "a", 3 * SECOND_US)
@@ -120,7 +123,7 @@
 def test_message_ends_immediately_if_all_endpoints_are_blocked_beyond_its_deadline(
     class_name: str, may_have_run: bool, end_type: type[Action]
 ) -> None:
-    """Also a message that arrives while they are blocked. Rejections carry a Retry-After if allowed."""
+    """Applies to messages that arrive meanwhile, too. Rejections carry a Retry-After if settings allow."""
     driver = SchedulerDriver(
         make_entry("a", kind="own_limits"), make_entry("b", kind="own_limits"), max_concurrent_calls=2
     )
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,4 +1,7 @@
-"""Scheduler rules by scripted events: retry, routing, Retry-After, ordering, recovery, disputed outcomes."""
+"""Scheduler rules by scripted events: retry, routing, Retry-After, ordering, recovery, disputed outcomes.
+
+A test here has to fail if the code of its rule is removed.
+"""
 
 from __future__ import annotations
 
@@ -441,7 +444,7 @@
 
 
 def test_timeout_is_doubled_while_half_of_slots_are_free() -> None:
-    """Successful calls were cut off after one second although most slots were free."""
+    """Guards against cutting off calls to a healthy endpoint after one second while most slots are free."""
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls(8)
     driver.run_batch(*[make_message(f"m{i}") for i in range(6)])
