--- a/loftrelay/decisions/ordering.py
+++ b/loftrelay/decisions/ordering.py
@@ -69,6 +69,6 @@
 
 
 def drop_unused_key(state: DecisionState, key: OrderingKey) -> None:
-    """Deletes an ordering key that has no message; called when its cooldown has ended."""
+    """Deletes an ordering key that has no message; called at the end of each of its cooldowns."""
     if not key.pending and state.ordering_keys.get(key.name) is key:
         del state.ordering_keys[key.name]
--- a/loftrelay/relay/attempts.py
+++ b/loftrelay/relay/attempts.py
@@ -107,7 +107,7 @@
         return waited < (MAX_GATE_WAIT_UNCHANGED_S if changed_at < requested_at else MAX_GATE_WAIT_S)
 
     def _reschedule(self, position: int, call: GatedCall) -> None:
-        """Reschedules a call that a gate did not allow in time. It does not count as an attempt."""
+        """Reschedules a call that a gate refused or allowed too late. It does not count as an attempt."""
         gates = self.context.attempt_gates
         for gate in gates[: position + 1]:
             for message in call.messages:
