--- a/loftrelay/gossip/member_table.py
+++ b/loftrelay/gossip/member_table.py
@@ -19,7 +19,7 @@
 from loftrelay.net.address import Address
 
 MAX_UPDATES_PER_DATAGRAM = 20  # the number that fits into a datagram
-MAX_RANDOM_UPDATES = 4  # states of random members that fill up a datagram with few pending updates
+MAX_RANDOM_UPDATES = 4  # of these, states of random members that fill up a datagram with few pending updates
 DEAD_RETENTION_INTERVALS = 64  # probe intervals after which a dead member is removed
 
 
--- a/loftrelay/server/http/server.py
+++ b/loftrelay/server/http/server.py
@@ -41,7 +41,7 @@
         self.keeps_idle_connections = False
         self.is_shutting_down = False
         self.is_paused = False
-        self.sweep_timer: asyncio.TimerHandle | None = None
+        self.timeout_timer: asyncio.TimerHandle | None = None
         self._transfer: TransferConnection | None = None  # set once connections are handed over
 
     # Startup and shutdown
@@ -178,9 +178,9 @@
 
     def _check_timeouts(self) -> None:
         loop = asyncio.get_running_loop()
-        self.sweep_timer = loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
+        self.timeout_timer = loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
         self.engine.context.stall_detector.check(loop.time())
-        self.engine.context.stall_detector.expect_run_at(self.sweep_timer.when())
+        self.engine.context.stall_detector.expect_run_at(self.timeout_timer.when())
         for client in (*self.connections.active(), *self.connections.lingering):
             if client.deadline <= loop.time() and (client.is_closing or not self.is_paused):
                 client.on_timeout()
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -52,7 +52,8 @@
     Attributes:
         lock: Lock of the folder.
         journal: Journal in the folder.
-        receiver: Receiver of messages from a predecessor; None if the relay has no shared listening socket.
+        receiver: Receiver of messages from a predecessor; None without a shared listening
+            socket, as there is no predecessor then.
     """
 
     lock: Lock
@@ -208,7 +209,7 @@
         if config.listen_fd is None:
             lock = Lock.acquire(config.state_dir)
             if lock is None:
-                raise OSError(f"another process of this relay holds {config.state_dir}")
+                raise OSError(f"another process of this relay holds the lock of {config.state_dir}")
             return OwnedState(lock, Journal(config.state_dir, config.journal_bytes), None)
         receiver = HandoverReceiver(config.state_dir, config.journal_bytes, config.seed)
         journal = await self._acquire_unless_stopped(receiver)
--- a/loftrelay/upgrade/receiver.py
+++ b/loftrelay/upgrade/receiver.py
@@ -87,7 +87,7 @@
             SuccessorAction.REPORT_LOADED: self._report_loaded,
             SuccessorAction.DISCARD: self._discard_loaded,
             SuccessorAction.START: self._start_from_journal,
-            SuccessorAction.CONTINUE: self._continue_with_received_state,
+            SuccessorAction.CONTINUE: self._continue_after_handover,
             SuccessorAction.RETRY: self._retry_later,
         }
 
@@ -279,7 +279,7 @@
         self._journal = Journal(self._folder, self._disk_bytes)
         self._next_step.set()
 
-    def _continue_with_received_state(self) -> None:
+    def _continue_after_handover(self) -> None:
         assert self._journal is not None
         fault_point("yours")
         if self.received_state is not None:
--- a/loftrelay/upgrade/state_machine.py
+++ b/loftrelay/upgrade/state_machine.py
@@ -111,7 +111,7 @@
 
     def __init__(self) -> None:
         self.state = PredecessorState.SERVING
-        self._pause_ends_at = 0
+        self._pause_ends_at_us = 0
 
     @property
     def is_owner(self) -> bool:
@@ -123,21 +123,21 @@
         """Whether a request for a handover would be accepted."""
         return self.state is PredecessorState.SERVING
 
-    def on_request(self, now: int) -> tuple[PredecessorAction, ...]:
+    def on_request(self, now_us: int) -> tuple[PredecessorAction, ...]:
         """Handles a request for a handover; returns the actions to execute, as the other methods do."""
         if self.is_serving:
-            self._pause_ends_at = now + MAX_HANDOVER_PAUSE_US
+            self._pause_ends_at_us = now_us + MAX_HANDOVER_PAUSE_US
         return self._apply(PredecessorEvent.REQUESTED)
 
-    def on_loaded(self, now: int) -> tuple[PredecessorAction, ...]:
+    def on_loaded(self, now_us: int) -> tuple[PredecessorAction, ...]:
         """Handles the successor's report that it has loaded the state; a late one counts as a timeout."""
         return self._apply(
-            PredecessorEvent.TIMED_OUT if now >= self._pause_ends_at else PredecessorEvent.LOADED
+            PredecessorEvent.TIMED_OUT if now_us >= self._pause_ends_at_us else PredecessorEvent.LOADED
         )
 
-    def on_timer(self, now: int) -> tuple[PredecessorAction, ...]:
+    def on_timer(self, now_us: int) -> tuple[PredecessorAction, ...]:
         """Handles the timer of the pause; has no effect before the maximum pause has passed."""
-        return self._apply(PredecessorEvent.TIMED_OUT) if now >= self._pause_ends_at else ()
+        return self._apply(PredecessorEvent.TIMED_OUT) if now_us >= self._pause_ends_at_us else ()
 
     def on_channel_lost(self) -> tuple[PredecessorAction, ...]:
         """Handles the loss of the channel to the successor."""
@@ -153,7 +153,7 @@
 
 
 class SuccessorState(Enum):
-    """States of a process that is to serve."""
+    """States of a starting process, which acquires the state alone or as a successor."""
 
     TRYING = auto()  # to acquire the lock or to connect to a predecessor
     REQUESTED = auto()
@@ -162,7 +162,7 @@
 
 
 class SuccessorEvent(Enum):
-    """Events at a process that is to serve."""
+    """Events at a starting process."""
 
     LOCK_ACQUIRED = auto()  # no other process owns the state
     CONNECTED = auto()  # to a predecessor
@@ -173,7 +173,7 @@
 
 
 class SuccessorAction(Enum):
-    """Actions that a process that is to serve executes."""
+    """Actions that a starting process executes."""
 
     REQUEST = auto()
     LOAD = auto()  # state and journal, without writing
@@ -215,7 +215,7 @@
 
 
 class Successor:
-    """State machine of a process that is to serve."""
+    """State machine of a starting process."""
 
     def __init__(self) -> None:
         self.state = SuccessorState.TRYING
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -70,14 +70,8 @@
     assert decoded == decode(data) == ("f", ping, [OperatorOverride("h", True, 3, "a")])
     with pytest.raises(DatagramVersionError):
         decode(data[:2] + b"\x02" + data[3:])
-    assert (
-        decode(
-            encode(
-                "f", ping, [OperatorOverride("h" * 300, True, 3, "a"), OperatorOverride("h", True, 3, "a")]
-            )
-        )
-        == decoded
-    )
+    too_long, valid = OperatorOverride("h" * 300, True, 3, "a"), OperatorOverride("h", True, 3, "a")
+    assert decode(encode("f", ping, [too_long, valid])) == decoded
     with pytest.raises(DatagramError):
         encode("f", Ping(4, "b" * 200, Peer("a" * 200, ("h" * 900, 7), 1, 2)), [])
 
--- a/tests/server/admin/test_server.py
+++ b/tests/server/admin/test_server.py
@@ -115,16 +115,16 @@
 
 
 def test_relay_serves_statistics_on_the_configured_admin_address(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
         port = free_port()
-        w.control = f"127.0.0.1:{port}"
-        await w.start()
+        world.control = f"127.0.0.1:{port}"
+        await world.start()
         assert await send_line(("127.0.0.1", port), b"ready\n") == b"YES\n"
-        assert await w.hand_in("m1") == 202
-        assert await w.hand_in("m2", dest=9) == 503
-        await w.until(lambda: host.answered == 1)
-        while "app.succeeded.status=1" not in (text := (await w.call("show-stat"))):
+        assert await world.hand_in("m1") == 202
+        assert await world.hand_in("m2", dest=9) == 503
+        await world.until(lambda: host.answered == 1)
+        while "app.succeeded.status=1" not in (text := (await world.call("show-stat"))):
             pass
         statistics = dict(line.split("=") for line in text.splitlines()[:-1])
         assert text.endswith("\nEND\n")
@@ -149,42 +149,42 @@
 def test_disable_server_host_gets_no_message_until_enabled(tmp_path: Path) -> None:
     """The host stays disabled after a new endpoint list and a restart of the relay."""
 
-    async def scenario(w: World) -> None:
-        first, second = await w.host(deliver), await w.host(deliver)
-        w.control = f"127.0.0.1:{free_port()}"
-        await w.start()
-        assert await w.call("disable-server h0") == "YES\n"
-        assert await w.call("disable-server h0") == "YES\n"
-        assert (await w.call("disable-server h7")).startswith("NO no host has the id h7")
-        assert (await w.call("enable-server h7")).startswith("NO ")
-        while "app.ejected=1" not in await w.call("show-stat"):
+    async def scenario(world: World) -> None:
+        first, second = await world.host(deliver), await world.host(deliver)
+        world.control = f"127.0.0.1:{free_port()}"
+        await world.start()
+        assert await world.call("disable-server h0") == "YES\n"
+        assert await world.call("disable-server h0") == "YES\n"
+        assert (await world.call("disable-server h7")).startswith("NO no host has the id h7")
+        assert (await world.call("enable-server h7")).startswith("NO ")
+        while "app.ejected=1" not in await world.call("show-stat"):
             pass  # the scheduler applies it in its next batch
-        assert await w.hand_in("m1") == 202
-        await w.until(lambda: second.answered == 1)
-        w.list_host(2, "plain", "Ready", second.address)  # a new revision, in which h0 is ready
-        await w.hand_in_once_listed("other", dest=2)
-        assert await w.hand_in("m2") == 202
-        await w.restart()
-        assert await w.hand_in("m3") == 202
-        await w.until(lambda: {"m1", "m2", "m3", "other"} <= set(second.ids))
+        assert await world.hand_in("m1") == 202
+        await world.until(lambda: second.answered == 1)
+        world.list_host(2, "plain", "Ready", second.address)  # a new revision, in which h0 is ready
+        await world.hand_in_once_listed("other", dest=2)
+        assert await world.hand_in("m2") == 202
+        await world.restart()
+        assert await world.hand_in("m3") == 202
+        await world.until(lambda: {"m1", "m2", "m3", "other"} <= set(second.ids))
         assert first.ids == []
-        assert await w.call("enable-server h0") == "YES\n"
-        assert await w.call("enable-server h0") == "YES\n"
-        assert await w.call("disable-server h1") == "YES\n"
-        assert await w.hand_in("m4") == 202
-        await w.until(lambda: first.ids == ["m4"])
+        assert await world.call("enable-server h0") == "YES\n"
+        assert await world.call("enable-server h0") == "YES\n"
+        assert await world.call("disable-server h1") == "YES\n"
+        assert await world.hand_in("m4") == 202
+        await world.until(lambda: first.ids == ["m4"])
 
     run(scenario, tmp_path)
 
 
 def test_disable_server_is_rejected_if_it_cannot_be_stored(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        await w.host(deliver)
-        w.control = f"127.0.0.1:{free_port()}"
+    async def scenario(world: World) -> None:
+        await world.host(deliver)
+        world.control = f"127.0.0.1:{free_port()}"
         (tmp_path / "state" / "hosts-out.json").mkdir(parents=True)  # a directory, which a file can't replace
-        await w.start()
-        assert (await w.call("disable-server h0")).startswith("NO it can't be written down")
-        assert "app.ejected=0" in await w.call("show-stat")
+        await world.start()
+        assert (await world.call("disable-server h0")).startswith("NO it can't be written down")
+        assert "app.ejected=0" in await world.call("show-stat")
 
     run(scenario, tmp_path)
 
@@ -214,16 +214,16 @@
 
 
 def test_relay_counts_failed_host_as_ejected(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         async def fail(_: object) -> bytes:
             return reply(500)
 
-        host = await w.host(fail)
-        w.control = f"127.0.0.1:{free_port()}"
-        await w.start()
-        assert await w.hand_in("m1") == 202
-        await w.until(lambda: host.answered >= 1)
-        while "app.ejected=1" not in await w.call("show-stat"):
+        host = await world.host(fail)
+        world.control = f"127.0.0.1:{free_port()}"
+        await world.start()
+        assert await world.hand_in("m1") == 202
+        await world.until(lambda: host.answered >= 1)
+        while "app.ejected=1" not in await world.call("show-stat"):
             pass
 
     run(scenario, tmp_path)
@@ -232,22 +232,22 @@
 def test_relay_answers_admin_commands_while_clients_exhaust_descriptors(tmp_path: Path) -> None:
     """Descriptors are reserved for the admin endpoint, so clients can't use them up."""
 
-    async def scenario(w: World) -> None:
-        await w.host(deliver)
-        w.control = f"127.0.0.1:{free_port()}"
-        w.limits["sockets"] = 160
-        await w.start()
-        assert w.process is not None
-        resource.prlimit(w.process.pid, resource.RLIMIT_NOFILE, (160, 160))
-        clients = [await asyncio.open_connection(*w.address) for _ in range(300)]
+    async def scenario(world: World) -> None:
+        await world.host(deliver)
+        world.control = f"127.0.0.1:{free_port()}"
+        world.limits["sockets"] = 160
+        await world.start()
+        assert world.process is not None
+        resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (160, 160))
+        clients = [await asyncio.open_connection(*world.address) for _ in range(300)]
         for _, writer in clients[::3]:
             writer.write(b"POST /status HTTP/1.1\r\n")
         for _ in range(3):
-            assert await w.call("ready") == "YES\n"
-            assert (await w.call("show-stat")).endswith("\nEND\n")
-            assert await w.call("disable-server h0") == "YES\n"
-            assert await w.call("enable-server h0") == "YES\n"
-        assert not any("Too many open files" in line for line in w.log)
+            assert await world.call("ready") == "YES\n"
+            assert (await world.call("show-stat")).endswith("\nEND\n")
+            assert await world.call("disable-server h0") == "YES\n"
+            assert await world.call("enable-server h0") == "YES\n"
+        assert not any("Too many open files" in line for line in world.log)
         for _, writer in clients:
             writer.close()
 
--- a/tests/server/http/test_connection_close.py
+++ b/tests/server/http/test_connection_close.py
@@ -69,7 +69,7 @@
     "request_bytes", [message("m"), message("m")[:-3], b"P"], ids=["complete", "partial", "one byte"]
 )
 @pytest.mark.parametrize("cause", ["idle", "eviction", "shutdown"])
-def test_connection_closed_while_a_request_arrives_is_not_reset(
+def test_server_closes_connection_without_reset_while_request_arrives(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, request_bytes: bytes, cause: str
 ) -> None:
     """The request arrives after the relay has checked for unread bytes and before it closes the connection.
@@ -107,7 +107,9 @@
     "request_bytes",
     [b"no HTTP\r\n\r\n", message("m", Tenant="nobody"), READINESS_REQUEST + READINESS_REQUEST],
 )
-def test_error_response_reaches_a_client_that_is_still_sending(tmp_path: Path, request_bytes: bytes) -> None:
+def test_server_error_response_reaches_client_that_is_still_sending(
+    tmp_path: Path, request_bytes: bytes
+) -> None:
     async def scenario(server: HTTPServer, connect_client: Callable[[], Awaitable[Streams]]) -> None:
         reader, writer = await connect_client()
         writer.write(request_bytes)
@@ -122,7 +124,7 @@
     run_server(scenario, tmp_path)
 
 
-def test_lingering_closes_are_bounded_in_time_and_number(
+def test_server_lingering_closes_are_bounded_in_time_and_number(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Clients that never close their side don't occupy connections for longer."""
@@ -185,19 +187,19 @@
 def test_relay_shutdown_closes_idle_connections_and_admits_no_later_request(tmp_path: Path) -> None:
     """An incomplete request gets a response, and no connection is reset."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        await w.start()
-        assert w.process is not None
-        idle = [await asyncio.open_connection(*w.address) for _ in range(3)]
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
+        await world.start()
+        assert world.process is not None
+        idle = [await asyncio.open_connection(*world.address) for _ in range(3)]
         for number, (reader, writer) in enumerate(idle):
             writer.write(message(f"m{number}"))
             assert (await read_message(reader))[0].startswith("HTTP/1.1 202")
-        await w.until(lambda: len(host.ids) == 3)
+        await world.until(lambda: len(host.ids) == 3)
         started_at = asyncio.get_running_loop().time()
-        w.process.send_signal(signal.SIGTERM)
+        world.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(2.9)
-        partial = await asyncio.open_connection(*w.address)
+        partial = await asyncio.open_connection(*world.address)
         partial[1].write(message("half")[:-3])
         async with asyncio.timeout(HANG):
             for reader, writer in idle:
@@ -206,13 +208,13 @@
             response = await partial[0].read()
             assert response.startswith(b"HTTP/1.1 503 ")
             assert b"Connection: close" in response
-            assert await w.process.wait() == 0
+            assert await world.process.wait() == 0
         assert asyncio.get_running_loop().time() - started_at < 3.7 + 0.5  # SIGKILL may follow from 3.7 s on
         for _, writer in (*idle, partial):
             writer.close()
-        await w.start()
-        assert await w.hand_in("again") == 202
-        await w.until(lambda: "again" in host.ids)
+        await world.start()
+        assert await world.hand_in("again") == 202
+        await world.until(lambda: "again" in host.ids)
         assert not {"half", "late"} & set(host.ids)
 
     run(scenario, tmp_path)
@@ -221,13 +223,13 @@
 def test_relay_serves_clients_beside_disconnecting_flooding_and_slow_ones(tmp_path: Path) -> None:
     """Bursts of clients that disconnect at once, that send too much, or that send single bytes slowly."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        await w.start()
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
+        await world.start()
         loop = asyncio.get_running_loop()
 
         async def disconnect(number: int) -> None:
-            reader, writer = await asyncio.open_connection(*w.address)
+            reader, writer = await asyncio.open_connection(*world.address)
             writer.write(message(f"leaver{number}"))
             if number % 3 == 0:
                 assert (await read_message(reader))[0].startswith("HTTP/1.1 202")
@@ -237,13 +239,13 @@
             writer.transport.abort()
 
         async def flood(number: int) -> None:
-            _, writer = await asyncio.open_connection(*w.address)
+            _, writer = await asyncio.open_connection(*world.address)
             writer.write(message(f"flood{number}", Content_Length="60000") + b"z" * (2 << 20))
             await asyncio.sleep(0)
             writer.transport.abort()
 
         async def write_slowly() -> bytes:
-            reader, writer = await asyncio.open_connection(*w.address)
+            reader, writer = await asyncio.open_connection(*world.address)
             response = asyncio.create_task(reader.read())
             for byte in message("slow"):
                 writer.write(bytes([byte]))
@@ -258,12 +260,12 @@
                 *(disconnect(number) for number in range(60)), *(flood(number) for number in range(10))
             )
             started_at = loop.time()
-            assert await w.hand_in("good") == 202
+            assert await world.hand_in("good") == 202
             assert loop.time() - started_at < 5
             assert (await slow).startswith(b"HTTP/1.1 408 ")
-        await w.until(lambda: "good" in host.ids)
+        await world.until(lambda: "good" in host.ids)
         admitted = {f"leaver{number}" for number in range(0, 60, 3)}  # those that got a 202
-        await w.until(lambda: admitted <= set(host.ids))
+        await world.until(lambda: admitted <= set(host.ids))
         assert len(host.ids) == len(set(host.ids))
 
     run(scenario, tmp_path)
--- a/tests/server/http/test_requests.py
+++ b/tests/server/http/test_requests.py
@@ -24,21 +24,20 @@
 
 
 def test_relay_delivers_message_unchanged_over_reused_connection(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        await w.start()
-        assert await w.hand_in("m1", body=bytes(range(256))) == 202
-        await w.until(lambda: host.ids == ["m1"])
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
+        await world.start()
+        assert await world.hand_in("m1", body=bytes(range(256))) == 202
+        await world.until(lambda: host.ids == ["m1"])
         for count in range(2, 8):
-            assert await w.hand_in(f"m{count}") == 202
-            await w.until(lambda count=count: len(host.ids) == count)  # type: ignore[misc]
+            assert await world.hand_in(f"m{count}") == 202
+            await world.until(lambda count=count: len(host.ids) == count)  # type: ignore[misc]
         first = host.requests[0]
         assert (first.method, first.target, first.body) == ("POST", "/v1/messages", bytes(range(256)))
         assert int(first.headers["request-timeout-ms"]) > 0
-        assert (
-            len(host.connections) <= 2
-        )  # the first may be closed before the scheduler expects further calls
-        assert (await w.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
+        # The first connection may be closed, before the scheduler expects further calls.
+        assert len(host.connections) <= 2
+        assert (await world.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
 
     run(scenario, tmp_path)
 
@@ -97,13 +96,13 @@
 def test_relay_rejects_invalid_request_without_effect(tmp_path: Path) -> None:
     """It gets its error status, submits nothing, and the relay continues to serve."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        await w.start()
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
+        await world.start()
         for request_bytes, status in INVALID_REQUESTS:
-            assert (await w.ask(request_bytes))[0] == status, request_bytes[:300]
-        assert await w.hand_in("good", body=b"x" * 64 * 1024) == 202
-        await w.until(lambda: host.ids == ["good"])
+            assert (await world.ask(request_bytes))[0] == status, request_bytes[:300]
+        assert await world.hand_in("good", body=b"x" * 64 * 1024) == 202
+        await world.until(lambda: host.ids == ["good"])
 
     run(scenario, tmp_path)
 
@@ -111,12 +110,12 @@
 def test_relay_closes_every_connection_after_its_timeout(tmp_path: Path) -> None:
     """Without a request, with a partial one, with an almost complete one, and after a response."""
 
-    async def scenario(w: World) -> None:
-        await w.host(deliver)
-        await w.start()
+    async def scenario(world: World) -> None:
+        await world.host(deliver)
+        await world.start()
         complete = message("good")
         for sent in (b"", b"POST /sta", complete[:-2], complete):
-            reader, writer = await asyncio.open_connection(*w.address)
+            reader, writer = await asyncio.open_connection(*world.address)
             writer.write(sent)
             async with asyncio.timeout(HANG):
                 response = await reader.read()
@@ -131,18 +130,18 @@
 def test_relay_pipelined_request_cancels_the_pending_one(tmp_path: Path) -> None:
     """Pipelining is rejected, and no request of that connection is delivered."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        await w.start()
-        reader, writer = await asyncio.open_connection(*w.address)
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
+        await world.start()
+        reader, writer = await asyncio.open_connection(*world.address)
         writer.write(b"".join(message(f"m{number}", body=bytes(60_000)) for number in range(40)))
         async with asyncio.timeout(HANG):
             response = await reader.read()
         assert response.startswith(b"HTTP/1.1 400 ")
         assert response.count(b"HTTP/1.1") == 1
         writer.close()
-        assert await w.hand_in("good") == 202
-        await w.until(lambda: host.ids == ["good"])
+        assert await world.hand_in("good") == 202
+        await world.until(lambda: host.ids == ["good"])
 
     run(scenario, tmp_path)
 
@@ -154,11 +153,11 @@
     connection, as clients retry.
     """
 
-    async def scenario(w: World) -> None:
-        w.limits["sockets"] = 100
-        host = await w.host(deliver)
-        await w.start()
-        reader, writer = await asyncio.open_connection(*w.address)
+    async def scenario(world: World) -> None:
+        world.limits["sockets"] = 100
+        host = await world.host(deliver)
+        await world.start()
+        reader, writer = await asyncio.open_connection(*world.address)
         silent = []
         for number in range(3):
             try:
@@ -166,19 +165,19 @@
                 response = (await read_message(reader))[0]
             except (ConnectionError, asyncio.IncompleteReadError):
                 writer.close()
-                reader, writer = await asyncio.open_connection(*w.address)
+                reader, writer = await asyncio.open_connection(*world.address)
                 writer.write(message(f"m{number}"))
                 response = (await read_message(reader))[0]
             assert response.startswith("HTTP/1.1 202")
-            silent += await asyncio.gather(*(asyncio.open_connection(*w.address) for _ in range(150)))
+            silent += await asyncio.gather(*(asyncio.open_connection(*world.address) for _ in range(150)))
         writer.close()
         for silent_reader, silent_writer in silent:
             async with asyncio.timeout(HANG):
                 with contextlib.suppress(ConnectionError):
                     await silent_reader.read()
             silent_writer.close()
-        await w.until(lambda: len(host.ids) == 3)
-        assert not any("accept" in line for line in w.log)  # descriptors were not exhausted
+        await world.until(lambda: len(host.ids) == 3)
+        assert not any("accept" in line for line in world.log)  # descriptors were not exhausted
 
     run(scenario, tmp_path)
 
@@ -186,24 +185,24 @@
 def test_relay_new_client_evicts_longest_idle_connection_and_no_regular_client(tmp_path: Path) -> None:
     """More clients than connections, with one request each, beside a client with several requests."""
 
-    async def scenario(w: World) -> None:
-        w.limits["sockets"] = 100
-        host = await w.host(deliver)
-        await w.start()
-        regular_reader, regular = await asyncio.open_connection(*w.address)
+    async def scenario(world: World) -> None:
+        world.limits["sockets"] = 100
+        host = await world.host(deliver)
+        await world.start()
+        regular_reader, regular = await asyncio.open_connection(*world.address)
         for name in ("r1", "r2"):
             regular.write(message(name))
             assert (await read_message(regular_reader))[0].startswith("HTTP/1.1 202")
         writers = [regular]
         for number in range(60):
-            reader, writer = await asyncio.open_connection(*w.address)
+            reader, writer = await asyncio.open_connection(*world.address)
             writer.write(message(f"m{number}"))
             async with asyncio.timeout(HANG):
                 assert (await read_message(reader))[0].startswith("HTTP/1.1 202")
             writers.append(writer)
         regular.write(message("r3"))
         assert (await read_message(regular_reader))[0].startswith("HTTP/1.1 202")
-        await w.until(lambda: len(host.ids) == 63)
+        await world.until(lambda: len(host.ids) == 63)
         for writer in writers:
             writer.close()
 
@@ -211,12 +210,12 @@
 
 
 def test_relay_does_not_admit_an_id_in_progress_twice(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(never)
-        await w.start()
-        assert [await w.hand_in("m"), await w.hand_in("m")] == [202, 202]
-        await w.until(lambda: host.ids == ["m"])
-        assert not w.notices
+    async def scenario(world: World) -> None:
+        host = await world.host(never)
+        await world.start()
+        assert [await world.hand_in("m"), await world.hand_in("m")] == [202, 202]
+        await world.until(lambda: host.ids == ["m"])
+        assert not world.notices
 
     run(scenario, tmp_path)
 
@@ -231,23 +230,23 @@
     stored as well.
     """
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        await w.start()
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
+        await world.start()
         names = [f"m{number}" for number in range(10)]
         for name in names:
-            assert await w.hand_in(name, class_name, path=f"/{class_name}/{name}") == 202
-        await w.until(lambda: host.answered == 10)
+            assert await world.hand_in(name, class_name, path=f"/{class_name}/{name}") == 202
+        await world.until(lambda: host.answered == 10)
         for _ in range(2):
             # Once the relay has delivered a later message, it has read the response of the last one.
             before = host.answered
-            assert await w.hand_in(f"after{before}", "order") == 202
-            await w.until(lambda before=before: host.answered == before + 1)  # type: ignore[misc]
+            assert await world.hand_in(f"after{before}", "order") == 202
+            await world.until(lambda before=before: host.answered == before + 1)  # type: ignore[misc]
             for name in names:
-                assert await w.hand_in(name, class_name, path=f"/{class_name}/{name}") == 200
+                assert await world.hand_in(name, class_name, path=f"/{class_name}/{name}") == 200
             # Repeats just before the end of the window and after it, also after a restart.
             await asyncio.sleep(1.0 if class_name == "alarm" else 0.0)
-            await w.restart()
+            await world.restart()
         assert [host.ids.count(name) for name in names] == [1] * 10
 
     run(scenario, tmp_path, classes=CLASSES)
@@ -256,24 +255,24 @@
 def test_relay_repeated_order_gets_its_failure_again_but_is_admitted_if_deferred(tmp_path: Path) -> None:
     """A rejected order has certainly not run; a failed order may have."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(world: World) -> None:
         async def fail(request: Request) -> bytes | None:
             return reply(500)
 
         async def refuse(request: Request) -> bytes | None:
             return reply(429, X_Come_Back_Ms="50")
 
-        hosts = [await w.host(fail, dest=1), await w.host(refuse, dest=2)]
-        await w.start()
+        hosts = [await world.host(fail, dest=1), await world.host(refuse, dest=2)]
+        await world.start()
         for dest, name, status in ((1, "failed", "undeliverable"), (2, "later", "deferred")):
-            assert await w.hand_in(name, "order", dest, path=f"/order/{name}") == 202
-            await w.until(lambda: len(w.notices) == 1)
-            assert w.notices == [{"id": name, "status": status}]
-            w.notices.clear()
+            assert await world.hand_in(name, "order", dest, path=f"/order/{name}") == 202
+            await world.until(lambda: len(world.notices) == 1)
+            assert world.notices == [{"id": name, "status": status}]
+            world.notices.clear()
             count = len(hosts[dest - 1].requests)
             async with asyncio.timeout(HANG):  # until the final status report is acknowledged
                 while len(hosts[dest - 1].requests) == count:
-                    if await w.hand_in(name, "order", dest, path=f"/order/{name}") == 500:
+                    if await world.hand_in(name, "order", dest, path=f"/order/{name}") == 500:
                         break
             assert (len(hosts[dest - 1].requests) > count) == (name == "later")
         assert hosts[0].ids == ["failed"]
@@ -284,27 +283,27 @@
 def test_relay_admits_repeated_idempotent_message_again(tmp_path: Path) -> None:
     """It may run twice, so its id is not stored."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        await w.start()
-        assert await w.hand_in("m") == 202
-        await w.until(lambda: host.answered == 1)
+    async def scenario(world: World) -> None:
+        host = await world.host(deliver)
+        await world.start()
+        assert await world.hand_in("m") == 202
+        await world.until(lambda: host.answered == 1)
         async with asyncio.timeout(HANG):
             while len(host.requests) < 2:
-                assert await w.hand_in("m") == 202
-                await w.hand_in("other")  # its delivery shows that the response of the first was read
-                await w.until(lambda: "other" in host.ids)
+                assert await world.hand_in("m") == 202
+                await world.hand_in("other")  # its delivery shows that the response of the first was read
+                await world.until(lambda: "other" in host.ids)
 
     run(scenario, tmp_path)
 
 
 def test_relay_rejects_messages_over_its_limit(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        await w.host(never)
-        await w.start()
+    async def scenario(world: World) -> None:
+        await world.host(never)
+        await world.start()
         for number in range(2):
-            assert await w.hand_in(f"m{number}", "order") == 202
-        status, headers, _ = await w.ask(message("m2", "order"))
+            assert await world.hand_in(f"m{number}", "order") == 202
+        status, headers, _ = await world.ask(message("m2", "order"))
         assert status == 503
         assert float(headers["retry-after"]) > 0
 
@@ -314,18 +313,18 @@
 def test_relay_near_its_disk_limit_rejects_only_new_messages(tmp_path: Path) -> None:
     """It rejects messages before the limit is exceeded, and delivers the admitted ones."""
 
-    async def scenario(w: World) -> None:
-        w.limits["disk_mb"] = 1
-        w.name()
-        await w.start()
-        statuses = [await w.hand_in(f"m{number}", body=os.urandom(60_000)) for number in range(12)]
+    async def scenario(world: World) -> None:
+        world.limits["disk_mb"] = 1
+        world.name()
+        await world.start()
+        statuses = [await world.hand_in(f"m{number}", body=os.urandom(60_000)) for number in range(12)]
         admitted = statuses.count(202)
         assert 4 <= admitted < 12
         assert set(statuses) == {202, 503}
         paths = (tmp_path / "state").iterdir()
         assert sum(-(-path.stat().st_size // 512) * 512 for path in paths) < 1_000_000
-        host = await w.host(deliver)
-        await w.until(lambda: len(host.requests) == admitted)
-        assert await w.hand_in("again", body=bytes(60_000)) == 202
+        host = await world.host(deliver)
+        await world.until(lambda: len(host.requests) == admitted)
+        assert await world.hand_in("again", body=bytes(60_000)) == 202
 
     run(scenario, tmp_path)
--- a/tests/upgrade/test_receiver.py
+++ b/tests/upgrade/test_receiver.py
@@ -73,8 +73,8 @@
         assert server.connections.active() == []
         client_sock.close()
         os.close(descriptors[0])
-        assert server.sweep_timer is not None
-        server.sweep_timer.cancel()
+        assert server.timeout_timer is not None
+        server.timeout_timer.cancel()
         engine.context.status_reporter.close()
 
     asyncio.run(main())
