--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -28,14 +28,14 @@
 from loftrelay.delivery.connection_pool.settings import PoolSettings
 from tests.program.test_connections import LIMITS, STRICT, plan
 from tests.standins.partner import Behaviour, Call, Doing, Partner
-from tests.standins.platform import SETTINGS, World
+from tests.standins.platform import SETTINGS, RelayHarness
 from tests.standins.traffic import CLASSES, GRACE, Account, Client, Order, all_over, find, hand_in_all
 from tests.standins.trouble import behaviours
 
 
 async def storm(folder: Path, root: Path, count: int, text: str | None) -> dict[str, int]:
     """A run among all faults: what became of each message."""
-    async with World(folder, policy_limits=LIMITS, classes=CLASSES) as w, AsyncExitStack() as stack:
+    async with RelayHarness(folder, policy_limits=LIMITS, classes=CLASSES) as w, AsyncExitStack() as stack:
         w.root = root
         w.limits["disk_mb"] = 20
         if text is not None:
@@ -46,7 +46,7 @@
             partner = await stack.enter_async_context(Partner(behaviour, seed=500 + n))
             partners.append(partner)
             kind = "bulk" if n % 4 == 3 else "plain"
-            w.list_host(n + 1, kind, "Ready", "{}:{}".format(*partner.address))
+            w.add_endpoint(n + 1, kind, "Ready", "{}:{}".format(*partner.address))
         await w.start()
         account = Account()
         await hand_in_all(w, plan(count, len(partners), 9), account)
@@ -66,7 +66,7 @@
         return Doing(503, delay=0.15) if call.ids[0].startswith("order") else Doing()
 
     settings = {**SETTINGS["extra"], "call_slots": 200}
-    async with World(folder, policy_limits=LIMITS, extra=settings) as w, AsyncExitStack() as stack:
+    async with RelayHarness(folder, policy_limits=LIMITS, extra=settings) as w, AsyncExitStack() as stack:
         w.root = root
         if text is not None:
             (folder / "connections.toml").write_text(text)
@@ -75,7 +75,7 @@
         for n in range(pairs):
             partner = await stack.enter_async_context(Partner(Behaviour(script)))
             partners.append(partner)
-            w.list_host(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
+            w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
         await w.start()
         account, misattributed = Account(), []
 
@@ -93,19 +93,19 @@
             await asyncio.gather(*(pair(client, number, n + 1) for n, client in enumerate(clients)))
             await asyncio.sleep(1.0 + GRACE)  # the orders' time is up: each is over, or held to be delivered
             names = {f"order{number}-{n + 1}" for n in range(pairs)}
-            misattributed.append(len(names - set(w.noticed_at)))
+            misattributed.append(len(names - set(w.reported_at)))
         return misattributed
 
 
 async def sound(folder: Path, root: Path, seconds: float) -> float:
     """Handshakes for each message: 24 sound servers, a few of which get most of the traffic."""
-    async with World(folder, policy_limits=LIMITS) as w, AsyncExitStack() as stack:
+    async with RelayHarness(folder, policy_limits=LIMITS) as w, AsyncExitStack() as stack:
         w.root = root
         partners = []
         for n in range(24):
             partner = await stack.enter_async_context(Partner(Behaviour(lambda call: Doing(delay=0.01))))
             partners.append(partner)
-            w.list_host(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
+            w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
         await w.start()
         chance, loop = random.Random(3), asyncio.get_running_loop()
         weights = [1 / (n + 1) ** 1.2 for n in range(24)]
@@ -140,16 +140,16 @@
     does falls on both alike; the median of the blocks counts."""
     settings = {**SETTINGS["extra"], "call_slots": 1200}
     async with AsyncExitStack() as stack:
-        worlds: dict[int, tuple[World, list[Partner], Account]] = {}
+        worlds: dict[int, tuple[RelayHarness, list[Partner], Account]] = {}
         for servers in (24, 2000):
             (base / str(servers)).mkdir()
             w = await stack.enter_async_context(
-                World(base / str(servers), policy_limits=LIMITS, extra=settings)
+                RelayHarness(base / str(servers), policy_limits=LIMITS, extra=settings)
             )
             w.limits |= {"sockets": 12_000, "disk_mb": 50}
             partners = [await stack.enter_async_context(Partner()) for _ in range(16)]
             for n in range(servers):
-                w.list_host(n + 1, "plain", "Ready", "{}:{}".format(*partners[n % 16].address))
+                w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partners[n % 16].address))
             await w.start()
             worlds[servers] = w, partners, Account()
 
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -31,7 +31,7 @@
 from loftrelay.simulation.fleet import MS, SECOND, LinkFaults, SimulatedFleet
 from loftrelay.simulation.proxy import FaultProxy, PathFaults
 from tests.standins.partner import Behaviour, Doing, Partner
-from tests.standins.platform import Peer, World, deliver, free_port
+from tests.standins.platform import RelayHarness, StubServer, free_port, respond_ok
 from tests.standins.traffic import Account, Order, hand_in_all
 
 LARGE, SMALL = 200, 16
@@ -76,20 +76,22 @@
 
     def __init__(self, folder: Path, partner: Partner | None = None, told: str = "") -> None:
         self.folder, self.partner, self.told = folder, partner, told
-        self.hosts: list[list[Peer]] = []
+        self.hosts: list[list[StubServer]] = []
         self.proxy = FaultProxy(seed=1)
-        self.worlds: list[World] = []
+        self.worlds: list[RelayHarness] = []
         self.seeds = ["127.0.0.1:9"]
 
-    async def start(self, name: str, joined: bool = True) -> World:
+    async def start(self, name: str, joined: bool = True) -> RelayHarness:
         folder = self.folder / name
         folder.mkdir(parents=True)
-        world = await World(folder).__aenter__()
+        world = await RelayHarness(folder).__aenter__()
         self.worlds.append(world)
-        world.name_, world.control = name, f"127.0.0.1:{free_port()}"
+        world.relay_name, world.admin_address = name, f"127.0.0.1:{free_port()}"
         if self.partner is not None:
-            world.list_host(1, "plain", "Ready", "{}:{}".format(*self.partner.address))
-        self.hosts.append([await world.host(deliver) for _ in range(2 if self.partner is None else 1)])
+            world.add_endpoint(1, "plain", "Ready", "{}:{}".format(*self.partner.address))
+        self.hosts.append(
+            [await world.start_host(respond_ok) for _ in range(2 if self.partner is None else 1)]
+        )
         if joined:
             listen = free_port()
             place = "{}:{}".format(*await self.proxy.add(name, ("127.0.0.1", listen)))
@@ -108,13 +110,13 @@
         for world in self.worlds:
             await world.__aexit__()
 
-    async def figure(self, world: World, name: str) -> int:
-        for line in (await world.call("show-stat")).split():
+    async def figure(self, world: RelayHarness, name: str) -> int:
+        for line in (await world.call_admin("show-stat")).split():
             if line.startswith(f"app.{name}="):
                 return int(line.partition("=")[2])
         raise KeyError(name)
 
-    async def until(self, name: str, value: int, worlds: list[World]) -> float:
+    async def until(self, name: str, value: int, worlds: list[RelayHarness]) -> float:
         """Seconds until each of these shows that figure; 60 where they don't."""
         began = time.monotonic()
         with contextlib.suppress(TimeoutError):
@@ -132,13 +134,13 @@
     for n in range(SMALL):
         await fleet.start(f"r{n}")
     took = await fleet.until("fleet_alive", SMALL - 1, fleet.worlds)
-    host = fleet.worlds[0].members[-1]["id"]
-    assert await fleet.worlds[3].call(f"disable-server {host}") == "YES\n"
+    host = fleet.worlds[0].endpoints[-1]["id"]
+    assert await fleet.worlds[3].call_admin(f"disable-server {host}") == "YES\n"
     call = await fleet.until("ejected", 1, fleet.worlds)
     return fleet, took, call
 
 
-async def used(worlds: list[World], seconds: float) -> list[float]:
+async def used(worlds: list[RelayHarness], seconds: float) -> list[float]:
     """Processor time of each in so many seconds."""
     numbers = [world.process.pid for world in worlds if world.process is not None]
     before = [cpu_seconds(number) for number in numbers]
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -40,14 +40,14 @@
 )
 from tests.program.test_connections import LIMITS
 from tests.standins.partner import Partner
-from tests.standins.platform import SETTINGS, World
+from tests.standins.platform import SETTINGS, RelayHarness
 from tests.standins.traffic import Account, Client, Order
 
 DESTINATIONS, CLIENTS = 8, 48
 EXTRA = {**SETTINGS["extra"], "call_slots": 64}
 
 
-def use_store(w: World, mode: str) -> Path:
+def use_store(w: RelayHarness, mode: str) -> Path:
     path = w.folder / "record.sqlite"
     (w.folder / "record.toml").write_text(f'file = "{path}"\nunsafe = "{mode}"\n')
     w.arguments = ["--record", str(w.folder / "record.toml")]
@@ -57,10 +57,10 @@
 async def agree(folder: Path, count: int) -> dict[str, int]:
     """So many work orders while the relay is killed and started again; then each is looked up on both."""
     chance = random.Random(5)
-    async with World(folder, policy_limits=LIMITS, extra=EXTRA) as w, Partner() as partner:
+    async with RelayHarness(folder, policy_limits=LIMITS, extra=EXTRA) as w, Partner() as partner:
         w.limits["disk_mb"] = 50
         path = use_store(w, "required")
-        w.list_host(1, "plain", "Ready", "{}:{}".format(*partner.address))
+        w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
         await w.start()
         account, kills, number = Account(), 0, 0
         while len(account.taken) < count:
@@ -129,11 +129,11 @@
 
     with PostgresStandIn(folder / "server.sqlite") as server:
         server.drawn = draw
-        async with World(folder, policy_limits=LIMITS, extra=EXTRA) as w, Partner() as partner:
+        async with RelayHarness(folder, policy_limits=LIMITS, extra=EXTRA) as w, Partner() as partner:
             w.limits["disk_mb"] = 50
             (w.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\n')
             w.arguments = ["--record", str(w.folder / "record.toml")]
-            w.list_host(1, "plain", "Ready", "{}:{}".format(*partner.address))
+            w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
             await w.start()
             account = Account()
 
@@ -164,15 +164,15 @@
     """The three ways take turns, so that what else the machine does falls on all alike. Each client waits
     until its message has run: a backlog would measure how the decision module ranks it, alike in all."""
     async with AsyncExitStack() as stack:
-        worlds: dict[str, tuple[World, list[Partner], Account]] = {}
+        worlds: dict[str, tuple[RelayHarness, list[Partner], Account]] = {}
         store = Path()
         for mode in ("none", "follows", "required"):
             (base / mode).mkdir()
-            w = await stack.enter_async_context(World(base / mode, policy_limits=LIMITS, extra=EXTRA))
+            w = await stack.enter_async_context(RelayHarness(base / mode, policy_limits=LIMITS, extra=EXTRA))
             w.limits["disk_mb"] = 50
             partners = [await stack.enter_async_context(Partner()) for _ in range(DESTINATIONS)]
             for n, partner in enumerate(partners):
-                w.list_host(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
+                w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
             if mode != "none":
                 store = use_store(w, mode)
             await w.start()
@@ -214,7 +214,7 @@
             result[f"{mode}_ratio"] = round(statistics.median(ratios), 3)
         result["take_p99_ms"] = round(sorted(times)[int(len(times) * 0.99)] * 1000, 1)
         for mode, (w, _, account) in worlds.items():
-            await w.end(signal.SIGTERM)
+            await w.stop(signal.SIGTERM)
             if mode == "required":
                 told = re.search(r"(\d+) changes were stored in (\d+) commits", "\n".join(w.log))
                 assert told is not None
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -263,7 +263,7 @@
         await relay.open_hosts()
         await self.discovery.ask("change", rows=relay.rows(change=False))
         await relay.start([registry.address for registry in self.registries], FLEET)
-        await relay.world.hand_in_once_listed(f"first{relay.number}", relay.destination)
+        await relay.world.submit_once_listed(f"first{relay.number}", relay.destination)
         relay.begin_traffic()
 
     async def change(self, destination: int = 0) -> tuple[int, float]:
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -19,7 +19,7 @@
 from benchmarks.scale.accounts import moved
 from benchmarks.scale.links import Forwarder
 from loftrelay.net.address import Address
-from tests.standins.platform import Peer, Request, World, free_port, reply
+from tests.standins.platform import RelayHarness, Request, StubServer, format_response, free_port
 
 EVERY = 0.05  # seconds between a relay's messages
 
@@ -29,10 +29,10 @@
 
     def __init__(self, number: int, destination: int, folder: Path) -> None:
         self.number, self.destination = number, destination
-        self.world = World(folder)
+        self.world = RelayHarness(folder)
         self.forwarders: list[Forwarder] = []
         self.began: dict[str, list[float]] = {"a": [], "b": []}
-        self.hosts: dict[str, Peer] = {}
+        self.hosts: dict[str, StubServer] = {}
         self.listed = "a"
         self.traffic: asyncio.Task[None] | None = None
         self.answers: dict[int, int] = {}
@@ -41,10 +41,10 @@
     async def start(self, registries: list[Address] | None, fleet: str) -> None:
         """Its destination is listed already, where it has registries."""
         world = await self.world.__aenter__()
-        world.name_, world.control = f"real{self.number}", f"127.0.0.1:{free_port()}"
+        world.relay_name, world.admin_address = f"real{self.number}", f"127.0.0.1:{free_port()}"
         world.folder.mkdir(parents=True, exist_ok=True)
         if registries is None:
-            world.list_host(self.destination, "plain", "Ready", self.hosts["a"].address)
+            world.add_endpoint(self.destination, "plain", "Ready", self.hosts["a"].address)
         else:
             for place in registries:
                 self.forwarders.append(Forwarder(place))
@@ -57,12 +57,12 @@
 
     async def open_hosts(self) -> None:
         for name in self.began:
-            self.hosts[name] = await self.world.peer(self._script(name))
+            self.hosts[name] = await self.world.start_server(self._script(name))
 
     def _script(self, name: str) -> Any:
         async def answer(request: Request) -> bytes:
             self.began[name].append(time.monotonic())
-            return reply(200)
+            return format_response(200)
 
         return answer
 
@@ -87,7 +87,7 @@
         for n in itertools.count():
             due = time.monotonic() + EVERY
             try:
-                status = await self.world.hand_in(f"m{self.number}-{n}", dest=self.destination)
+                status = await self.world.submit(f"m{self.number}-{n}", destination=self.destination)
                 self.answers[status] = self.answers.get(status, 0) + 1
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 self.failed += 1
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -294,7 +294,7 @@
     await alone.open_hosts()
     try:
         await alone.start(None, "")
-        await alone.world.hand_in_once_listed("first", alone.destination)
+        await alone.world.submit_once_listed("first", alone.destination)
         alone.begin_traffic()
         await asyncio.sleep(plan.settle)
         seconds = plan.steady
@@ -329,7 +329,7 @@
 
     async def hand_in(start: int) -> None:
         for n in range(start, first + more, CLIENTS):
-            await relay.world.hand_in_once_listed(f"more{n}", n)
+            await relay.world.submit_once_listed(f"more{n}", n)
 
     await asyncio.gather(*(hand_in(first + n) for n in range(CLIENTS)))
     await asyncio.sleep(settle)
@@ -432,7 +432,7 @@
         traffic = {
             "answers": [relay.answers for relay in fleet.real],
             "no_answer": sum(relay.failed for relay in fleet.real),
-            "faults_logged": sum(len(relay.world.faults) for relay in fleet.real),
+            "faults_logged": sum(len(relay.world.internal_errors) for relay in fleet.real),
         }
         log = (await fleet.hollow.counts()).lines
     return Seen(last, hollow, few, real, control, mb, faults, traffic, log)
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -27,7 +27,16 @@
 from typing import Any
 
 from benchmarks.process import run
-from tests.standins.platform import SETTINGS, Peer, Request, World, free_port, message, read_message, reply
+from tests.standins.platform import (
+    SETTINGS,
+    RelayHarness,
+    Request,
+    StubServer,
+    format_response,
+    format_submission,
+    free_port,
+    read_response,
+)
 
 CLIENTS, KEYS = 16, 24
 LIMITS = {"conn_idle": 15_000_000, "connect_timeout": 1_000_000, "most_held": 400, "most_tries": 12}
@@ -37,7 +46,7 @@
 class Client:
     """Hands in one order after another, each of its own key in turn, and keeps its connection."""
 
-    def __init__(self, world: World, number: int) -> None:
+    def __init__(self, world: RelayHarness, number: int) -> None:
         self.world, self.number = world, number
         self.count = 0
         self.taken: list[tuple[str, str]] = []  # key and id, in the order in which they were handed in
@@ -53,8 +62,8 @@
             if self.stream is None:
                 self.stream = await asyncio.open_connection(*self.world.address)
             reader, writer = self.stream
-            writer.write(message(name, "order", path=f"/order/{key}", Request_Timeout_Ms="20000"))
-            start, _, _ = await read_message(reader)
+            writer.write(format_submission(name, "order", path=f"/order/{key}", Request_Timeout_Ms="20000"))
+            start, _, _ = await read_response(reader)
         except (OSError, asyncio.IncompleteReadError):
             self.broken += 1
             self.close()
@@ -80,21 +89,21 @@
     await asyncio.gather(*(keep_on(client) for client in clients))
 
 
-def world(folder: Path) -> World:
+def world(folder: Path) -> RelayHarness:
     folder.mkdir()
-    w = World(folder, policy_limits=LIMITS, extra=EXTRA)
+    w = RelayHarness(folder, policy_limits=LIMITS, extra=EXTRA)
     w.limits |= {"sockets": 512, "disk_mb": 20}
     w.share_listener()
-    w.control = f"127.0.0.1:{free_port()}"
+    w.admin_address = f"127.0.0.1:{free_port()}"
     return w
 
 
-async def host(w: World) -> Peer:
+async def host(w: RelayHarness) -> StubServer:
     async def deliver(_: Request) -> bytes:
         await asyncio.sleep(0.005)
-        return reply(200)
+        return format_response(200)
 
-    return await w.host(deliver)
+    return await w.start_host(deliver)
 
 
 def memory(pid: int) -> int:
@@ -109,24 +118,24 @@
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
-async def replace(w: World) -> tuple[float, float, float]:
+async def replace(w: RelayHarness) -> tuple[float, float, float]:
     """One upgrade: seconds until the new process's yes, and the pair's memory and descriptors over one's."""
     assert w.process is not None
     old = w.process.pid
     alone = memory(old), descriptors(old)
     began = time.monotonic()
-    await w.start_beside()
+    await w.start_successor()
     height = (0, 0)
-    ready = asyncio.create_task(w.until_ready())
+    ready = asyncio.create_task(w.wait_until_ready())
     while not ready.done():
         with contextlib.suppress(OSError):
             both = memory(old) + memory(w.process.pid), descriptors(old) + descriptors(w.process.pid)
             height = max(height[0], both[0]), max(height[1], both[1])
         await asyncio.sleep(0.005)
     took = time.monotonic() - began
-    assert w.before is not None
-    w.before.terminate()
-    await w.before.wait()
+    assert w.predecessor is not None
+    w.predecessor.terminate()
+    await w.predecessor.wait()
     return took, height[0] / alone[0], height[1] / alone[1]
 
 
@@ -136,24 +145,27 @@
         await w.start()
         clients, done = [Client(w, n) for n in range(CLIENTS)], asyncio.Event()
         under_load = asyncio.create_task(load(clients, done, 0.005))
-        await w.until(lambda: peer.answered > 200)
+        await w.wait_until(lambda: peer.response_count > 200)
         seen = []
         for _ in range(count):
             seen.append(await replace(w))
-            reached = peer.answered + 100
-            await w.until(lambda wanted=reached: peer.answered > wanted)  # type: ignore[misc]
+            reached = peer.response_count + 100
+            await w.wait_until(lambda wanted=reached: peer.response_count > wanted)  # type: ignore[misc]
         done.set()
         await under_load
         taken = [pair for client in clients for pair in client.taken]
         ended = asyncio.timeout(25)
         with contextlib.suppress(TimeoutError):
             async with ended:
-                await w.until(
-                    lambda: {name for _, name in taken} <= {*peer.ids, *(n["id"] for n in w.notices)}
+                await w.wait_until(
+                    lambda: (
+                        {name for _, name in taken}
+                        <= {*peer.request_ids, *(n["id"] for n in w.status_reports)}
+                    )
                 )
-        runs = Counter(peer.ids)
-        place = {name: n for n, name in enumerate(peer.ids)}
-        told = {notice["id"] for notice in w.notices}
+        runs = Counter(peer.request_ids)
+        place = {name: n for n, name in enumerate(peer.request_ids)}
+        told = {notice["id"] for notice in w.status_reports}
         breaks = 0
         last: dict[str, int] = {}
         for key, name in taken:
@@ -175,9 +187,9 @@
         }
 
 
-async def ask(w: World, line: str) -> tuple[float, str]:
+async def ask(w: RelayHarness, line: str) -> tuple[float, str]:
     began = time.perf_counter()
-    told = await w.call(line)
+    told = await w.call_admin(line)
     return time.perf_counter() - began, told
 
 
@@ -190,30 +202,30 @@
     async with world(folder) as w:
         peer = await host(w)
         await w.start()
-        await w.until_ready()
+        await w.wait_until_ready()
         idle = [(await ask(w, "show-stat"))[0] for _ in range(calls)]
         clients, done = [Client(w, n) for n in range(CLIENTS)], asyncio.Event()
         under_load = asyncio.create_task(load(clients, done, 0))
-        await w.until(lambda: peer.answered > 500)
+        await w.wait_until(lambda: peer.response_count > 500)
         busy = [(await ask(w, "show-stat"))[0] for _ in range(calls)]
         rates: dict[bool, list[float]] = {False: [], True: []}
         for turn in range(2 * turns):
             read = turn % 2 == 1
-            began, before = time.perf_counter(), peer.answered
+            began, before = time.perf_counter(), peer.response_count
             if read:
-                await w.call("show-stat")
+                await w.call_admin("show-stat")
             await asyncio.sleep(seconds)
-            rates[read].append((peer.answered - before) / (time.perf_counter() - began))
+            rates[read].append((peer.response_count - before) / (time.perf_counter() - began))
         done.set()
         await under_load
         taken = sum(len(client.taken) for client in clients)
         refused = sum(client.statuses[503] for client in clients)
-        await w.until(lambda: len(set(peer.ids)) + len(w.notices) >= taken)
+        await w.wait_until(lambda: len(set(peer.request_ids)) + len(w.status_reports) >= taken)
         truth = {
-            "app.succeeded.order": len(set(peer.ids)),
-            "app.aborted.order": len(w.notices),
+            "app.succeeded.order": len(set(peer.request_ids)),
+            "app.aborted.order": len(w.status_reports),
             "app.declined.order": refused,
-            "app.forwards": len(peer.ids),
+            "app.forwards": len(peer.request_ids),
             "app.outstanding": 0,
             "app.discovered": 1,
             "app.sighup_applied": 0,
@@ -221,7 +233,7 @@
         }
         off = len(truth)
         for _ in range(50):  # the last answer may be on its way yet
-            shown = dict(line.split("=") for line in (await w.call("show-stat")).splitlines()[:-1])
+            shown = dict(line.split("=") for line in (await w.call_admin("show-stat")).splitlines()[:-1])
             off = sum(int(shown[name]) != value for name, value in truth.items())
             if not off:
                 break
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -43,8 +43,8 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.service.assembly import build_engine
 from loftrelay.simulation.fleet import MS, SECOND, SimulatedFleet, SimulatedRelay
-from tests.standins.platform import SETTINGS, World, deliver, free_port
-from tests.standins.platform import Peer as Host
+from tests.standins.platform import SETTINGS, RelayHarness, free_port, respond_ok
+from tests.standins.platform import StubServer as Host
 from tests.standins.traffic import Account, Client, Order
 
 NOBODY = ("127.0.0.1", 9)  # where connections are refused
@@ -207,7 +207,7 @@
         await asyncio.sleep(0.01)
 
 
-async def take_on(world: World, first: int, last: int, destinations: int) -> None:
+async def take_on(world: RelayHarness, first: int, last: int, destinations: int) -> None:
     """Messages first to last, by clients on kept connections, each as soon as its last one was answered."""
     account, numbers = Account(), iter(range(first, last))
 
@@ -220,7 +220,7 @@
     await asyncio.gather(*(go() for _ in range(CLIENTS)))
 
 
-async def traffic(world: World, of: str, seconds: float) -> int:
+async def traffic(world: RelayHarness, of: str, seconds: float) -> int:
     """What a relay is given at the target, evenly in time: to the live destinations, and a part to those that
     are down. Gives how many messages."""
     account, chance, count = Account(), random.Random(1), int(RATE * seconds)
@@ -239,34 +239,34 @@
     return count
 
 
-async def outstanding(world: World) -> int:
-    lines = (await world.call("show-stat")).split()
+async def outstanding(world: RelayHarness) -> int:
+    lines = (await world.call_admin("show-stat")).split()
     return next(int(line.partition("=")[2]) for line in lines if line.startswith("app.outstanding="))
 
 
-async def ready(world: World) -> int:
+async def ready(world: RelayHarness) -> int:
     """Until a relay that has just been started says that it serves. Its number."""
     while True:
         with contextlib.suppress(OSError):
-            if (await world.ask(ASK_READY))[0] == 200:
+            if (await world.send(ASK_READY))[0] == 200:
                 assert world.process is not None
                 return world.process.pid
         await asyncio.sleep(0.005)
 
 
-def holder(folder: Path) -> World:
-    world = World(folder, **HOLDING)
+def holder(folder: Path) -> RelayHarness:
+    world = RelayHarness(folder, **HOLDING)
     world.limits = {"sockets": 512, "disk_mb": 400}
-    world.control = f"127.0.0.1:{free_port()}"
+    world.admin_address = f"127.0.0.1:{free_port()}"
     return world
 
 
 async def _held(size: int, seconds: float, folder: Path) -> Figures:
     async with holder(folder) as world:
         for destination in range(1, DOWN + 1):
-            world.list_host(destination, "plain", "Ready", "{}:{}".format(*NOBODY))
+            world.add_endpoint(destination, "plain", "Ready", "{}:{}".format(*NOBODY))
         for destination in range(DOWN + 1, DOWN + LIVE + 1):
-            await world.host(deliver, destination)
+            await world.start_host(respond_ok, destination)
         await world.start()
         pid, state = await ready(world), folder / "state"
         memory, journal = uss(pid), written(state)
@@ -312,19 +312,19 @@
 async def _drain(size: int, folder: Path) -> Figures:
     async with holder(folder) as world:
         port = free_port()
-        world.list_host(1, "plain", "Ready", f"127.0.0.1:{port}")
+        world.add_endpoint(1, "plain", "Ready", f"127.0.0.1:{port}")
         await world.start()
         pid = await ready(world)
         await take_on(world, 0, size, 1)
-        peer = Host(world, deliver)
+        peer = Host(world, respond_ok)
         await peer.start(port)
-        world.peers.append(peer)
-        await world.until(lambda: peer.answered >= 20)
-        began, before, first = time.monotonic(), cpu_seconds(pid), peer.answered
+        world.servers.append(peer)
+        await world.wait_until(lambda: peer.response_count >= 20)
+        began, before, first = time.monotonic(), cpu_seconds(pid), peer.response_count
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(DRAINED):
-                await world.until(lambda: peer.answered >= first + size // 4)
-        count, took = peer.answered - first, time.monotonic() - began
+                await world.wait_until(lambda: peer.response_count >= first + size // 4)
+        count, took = peer.response_count - first, time.monotonic() - began
         cpu = cpu_seconds(pid) - before
     return {"drain_us": cpu / count * 1e6, "drained_per_s": count / took, "drained": count}
 
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -26,7 +26,7 @@
 
 from benchmarks.process import ROOT, earlier_program, run
 from tests.standins.partner import Behaviour, Call, Doing, Partner
-from tests.standins.platform import SETTINGS, World, message, read_message
+from tests.standins.platform import SETTINGS, RelayHarness, format_submission, read_response
 
 BEFORE = "b0decec"
 RELAYS, CLIENTS = 4, 6
@@ -87,14 +87,16 @@
 
     def __init__(self, folder: Path, root: Path, relays: int) -> None:
         self.folder, self.root, self.relays = folder, root, relays
-        self.worlds: list[World] = []
+        self.worlds: list[RelayHarness] = []
         self.partners: list[Partner] = []
         self.seen: list[Seen] = []
 
     async def start(self, behaviour: Behaviour, program: list[str] | None = None, **extra: Any) -> None:
         for n in range(self.relays):
             (self.folder / str(n)).mkdir(parents=True)
-            world = World(self.folder / str(n), policy_limits=LIMITS, extra={**SETTINGS["extra"], **extra})
+            world = RelayHarness(
+                self.folder / str(n), policy_limits=LIMITS, extra={**SETTINGS["extra"], **extra}
+            )
             await world.__aenter__()
             self.worlds.append(world)
             partner = Partner(behaviour, seed=n)
@@ -102,7 +104,7 @@
             self.partners.append(partner)
             world.root, world.program = self.root, program or world.program
             world.limits |= {"disk_mb": 20}
-            world.list_host(1, "plain", "Ready", "{}:{}".format(*partner.address))
+            world.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
             await world.start()
             self.seen.append(Seen())
 
@@ -125,8 +127,10 @@
                 async with asyncio.timeout(GIVE_UP):
                     stream = stream or await asyncio.open_connection(*world.address)
                     sent = time.time()
-                    stream[1].write(message(name, of, Request_Timeout_Ms=str(int(lives * 1000)), **changes))  # type: ignore[arg-type]
-                    start, headers, _ = await read_message(stream[0])
+                    stream[1].write(
+                        format_submission(name, of, Request_Timeout_Ms=str(int(lives * 1000)), **changes)  # type: ignore[arg-type]
+                    )
+                    start, headers, _ = await read_response(stream[0])
                 if start.split()[1] == "202":
                     seen.taken[name] = sent + lives
                 if headers.get("connection") == "close":
@@ -170,7 +174,7 @@
                 for name in call.ids:
                     seen.began[name] = max(seen.began.get(name, 0.0), call.at + offset)
             for name, ends in seen.taken.items():
-                told = world.noticed_at.get(name)
+                told = world.reported_at.get(name)
                 found["no_end"] += told is None and not partner.answered[name]
                 woke = [end for began, end in seen.stalls if told is not None and began <= told]
                 late = told is not None and told > ends + NOTICE
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -27,7 +27,7 @@
 from benchmarks.scale.links import CountingLoop, Forwarder, Links, whose
 from benchmarks.scale.run import Plan, measure
 from benchmarks.scale.slopes import Slopes
-from tests.standins.platform import HANG
+from tests.standins.platform import TEST_TIMEOUT_S
 
 # What is reckoned
 
@@ -127,7 +127,7 @@
 
 def play(scenario: Callable[[], Awaitable[None]]) -> None:
     async def main() -> None:
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await scenario()
 
     with asyncio.Runner(loop_factory=CountingLoop) as runner:
@@ -206,21 +206,21 @@
             await fleet.begin(500)
             await fleet.add_registries(2)
             await fleet.grow(20, 20, 30, 4, 20, 1)
-            started = await fleet.hollow.start(None, HANG)
+            started = await fleet.hollow.start(None, TEST_TIMEOUT_S)
             assert (started["counted"], "missing" in started) == (20, False)
             await fleet.add_real(1)
             children = [child.pid for child in psutil.Process().children(recursive=True)]
             assert len(children) == 1 + 2 + 2 + 1  # discovery, registries, hollow, real
 
             number, begun = await fleet.change()
-            assert len((await fleet.hollow.seen(number, None, HANG))[0]) == 20
-            assert await fleet.real_in_force(begun, HANG) != [None]
+            assert len((await fleet.hollow.seen(number, None, TEST_TIMEOUT_S))[0]) == 20
+            assert await fleet.real_in_force(begun, TEST_TIMEOUT_S) != [None]
 
             before = await fleet.hollow.counts()
             await fleet.registries[0].end(signal.SIGKILL)
             number, begun = await fleet.change()
-            assert len((await fleet.hollow.seen(number, None, HANG))[0]) == 20
-            assert await fleet.real_in_force(begun, HANG) != [None]
+            assert len((await fleet.hollow.seen(number, None, TEST_TIMEOUT_S))[0]) == 20
+            assert await fleet.real_in_force(begun, TEST_TIMEOUT_S) != [None]
             after = await fleet.hollow.counts()
             assert sum(after.bytes) > sum(before.bytes)
             assert sum(await fleet.hollow.ask("astray", change=number, destination=0)) == 0
@@ -228,12 +228,12 @@
             await fleet.registries[0].start(fleet.place)
             await fleet.registries[0].until_listed()
             await fleet.hollow.ask("stop", range(5))
-            await fleet.hollow.start(range(5), HANG, pace=1_000.0)
-            assert len((await fleet.hollow.seen(number, None, HANG))[0]) == 20
-            assert not fleet.real[0].world.faults
+            await fleet.hollow.start(range(5), TEST_TIMEOUT_S, pace=1_000.0)
+            assert len((await fleet.hollow.seen(number, None, TEST_TIMEOUT_S))[0]) == 20
+            assert not fleet.real[0].world.internal_errors
             return children
 
-    children = asyncio.run(asyncio.wait_for(scenario(), 2 * HANG))
+    children = asyncio.run(asyncio.wait_for(scenario(), 2 * TEST_TIMEOUT_S))
     assert not [pid for pid in children if psutil.pid_exists(pid)]
 
 
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -14,7 +14,7 @@
 from benchmarks.watch_server import row
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.simulation.fleet import MS, SECOND
-from tests.standins.platform import HANG
+from tests.standins.platform import TEST_TIMEOUT_S
 
 
 def test_a_slope_is_judged_by_its_largest_size_and_told_at_the_target() -> None:
@@ -88,7 +88,9 @@
 
 def test_the_last_line_is_json_with_each_slope_that_was_asked_for() -> None:
     command = [sys.executable, "-m", "benchmarks.slopes", "--quick", "--only", "listing_change", "miss_rate"]
-    done = subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, text=True, check=True, timeout=HANG)
+    done = subprocess.run(
+        command, cwd=ROOT, stdout=subprocess.PIPE, text=True, check=True, timeout=TEST_TIMEOUT_S
+    )
     told = json.loads(done.stdout.splitlines()[-1])
     assert set(told["slopes"]) == {"listing_change", "module_memory"}
     change = told["slopes"]["listing_change"]
--- a/tests/delivery/test_idempotency_key.py
+++ b/tests/delivery/test_idempotency_key.py
@@ -8,7 +8,15 @@
 
 import pytest
 
-from tests.standins.platform import SETTINGS, Request, World, deliver, message, reply, run
+from tests.standins.platform import (
+    SETTINGS,
+    RelayHarness,
+    Request,
+    format_response,
+    format_submission,
+    respond_ok,
+    run_scenario,
+)
 
 KEY = '"0b8edb5cf0d4b86ad987b43447cedf3e"'
 CLASSES = [
@@ -28,55 +36,55 @@
 @pytest.mark.parametrize("kind", ["plain", "bulk"])
 @pytest.mark.parametrize("is_killed", [False, True])
 def test_idempotency_key_is_forwarded_unchanged(tmp_path: Path, kind: str, is_killed: bool) -> None:
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         if is_killed:
-            world.name(kind=kind)
+            world.add_unavailable_destination(flavor=kind)
             await world.start()
-            assert await world.hand_in("m", "alarm", Idempotency_Key=KEY) == 202
+            assert await world.submit("m", "alarm", Idempotency_Key=KEY) == 202
             await world.kill()
-            world.members.clear()
-        host = await world.host(deliver, kind=kind)
+            world.endpoints.clear()
+        host = await world.start_host(respond_ok, flavor=kind)
         await world.start()
         if not is_killed:
-            assert await world.hand_in("m", "alarm", Idempotency_Key=KEY) == 202
-        await world.until(lambda: len(host.requests) == 1)
+            assert await world.submit("m", "alarm", Idempotency_Key=KEY) == 202
+        await world.wait_until(lambda: len(host.requests) == 1)
         call = host.requests[0]
         key = json.loads(call.body)[0]["key"] if kind == "bulk" else call.headers["idempotency-key"]
         assert key == KEY
 
-    run(scenario, tmp_path, classes=CLASSES)
+    run_scenario(scenario, tmp_path, classes=CLASSES)
 
 
 def test_idempotency_key_is_sent_with_each_attempt(tmp_path: Path) -> None:
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         async def script(request: Request) -> bytes | None:
-            return reply(503 if len(host.requests) < 3 else 200)
+            return format_response(503 if len(host.requests) < 3 else 200)
 
-        host = await world.host(script)
+        host = await world.start_host(script)
         await world.start()
-        assert await world.hand_in("m", "alarm", Idempotency_Key=KEY) == 202
-        assert await world.hand_in("without", "alarm") == 202
-        await world.until(lambda: host.ids.count("m") >= 2 and "without" in host.ids)
+        assert await world.submit("m", "alarm", Idempotency_Key=KEY) == 202
+        assert await world.submit("without", "alarm") == 202
+        await world.wait_until(lambda: host.request_ids.count("m") >= 2 and "without" in host.request_ids)
         keys = {(r.id, r.headers.get("idempotency-key")) for r in host.requests}
         assert keys == {("m", KEY), ("without", None)}
 
-    run(scenario, tmp_path, classes=CLASSES)
+    run_scenario(scenario, tmp_path, classes=CLASSES)
 
 
 @pytest.mark.parametrize(
     "raw",
     [
-        message("m", Idempotency_Key="k" * 257),
-        message("m", Idempotency_Key="k", idempotency_key="l"),
-        message("m", Idempotency_Key="caf\u00e9").decode().encode("latin-1"),
+        format_submission("m", Idempotency_Key="k" * 257),
+        format_submission("m", Idempotency_Key="k", idempotency_key="l"),
+        format_submission("m", Idempotency_Key="caf\u00e9").decode().encode("latin-1"),
     ],
 )
 def test_invalid_idempotency_key_is_rejected_with_400(tmp_path: Path, raw: bytes) -> None:
-    async def scenario(world: World) -> None:
-        host = await world.host(deliver)
+    async def scenario(world: RelayHarness) -> None:
+        host = await world.start_host(respond_ok)
         await world.start()
-        assert (await world.ask(raw))[0] == 400
+        assert (await world.send(raw))[0] == 400
         await asyncio.sleep(0)
         assert not host.requests
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/delivery/test_outcomes.py
+++ b/tests/delivery/test_outcomes.py
@@ -13,34 +13,45 @@
 
 import pytest
 
-from tests.standins.platform import HANG, Request, World, deliver, failed, never, reply, run
+from tests.standins.platform import (
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    Request,
+    format_response,
+    never_respond,
+    respond_ok,
+    run_scenario,
+    undeliverable_report,
+)
 
 
-@pytest.mark.parametrize("response", [None, b"HTTP/1.1 2", b"\0noise\r\n\r\n", reply(500), reply(418)])
+@pytest.mark.parametrize(
+    "response", [None, b"HTTP/1.1 2", b"\0noise\r\n\r\n", format_response(500), format_response(418)]
+)
 def test_attempt_that_may_have_run_is_retried_only_if_safe(tmp_path: Path, response: bytes | None) -> None:
     """After no response, half a line, noise or an error, only an idempotent message is retried."""
 
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         async def script(request: Request) -> bytes | None:
-            if host.ids.count("safe") > 1:
-                return reply(200)
+            if host.request_ids.count("safe") > 1:
+                return format_response(200)
             return response
 
-        host = await world.host(script)
+        host = await world.start_host(script)
         await world.start()
-        await world.warm(host)
-        assert await world.hand_in("once", "order") == 202
+        await world.warm_up(host)
+        assert await world.submit("once", "order") == 202
         if response == b"HTTP/1.1 2":
-            await world.until(lambda: host.ids == ["once"])
+            await world.wait_until(lambda: host.request_ids == ["once"])
             host.close_connections()
-        await world.until(lambda: world.notices == [failed("once")])
-        assert await world.hand_in("safe") == 202
+        await world.wait_until(lambda: world.status_reports == [undeliverable_report("once")])
+        assert await world.submit("safe") == 202
         if response == b"HTTP/1.1 2":
-            await world.until(lambda: host.ids == ["once", "safe"])
+            await world.wait_until(lambda: host.request_ids == ["once", "safe"])
             host.close_connections()
-        await world.until(lambda: host.ids == ["once", "safe", "safe"])
+        await world.wait_until(lambda: host.request_ids == ["once", "safe", "safe"])
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
@@ -55,20 +66,20 @@
 def test_status_line_with_200_delivers_message_if_rest_is_invalid(tmp_path: Path, response: bytes) -> None:
     """The rest may be truncated or invalid; a retry would run the message twice."""
 
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         async def script(request: Request) -> bytes | None:
-            return response if request.id == "half" else reply(200)
+            return response if request.id == "half" else format_response(200)
 
-        host = await world.host(script)
+        host = await world.start_host(script)
         await world.start()
-        assert await world.hand_in("half", "order") == 202
-        await world.until(lambda: host.ids == ["half"])
+        assert await world.submit("half", "order") == 202
+        await world.wait_until(lambda: host.request_ids == ["half"])
         host.close_connections()
-        assert await world.hand_in("next", "order") == 202  # same ordering key: sent once the first is final
-        await world.until(lambda: host.ids == ["half", "next"])
-        assert not world.notices
+        assert await world.submit("next", "order") == 202  # same ordering key: sent once the first is final
+        await world.wait_until(lambda: host.request_ids == ["half", "next"])
+        assert not world.status_reports
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
@@ -85,172 +96,174 @@
 def test_invalid_response_ends_call_before_timeout(tmp_path: Path, response: bytes) -> None:
     """The connection stays open and silent; waiting would hold the call slot until the timeout."""
 
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         async def script(request: Request) -> bytes | None:
-            return response if request.id == "m1" else reply(200)
+            return response if request.id == "m1" else format_response(200)
 
-        host = await world.host(script)
+        host = await world.start_host(script)
         await world.start()
-        await world.warm(host)
-        assert await world.hand_in("m1", "order", Request_Timeout_Ms="24000") == 202
-        await world.until(lambda: bool(host.requests) and host.requests[0].connection in host.ended)
-        assert await world.hand_in("m2", "order") == 202  # same ordering key
-        await world.until(lambda: host.ids == ["m1", "m2"])
-        assert world.notices == ([] if b" 200 " in response else [failed("m1")])
+        await world.warm_up(host)
+        assert await world.submit("m1", "order", Request_Timeout_Ms="24000") == 202
+        await world.wait_until(
+            lambda: bool(host.requests) and host.requests[0].connection in host.closed_connections
+        )
+        assert await world.submit("m2", "order") == 202  # same ordering key
+        await world.wait_until(lambda: host.request_ids == ["m1", "m2"])
+        assert world.status_reports == ([] if b" 200 " in response else [undeliverable_report("m1")])
         assert host.requests[1].connection != host.requests[0].connection
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_duplicate_response_completes_no_other_message(tmp_path: Path) -> None:
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         async def script(request: Request) -> bytes | None:
             if request.id == "m1":
-                return b"HTTP/1.1 100 Continue\r\n\r\n" + 2 * reply(200, Server_Load="x0=\xa7,=")
-            return reply(500)
+                return b"HTTP/1.1 100 Continue\r\n\r\n" + 2 * format_response(200, Server_Load="x0=\xa7,=")
+            return format_response(500)
 
-        host = await world.host(script)
+        host = await world.start_host(script)
         await world.start()
-        await world.warm(host)
+        await world.warm_up(host)
         for name in ("m1", "m2"):
-            assert await world.hand_in(name, "order") == 202
-        await world.until(lambda: world.notices == [failed("m2")])
-        assert host.ids == ["m1", "m2"]
+            assert await world.submit(name, "order") == 202
+        await world.wait_until(lambda: world.status_reports == [undeliverable_report("m2")])
+        assert host.request_ids == ["m1", "m2"]
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_host_with_new_address_is_not_called_at_old_address(tmp_path: Path) -> None:
     """The id is listed with another address during a call: the old connection leads to another host."""
 
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         released = asyncio.Event()
 
         async def script(request: Request) -> bytes | None:
             await released.wait()
-            return reply(200)
+            return format_response(200)
 
-        old = await world.host(deliver)
+        old = await world.start_host(respond_ok)
         await world.start()
-        await world.warm(old)
-        old.script = script
-        assert await world.hand_in("m1") == 202
-        await world.until(lambda: old.ids == ["m1"])
-        new = await world.peer(deliver)
-        world.members[0]["host_port"] = new.address
-        world.list_host(2, "plain", "Ready", new.address)  # shows that the list was received
-        await world.hand_in_once_listed("seen", 2)
+        await world.warm_up(old)
+        old.handler = script
+        assert await world.submit("m1") == 202
+        await world.wait_until(lambda: old.request_ids == ["m1"])
+        new = await world.start_server(respond_ok)
+        world.endpoints[0]["host_port"] = new.address
+        world.add_endpoint(2, "plain", "Ready", new.address)  # shows that the list was received
+        await world.submit_once_listed("seen", 2)
         released.set()
-        await world.until(lambda: old.answered == 21)
-        assert await world.hand_in("m2") == 202
-        await world.until(lambda: new.ids[-1:] == ["m2"])
-        assert old.ids == ["m1"]
+        await world.wait_until(lambda: old.response_count == 21)
+        assert await world.submit("m2") == 202
+        await world.wait_until(lambda: new.request_ids[-1:] == ["m2"])
+        assert old.request_ids == ["m1"]
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_refused_connection_is_retried_for_at_most_once_message(tmp_path: Path) -> None:
-    async def scenario(world: World) -> None:
-        host = await world.host(deliver)
+    async def scenario(world: RelayHarness) -> None:
+        host = await world.start_host(respond_ok)
         await world.start()
-        await world.warm(host)
+        await world.warm_up(host)
         assert host.server is not None
         host.server.close()
         host.close_connections()
-        await world.until(lambda: len(host.ended) == len(host.connections))
-        port = int(world.members[0]["host_port"].partition(":")[2])
-        assert await world.hand_in("m", "order") == 202
-        async with asyncio.timeout(HANG):
+        await world.wait_until(lambda: len(host.closed_connections) == len(host.connections))
+        port = int(world.endpoints[0]["host_port"].partition(":")[2])
+        assert await world.submit("m", "order") == 202
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not any(b"NO_CONNECTION" in f.read_bytes() for f in (tmp_path / "state").iterdir()):
                 await asyncio.sleep(0.01)
         await host.start(port)
-        await world.until(lambda: host.ids == ["m"])
-        assert not world.notices
+        await world.wait_until(lambda: host.request_ids == ["m"])
+        assert not world.status_reports
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_rejected_message_is_retried_after_retry_after(tmp_path: Path) -> None:
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         times: list[float] = []
 
         async def script(request: Request) -> bytes | None:
             times.append(asyncio.get_running_loop().time())
-            return reply(429, X_Come_Back_Ms="700") if len(times) == 1 else reply(200)
+            return format_response(429, X_Come_Back_Ms="700") if len(times) == 1 else format_response(200)
 
-        await world.host(script)
+        await world.start_host(script)
         await world.start()
-        assert await world.hand_in("m", "order") == 202
-        await world.until(lambda: len(times) == 2)
+        assert await world.submit("m", "order") == 202
+        await world.wait_until(lambda: len(times) == 2)
         assert times[1] - times[0] >= 0.7
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_call_to_silent_host_times_out_and_closes_connection(tmp_path: Path) -> None:
     """A call that timed out must not stay open, or the host would run it beside a second copy."""
 
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         async def script(request: Request) -> bytes | None:
-            return await never(request) if len(host.requests) == 1 else reply(200)
+            return await never_respond(request) if len(host.requests) == 1 else format_response(200)
 
-        host = await world.host(script)
+        host = await world.start_host(script)
         await world.start()
-        await world.warm(host)
-        assert await world.hand_in("m", Request_Timeout_Ms="9000") == 202
-        await world.until(lambda: host.ids == ["m", "m"])
-        assert host.requests[0].connection in host.ended
+        await world.warm_up(host)
+        assert await world.submit("m", Request_Timeout_Ms="9000") == 202
+        await world.wait_until(lambda: host.request_ids == ["m", "m"])
+        assert host.requests[0].connection in host.closed_connections
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_calls_cut_off_by_deadlines_do_not_disable_destination(tmp_path: Path) -> None:
     """Calls that were cut off by deadlines after 0.3 s were once counted as failures of the host."""
 
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         async def script(request: Request) -> bytes:
-            return await (never if request.id.startswith("short") else deliver)(request)
+            return await (never_respond if request.id.startswith("short") else respond_ok)(request)
 
-        host = await world.host(script)
+        host = await world.start_host(script)
         await world.start()
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             for i in itertools.count():
                 if len(host.requests) >= 5:
                     break
-                before = len(world.notices)
-                status = await world.hand_in(f"short{i}", Request_Timeout_Ms="300")
+                before = len(world.status_reports)
+                status = await world.submit(f"short{i}", Request_Timeout_Ms="300")
                 if status == 202:  # on a busy machine the deadline may pass before admission
-                    await world.until(lambda n=before: len(world.notices) > n)  # type: ignore[misc]
+                    await world.wait_until(lambda n=before: len(world.status_reports) > n)  # type: ignore[misc]
                 else:
                     assert status in (500, 503)
-        assert await world.hand_in("next") == 202
-        await world.until(lambda: host.answered == 1)
+        assert await world.submit("next") == 202
+        await world.wait_until(lambda: host.response_count == 1)
         assert not any("failing" in line for line in world.log)
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_connection_closed_by_host_while_idle_loses_no_message(tmp_path: Path) -> None:
     """A request written to a connection that the host has closed ends with a reset, and may have run."""
 
-    async def scenario(world: World) -> None:
-        host = await world.host(deliver)
+    async def scenario(world: RelayHarness) -> None:
+        host = await world.start_host(respond_ok)
         await world.start()
         for i in range(8):
-            assert await world.hand_in(f"m{i}", "order") == 202
-            await world.until(lambda n=i + 1: len(host.requests) == n)  # type: ignore[misc]
+            assert await world.submit(f"m{i}", "order") == 202
+            await world.wait_until(lambda n=i + 1: len(host.requests) == n)  # type: ignore[misc]
             host.close_connections()
-            await world.until(lambda n=i + 1: len(host.ended) == n)  # type: ignore[misc]
-        assert not world.notices
+            await world.wait_until(lambda n=i + 1: len(host.closed_connections) == n)  # type: ignore[misc]
+        assert not world.status_reports
         assert len(host.connections) == 8
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_at_most_once_messages_avoid_idle_connections_that_are_reset(tmp_path: Path) -> None:
     """The host resets idle connections on the next request; idempotent messages reveal the idle limit."""
 
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         loop = asyncio.get_running_loop()
         answered: dict[int, float] = {}
 
@@ -258,27 +271,27 @@
             if loop.time() - answered.get(request.connection, math.inf) > 0.1:
                 return None
             answered[request.connection] = loop.time()
-            return reply(200)
+            return format_response(200)
 
-        host = await world.host(script)
+        host = await world.start_host(script)
         await world.start()
-        await world.warm(host)
+        await world.warm_up(host)
         for i in range(8):
-            done = host.answered
-            assert await world.hand_in(f"m{i}") == 202
-            await world.until(lambda n=done: host.answered > n)  # type: ignore[misc]
+            done = host.response_count
+            assert await world.submit(f"m{i}") == 202
+            await world.wait_until(lambda n=done: host.response_count > n)  # type: ignore[misc]
             await asyncio.sleep(0.15)  # idle time of the connection
         assert len(host.requests) > 8 + 2  # some were retried
         for i in range(4):
-            assert await world.hand_in(f"o{i}", "order", path=f"/order/{i}") == 202
-            await world.until(lambda n=i: f"o{n}" in host.ids)  # type: ignore[misc]
+            assert await world.submit(f"o{i}", "order", path=f"/order/{i}") == 202
+            await world.wait_until(lambda n=i: f"o{n}" in host.request_ids)  # type: ignore[misc]
             await asyncio.sleep(0.6)
-        assert await world.hand_in("last", "order") == 202
-        await world.until(lambda: "last" in host.ids)
-        assert not world.notices
+        assert await world.submit("last", "order") == 202
+        await world.wait_until(lambda: "last" in host.request_ids)
+        assert not world.status_reports
         assert not any("failing" in line for line in world.log)
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_batch_call_ends_as_a_whole_at_first_deadline(tmp_path: Path) -> None:
@@ -288,44 +301,47 @@
     before the final status is reported.
     """
 
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         async def phase(name: str) -> None:
-            world.members[0]["phase"] = name
+            world.endpoints[0]["phase"] = name
             world.revision += 1
-            world.bump()
-            await world.until(
+            world.notify_changed()
+            await world.wait_until(
                 lambda: any(f"index={world.revision}&" in r.target for r in world.discovery.requests)
             )
 
         async def script(request: Request) -> bytes:
             if b"urgent" in request.body:
                 connections.append(request.connection)
-                return await never(request)
+                return await never_respond(request)
             rows = [{"id": row["id"], "state": "delivered"} for row in json.loads(request.body)]
-            return reply(200, json.dumps(rows).encode())
+            return format_response(200, json.dumps(rows).encode())
 
         async def receive_notice(request: Request) -> bytes:
-            await world.until(lambda: set(connections) <= set(host.ended))
+            await world.wait_until(lambda: set(connections) <= set(host.closed_connections))
             return b""
 
         connections: list[int] = []
-        host = await world.host(script, kind="bulk")
-        world.hear = receive_notice
+        host = await world.start_host(script, flavor="bulk")
+        world.report_handler = receive_notice
         await world.start()
-        assert await world.hand_in("warm") == 202
-        await world.until(lambda: host.answered == 1)
+        assert await world.submit("warm") == 202
+        await world.wait_until(lambda: host.response_count == 1)
         await phase("Terminating")  # so that both messages wait and are sent together
-        assert await world.hand_in("patient", "order", path="/order/a") == 202
-        assert await world.hand_in("urgent", "order", path="/order/b", Request_Timeout_Ms="2000") == 202
-        assert await world.hand_in("behind", "order", path="/order/b") == 202
+        assert await world.submit("patient", "order", path="/order/a") == 202
+        assert await world.submit("urgent", "order", path="/order/b", Request_Timeout_Ms="2000") == 202
+        assert await world.submit("behind", "order", path="/order/b") == 202
         await phase("Ready")
-        await world.until(lambda: host.answered == 2)
+        await world.wait_until(lambda: host.response_count == 2)
         sent = [{row["id"] for row in json.loads(request.body)} for request in host.requests]
         assert sent == [{"warm"}, {"patient", "urgent"}, {"behind"}]
-        await world.until(lambda: len(world.notices) == 2)
-        assert sorted(world.notices, key=lambda n: n["id"]) == [failed("patient"), failed("urgent")]
+        await world.wait_until(lambda: len(world.status_reports) == 2)
+        assert sorted(world.status_reports, key=lambda n: n["id"]) == [
+            undeliverable_report("patient"),
+            undeliverable_report("urgent"),
+        ]
 
-    run(scenario, tmp_path, safety={"ask_every": 10_000_000, "settle_after_doubt": 1})
+    run_scenario(scenario, tmp_path, safety={"ask_every": 10_000_000, "settle_after_doubt": 1})
 
 
 @pytest.mark.parametrize(
@@ -346,49 +362,49 @@
 def test_invalid_batch_response_fails_all_messages(tmp_path: Path, rows_json: bytes) -> None:
     """An invalid batch response is ignored as a whole, so all its messages may have run."""
 
-    async def scenario(world: World) -> None:
-        world.name(kind="bulk")
+    async def scenario(world: RelayHarness) -> None:
+        world.add_unavailable_destination(flavor="bulk")
         await world.start()
         for name in ("b1", "b2"):  # no host is active, so both messages wait and are sent together
-            assert await world.hand_in(name, "order", path=f"/order/{name}") == 202
+            assert await world.submit(name, "order", path=f"/order/{name}") == 202
 
         async def script(request: Request) -> bytes | None:
-            return reply(200, rows_json)
+            return format_response(200, rows_json)
 
-        host = await world.host(script, kind="bulk")
-        await world.until(lambda: sorted(n["id"] for n in world.notices) == ["b1", "b2"])
-        assert {n["status"] for n in world.notices} == {"undeliverable"}
+        host = await world.start_host(script, flavor="bulk")
+        await world.wait_until(lambda: sorted(n["id"] for n in world.status_reports) == ["b1", "b2"])
+        assert {n["status"] for n in world.status_reports} == {"undeliverable"}
         assert all(r.target == "/v1/messages:batch" for r in host.requests)
         rows = [row for r in host.requests for row in json.loads(r.body)]
         assert sorted(row["id"] for row in rows) == ["b1", "b2"]
         assert base64.b64decode(rows[0]["body"]) == b"hello"
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_batch_response_gives_each_message_its_own_result(tmp_path: Path) -> None:
-    async def scenario(world: World) -> None:
-        world.name(kind="bulk")
+    async def scenario(world: RelayHarness) -> None:
+        world.add_unavailable_destination(flavor="bulk")
         await world.start()
         names = ["b1", "b2", "b3", "b4"]
         for name in names:
-            assert await world.hand_in(name, "order", path=f"/order/{name}") == 202
+            assert await world.submit(name, "order", path=f"/order/{name}") == 202
 
         async def script(request: Request) -> bytes | None:
             rows = [row["id"] for row in json.loads(request.body)]
             states = {"b1": "delivered", "b2": "failed", "b3": "over", "b4": "refused"}
             if len(host.requests) > 1:
                 states["b4"] = "delivered"
-            return reply(200, json.dumps([{"id": r, "state": states[r]} for r in rows]).encode())
+            return format_response(200, json.dumps([{"id": r, "state": states[r]} for r in rows]).encode())
 
-        host = await world.host(script, kind="bulk")
-        await world.until(lambda: len(host.requests) == 2 and bool(world.notices))
+        host = await world.start_host(script, flavor="bulk")
+        await world.wait_until(lambda: len(host.requests) == 2 and bool(world.status_reports))
         assert [row["id"] for row in json.loads(host.requests[0].body)] == names
         assert [row["id"] for row in json.loads(host.requests[1].body)] == ["b4"]
         # The relay also reports the message that expired at the host.
-        assert world.notices == [failed("b2"), failed("b3")]
+        assert world.status_reports == [undeliverable_report("b2"), undeliverable_report("b3")]
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("is_batch", [False, True])
@@ -399,35 +415,35 @@
     message was lost, and the next message of its ordering key was sent before it was final.
     """
 
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         notice_allowed = asyncio.Event()
 
         async def script(request: Request) -> bytes | None:
             if not is_batch:
-                return reply(410 if request.id == "m1" else 200)
+                return format_response(410 if request.id == "m1" else 200)
             names = [row["id"] for row in json.loads(request.body)]
             rows = [{"id": n, "state": "over" if n == "m1" else "delivered"} for n in names]
-            return reply(200, json.dumps(rows).encode())
+            return format_response(200, json.dumps(rows).encode())
 
         async def receive_notice(request: Request) -> bytes | None:
             await notice_allowed.wait()
             return b""
 
-        host = await world.host(script, kind="bulk" if is_batch else "plain")
-        world.hear = receive_notice
+        host = await world.start_host(script, flavor="bulk" if is_batch else "plain")
+        world.report_handler = receive_notice
         await world.start()
-        assert await world.hand_in("m1", "order") == 202
-        assert await world.hand_in("m2", "order") == 202  # same ordering key
-        await world.until(lambda: host.answered == 1)
-        assert await world.hand_in("other") == 202
-        await world.until(lambda: host.answered == 2)
+        assert await world.submit("m1", "order") == 202
+        assert await world.submit("m2", "order") == 202  # same ordering key
+        await world.wait_until(lambda: host.response_count == 1)
+        assert await world.submit("other") == 202
+        await world.wait_until(lambda: host.response_count == 2)
         assert not any(b"m2" in request.body or request.id == "m2" for request in host.requests)
         notice_allowed.set()
-        await world.until(lambda: host.answered == 3)
-        assert world.notices == [failed("m1")]
+        await world.wait_until(lambda: host.response_count == 3)
+        assert world.status_reports == [undeliverable_report("m1")]
         assert b"m2" in host.requests[-1].body or host.requests[-1].id == "m2"
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_response_right_after_deadline_is_reported_as_failure(tmp_path: Path) -> None:
@@ -436,7 +452,7 @@
     The platform ignores such a response, so the relay must report the failure.
     """
 
-    async def scenario(world: World) -> None:
+    async def scenario(world: RelayHarness) -> None:
         loop = asyncio.get_running_loop()
         wall_offset = loop.time() - time.time()
         deadlines: dict[str, float] = {}
@@ -446,18 +462,18 @@
             if request.id in deadlines:
                 await asyncio.sleep(max(0.0, deadlines[request.id] + 0.005 - loop.time()))
                 answered[request.id] = loop.time()
-            return reply(200)
+            return format_response(200)
 
-        host = await world.host(script)
+        host = await world.start_host(script)
         await world.start()
         assert world.process is not None
-        await world.warm(host)
+        await world.warm_up(host)
         completed_rounds = 0
         for i in range(200):
             name = f"m{i}"
             deadlines[name] = loop.time() + 0.5
-            assert await world.hand_in(name, Request_Timeout_Ms="500") == 202
-            await world.until(lambda n=name: n in host.ids)  # type: ignore[misc]
+            assert await world.submit(name, Request_Timeout_Ms="500") == 202
+            await world.wait_until(lambda n=name: n in host.request_ids)  # type: ignore[misc]
             await asyncio.sleep(max(0.0, deadlines[name] - 0.045 - loop.time()))
             world.process.send_signal(signal.SIGSTOP)
             stopped_at = loop.time()
@@ -469,11 +485,11 @@
             is_continued_soon = continued_at < deadlines[name] + 0.1
             is_answered_in_stop = deadlines[name] + 0.004 < answered.get(name, 0.0) < continued_at
             if is_stopped_early and is_continued_soon and is_answered_in_stop:
-                await world.until(lambda n=name: n in world.noticed_at)  # type: ignore[misc]
-                assert world.noticed_at[name] + wall_offset < deadlines[name] + 0.35
+                await world.wait_until(lambda n=name: n in world.reported_at)  # type: ignore[misc]
+                assert world.reported_at[name] + wall_offset < deadlines[name] + 0.35
                 completed_rounds += 1
             if completed_rounds == 3:
                 return
         raise AssertionError("fewer than 3 of 200 rounds kept the required timing in this process")
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/delivery/test_truncated_responses.py
+++ b/tests/delivery/test_truncated_responses.py
@@ -11,7 +11,7 @@
 from loftrelay.decisions.events import AttemptStatus
 from tests.delivery.host_client_fixture import ClientHarness
 from tests.standins.partner import ABORT
-from tests.standins.platform import reply
+from tests.standins.platform import format_response
 
 NOT_RUN_STATUSES = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 BATCH_ROWS = json.dumps([{"id": "m", "state": "refused"}, {"id": "n", "state": "delivered"}]).encode()
@@ -21,10 +21,10 @@
 @pytest.mark.parametrize(
     ("response", "is_batch"),
     [
-        (reply(200, b"fine"), False),
-        (reply(503, b"full", X_Come_Back_Ms="1"), False),
-        (reply(200, BATCH_ROWS), True),
-        (reply(503, X_Come_Back_Ms="1"), True),
+        (format_response(200, b"fine"), False),
+        (format_response(503, b"full", X_Come_Back_Ms="1"), False),
+        (format_response(200, BATCH_ROWS), True),
+        (format_response(503, X_Come_Back_Ms="1"), True),
     ],
     ids=["delivered", "full", "batch", "batch full"],
 )
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -21,7 +21,14 @@
 from loftrelay.net.address import Address
 from loftrelay.net.http import MAX_BODY_BYTES, Connection
 from loftrelay.net.response_parser import ResponseTooLongError
-from tests.standins.platform import Request, World, deliver, never, reply, run
+from tests.standins.platform import (
+    RelayHarness,
+    Request,
+    format_response,
+    never_respond,
+    respond_ok,
+    run_scenario,
+)
 
 LONG_LIST_ROWS = 5 * SEGMENT_ROWS + 7
 PHASES = {EndpointState.ACTIVE: "Ready", EndpointState.DRAINING: "Terminating", EndpointState.REMOVED: "Gone"}
@@ -60,7 +67,7 @@
 class RecordingEngine:
     """Applies published lists as the engine does and records each with the state of client and event loop."""
 
-    def __init__(self, w: World) -> None:
+    def __init__(self, w: RelayHarness) -> None:
         host, _, port = w.discovery.address.rpartition(":")
         self.world = w
         self.entries: dict[str, tuple[EndpointEntry, Address]] = {}
@@ -90,14 +97,14 @@
         self.updates.append(listing)
         self.revisions.append(self.client.revision)
         self.turns_at_update.append(self.turns)
-        self.world.bump()
+        self.world.notify_changed()
 
     def count_oversize(self) -> None:
         self.oversize_count += 1
 
     async def wait_for_revision(self, revision: int) -> None:
         """Waits for the watch that follows a completely applied list."""
-        await self.world.until(
+        await self.world.wait_until(
             lambda: any(f"index={revision}&" in request.target for request in self.world.discovery.requests)
         )
 
@@ -110,23 +117,23 @@
 
     async def script(request: Request) -> bytes:
         if not remaining:
-            return await never(request)
+            return await never_respond(request)
         response = remaining.pop(0)
-        return reply(200, response) if isinstance(response, bytes) else await response(request)
+        return format_response(200, response) if isinstance(response, bytes) else await response(request)
 
     return script
 
 
 @with_both_parsers
 def test_client_publishes_a_long_list_in_segments_without_blocking_the_loop(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         rows = [
             make_row(i, EndpointState.DRAINING if i % 50 == 0 else EndpointState.ACTIVE)
             for i in range(LONG_LIST_ROWS)
         ]
         body = make_list(7, rows)
         assert len(body) > MAX_SINGLE_PASS_BYTES
-        w.list_answer = responses(body)
+        w.list_handler = responses(body)
         engine = RecordingEngine(w)
         engine.client.watch()
         await engine.wait_for_revision(7)
@@ -142,7 +149,7 @@
         assert engine.entries["h3"][1] == ("127.0.0.1", 4)
         engine.client.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @with_both_parsers
@@ -152,7 +159,7 @@
     """An unchanged list is published as an empty delta, which reports the successful call."""
     decoded: list[tuple[int, int]] = []  # turn of the event loop, number of rows
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         engine = RecordingEngine(w)
         original_decode_rows = endpoint_list_module.decode_rows
 
@@ -163,7 +170,7 @@
 
         monkeypatch.setattr(endpoint_list_module, "decode_rows", decode_rows)
         rows = [make_row(i) for i in range(LONG_LIST_ROWS)]
-        w.list_answer = responses(make_list(7, rows), make_list(8, rows))
+        w.list_handler = responses(make_list(7, rows), make_list(8, rows))
         engine.client.watch()
         await engine.wait_for_revision(8)
         assert len(engine.updates) == 7
@@ -174,12 +181,12 @@
         assert all(earlier < later for (earlier, _), (later, _) in pairwise(decoded))
         engine.client.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @with_both_parsers
 def test_client_publishes_only_differences_of_a_long_list_and_removals_last(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         before = [make_row(i) for i in range(LONG_LIST_ROWS)]
         after = [
             make_row(LONG_LIST_ROWS),
@@ -195,7 +202,7 @@
             [[]],
             make_row(9, EndpointState.REMOVED),
         ]
-        w.list_answer = responses(make_list(7, before), make_list(8, after))
+        w.list_handler = responses(make_list(7, before), make_list(8, after))
         engine = RecordingEngine(w)
         engine.client.watch()
         await engine.wait_for_revision(8)
@@ -213,19 +220,19 @@
         assert len(engine.entries) == LONG_LIST_ROWS - 8
         engine.client.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @with_both_parsers
 def test_client_with_a_long_delta_keeps_endpoints_that_it_does_not_contain(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         rows = [make_row(i) for i in range(LONG_LIST_ROWS)]
         changes = [
             *(make_row(i, EndpointState.DRAINING) for i in range(3, LONG_LIST_ROWS)),
             make_row(3),
             make_row(4, EndpointState.REMOVED),
         ]
-        w.list_answer = responses(make_list(7, rows), make_list(8, changes, is_complete=False))
+        w.list_handler = responses(make_list(7, rows), make_list(8, changes, is_complete=False))
         engine = RecordingEngine(w)
         engine.client.watch()
         await engine.wait_for_revision(8)
@@ -234,7 +241,7 @@
         assert listed == ["h0", "h1", "h2", "h3"]  # the last row of a duplicate endpoint counts
         engine.client.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @with_both_parsers
@@ -244,11 +251,11 @@
 ) -> None:
     """After the interruption the entries are of two lists, and some may have been removed since."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         rows = [make_row(i) for i in range(LONG_LIST_ROWS)]
         started = asyncio.Event()
         delta = make_list(9, [*rows, make_row(LONG_LIST_ROWS)], is_complete=False)
-        w.list_answer = responses(make_list(7, rows[:-1]), delta, make_list(10, rows))
+        w.list_handler = responses(make_list(7, rows[:-1]), delta, make_list(10, rows))
         engine = RecordingEngine(w)
         apply_update = engine.apply_update
 
@@ -267,7 +274,7 @@
         if interruption == "pause":
             engine.client.pause()
         if interruption == "exception":
-            await w.until(lambda: EndpointListKind.FAILED in engine.kinds())
+            await w.wait_until(lambda: EndpointListKind.FAILED in engine.kinds())
         if interruption == "move":
             engine.client.move_to(engine.client.address)
         else:
@@ -278,23 +285,23 @@
         assert engine.client.revision == 10
         engine.client.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_client_skips_a_row_that_cannot_be_parsed(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     """msgspec only splits the list into rows, so that the error shows when the row's segment is decoded."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         rows = [make_row(i) for i in range(LONG_LIST_ROWS)]
         body = make_list(7, rows).replace(b'"id": "h700"', b'"id": "h\xff\xfe"')
-        w.list_answer = responses(body)
+        w.list_handler = responses(body)
         engine = RecordingEngine(w)
         engine.client.watch()
         await engine.wait_for_revision(7)
         assert set(engine.entries) == {f"h{i}" for i in range(LONG_LIST_ROWS) if i != 700}
         engine.client.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
     lines = [r.getMessage() for r in caplog.records if "skipped" in r.getMessage()]
     assert len(lines) == 1
     assert "127.0.0.1:" in lines[0]
@@ -302,8 +309,8 @@
 
 @with_both_parsers
 def test_client_without_current_entries_publishes_a_long_list_in_one_pass(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        w.list_answer = responses(make_list(7, [make_row(i) for i in range(LONG_LIST_ROWS)]))
+    async def scenario(w: RelayHarness) -> None:
+        w.list_handler = responses(make_list(7, [make_row(i) for i in range(LONG_LIST_ROWS)]))
         engine = RecordingEngine(w)
         engine.client.current_entries = None
         engine.client.watch()
@@ -312,7 +319,7 @@
         assert len(engine.entries) == LONG_LIST_ROWS
         engine.client.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @with_both_parsers
@@ -321,25 +328,25 @@
     [b"[1]", b"[" * 40_000, b'{"revision":1,"complete":true,"members":3}', b'{"members":[]}', b"{"],
 )
 def test_client_reports_a_malformed_long_list_as_a_failed_call(tmp_path: Path, malformed: bytes) -> None:
-    async def scenario(w: World) -> None:
-        w.list_answer = responses(malformed + b" " * MAX_SINGLE_PASS_BYTES)
+    async def scenario(w: RelayHarness) -> None:
+        w.list_handler = responses(malformed + b" " * MAX_SINGLE_PASS_BYTES)
         engine = RecordingEngine(w)
         engine.client.watch()
-        await w.until(lambda: engine.kinds() == [EndpointListKind.FAILED])
+        await w.wait_until(lambda: engine.kinds() == [EndpointListKind.FAILED])
         assert engine.client.revision is None
         assert not engine.oversize_count
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @with_both_parsers
 def test_client_excludes_applied_rows_from_garbage_collection(tmp_path: Path) -> None:
     """With 50,000 endpoints a garbage collection once blocked the event loop for 230 ms."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         gc.freeze()  # objects of other tests
         frozen_before = gc.get_freeze_count()
-        w.list_answer = responses(make_list(7, [make_row(i) for i in range(20 * SEGMENT_ROWS)]))
+        w.list_handler = responses(make_list(7, [make_row(i) for i in range(20 * SEGMENT_ROWS)]))
         engine = RecordingEngine(w)
         engine.client.watch()
         await engine.wait_for_revision(7)
@@ -348,7 +355,7 @@
         assert tracked <= 5 * SEGMENT_ROWS
         engine.client.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 # Lists over the limit
@@ -359,7 +366,7 @@
 
 
 def test_relay_with_an_oversize_first_list_logs_one_line_and_is_not_ready(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         size: int | None = MAX_LIST_BYTES + 1
         requests: list[str] = []
 
@@ -371,71 +378,73 @@
             return [line for line in w.log if "bytes rejected, the limit is" in line]
 
         async def readiness() -> int:
-            return (await w.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0]
+            return (await w.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0]
 
-        w.list_answer = list_response
+        w.list_handler = list_response
         await w.start()
-        await w.until(lambda: len(requests) >= 3)
+        await w.wait_until(lambda: len(requests) >= 3)
         assert await readiness() == 503
-        assert await w.hand_in("early") == 503
+        assert await w.submit("early") == 503
         size = MAX_LIST_BYTES + 2
-        await w.until(lambda: len(oversize_lines()) == 2)
+        await w.wait_until(lambda: len(oversize_lines()) == 2)
         for number, line in enumerate(oversize_lines(), 1):
             assert (
                 f"list of {MAX_LIST_BYTES + number} bytes rejected, the limit is {MAX_LIST_BYTES} bytes ("
                 in line
             )
         assert not any("watch failed" in line for line in w.log)
-        host = await w.host(deliver)
+        host = await w.start_host(respond_ok)
         size = None
-        await w.hand_in_once_listed("m", 1)
-        await w.until(lambda: host.ids == ["m"])
+        await w.submit_once_listed("m", 1)
+        await w.wait_until(lambda: host.request_ids == ["m"])
         assert await readiness() == 200
         # With a current list the relay stays ready, keeps using it and logs the rejection again.
         size = MAX_LIST_BYTES + 2
         w.revision += 1
-        w.bump()
+        w.notify_changed()
         w.discovery.close_connections()
-        await w.until(lambda: len(oversize_lines()) == 3)
+        await w.wait_until(lambda: len(oversize_lines()) == 3)
         assert await readiness() == 200
-        assert await w.hand_in("n") == 202
-        await w.until(lambda: host.ids == ["m", "n"])
+        assert await w.submit("n") == 202
+        await w.wait_until(lambda: host.request_ids == ["m", "n"])
 
-    run(scenario, tmp_path, safety={"ask_every": 1_000_000})
+    run_scenario(scenario, tmp_path, safety={"ask_every": 1_000_000})
 
 
 def test_relay_with_a_cached_list_is_ready_despite_an_oversize_list(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
 
         async def list_response(request: Request) -> bytes:
             return response_head(MAX_LIST_BYTES + 1)
 
-        w.list_answer = list_response
+        w.list_handler = list_response
         await w.start()
-        await w.until(lambda: any("bytes rejected, the limit is" in line for line in w.log))
-        assert (await w.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
-        assert await w.hand_in("m") == 202
-        await w.until(lambda: host.ids == ["m"])
+        await w.wait_until(lambda: any("bytes rejected, the limit is" in line for line in w.log))
+        assert (await w.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
+        assert await w.submit("m") == 202
+        await w.wait_until(lambda: host.request_ids == ["m"])
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_client_rejects_a_list_without_content_length_at_the_limit(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         async def chunked_response(request: Request) -> bytes:
             chunks = b"400\r\n%b\r\n" % (b" " * 1024) * 20
             return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
 
-        w.list_answer = chunked_response
+        w.list_handler = chunked_response
         engine = RecordingEngine(w)
         engine.client.max_list_bytes = 9 << 10
         engine.client.pause()
         for attempts in (1, 2):
             engine.client.watch()
-            await w.until(lambda attempts=attempts: engine.kinds() == [EndpointListKind.FAILED] * attempts)  # type: ignore[misc]
+            await w.wait_until(
+                lambda attempts=attempts: engine.kinds() == [EndpointListKind.FAILED] * attempts  # type: ignore[misc]
+            )
             # As after any failed call, the decisions schedule the next one.
             assert engine.client.task is not None
             await engine.client.task
@@ -444,13 +453,13 @@
             "discovery: list of more than 9216 bytes rejected, the limit is 9216 bytes"
         ]
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 # Response limits of connections
 
 
-async def open_connection(w: World, max_body_bytes: int | None = None) -> Connection:
+async def open_connection(w: RelayHarness, max_body_bytes: int | None = None) -> Connection:
     host, _, port = w.discovery.address.rpartition(":")
     address = (host, int(port))
     return await (
@@ -460,8 +469,8 @@
 
 @pytest.mark.parametrize("excess_bytes", [0, 1])
 def test_connection_limits_response_bodies_to_max_body_bytes(tmp_path: Path, excess_bytes: int) -> None:
-    async def scenario(w: World) -> None:
-        w.list_answer = responses(
+    async def scenario(w: RelayHarness) -> None:
+        w.list_handler = responses(
             b"x" * (MAX_BODY_BYTES + excess_bytes), b"x" * (MAX_BODY_BYTES + excess_bytes)
         )
         for max_body_bytes in (None, MAX_BODY_BYTES):
@@ -474,7 +483,7 @@
                 assert len((await connection.request("GET", "/", {"Host": "x"})).body) == MAX_BODY_BYTES
             connection.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("extra_bytes", [0, 9])
@@ -484,7 +493,7 @@
     # 9 extra bytes extend the deadline by 90 s.
     monkeypatch.setattr(http, "MIN_TRANSFER_RATE_BYTES_PER_S", 0.1)
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + 0.5
         size = MAX_BODY_BYTES + extra_bytes
@@ -495,7 +504,7 @@
                 await asyncio.sleep(deadline + 0.2 - loop.time())
             return b"x" * size
 
-        w.list_answer = responses(respond_late)
+        w.list_handler = responses(respond_late)
         connection = await open_connection(w, 2 * MAX_BODY_BYTES)
         if extra_bytes:
             response = await connection.request("GET", "/", {"Host": "x"}, deadline=deadline)
@@ -506,4 +515,4 @@
                 await connection.request("GET", "/", {"Host": "x"}, deadline=deadline)
         connection.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/discovery/test_subscriber.py
+++ b/tests/discovery/test_subscriber.py
@@ -26,7 +26,14 @@
     encode_response,
 )
 from loftrelay.relay.ports import ResolutionStatus
-from tests.standins.platform import HANG, Peer, Request, World, never, reply
+from tests.standins.platform import (
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    Request,
+    StubServer,
+    format_response,
+    never_respond,
+)
 
 FLEET = "windwacht"
 REPORTS_ADDRESS = ("127.0.0.1", 9)
@@ -57,12 +64,12 @@
         assert isinstance(call, SubscriptionChange | SubscriptionWatch)
         self.calls.append(call)
         if isinstance(call, SubscriptionWatch):
-            return await never(request)
+            return await never_respond(request)
         self.destinations = (set() if call.is_reset else self.destinations) | {*call.added, *call.confirmed}
         self.destinations -= set(call.dropped)
         self.sequence = call.sequence
         rows = [json.dumps(make_row(f"h{destination}", destination)).encode() for destination in call.added]
-        return reply(200, self.make_body(call.added, rows))
+        return format_response(200, self.make_body(call.added, rows))
 
     def make_body(self, full: Sequence[int], rows: list[bytes], **changes: Any) -> bytes:
         fields: dict[str, Any] = {
@@ -82,7 +89,7 @@
 class FakeRelay:
     """Records what a Subscriber publishes, and releases no destination."""
 
-    def __init__(self, registries: Sequence[Peer]) -> None:
+    def __init__(self, registries: Sequence[StubServer]) -> None:
         self.updates: list[EndpointListReceived] = []
         self.addresses: dict[str, Address] = {}
         self.resolved: list[tuple[int, ResolutionStatus]] = []
@@ -110,36 +117,36 @@
         return []
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not condition():
                 self.changed.clear()
                 await self.changed.wait()
 
 
-def run_scenario(folder: Path, scenario: Callable[[World], Awaitable[None]]) -> None:
+def run_scenario(folder: Path, scenario: Callable[[RelayHarness], Awaitable[None]]) -> None:
     async def main() -> None:
-        async with World(folder) as w:
+        async with RelayHarness(folder) as w:
             await scenario(w)
 
     asyncio.run(main())
 
 
 async def make_relay_with_two_registries(
-    w: World, first_script: Callable[[Request], Awaitable[bytes | None]]
-) -> tuple[Peer, FakeRegistry, FakeRelay]:
+    w: RelayHarness, first_script: Callable[[Request], Awaitable[bytes | None]]
+) -> tuple[StubServer, FakeRegistry, FakeRelay]:
     """Returns a scripted registry, a working one, and a relay that prefers the first."""
-    peers = [await w.peer(never), await w.peer(never)]
+    peers = [await w.start_server(never_respond), await w.start_server(never_respond)]
     order = preference_order("n1", [parse_address(peer.address) for peer in peers])
     peers.sort(key=lambda peer: order.index(parse_address(peer.address)))
     registry = FakeRegistry()
-    peers[0].script, peers[1].script = first_script, registry
+    peers[0].handler, peers[1].handler = first_script, registry
     return peers[0], registry, FakeRelay(peers)
 
 
 def test_subscriber_sends_changes_and_watches_over_two_connections(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         registry = FakeRegistry()
-        peer = await w.peer(registry)
+        peer = await w.start_server(registry)
         relay = FakeRelay([peer])
         subscriber = relay.subscriber
         subscriber.load_cached({"revision": 3, "complete": True, "members": [make_row("old", 1)]})
@@ -150,7 +157,7 @@
         await relay.until(lambda: relay.resolved == [(7, ResolutionStatus.RESOLVED)])
         assert relay.addresses == {"h7": ("127.0.0.1", 9)}
         assert subscriber.revision == 5
-        await w.until(lambda: any(isinstance(call, SubscriptionWatch) for call in registry.calls))
+        await w.wait_until(lambda: any(isinstance(call, SubscriptionWatch) for call in registry.calls))
         assert len(peer.connections) == 2
         assert subscriber.first_response.is_set()
         assert [listing.kind for listing in relay.updates] == [
@@ -163,26 +170,28 @@
         assert metrics["app.slices_held"] == "1"
         assert int(metrics["app.slices_bytes_in"]) > 200
         subscriber.pause()
-        await w.until(lambda: len(peer.ended) == 2)
+        await w.wait_until(lambda: len(peer.closed_connections) == 2)
         subscriber.close()
 
     run_scenario(tmp_path, scenario)
 
 
 MALFORMED_RESPONSES = {
-    "not JSON": reply(200, b"not JSON"),
-    "no list": reply(200, b"[]"),
-    "no revision": reply(200, b'{"fleet":"windwacht","members":[]}'),
-    "deeply nested": reply(200, b"[" * 100_000),
-    "503": reply(503, b"no list of discovery yet\n"),
-    "403": reply(403, b"fleet = 'windwacht': this is the registry of 'other'\n"),
-    "400": reply(400, b"bad request\n"),
-    "410": reply(410, b"not known here\n"),
-    "500": reply(500),
+    "not JSON": format_response(200, b"not JSON"),
+    "no list": format_response(200, b"[]"),
+    "no revision": format_response(200, b'{"fleet":"windwacht","members":[]}'),
+    "deeply nested": format_response(200, b"[" * 100_000),
+    "503": format_response(503, b"no list of discovery yet\n"),
+    "403": format_response(403, b"fleet = 'windwacht': this is the registry of 'other'\n"),
+    "400": format_response(400, b"bad request\n"),
+    "410": format_response(410, b"not known here\n"),
+    "500": format_response(500),
     "connection closed": None,
-    "other fleet": reply(200, FakeRegistry().make_body((), [], fleet="other", sequence=1)),
-    "different size": reply(200, FakeRegistry().make_body((), [], size=9, sequence=1)),
-    "different checksum": reply(200, FakeRegistry().make_body((), [], size=1, checksum=7, sequence=1)),
+    "other fleet": format_response(200, FakeRegistry().make_body((), [], fleet="other", sequence=1)),
+    "different size": format_response(200, FakeRegistry().make_body((), [], size=9, sequence=1)),
+    "different checksum": format_response(
+        200, FakeRegistry().make_body((), [], size=1, checksum=7, sequence=1)
+    ),
 }
 
 
@@ -193,13 +202,13 @@
     async def malformed_response(request: Request) -> bytes | None:
         return MALFORMED_RESPONSES[case]
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         caplog.set_level("INFO")
         first, registry, relay = await make_relay_with_two_registries(w, malformed_response)
         relay.subscriber.resolve(7)
         relay.subscriber.watch()
         await relay.until(lambda: (7, ResolutionStatus.RESOLVED) in relay.resolved)
-        await w.until(lambda: any(isinstance(call, SubscriptionWatch) for call in registry.calls))
+        await w.wait_until(lambda: any(isinstance(call, SubscriptionWatch) for call in registry.calls))
         messages = [record.getMessage() for record in caplog.records]
         lines = [message for message in messages if first.address in message]
         assert len(lines) == 1 and "\n" not in lines[0], lines
@@ -210,7 +219,7 @@
 
 
 def test_subscriber_skips_a_malformed_row(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         registry = FakeRegistry()
 
         async def response_with_malformed_rows(request: Request) -> bytes | None:
@@ -223,9 +232,9 @@
                 {"id": 4},
                 make_row("gone", 7, "Gone"),
             ]
-            return reply(200, registry.make_body((7,), [json.dumps(row).encode() for row in rows]))
+            return format_response(200, registry.make_body((7,), [json.dumps(row).encode() for row in rows]))
 
-        relay = FakeRelay([await w.peer(response_with_malformed_rows)])
+        relay = FakeRelay([await w.start_server(response_with_malformed_rows)])
         relay.subscriber.resolve(7)
         relay.subscriber.watch()
         await relay.until(lambda: (7, ResolutionStatus.RESOLVED) in relay.resolved)
@@ -236,13 +245,13 @@
 
 
 def test_subscriber_with_an_exception_while_publishing_continues_the_watch(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         registry = FakeRegistry()
-        relay = FakeRelay([await w.peer(registry)])
+        relay = FakeRelay([await w.start_server(registry)])
         relay.failing_updates = 1
         relay.subscriber.resolve(7)
         relay.subscriber.watch()
-        await w.until(lambda: any(isinstance(call, SubscriptionWatch) for call in registry.calls))
+        await w.wait_until(lambda: any(isinstance(call, SubscriptionWatch) for call in registry.calls))
         assert relay.failing_updates == 0
         await relay.until(lambda: bool(relay.addresses))  # published again
         assert list(relay.addresses) == ["h7"]
--- a/tests/program/test_connections.py
+++ b/tests/program/test_connections.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.standins.partner import Partner
-from tests.standins.platform import SETTINGS, World
+from tests.standins.platform import SETTINGS, RelayHarness
 from tests.standins.traffic import CLASSES, Account, Order, all_over, find, hand_in_all
 from tests.standins.trouble import behaviours
 
@@ -51,7 +51,10 @@
         limits = tmp_path / "connections.toml"
         limits.write_text(STRICT)
         kinds = behaviours()
-        async with World(tmp_path, policy_limits=LIMITS, classes=CLASSES) as w, AsyncExitStack() as stack:
+        async with (
+            RelayHarness(tmp_path, policy_limits=LIMITS, classes=CLASSES) as w,
+            AsyncExitStack() as stack,
+        ):
             w.arguments = ["--connections", str(limits)]
             w.limits["disk_mb"] = 20
             partners = []
@@ -59,7 +62,7 @@
                 partner = await stack.enter_async_context(Partner(behaviour, seed=100 * seed + n))
                 partners.append(partner)
                 kind = "bulk" if n % 4 == 3 else "plain"
-                w.list_host(n + 1, kind, "Ready", "{}:{}".format(*partner.address))
+                w.add_endpoint(n + 1, kind, "Ready", "{}:{}".format(*partner.address))
             await w.start()
             account, lag = Account(), [0.0]
 
@@ -76,9 +79,9 @@
             # Meanwhile one server moves, one drains for its successor, and one shuts and comes back cold.
             moved = await stack.enter_async_context(Partner(kinds[0], seed=7))
             successor = await stack.enter_async_context(Partner(kinds[2], seed=8))
-            w.members[0]["host_port"] = "{}:{}".format(*moved.address)
-            w.members[2]["phase"] = "Terminating"
-            w.list_host(3, "plain", "Ready", "{}:{}".format(*successor.address))
+            w.endpoints[0]["host_port"] = "{}:{}".format(*moved.address)
+            w.endpoints[2]["phase"] = "Terminating"
+            w.add_endpoint(3, "plain", "Ready", "{}:{}".format(*successor.address))
             partners += [moved, successor]
             assert partners[6].server is not None
             port = partners[6].address[1]
--- a/tests/program/test_fault_points.py
+++ b/tests/program/test_fault_points.py
@@ -15,7 +15,14 @@
 from loftrelay.relay.fault_points import DELIVERY_POINTS, FINAL_STATUS_POINTS, SUCCESSOR_POINTS
 from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.program.test_record import entries, until, with_store
-from tests.standins.platform import HANG, SETTINGS, Request, World, reply, run
+from tests.standins.platform import (
+    SETTINGS,
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    Request,
+    format_response,
+    run_scenario,
+)
 
 LIMITS = {**SETTINGS["policy_limits"], "most_tries": 1}
 # Host's answer, the message's end, and the steps on the way there.
@@ -29,30 +36,30 @@
 
 @pytest.mark.parametrize(("status", "step"), WAYS, ids=lambda value: str(value).replace(" ", "-"))
 def test_killed_at_a_step(tmp_path: Path, status: int, step: str) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         ran: list[str] = []
 
         async def script(request: Request) -> bytes | None:
             if status != 503:
                 ran.append(request.id)
-            return reply(status)
+            return format_response(status)
 
         path = with_store(w, busy_ms="2000")
-        host = await w.host(script)
+        host = await w.start_host(script)
         plain = w.program
         w.program = ["-m", "tests.standins.killed", step]
         await w.start()
         heard: int | None = None
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            heard = await w.hand_in("m", "order")
+            heard = await w.submit("m", "order")
         assert w.process is not None
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await w.process.wait() == -9  # the step was reached
-        asked = len(host.ids)
+        asked = len(host.request_ids)
         w.program = plain
         await w.start()
         if heard is None:
-            heard = await w.hand_in("m", "order")  # as a client does that heard nothing
+            heard = await w.submit("m", "order")  # as a client does that heard nothing
         assert heard in (200, 202, 500, 503)
         if heard in (202, 200):
             found = await until(path, ["m"], RecordState.REPORTED)
@@ -60,7 +67,7 @@
             answer = found["m"].final_status
             assert answer is not None
             if heard == 202:
-                assert {notice["status"] for notice in w.notices} == set(ends[answer.value])
+                assert {notice["status"] for notice in w.status_reports} == set(ends[answer.value])
             if answer is StoredFinalStatus.DELIVERED:
                 assert status == 200
                 assert ran == ["m"]
@@ -68,31 +75,31 @@
                 assert not ran
         assert ran in ([], ["m"])
         if status != 503:
-            assert len(host.ids) <= 1
-            assert asked == 0 or len(host.ids) == asked
+            assert len(host.request_ids) <= 1
+            assert asked == 0 or len(host.request_ids) == asked
 
-    run(scenario, tmp_path, policy_limits=LIMITS)
+    run_scenario(scenario, tmp_path, policy_limits=LIMITS)
 
 
 def test_the_order_of_a_life_is_the_order_of_the_steps(tmp_path: Path) -> None:
     """A step that a message passes twice, or never, would make its kill mean something else."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         async def script(request: Request) -> bytes | None:
-            return reply(200)
+            return format_response(200)
 
         path = with_store(w)
-        await w.host(script)
+        await w.start_host(script)
         w.program = ["-c", TRACED]
         await w.start()
-        assert await w.hand_in("m", "order") == 202
+        assert await w.submit("m", "order") == 202
         await until(path, ["m"], RecordState.REPORTED)
-        await w.until(lambda: "step journal over" in w.log)
+        await w.wait_until(lambda: "step journal over" in w.log)
         passed = [line[5:] for line in w.log if line.startswith("step ")]
         assert [step for step in passed if step not in SUCCESSOR_POINTS] == list(DELIVERY_POINTS)
         assert entries(path)["m"].final_status is StoredFinalStatus.DELIVERED
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 TRACED = """
--- a/tests/program/test_fleet.py
+++ b/tests/program/test_fleet.py
@@ -12,7 +12,7 @@
 from benchmarks.links import Processes
 from loftrelay.simulation.proxy import PathFaults
 from tests.program.test_stalls import go_on, stop, stopped
-from tests.standins.platform import HANG
+from tests.standins.platform import TEST_TIMEOUT_S
 
 RELAYS = 5
 TOLD = "beat_ms = 50\nsuspect_ms = 400\n"
@@ -23,21 +23,21 @@
     """Relays r0 to r4, each with hosts h0 and h1 of destination 1."""
 
     async def shows(self, name: str, value: int, relays: list[int]) -> None:
-        assert await self.until(name, value, [self.worlds[n] for n in relays]) < HANG
+        assert await self.until(name, value, [self.worlds[n] for n in relays]) < TEST_TIMEOUT_S
 
     async def until_gone(self, relays: list[int]) -> None:
         await self.shows("fleet_alive", RELAYS - 2, relays)
         await self.shows("fleet_suspected", 0, relays)
 
     async def say(self, n: int, line: str) -> None:
-        assert await self.worlds[n].call(line) == "YES\n"
+        assert await self.worlds[n].call_admin(line) == "YES\n"
 
     async def deliver_by(self, n: int, name: str) -> str:
         """Hands a message in at that relay: the host that it went to."""
         world, hosts = self.worlds[n], self.hosts[n]
-        await world.hand_in_once_listed(name, 1)
-        await world.until(lambda: any(name in host.ids for host in hosts))
-        return next(f"h{i}" for i, host in enumerate(hosts) if name in host.ids)
+        await world.submit_once_listed(name, 1)
+        await world.wait_until(lambda: any(name in host.request_ids for host in hosts))
+        return next(f"h{i}" for i, host in enumerate(hosts) if name in host.request_ids)
 
 
 Scenario = Callable[[Fleet], Awaitable[None]]
@@ -181,7 +181,7 @@
 
     async def scenario(fleet: Fleet) -> None:
         world = fleet.worlds[4]
-        await world.end(signal.SIGTERM)
+        await world.stop(signal.SIGTERM)
         world.share_listener()
         await world.start()
         await fleet.say(4, "disable-server h0")
@@ -201,10 +201,10 @@
 
     async def scenario(fleet: Fleet) -> None:
         twin = fleet.worlds[4]
-        await twin.end(signal.SIGKILL)
-        twin.name_ = "r3"
+        await twin.stop(signal.SIGKILL)
+        twin.relay_name = "r3"
         await twin.start()
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not any("also uses the name r3" in line for n in (3, 4) for line in fleet.worlds[n].log):
                 await asyncio.sleep(0.02)
         await fleet.shows("fleet_alive", 3, [0, 1, 2])
--- a/tests/program/test_ids_seen_before.py
+++ b/tests/program/test_ids_seen_before.py
@@ -8,7 +8,14 @@
 
 import pytest
 
-from tests.standins.platform import SETTINGS, Request, World, message, reply, run
+from tests.standins.platform import (
+    SETTINGS,
+    RelayHarness,
+    Request,
+    format_response,
+    format_submission,
+    run_scenario,
+)
 
 ONE_TRY = {**SETTINGS["policy_limits"], "most_tries": 1}
 
@@ -19,51 +26,51 @@
 ) -> None:
     """The notice may have been heard already: after a 202 nothing more would come, and it would be lost."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         release = asyncio.Event()
         told_so: list[dict[str, str]] = []
 
         async def hear(request: Request) -> bytes | None:
             told_so.extend(json.loads(line) for line in request.body.splitlines())
-            w.bump()
+            w.notify_changed()
             await release.wait()
             return b""  # goes on as usual: 204
 
         async def refuse(request: Request) -> bytes | None:
-            return reply(status)
+            return format_response(status)
 
-        w.hear = hear
-        host = await w.host(refuse)
+        w.report_handler = hear
+        host = await w.start_host(refuse)
         await w.start()
-        assert await w.hand_in("m", "order") == 202
-        await w.until(lambda: bool(told_so))
+        assert await w.submit("m", "order") == 202
+        await w.wait_until(lambda: bool(told_so))
         assert told_so[0] == {"id": "m", "status": told}
-        again, headers, _ = await w.ask(message("m", "order"))
+        again, headers, _ = await w.send(format_submission("m", "order"))
         assert again == answer
         assert answer == 500 or float(headers["retry-after"]) > 0
         release.set()
-        await w.until(lambda: bool(w.notices))
-        assert host.ids == ["m"]
+        await w.wait_until(lambda: bool(w.status_reports))
+        assert host.request_ids == ["m"]
 
-    run(scenario, tmp_path, policy_limits=ONE_TRY)
+    run_scenario(scenario, tmp_path, policy_limits=ONE_TRY)
 
 
 def test_while_it_is_open_it_is_taken_on_once(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         release = asyncio.Event()
 
         async def late(request: Request) -> bytes | None:
             await release.wait()
-            return reply(200)
+            return format_response(200)
 
-        host = await w.host(late)
+        host = await w.start_host(late)
         await w.start()
-        assert [await w.hand_in("m", "order") for _ in range(3)] == [202] * 3
+        assert [await w.submit("m", "order") for _ in range(3)] == [202] * 3
         release.set()
-        await w.until(lambda: host.answered == 1)
-        while (status := await w.hand_in("m", "order")) == 202:
+        await w.wait_until(lambda: host.response_count == 1)
+        while (status := await w.submit("m", "order")) == 202:
             pass  # the relay has not read the host's answer yet
         assert status == 200
-        assert host.ids == ["m"]
+        assert host.request_ids == ["m"]
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -18,7 +18,14 @@
 from tests.program.test_connections import LIMITS  # noqa: E402
 from tests.program.test_record import given_to_two  # noqa: E402
 from tests.standins.partner import Partner  # noqa: E402
-from tests.standins.platform import HANG, SETTINGS, World, deliver, message, run  # noqa: E402
+from tests.standins.platform import (  # noqa: E402
+    SETTINGS,
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    format_submission,
+    respond_ok,
+    run_scenario,
+)
 from tests.standins.postgres import Faults, PostgresStandIn, cut  # noqa: E402
 from tests.standins.traffic import Account, Client, Order  # noqa: E402
 
@@ -32,7 +39,7 @@
         yield server
 
 
-def with_server(w: World, server: PostgresStandIn) -> None:
+def with_server(w: RelayHarness, server: PostgresStandIn) -> None:
     (w.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\ncall_s = 20.0\n')
     w.arguments = ["--record", str(w.folder / "record.toml")]
 
@@ -47,7 +54,7 @@
 
 
 async def all_told(server: PostgresStandIn, names: set[str]) -> dict[str, MessageRecord]:
-    async with asyncio.timeout(HANG):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
             found = await asyncio.to_thread(entries, server)
             if all(name in found and found[name].state is RecordState.REPORTED for name in names):
@@ -71,11 +78,11 @@
             side = chance.choice(("heard", "said"))
             return cut(side, chance.randrange(50_000, 2_000_000))
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         w.limits["disk_mb"] = 50
         with_server(w, server)
         async with Partner() as partner:
-            w.list_host(1, "plain", "Ready", "{}:{}".format(*partner.address))
+            w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
             server.drawn = draw
             await w.start()
             account = Account()
@@ -93,7 +100,7 @@
             assert server.cuts >= 10
             assert len(found) == ORDERS
             assert max(partner.effects.values()) == 1
-            told = {notice["id"]: notice["status"] for notice in w.notices}
+            told = {notice["id"]: notice["status"] for notice in w.status_reports}
             ends = {StoredFinalStatus.FAILED: "undeliverable", StoredFinalStatus.REJECTED: "deferred"}
             for name, entry in found.items():
                 assert (entry.final_status is StoredFinalStatus.DELIVERED) == (partner.effects[name] == 1), (
@@ -105,7 +112,7 @@
             assert set(partner.effects) <= set(found)
             assert len(partner.effects) > 0.99 * ORDERS
 
-    run(scenario, tmp_path, policy_limits=LIMITS, extra={**SETTINGS["extra"], "call_slots": 64})
+    run_scenario(scenario, tmp_path, policy_limits=LIMITS, extra={**SETTINGS["extra"], "call_slots": 64})
 
 
 def resident(pid: int) -> int:
@@ -121,17 +128,17 @@
     memory is bounded, and each that comes again when the store is back runs once."""
     names = [f"o{i}" for i in range(int(1.3 * FULL))]
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         with_server(w, server)
-        host = await w.host(deliver)
+        host = await w.start_host(respond_ok)
         await w.start()
-        await w.warm(host)
+        await w.warm_up(host)
         assert w.process is not None
 
         async def refused(rounds: int) -> None:
             for _ in range(rounds):
                 answers = await asyncio.gather(
-                    *(w.ask(message(name, "order", path=f"/order/{name}")) for name in names)
+                    *(w.send(format_submission(name, "order", path=f"/order/{name}")) for name in names)
                 )
                 assert {status for status, *_ in answers} == {503}
                 assert all(float(headers["retry-after"]) > 0 for _, headers, _ in answers)
@@ -140,34 +147,34 @@
         await refused(1)
         before = resident(w.process.pid)
         await refused(3)
-        assert await w.hand_in("during") == 202  # the journal answers for it
-        await w.until(lambda: "during" in host.ids)
+        assert await w.submit("during") == 202  # the journal answers for it
+        await w.wait_until(lambda: "during" in host.request_ids)
         server.faults.refuse = "57P03"  # the database system is starting up
         server.cut_all()
         server.gate.set()
-        await w.until(lambda: any("store of record is unavailable" in line for line in w.log))
+        await w.wait_until(lambda: any("store of record is unavailable" in line for line in w.log))
         await refused(20)
-        assert not any(name in host.ids for name in names)
+        assert not any(name in host.request_ids for name in names)
         assert resident(w.process.pid) - before < 16 << 20
         server.faults.refuse = None
 
         async def again(name: str) -> None:
-            while await w.hand_in(name, "order", path=f"/order/{name}") == 503:
+            while await w.submit(name, "order", path=f"/order/{name}") == 503:
                 await asyncio.sleep(0.02)
 
         await asyncio.gather(*(again(name) for name in names))
         found = await all_told(server, {*names, "during"})
-        assert sorted(i for i in host.ids if i in names) == sorted(names)
+        assert sorted(i for i in host.request_ids if i in names) == sorted(names)
         assert all(found[name].final_status is StoredFinalStatus.DELIVERED for name in names)
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_two_relays_share_a_server_and_one_id_runs_once(tmp_path: Path, server: PostgresStandIn) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         with_server(w, server)
-        host = await w.host(deliver)
+        host = await w.start_host(respond_ok)
         names = await given_to_two(w, tmp_path)
-        assert sorted(host.ids) == sorted(names) == sorted(entries(server))
+        assert sorted(host.request_ids) == sorted(names) == sorted(entries(server))
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/program/test_recovered.py
+++ b/tests/program/test_recovered.py
@@ -15,7 +15,16 @@
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_terms import pack
-from tests.standins.platform import SETTINGS, Request, World, deliver, failed, never, reply, run
+from tests.standins.platform import (
+    SETTINGS,
+    RelayHarness,
+    Request,
+    format_response,
+    never_respond,
+    respond_ok,
+    run_scenario,
+    undeliverable_report,
+)
 
 ALARM = {
     "name": "alarm",
@@ -36,8 +45,8 @@
 ) -> None:
     """With half, a tenth and nearly none of their time left, of each class, beside each other in one call."""
 
-    async def scenario(w: World) -> None:
-        w.name(kind="bulk")
+    async def scenario(w: RelayHarness) -> None:
+        w.add_unavailable_destination(flavor="bulk")
         await w.start()
         assert w.process is not None
         down = 3.6 if number is signal.SIGTERM else 0.0
@@ -46,21 +55,21 @@
                 timeout = str(int((down + left + 1.5) * 1000))
                 path = f"/{of}/{of}-{left}"
                 name = f"{of}-{left}"
-                assert await w.hand_in(name, of, path=path, Request_Timeout_Ms=timeout) == 202
-        await w.end(number)
-        w.members.clear()
-        host = await w.host(deliver, kind="bulk")
+                assert await w.submit(name, of, path=path, Request_Timeout_Ms=timeout) == 202
+        await w.stop(number)
+        w.endpoints.clear()
+        host = await w.start_host(respond_ok, flavor="bulk")
         await w.start()
         wanted = {f"{of}-{left}" for of in ("status", "order", "alarm") for left in (0.8, 2.0, 9.0)}
 
         def tried() -> set[str]:
             return {row["id"] for request in host.requests for row in json.loads(request.body)}
 
-        await w.until(lambda: wanted <= tried() | {notice["id"] for notice in w.notices})
+        await w.wait_until(lambda: wanted <= tried() | {notice["id"] for notice in w.status_reports})
         # On a machine so busy that the start takes longer than the least of them has, that one may be late.
         assert {name for name in wanted if not name.endswith("0.8")} <= tried()
 
-    run(scenario, tmp_path, classes=CLASSES)
+    run_scenario(scenario, tmp_path, classes=CLASSES)
 
 
 @pytest.mark.parametrize(
@@ -70,94 +79,96 @@
 def test_one_that_may_have_run(tmp_path: Path, of: str, window: int, goes: bool) -> None:
     """Of each effect, inside its window and after one of 1 s."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(never)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(never_respond)
         await w.start()
-        assert await w.hand_in("m", of) == 202
-        await w.until(lambda: host.ids == ["m"])
+        assert await w.submit("m", of) == 202
+        await w.wait_until(lambda: host.request_ids == ["m"])
         await w.kill()
-        host.script = deliver
+        host.handler = respond_ok
         await asyncio.sleep(1.0)
         await w.start()
         if goes:
-            await w.until(lambda: host.ids == ["m", "m"])
+            await w.wait_until(lambda: host.request_ids == ["m", "m"])
         else:
-            await w.until(lambda: w.notices == [failed("m")])
-            assert host.ids == ["m"]
+            await w.wait_until(lambda: w.status_reports == [undeliverable_report("m")])
+            assert host.request_ids == ["m"]
 
     alarm = {**ALARM, "window": window * 1_000_000}
-    run(scenario, tmp_path, classes=[*SETTINGS["classes"], alarm])
+    run_scenario(scenario, tmp_path, classes=[*SETTINGS["classes"], alarm])
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
 def test_with_batches_out_and_every_second_host_hanging(tmp_path: Path, number: signal.Signals) -> None:
     """Each message has one end, and what must not run twice runs once."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         runs: list[str] = []
 
         async def works(request: Request) -> bytes | None:
             ids = [row["id"] for row in json.loads(request.body)]
             runs.extend(ids)
-            w.bump()
+            w.notify_changed()
             await asyncio.sleep(0.02)
-            return reply(200, json.dumps([{"id": name, "state": "delivered"} for name in ids]).encode())
+            return format_response(
+                200, json.dumps([{"id": name, "state": "delivered"} for name in ids]).encode()
+            )
 
         async def hangs(request: Request) -> bytes | None:
             runs.extend(row["id"] for row in json.loads(request.body))
-            w.bump()
-            return await never(request)
+            w.notify_changed()
+            return await never_respond(request)
 
         for i in range(4):
-            await w.host(hangs if i % 2 else works, dest=1 + i // 2, kind="bulk")
+            await w.start_host(hangs if i % 2 else works, destination=1 + i // 2, flavor="bulk")
         await w.start()
         assert w.process is not None
         taken = []
         for i in range(40):
             of = ("order", "status")[i % 2]
-            if await w.hand_in(f"{of}{i}", of, 1 + i // 2 % 2, path=f"/{of}/{of}{i}") == 202:
+            if await w.submit(f"{of}{i}", of, 1 + i // 2 % 2, path=f"/{of}/{of}{i}") == 202:
                 taken.append(f"{of}{i}")
-        await w.until(lambda: len(runs) >= 4)
-        await w.end(number)
-        for host in w.peers:
-            if host.script is hangs:
-                host.script = works
+        await w.wait_until(lambda: len(runs) >= 4)
+        await w.stop(number)
+        for host in w.servers:
+            if host.handler is hangs:
+                host.handler = works
         await w.start()
-        await w.until(lambda: set(taken) <= set(runs) | {notice["id"] for notice in w.notices})
+        await w.wait_until(lambda: set(taken) <= set(runs) | {notice["id"] for notice in w.status_reports})
         orders = [name for name in taken if name.startswith("order")]
         assert all(runs.count(name) <= 1 for name in orders)
-        assert all(notice["status"] == "undeliverable" for notice in w.notices)
+        assert all(notice["status"] == "undeliverable" for notice in w.status_reports)
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_a_client_comes_again_at_once_at_the_same_relay_and_at_another(tmp_path: Path) -> None:
     """An id that one relay has is taken on there once, over its restart too; another knows nothing of it."""
 
-    async def scenario(w: World) -> None:
-        w.name()
+    async def scenario(w: RelayHarness) -> None:
+        w.add_unavailable_destination()
         await w.start()
-        assert await w.hand_in("m", "order") == 202
+        assert await w.submit("m", "order") == 202
         await w.kill()
         await w.start()
-        assert await w.hand_in("m", "order") == 202
+        assert await w.submit("m", "order") == 202
         (tmp_path / "other").mkdir()
-        async with World(tmp_path / "other") as other:
-            there = await other.host(deliver)
+        async with RelayHarness(tmp_path / "other") as other:
+            there = await other.start_host(respond_ok)
             await other.start()
-            assert await other.hand_in("m", "order", Client_Retry="again") == 202
-            await other.until(lambda: there.ids == ["m"])
-        w.members.clear()
-        host = await w.host(deliver)
-        await w.until(lambda: host.ids == ["m"])
-        assert await w.hand_in("after", "order") == 202
-        await w.until(lambda: host.ids == ["m", "after"])
+            assert await other.submit("m", "order", Client_Retry="again") == 202
+            await other.wait_until(lambda: there.request_ids == ["m"])
+        w.endpoints.clear()
+        host = await w.start_host(respond_ok)
+        await w.wait_until(lambda: host.request_ids == ["m"])
+        assert await w.submit("after", "order") == 202
+        await w.wait_until(lambda: host.request_ids == ["m", "after"])
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_ready_in_time_with_sixty_thousand_old_records_and_a_full_share(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         w.limits["disk_mb"] = 40
         about = MessageClass(
             "order", DeliverySemantics.AT_MOST_ONCE, None, None, 3_000_000, 600_000_000, 3.0, 0.5, True
@@ -175,11 +186,11 @@
         journal.close()
         full = tmp_path / "state" / "other"
         full.write_bytes(b"\0" * (w.limits["disk_mb"] * 1_000_000 - journal.disk_usage()))
-        host = await w.host(deliver)
+        host = await w.start_host(respond_ok)
         began = time.monotonic()
         await w.start()
-        assert await w.hand_in("old59999", "order") == 200  # it is known
+        assert await w.submit("old59999", "order") == 200  # it is known
         assert time.monotonic() - began < READY
         assert not host.requests
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/program/test_restarts.py
+++ b/tests/program/test_restarts.py
@@ -7,171 +7,177 @@
 from pathlib import Path
 
 from tests.standins.platform import (
-    HANG,
+    TEST_TIMEOUT_S,
+    RelayHarness,
     Request,
-    World,
-    deliver,
-    failed,
-    message,
-    never,
-    read_message,
-    reply,
-    run,
+    format_response,
+    format_submission,
+    never_respond,
+    read_response,
+    respond_ok,
+    run_scenario,
+    undeliverable_report,
 )
 
 
 def test_killed_while_a_call_is_out(tmp_path: Path) -> None:
     """The call may have run: what is unsafe must fail and not go again; what is safe goes again."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(never)
-        other = await w.host(never, dest=2)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(never_respond)
+        other = await w.start_host(never_respond, destination=2)
         await w.start()
-        assert await w.hand_in("once", "order") == 202
-        assert await w.hand_in("safe", dest=2) == 202
-        await w.until(lambda: host.ids == ["once"] and other.ids == ["safe"])
-        host.script = other.script = deliver
+        assert await w.submit("once", "order") == 202
+        assert await w.submit("safe", destination=2) == 202
+        await w.wait_until(lambda: host.request_ids == ["once"] and other.request_ids == ["safe"])
+        host.handler = other.handler = respond_ok
         await w.restart()
-        await w.until(lambda: w.notices == [failed("once")] and other.ids == ["safe", "safe"])
-        assert host.ids == ["once"]
+        await w.wait_until(
+            lambda: (
+                w.status_reports == [undeliverable_report("once")] and other.request_ids == ["safe", "safe"]
+            )
+        )
+        assert host.request_ids == ["once"]
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_killed_before_any_attempt_keeps_the_order_of_a_key(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        w.name()
+    async def scenario(w: RelayHarness) -> None:
+        w.add_unavailable_destination()
         await w.start()
         names = [f"m{i}" for i in range(9)]
         for name in names:
-            assert await w.hand_in(name, "order") == 202
+            assert await w.submit(name, "order") == 202
         await w.kill()
-        host = await w.host(deliver)
+        host = await w.start_host(respond_ok)
         await w.start()
-        assert await w.hand_in("last", "order") == 202
-        await w.until(lambda: len(host.ids) == 10)
-        assert host.ids == [*names, "last"]
+        assert await w.submit("last", "order") == 202
+        await w.wait_until(lambda: len(host.request_ids) == 10)
+        assert host.request_ids == [*names, "last"]
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_killed_before_its_notice_was_heard(tmp_path: Path) -> None:
     """The end was decided: after the restart it is told again, and the message does not go again."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         async def hear(request: Request) -> bytes | None:
-            return reply(503)
+            return format_response(503)
 
         async def script(request: Request) -> bytes | None:
-            return reply(500) if request.id == "m1" else reply(200)
+            return format_response(500) if request.id == "m1" else format_response(200)
 
-        w.hear = hear
-        host = await w.host(script)
+        w.report_handler = hear
+        host = await w.start_host(script)
         await w.start()
-        assert await w.hand_in("m1", "order") == 202
-        assert await w.hand_in("m2", "order") == 202
-        await w.until(lambda: any(r.target == "/reports" for r in w.discovery.requests))
+        assert await w.submit("m1", "order") == 202
+        assert await w.submit("m2", "order") == 202
+        await w.wait_until(lambda: any(r.target == "/reports" for r in w.discovery.requests))
         await w.kill()
-        w.hear = None
+        w.report_handler = None
         await w.start()
-        await w.until(lambda: host.ids == ["m1", "m2"])  # m2 goes once the end of m1 is heard
-        assert w.notices == [failed("m1")]
+        await w.wait_until(lambda: host.request_ids == ["m1", "m2"])  # m2 goes once the end of m1 is heard
+        assert w.status_reports == [undeliverable_report("m1")]
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_what_is_over_stays_over_after_a_kill(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
         for name in ("m1", "m2"):
-            assert await w.hand_in(name, "order") == 202
-        await w.until(lambda: host.ids == ["m1", "m2"])  # so m1 is over, and m2 may be
-        assert await w.hand_in("m3", "order") == 202
-        await w.until(lambda: len(host.ids) == 3)
+            assert await w.submit(name, "order") == 202
+        await w.wait_until(lambda: host.request_ids == ["m1", "m2"])  # so m1 is over, and m2 may be
+        assert await w.submit("m3", "order") == 202
+        await w.wait_until(lambda: len(host.request_ids) == 3)
         await w.restart()
-        assert await w.hand_in("m4", "order") == 202
-        await w.until(lambda: "m4" in host.ids)
-        assert host.ids == ["m1", "m2", "m3", "m4"]
+        assert await w.submit("m4", "order") == 202
+        await w.wait_until(lambda: "m4" in host.request_ids)
+        assert host.request_ids == ["m1", "m2", "m3", "m4"]
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_a_deadline_that_passed_while_the_relay_was_down(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        w.name()
+    async def scenario(w: RelayHarness) -> None:
+        w.add_unavailable_destination()
         await w.start()
-        assert await w.hand_in("late", Request_Timeout_Ms="1") in (202, 500)
-        assert await w.hand_in("m", Request_Timeout_Ms="400") == 202
+        assert await w.submit("late", Request_Timeout_Ms="1") in (202, 500)
+        assert await w.submit("m", Request_Timeout_Ms="400") == 202
         await w.restart()
-        await w.until(lambda: failed("m") in w.notices)
+        await w.wait_until(lambda: undeliverable_report("m") in w.status_reports)
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_sigterm_ends_in_order_under_load(tmp_path: Path) -> None:
     """Clients go on using their connections: they are served to the last; calls out may finish."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         released = asyncio.Event()
 
         async def script(request: Request) -> bytes | None:
             await released.wait()
-            return reply(200)
+            return format_response(200)
 
-        host = await w.host(script)
-        other = await w.host(deliver, dest=3)
-        w.name(7)
+        host = await w.start_host(script)
+        other = await w.start_host(respond_ok, destination=3)
+        w.add_unavailable_destination(7)
         await w.start()
-        assert await w.hand_in("out", "order") == 202
+        assert await w.submit("out", "order") == 202
         for i in range(5):
-            assert await w.hand_in(f"m{i}", dest=7) == 202  # of a destination that takes nothing yet
-        await w.until(lambda: host.ids == ["out"])
+            assert await w.submit(f"m{i}", destination=7) == 202  # of a destination that takes nothing yet
+        await w.wait_until(lambda: host.request_ids == ["out"])
         assert w.process is not None
         w.process.send_signal(signal.SIGTERM)
         reader, writer = await asyncio.open_connection(*w.address)
         for name in ("new", "held"):  # one that is still begun, one that is only kept for the next start
-            writer.write(message(name, dest=3 if name == "new" else 7))
-            start, headers, _ = await read_message(reader)
+            writer.write(format_submission(name, destination=3 if name == "new" else 7))
+            start, headers, _ = await read_response(reader)
             assert start.startswith("HTTP/1.1 202")
             assert "connection" not in headers
-            await w.until(lambda: other.ids == ["new"] and any("no new attempts" in line for line in w.log))
+            await w.wait_until(
+                lambda: other.request_ids == ["new"] and any("no new attempts" in line for line in w.log)
+            )
         released.set()
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await reader.read() == b""
             assert await w.process.wait() == 0
-        later = await w.host(deliver, dest=7)
+        later = await w.start_host(respond_ok, destination=7)
         await w.start()
-        await w.until(lambda: sorted(later.ids) == ["held", *(f"m{i}" for i in range(5))])
-        assert (host.ids, other.ids) == (["out"], ["new"])
-        assert not w.notices
+        await w.wait_until(lambda: sorted(later.request_ids) == ["held", *(f"m{i}" for i in range(5))])
+        assert (host.request_ids, other.request_ids) == (["out"], ["new"])
+        assert not w.status_reports
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_what_ran_out_of_time_meanwhile_is_told_before_clients_come(tmp_path: Path) -> None:
     """Overdue ends are not owed while a relay is not ready; one that listens first owes them at once."""
 
-    async def scenario(w: World) -> None:
-        w.name(2)
+    async def scenario(w: RelayHarness) -> None:
+        w.add_unavailable_destination(2)
         await w.start()
         for i in range(5):
-            assert await w.hand_in(f"m{i}", dest=2, Request_Timeout_Ms="500") == 202
+            assert await w.submit(f"m{i}", destination=2, Request_Timeout_Ms="500") == 202
         await w.kill()
-        heard = {notice["id"] for notice in w.notices}
+        heard = {notice["id"] for notice in w.status_reports}
         await asyncio.sleep(0.6)
         w.log.clear()
         seen: list[int] = []
-        hear = w.hear
+        hear = w.report_handler
 
         async def report(request: Request) -> bytes:
             seen.append(sum("listens on" in line for line in w.log))
             return b""
 
         assert hear is None
-        w.hear = report
+        w.report_handler = report
         await w.start()
-        assert {notice["id"] for notice in w.notices} == {f"m{i}" for i in range(5)}
+        assert {notice["id"] for notice in w.status_reports} == {f"m{i}" for i in range(5)}
         assert len(heard) == 5 or (seen and not any(seen))
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/program/test_size.py
+++ b/tests/program/test_size.py
@@ -9,7 +9,7 @@
 from loftrelay.gossip.operator_overrides import OperatorOverride, Overrides
 from loftrelay.gossip.settings import load_gossip_settings
 from loftrelay.service.override_file import MAX_FILE_BYTES
-from tests.standins.platform import SETTINGS, World, deliver, run
+from tests.standins.platform import SETTINGS, RelayHarness, respond_ok, run_scenario
 
 MANY = 1_024
 
@@ -17,26 +17,26 @@
 def test_a_list_of_a_thousand_servers(tmp_path: Path) -> None:
     """It starts, serves each of them, and hears of all once more while it serves."""
 
-    async def scenario(w: World) -> None:
-        host = await w.peer(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_server(respond_ok)
         for n in range(MANY):
-            w.list_host(n // 2 + 1, ["plain", "bulk"][n % 2], "Ready", host.address)
+            w.add_endpoint(n // 2 + 1, ["plain", "bulk"][n % 2], "Ready", host.address)
         w.limits = {"sockets": 128, "memory_mb": 80, "disk_mb": 3}
         await w.start()
         assert w.process is not None
         of = Path(f"/proc/{w.process.pid}")
         for n in range(0, MANY // 2, 4):
-            assert await w.hand_in(f"m{n}", dest=n + 1) == 202
+            assert await w.submit(f"m{n}", destination=n + 1) == 202
             assert len(list((of / "fd").iterdir())) <= 128
             if n == MANY // 4:
                 w.revision += 1  # the whole list comes again
-                w.bump()
-        await w.until(lambda: host.answered == MANY // 8)
+                w.notify_changed()
+        await w.wait_until(lambda: host.response_count == MANY // 8)
         assert len({r.id for r in host.requests}) == MANY // 8
         (peak,) = [line for line in (of / "status").read_text().splitlines() if line.startswith("VmHWM")]
         assert int(peak.split()[1]) < 80_000  # KB
 
-    run(scenario, tmp_path, peers_total=MANY)
+    run_scenario(scenario, tmp_path, peers_total=MANY)
 
 
 def test_a_fleet_of_a_thousand_relays(tmp_path: Path) -> None:
@@ -53,11 +53,13 @@
 
 @pytest.mark.parametrize("name", ["classes", "tenants"])
 def test_what_the_settings_list_has_no_bound(tmp_path: Path, name: str) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
-        assert await w.hand_in("m") == 202
-        await w.until(lambda: host.ids == ["m"])
+        assert await w.submit("m") == 202
+        await w.wait_until(lambda: host.request_ids == ["m"])
 
     first = SETTINGS[name][0]
-    run(scenario, tmp_path, **{name: [*SETTINGS[name], *({**first, "name": f"x{n}"} for n in range(MANY))]})
+    run_scenario(
+        scenario, tmp_path, **{name: [*SETTINGS[name], *({**first, "name": f"x{n}"} for n in range(MANY))]}
+    )
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -13,57 +13,67 @@
 
 from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.program.test_record import until, with_store
-from tests.standins.platform import HANG, Peer, Request, World, deliver, failed, message, reply, run
+from tests.standins.platform import (
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    Request,
+    StubServer,
+    format_response,
+    format_submission,
+    respond_ok,
+    run_scenario,
+    undeliverable_report,
+)
 from tests.standins.registries import Registries
 
 GRACE = 2.0  # seconds after which a drain binds
 
-Scenario = Callable[[World, Registries], Awaitable[None]]
+Scenario = Callable[[RelayHarness, Registries], Awaitable[None]]
 
 
 def play(scenario: Scenario, folder: Path, number: int = 2, **subscription: Any) -> None:
-    async def main(w: World) -> None:
+    async def main(w: RelayHarness) -> None:
         # A busy machine may take long to answer a first message; where one is to be refused, it is said.
         async with Registries(w, number, **{"wait_ms": 10_000, **subscription}) as registries:
             await scenario(w, registries)
 
-    run(main, folder)
+    run_scenario(main, folder)
 
 
-def change(w: World, host: int, phase: str) -> None:
+def change(w: RelayHarness, host: int, phase: str) -> None:
     """Of the host that was listed as so many."""
-    w.members[host] = {**w.members[host], "phase": phase}
+    w.endpoints[host] = {**w.endpoints[host], "phase": phase}
     w.revision += 1
-    w.bump()
+    w.notify_changed()
 
 
-async def refused(w: World, name: str, dest: int = 1) -> str:
+async def refused(w: RelayHarness, name: str, dest: int = 1) -> str:
     """When to come back, as a refusal says."""
-    status, headers, _ = await w.ask(message(name, dest=dest))
+    status, headers, _ = await w.send(format_submission(name, destination=dest))
     assert status == 503
     return headers["retry-after"]
 
 
-async def served_by(w: World, hosts: list[Peer], name: str, dest: int = 1) -> int:
+async def served_by(w: RelayHarness, hosts: list[StubServer], name: str, dest: int = 1) -> int:
     """Hands a message in until it is taken: the host that it went to."""
-    await w.hand_in_once_listed(name, dest)
-    await w.until(lambda: any(name in host.ids for host in hosts))
-    return next(number for number, host in enumerate(hosts) if name in host.ids)
+    await w.submit_once_listed(name, dest)
+    await w.wait_until(lambda: any(name in host.request_ids for host in hosts))
+    return next(number for number, host in enumerate(hosts) if name in host.request_ids)
 
 
 def test_a_relay_holds_what_it_serves_and_no_more(tmp_path: Path) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
+        host = await w.start_host(respond_ok)
         for dest in range(2, 202):
-            w.name(dest)
+            w.add_unavailable_destination(dest)
         await w.start()
         assert any("known list ignored" in line for line in w.log)
         assert await registries.metric("slices_held") == 0
-        assert await asyncio.gather(*(w.hand_in(f"m{n}") for n in range(5))) == [202] * 5
-        await w.until(lambda: host.answered == 5)
+        assert await asyncio.gather(*(w.submit(f"m{n}") for n in range(5))) == [202] * 5
+        await w.wait_until(lambda: host.response_count == 5)
         assert await registries.metric("slices_held") == 1 == await registries.metric("discovered")
         assert await refused(w, "nobody", dest=900) == "1"
-        more = await w.host(deliver, dest=900)
+        more = await w.start_host(respond_ok, destination=900)
         assert await served_by(w, [more], "somebody", dest=900) == 0
         assert not [r for r in w.discovery.requests if r.target == "/reports"]
         known = {r.target.partition("?")[0] for r in w.discovery.requests}
@@ -73,8 +83,8 @@
 
 
 def test_first_messages_go_out_in_the_order_in_which_they_came(tmp_path: Path) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
         for address in registries.addresses:
             await registries.suspend(address)
@@ -82,25 +92,25 @@
         for number in range(8):
             reader, writer = await asyncio.open_connection(*w.address)
             writers.append((reader, writer))
-            writer.write(message(f"m{number}", "order"))
+            writer.write(format_submission(f"m{number}", "order"))
             await registries.wait_for_metric(
                 "slices_parked", number + 1
             )  # read before the next one is written
-        assert await w.hand_in("m0", "order") == 409  # that id is open
+        assert await w.submit("m0", "order") == 409  # that id is open
         reader, writer = writers.pop(3)
         writer.write_eof()  # its client leaves
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await reader.read() == b""
         writer.close()
         assert await registries.metric("slices_parked") == 7
         for address in registries.addresses:
             registries.resume(address)
         for reader, writer in writers:
-            async with asyncio.timeout(HANG):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 202")
             writer.close()
-        await w.until(lambda: host.answered == 7)
-        assert host.ids == [f"m{number}" for number in range(8) if number != 3]
+        await w.wait_until(lambda: host.response_count == 7)
+        assert host.request_ids == [f"m{number}" for number in range(8) if number != 3]
 
     play(scenario, tmp_path)
 
@@ -109,8 +119,11 @@
 def test_a_first_message_while_all_registries_are_away(tmp_path: Path, how: str) -> None:
     """Refused in the time set, told when to come back; what is held goes on being served."""
 
-    async def scenario(w: World, registries: Registries) -> None:
-        known, other = await w.host(deliver, dest=1), await w.host(deliver, dest=2)
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
+        known, other = (
+            await w.start_host(respond_ok, destination=1),
+            await w.start_host(respond_ok, destination=2),
+        )
         await w.start()
         assert await served_by(w, [known], "before") == 0
         for address in registries.addresses:
@@ -118,16 +131,16 @@
         began = time.monotonic()
         assert await refused(w, "first", dest=2) == "1"
         assert time.monotonic() - began >= 0.2
-        assert await w.hand_in("held") == 202  # its destination is held
-        await w.until(lambda: "held" in known.ids)
+        assert await w.submit("held") == 202  # its destination is held
+        await w.wait_until(lambda: "held" in known.request_ids)
         for address in registries.addresses:
             if how == "dead":
                 await registries.start(address)
             else:
                 registries.resume(address)
         assert await served_by(w, [other], "again", dest=2) == 0
-        assert other.ids == ["again"]
-        assert not w.notices
+        assert other.request_ids == ["again"]
+        assert not w.status_reports
 
     play(scenario, tmp_path, wait_ms=200)
 
@@ -136,76 +149,76 @@
     """It serves all the same: what it held is taken up and goes out once a registry tells where; what comes
     is refused; and what runs out of time meanwhile is told."""
 
-    async def scenario(w: World, registries: Registries) -> None:
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
         async def not_now(request: Request) -> bytes:
-            return reply(503)
+            return format_response(503)
 
-        host = await w.host(not_now)
+        host = await w.start_host(not_now)
         await w.start()
-        await w.hand_in_once_listed("m0", 1)
+        await w.submit_once_listed("m0", 1)
         for number in (1, 2):
-            assert await w.hand_in(f"m{number}", "order", path=f"/order/k{number}") == 202
-        assert await w.hand_in("short", Request_Timeout_Ms="3000") == 202
+            assert await w.submit(f"m{number}", "order", path=f"/order/k{number}") == 202
+        assert await w.submit("short", Request_Timeout_Ms="3000") == 202
         for address in registries.addresses:
             await registries.kill(address)
         await w.restart()
         assert await refused(w, "new", dest=1) == "1"
-        await w.until(lambda: [n["id"] for n in w.notices] == ["short"])
+        await w.wait_until(lambda: [n["id"] for n in w.status_reports] == ["short"])
         host.requests.clear()
-        host.script = deliver
+        host.handler = respond_ok
         await registries.start(registries.addresses[0])
-        await w.until(lambda: sorted(host.ids) == ["m0", "m1", "m2"])
-        await w.until(lambda: host.answered >= 3)
+        await w.wait_until(lambda: sorted(host.request_ids) == ["m0", "m1", "m2"])
+        await w.wait_until(lambda: host.response_count >= 3)
 
     play(scenario, tmp_path, wait_ms=200)
 
 
 def test_a_change_made_while_a_relay_restarts(tmp_path: Path) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
         async def not_now(request: Request) -> bytes:
-            return reply(503)
+            return format_response(503)
 
-        old, new = await w.host(not_now), await w.peer(deliver)
+        old, new = await w.start_host(not_now), await w.start_server(respond_ok)
         await w.start()
-        assert await w.hand_in("m") == 202
-        await w.until(lambda: old.answered > 0)
+        assert await w.submit("m") == 202
+        await w.wait_until(lambda: old.response_count > 0)
         await w.kill()
         old.requests.clear()
         change(w, 0, "Gone")
-        w.list_host(1, "plain", "Ready", new.address)
+        w.add_endpoint(1, "plain", "Ready", new.address)
         await w.start()
-        await w.until(lambda: new.ids == ["m"])
+        await w.wait_until(lambda: new.request_ids == ["m"])
         assert await served_by(w, [new], "n") == 0
-        assert not old.ids
+        assert not old.request_ids
 
     play(scenario, tmp_path)
 
 
-async def drained(w: World, hosts: list[Peer], told_at: float) -> float:
+async def drained(w: RelayHarness, hosts: list[StubServer], told_at: float) -> float:
     """Messages go on until long after the grace: when the last one came to the first host, in seconds after
     `told_at`."""
     last, number, taken = 0.0, 0, ""
     while time.monotonic() < told_at + GRACE + 1.5:
         number += 1
-        before = len(hosts[0].ids)
-        if await w.hand_in(f"after{number}") == 202:
+        before = len(hosts[0].request_ids)
+        if await w.submit(f"after{number}") == 202:
             taken = f"after{number}"
-        if len(hosts[0].ids) > before:
+        if len(hosts[0].request_ids) > before:
             last = time.monotonic() - told_at
-    await w.until(lambda: taken in hosts[1].ids + hosts[0].ids)
+    await w.wait_until(lambda: taken in hosts[1].request_ids + hosts[0].request_ids)
     assert number > 20
-    assert taken not in hosts[0].ids
+    assert taken not in hosts[0].request_ids
     return last
 
 
 def test_a_drain_is_told_through_a_registry_within_its_grace(tmp_path: Path) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
-        hosts = [await w.host(deliver), await w.host(deliver)]
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
+        hosts = [await w.start_host(respond_ok), await w.start_host(respond_ok)]
         await w.start()
         number = 0
-        while not all(host.ids for host in hosts):
+        while not all(host.request_ids for host in hosts):
             number += 1
-            await w.hand_in_once_listed(f"before{number}", 1)
+            await w.submit_once_listed(f"before{number}", 1)
         told_at = time.monotonic()
         change(w, 0, "Terminating")
         assert await drained(w, hosts, told_at) < GRACE
@@ -218,36 +231,36 @@
     """In the midst of a watch. One that stands still is left once its watch is overdue, and what it tells as
     it wakes up does no harm."""
 
-    async def scenario(w: World, registries: Registries) -> None:
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
         first, second = registries.order()
-        hosts = [await w.host(deliver), await w.host(deliver)]
+        hosts = [await w.start_host(respond_ok), await w.start_host(respond_ok)]
         await w.start()
         number = 0
-        while not all(host.ids for host in hosts):
+        while not all(host.request_ids for host in hosts):
             number += 1
-            await w.hand_in_once_listed(f"before{number}", 1)
+            await w.submit_once_listed(f"before{number}", 1)
         assert await registries.metric("slices_registry") == 0
         await (registries.kill(first) if how == "dead" else registries.suspend(first))
         change(w, 0, "Terminating")
         await registries.wait_for_metric("slices_moved", 1)
         assert any(f"registry {first} does not answer" in line for line in w.log)
         # The first change at the next registry tells it, and the watch begins after that.
-        await w.until(
+        await w.wait_until(
             lambda: any(f"registry {second} serves this relay's destinations" in line for line in w.log)
         )
         hosts[0].requests.clear()
         for number in range(10):
-            assert await w.hand_in(f"after{number}") == 202
-        await w.until(lambda: sum(name.startswith("after") for name in hosts[1].ids) == 10)
+            assert await w.submit(f"after{number}") == 202
+        await w.wait_until(lambda: sum(name.startswith("after") for name in hosts[1].request_ids) == 10)
         if how == "stopped":
             registries.resume(first)
         else:
             await registries.start(first)
         change(w, 1, "Terminating")
-        third = await w.host(deliver)
-        while "last" not in third.ids:
-            await w.hand_in("last")
-        assert not hosts[0].ids
+        third = await w.start_host(respond_ok)
+        while "last" not in third.request_ids:
+            await w.submit("last")
+        assert not hosts[0].request_ids
         assert await registries.metric("slices_registry") == 1
 
     play(scenario, tmp_path)
@@ -257,43 +270,43 @@
 def test_a_destination_that_empties_and_a_host_that_comes_back(tmp_path: Path, sliced: bool) -> None:
     """With registries as without: what is held, and what comes while it is in use, waits for a host."""
 
-    async def scenario(w: World, registries: Registries) -> None:
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
         async def not_now(request: Request) -> bytes:
-            return reply(503)
+            return format_response(503)
 
         if not sliced:
             w.arguments = []
-        host = await w.host(not_now)
+        host = await w.start_host(not_now)
         await w.start()
-        assert await w.hand_in("held") == 202
-        await w.until(lambda: host.answered > 0)
+        assert await w.submit("held") == 202
+        await w.wait_until(lambda: host.response_count > 0)
         change(w, 0, "Gone")
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while await registries.metric("discovered"):
                 await asyncio.sleep(0.01)
         host.requests.clear()
-        assert await w.hand_in("meanwhile") == 202
-        assert await w.hand_in("short", Request_Timeout_Ms="500") in (202, 503)
-        back = await w.host(deliver)
-        await w.until(lambda: {"held", "meanwhile"} <= set(back.ids))
+        assert await w.submit("meanwhile") == 202
+        assert await w.submit("short", Request_Timeout_Ms="500") in (202, 503)
+        back = await w.start_host(respond_ok)
+        await w.wait_until(lambda: {"held", "meanwhile"} <= set(back.request_ids))
         assert await served_by(w, [back], "new") == 0
-        assert not host.ids
-        assert {notice["id"] for notice in w.notices} <= {"short"}
+        assert not host.request_ids
+        assert {notice["id"] for notice in w.status_reports} <= {"short"}
 
     play(scenario, tmp_path)
 
 
 def test_one_that_emptied_and_was_let_go_is_refused_as_an_unlisted_one(tmp_path: Path) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
         assert await served_by(w, [host], "before") == 0
         change(w, 0, "Gone")
         await registries.wait_for_metric("slices_let_go", 1)
         assert await refused(w, "new") == "1"
-        back = await w.host(deliver)
+        back = await w.start_host(respond_ok)
         assert await served_by(w, [back], "again") == 0
-        assert host.ids == ["before"]
+        assert host.request_ids == ["before"]
 
     play(scenario, tmp_path, idle_s=1)
 
@@ -301,36 +314,36 @@
 def test_of_two_registries_that_disagree_the_later_revision_holds(tmp_path: Path) -> None:
     """One of them hears an older discovery. The relay stays with what it knows, and says so."""
 
-    async def scenario(w: World, registries: Registries) -> None:
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
         first, second = registries.order()
-        old = await w.host(deliver)
-        members, revision = list(w.members), w.revision
-        behind = await w.peer(w.discover)
+        old = await w.start_host(respond_ok)
+        members, revision = list(w.endpoints), w.revision
+        behind = await w.start_server(w.handle_discovery_request)
 
         async def stale(request: Request) -> bytes | None:
             if "index=" in request.target:
                 await asyncio.sleep(0.2)
             told = {"revision": revision, "complete": True, "members": members}
-            return reply(200, json.dumps(told).encode())
+            return format_response(200, json.dumps(told).encode())
 
-        behind.script = stale
+        behind.handler = stale
         await registries.kill(second)
         await registries.start(second, discovery=behind.address)
         change(w, 0, "Gone")
-        new = await w.host(deliver)
+        new = await w.start_host(respond_ok)
         await w.start()
         assert await served_by(w, [new], "before") == 0
         await registries.kill(first)
         await registries.wait_for_metric("slices_older", 1)
         assert any(f"registry {second} has an older revision" in line for line in w.log)
-        assert await w.hand_in("after") == 202
-        await w.until(lambda: "after" in new.ids)
+        assert await w.submit("after") == 202
+        await w.wait_until(lambda: "after" in new.request_ids)
         await registries.start(first)
-        third = await w.host(deliver)
+        third = await w.start_host(respond_ok)
         change(w, 1, "Gone")
-        while "last" not in third.ids:
-            await w.hand_in("last")
-        assert not old.ids
+        while "last" not in third.request_ids:
+            await w.submit("last")
+        assert not old.request_ids
 
     play(scenario, tmp_path)
 
@@ -338,43 +351,43 @@
 def test_a_destination_is_let_go_when_nothing_of_it_is_held_and_its_told_wait_binds_when_it_returns(
     tmp_path: Path,
 ) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
         let = asyncio.Event()
 
         async def script(request: Request) -> bytes:
             if request.id == "out":
                 await let.wait()
-                return reply(200, X_Come_Back_Ms="30000")
-            return reply(200)
+                return format_response(200, X_Come_Back_Ms="30000")
+            return format_response(200)
 
-        host = await w.host(script)
+        host = await w.start_host(script)
         await w.start()
-        assert await w.hand_in("out", "order") == 202
-        await w.until(lambda: host.ids == ["out"])
-        assert await w.hand_in("in-line", "order", Request_Timeout_Ms="4000") == 202
+        assert await w.submit("out", "order") == 202
+        await w.wait_until(lambda: host.request_ids == ["out"])
+        assert await w.submit("in-line", "order", Request_Timeout_Ms="4000") == 202
         assert await registries.metric("slices_held") == 1
         await asyncio.sleep(2.5)  # idle for longer than what is set: it must not be let go
         assert await registries.metric("slices_let_go") == 0
-        assert host.ids == ["out"]
+        assert host.request_ids == ["out"]
         let.set()
-        await w.until(lambda: [notice["id"] for notice in w.notices] == ["in-line"])
+        await w.wait_until(lambda: [notice["id"] for notice in w.status_reports] == ["in-line"])
         await registries.wait_for_metric("slices_let_go", 1)
         assert await registries.metric("slices_held") == 0 == await registries.metric("discovered")
         number, held = 0, 0
         while not held:  # a busy machine may let the time pass for which a first message waits
             number += 1
-            assert await w.hand_in(f"again{number}") == 503
+            assert await w.submit(f"again{number}") == 503
             held = await registries.metric("slices_held")
-        assert await w.hand_in("last") == 503
-        assert host.ids == ["out"]
+        assert await w.submit("last") == 503
+        assert host.request_ids == ["out"]
 
     play(scenario, tmp_path, idle_s=1)
 
 
 def test_the_next_process_goes_on_with_the_slice(tmp_path: Path) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
         w.share_listener()
-        hosts = [await w.host(deliver, dest=dest) for dest in (1, 2)]
+        hosts = [await w.start_host(respond_ok, destination=dest) for dest in (1, 2)]
         await w.start()
         for dest in (1, 2):
             assert await served_by(w, [hosts[dest - 1]], f"before{dest}", dest) == 0
@@ -383,17 +396,17 @@
         assert await registries.metric("slices_cells") == 0  # nothing was told whole again
         for address in registries.addresses:
             await registries.kill(address)
-        assert await w.hand_in("after1", dest=1) == 202
-        assert await w.hand_in("after2", dest=2) == 202
-        await w.until(lambda: "after1" in hosts[0].ids and "after2" in hosts[1].ids)
+        assert await w.submit("after1", destination=1) == 202
+        assert await w.submit("after2", destination=2) == 202
+        await w.wait_until(lambda: "after1" in hosts[0].request_ids and "after2" in hosts[1].request_ids)
 
     play(scenario, tmp_path)
 
 
 def test_a_process_without_registries_that_follows_asks_for_the_whole_list(tmp_path: Path) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
         w.share_listener()
-        hosts = [await w.host(deliver, dest=dest) for dest in (1, 2)]
+        hosts = [await w.start_host(respond_ok, destination=dest) for dest in (1, 2)]
         await w.start()
         assert await served_by(w, hosts[:1], "before") == 0
         w.arguments = []
@@ -405,62 +418,62 @@
 
 
 def test_beside_a_store_of_record_what_was_held_goes_on_after_a_restart(tmp_path: Path) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
         async def not_now(request: Request) -> bytes:
-            return reply(503)
+            return format_response(503)
 
         subscription = w.arguments
         path = with_store(w)
         w.arguments = [*subscription, *w.arguments]
-        host = await w.host(not_now)
+        host = await w.start_host(not_now)
         await w.start()
-        await w.hand_in_once_listed("m0", 1)
+        await w.submit_once_listed("m0", 1)
         for number in (1, 2):
-            assert await w.hand_in(f"m{number}", "order") == 202
+            assert await w.submit(f"m{number}", "order") == 202
         await w.restart()
-        host.script = deliver
+        host.handler = respond_ok
         found = await until(path, ["m0", "m1", "m2"], RecordState.REPORTED)
         assert {found[name].final_status for name in ("m0", "m1", "m2")} == {StoredFinalStatus.DELIVERED}
-        orders = [name for name in dict.fromkeys(reversed(host.ids)) if name != "m0"]
+        orders = [name for name in dict.fromkeys(reversed(host.request_ids)) if name != "m0"]
         assert orders == ["m2", "m1"]
-        assert not w.notices
+        assert not w.status_reports
 
     play(scenario, tmp_path)
 
 
 def test_a_reload_that_moves_discovery_moves_notices_alone(tmp_path: Path) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
         async def no(request: Request) -> bytes:
-            return reply(500)
+            return format_response(500)
 
-        host = await w.host(no)
+        host = await w.start_host(no)
         await w.start()
         changes = await registries.metric("slices_changes")
-        new = await w.peer(w.discover)
-        w.configure(new.address)
+        new = await w.start_server(w.handle_discovery_request)
+        w.write_config(new.address)
         w.reload()
-        await w.until(lambda: any("discovery moves" in line for line in w.log))
-        assert await w.hand_in("m", "order") == 202
-        await w.until(lambda: w.notices == [failed("m")])
+        await w.wait_until(lambda: any("discovery moves" in line for line in w.log))
+        assert await w.submit("m", "order") == 202
+        await w.wait_until(lambda: w.status_reports == [undeliverable_report("m")])
         assert {r.target for r in new.requests} == {"/reports"}
-        assert host.ids
+        assert host.request_ids
         assert await registries.metric("slices_changes") == changes + 1  # the first message's
 
     play(scenario, tmp_path)
 
 
 def test_at_an_end_first_messages_that_wait_are_answered(tmp_path: Path) -> None:
-    async def scenario(w: World, registries: Registries) -> None:
-        await w.host(deliver)
+    async def scenario(w: RelayHarness, registries: Registries) -> None:
+        await w.start_host(respond_ok)
         await w.start()
         for address in registries.addresses:
             await registries.suspend(address)
         reader, writer = await asyncio.open_connection(*w.address)
-        writer.write(message("m"))
+        writer.write(format_submission("m"))
         await registries.wait_for_metric("slices_parked", 1)
         assert w.process is not None
         w.process.terminate()
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 503")
             assert await w.process.wait() == 0
         writer.close()
@@ -481,18 +494,18 @@
     ],
 )
 def test_a_file_that_can_not_be_used_is_one_line(tmp_path: Path, text: str, line: str) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         path = tmp_path / "subscription.toml"
         path.write_text(text)
         w.arguments = ["--subscription", str(path)]
         process = await w.spawn()
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await process.wait() == 2
-        await w.until(lambda: bool(w.log))
+        await w.wait_until(lambda: bool(w.log))
         (told,) = w.log
         assert told.startswith(f"loftrelay: configuration: {path}: {line}"), told
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_the_deploy_file_is_taken_and_so_are_many_registries(tmp_path: Path) -> None:
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -16,34 +16,43 @@
 from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.program.test_record import until, with_store
 from tests.standins.partner import Behaviour, Call, Doing, Partner
-from tests.standins.platform import HANG, Request, World, deliver, failed, message, reply, run
+from tests.standins.platform import (
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    Request,
+    format_response,
+    format_submission,
+    respond_ok,
+    run_scenario,
+    undeliverable_report,
+)
 from tests.standins.traffic import Account, Order, all_over, find, hand_in_all
 
 TIME = 1.0  # seconds that the messages of these tests have
 SHORT: dict[str, Any] = {"Request_Timeout_Ms": str(int(TIME * 1000))}
 
 
-async def stopped(w: World) -> None:
+async def stopped(w: RelayHarness) -> None:
     """Until the process of the relay has stopped."""
     assert w.process is not None
     stat = Path(f"/proc/{w.process.pid}/stat")
-    async with asyncio.timeout(HANG):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while stat.read_text().rpartition(")")[2].split()[0] != "T":
             await asyncio.sleep(0.002)
 
 
-def go_on(w: World) -> None:
+def go_on(w: RelayHarness) -> None:
     assert w.process is not None
     w.process.send_signal(signal.SIGCONT)
 
 
-def stop(w: World) -> None:
+def stop(w: RelayHarness) -> None:
     assert w.process is not None
     w.process.send_signal(signal.SIGSTOP)
 
 
-def ended(w: World, host_ids: list[str], names: set[str]) -> set[str]:
-    return names & {*host_ids, *(notice["id"] for notice in w.notices)}
+def ended(w: RelayHarness, host_ids: list[str], names: set[str]) -> set[str]:
+    return names & {*host_ids, *(notice["id"] for notice in w.status_reports)}
 
 
 @pytest.mark.parametrize("clock", [0, 3600, -3600], ids=["true", "an-hour-on", "an-hour-back"])
@@ -51,27 +60,27 @@
 def test_a_stall_longer_than_every_deadline(tmp_path: Path, step: str, clock: int) -> None:
     """After it no call begins for what ran out of time meanwhile, whatever the wall clock says by then."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         w.program = ["-m", "tests.standins.stalled", step, str(clock)]
         await w.start()
         statuses = {}
         for i in range(3):
             changes = {**SHORT, "path": f"/order/k{i}"}
-            statuses[f"o{i}"] = asyncio.create_task(w.hand_in(f"o{i}", "order", **changes))
-            statuses[f"s{i}"] = asyncio.create_task(w.hand_in(f"s{i}", **SHORT))
+            statuses[f"o{i}"] = asyncio.create_task(w.submit(f"o{i}", "order", **changes))
+            statuses[f"s{i}"] = asyncio.create_task(w.submit(f"s{i}", **SHORT))
         await stopped(w)
         await asyncio.sleep(TIME + 0.2)
-        before = list(host.ids)
+        before = list(host.request_ids)
         go_on(w)
         taken = {name for name, task in statuses.items() if await task == 202}
-        await w.until(lambda: ended(w, host.ids, taken) == taken)
-        await w.hand_in_once_listed("after", 1)
-        await w.until(lambda: "after" in host.ids)
-        assert host.ids == [*before, "after"]  # nothing of before the stall was begun after it
-        assert not {notice["id"] for notice in w.notices} & {n for n in before if n.startswith("o")}
+        await w.wait_until(lambda: ended(w, host.request_ids, taken) == taken)
+        await w.submit_once_listed("after", 1)
+        await w.wait_until(lambda: "after" in host.request_ids)
+        assert host.request_ids == [*before, "after"]  # nothing of before the stall was begun after it
+        assert not {notice["id"] for notice in w.status_reports} & {n for n in before if n.startswith("o")}
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
@@ -80,20 +89,20 @@
 def test_a_stall_beside_a_store_of_record(tmp_path: Path, step: str) -> None:
     """Between an answer and its record, or an intent and its call: store, partner and platform agree."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         path = with_store(w)
-        host = await w.host(deliver)
+        host = await w.start_host(respond_ok)
         w.program = ["-m", "tests.standins.stalled", step, "0"]
         await w.start()
-        handing = asyncio.create_task(w.hand_in("m", "order", **SHORT))
+        handing = asyncio.create_task(w.submit("m", "order", **SHORT))
         await stopped(w)
         await asyncio.sleep(TIME + 0.2)
-        begun = list(host.ids)
+        begun = list(host.request_ids)
         go_on(w)
         status = await handing
-        assert host.ids == begun == ([] if step in ("commit take", "committed intend") else ["m"])
+        assert host.request_ids == begun == ([] if step in ("commit take", "committed intend") else ["m"])
         found = await until(path, ["m"], RecordState.REPORTED)
-        told = [notice["id"] for notice in w.notices]
+        told = [notice["id"] for notice in w.status_reports]
         if begun:
             assert status == 202
             assert found["m"].final_status is StoredFinalStatus.DELIVERED
@@ -101,58 +110,58 @@
         else:
             assert found["m"].final_status in (StoredFinalStatus.REJECTED, StoredFinalStatus.FAILED)
             assert status in (500, 503) or told == ["m"]
-        assert host.ids == begun
+        assert host.request_ids == begun
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_an_answer_that_came_during_a_stall_ends_its_message(tmp_path: Path) -> None:
     """The call's own time-out is due in the same moment: the answer was there, and it is a delivery."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         async def script(request: Request) -> bytes:
             if request.id.startswith("m"):
                 stop(w)
                 await stopped(w)
-            return reply(200)
+            return format_response(200)
 
-        host = await w.host(script)
+        host = await w.start_host(script)
         await w.start()
-        assert await w.hand_in("m", "order", **SHORT) == 202
-        await w.until(lambda: host.answered == 1)
+        assert await w.submit("m", "order", **SHORT) == 202
+        await w.wait_until(lambda: host.response_count == 1)
         await asyncio.sleep(TIME + 0.2)
         go_on(w)
-        await w.hand_in_once_listed("after", 1)
-        await w.until(lambda: host.answered == 2)
-        await w.end(signal.SIGTERM)  # whatever it owes is told before it ends
-        assert host.ids == ["m", "after"]
-        assert not w.notices
+        await w.submit_once_listed("after", 1)
+        await w.wait_until(lambda: host.response_count == 2)
+        await w.stop(signal.SIGTERM)  # whatever it owes is told before it ends
+        assert host.request_ids == ["m", "after"]
+        assert not w.status_reports
         assert any("exits, keeping 0 messages" in line for line in w.log)
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_a_drain_told_during_a_stall_binds_what_was_decided_before_it(tmp_path: Path) -> None:
     """The list lies unread in its connection when the relay goes on, and a call is due at that host."""
 
-    async def scenario(w: World) -> None:
-        first = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        first = await w.start_host(respond_ok)
         w.program = ["-m", "tests.standins.stalled", "journal try", "0"]
         await w.start()
-        assert await w.hand_in("m") == 202
+        assert await w.submit("m") == 202
         await stopped(w)
-        w.members[0]["phase"] = "Terminating"
-        other = await w.host(deliver)
+        w.endpoints[0]["phase"] = "Terminating"
+        other = await w.start_host(respond_ok)
         await asyncio.sleep(0.5)
         go_on(w)
-        await w.until(lambda: other.ids == ["m"])
-        assert not first.ids
+        await w.wait_until(lambda: other.request_ids == ["m"])
+        assert not first.request_ids
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_a_notice_answered_during_a_stall_is_not_sent_again(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         reports: list[bytes] = []
 
         async def hear(request: Request) -> bytes:
@@ -163,44 +172,44 @@
             return b""
 
         async def error(request: Request) -> bytes:
-            return reply(500)
+            return format_response(500)
 
-        w.hear = hear
-        await w.host(error)
+        w.report_handler = hear
+        await w.start_host(error)
         await w.start()
-        assert await w.hand_in("m", "order") == 202
-        await w.until(lambda: bool(w.notices))
+        assert await w.submit("m", "order") == 202
+        await w.wait_until(lambda: bool(w.status_reports))
         await asyncio.sleep(0.5)  # the relay waits for the platform's answer for 0.2 s
         go_on(w)
-        await w.end(signal.SIGTERM)
-        assert w.notices == [failed("m")]
+        await w.stop(signal.SIGTERM)
+        assert w.status_reports == [undeliverable_report("m")]
         assert any("exits, keeping 0 messages" in line for line in w.log)
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_a_client_that_left_during_a_stall_has_its_message_withdrawn(tmp_path: Path) -> None:
     """It comes again under another id: what it wrote must not go out, though it is read only now."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
-        await w.warm(host)
+        await w.warm_up(host)
         stop(w)
         await stopped(w)
         _, writer = await asyncio.open_connection(*w.address)
-        writer.write(message("left", "order"))
+        writer.write(format_submission("left", "order"))
         await writer.drain()
         writer.close()
         await writer.wait_closed()
         await asyncio.sleep(0.5)
         go_on(w)
-        await w.hand_in_once_listed("again", 1)
-        await w.until(lambda: "again" in host.ids)
-        assert host.ids == ["again"]
-        assert not w.notices
+        await w.submit_once_listed("again", 1)
+        await w.wait_until(lambda: "again" in host.request_ids)
+        assert host.request_ids == ["again"]
+        assert not w.status_reports
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("step", ["frozen", "given", "loaded", "yours"])
@@ -208,36 +217,36 @@
     """Of the process that serves, or of the one that takes over. Messages run out of time meanwhile; whoever
     owns them then tells of it."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        w.name(2)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
+        w.add_unavailable_destination(2)
         w.share_listener()
         stalled, plain = ["-m", "tests.standins.stalled", step, "0"], w.program
         w.program = stalled if step in PREDECESSOR_POINTS else plain
         await w.start()
         for i in range(5):
-            assert await w.hand_in(f"m{i}", dest=2, **SHORT) == 202  # no host of it serves
+            assert await w.submit(f"m{i}", destination=2, **SHORT) == 202  # no host of it serves
         w.program = plain if step in PREDECESSOR_POINTS else stalled
         assert w.process is not None
         old = w.process
-        await w.start_beside()
+        await w.start_successor()
         new = w.process
         w.process = old if step in PREDECESSOR_POINTS else new
         await stopped(w)
         await asyncio.sleep(TIME + 0.2)
         go_on(w)
         w.process = new
-        await w.until_ready()
+        await w.wait_until_ready()
         names = {f"m{i}" for i in range(5)}
-        await w.until(lambda: ended(w, host.ids, names) == names)
+        await w.wait_until(lambda: ended(w, host.request_ids, names) == names)
         # A notice whose answer the frozen process did not read is told again, in the same words.
-        assert {notice["id"] for notice in w.notices} == names
-        assert not host.ids
-        assert len({(notice["id"], notice["status"]) for notice in w.notices}) == len(names)
-        await w.hand_in_once_listed("after", 1)
-        await w.until(lambda: host.ids == ["after"])
+        assert {notice["id"] for notice in w.status_reports} == names
+        assert not host.request_ids
+        assert len({(notice["id"], notice["status"]) for notice in w.status_reports}) == len(names)
+        await w.submit_once_listed("after", 1)
+        await w.wait_until(lambda: host.request_ids == ["after"])
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_half_of_the_relays_stand_still_at_once(tmp_path: Path) -> None:
@@ -252,8 +261,8 @@
             worlds, accounts = [], []
             for n in range(4):
                 (tmp_path / str(n)).mkdir()
-                world = await World(tmp_path / str(n)).__aenter__()
-                world.list_host(1, "plain", "Ready", "{}:{}".format(*partner.address))
+                world = await RelayHarness(tmp_path / str(n)).__aenter__()
+                world.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
                 await world.start()
                 worlds.append(world)
                 accounts.append(Account())
@@ -279,7 +288,7 @@
                 await asyncio.gather(*handing)
                 for w, account in zip(worlds, accounts, strict=True):
                     await all_over(w, [partner], account)
-                    await w.end(signal.SIGTERM)  # what it owes is told before it ends
+                    await w.stop(signal.SIGTERM)  # what it owes is told before it ends
                     found = find(w, [partner], account, slack=0.3)  # those begun late would be so by a second
                     assert found.messages > 20
                     assert any("exits, keeping 0 messages" in line for line in w.log)
@@ -297,12 +306,12 @@
     """Nothing is begun late or twice meanwhile, clients are answered, and each message gets its one end when
     the store has it: store, partner and platform agree on all."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         path = with_store(w)
         w.program = ["-m", "tests.standins.slowed", str(seed)]
         script = Behaviour(lambda call: Doing(500 if call.ids[0].endswith("7") else 200, delay=0.02))
         async with Partner(script) as partner:
-            w.list_host(1, "plain", "Ready", "{}:{}".format(*partner.address))
+            w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
             await w.start()
             account = Account()
             lines = [
@@ -312,8 +321,8 @@
             await hand_in_all(w, lines, account, 0.02)
             assert any("a commit takes 5.0 s" in line for line in w.log)
             taken = set(account.taken)
-            async with asyncio.timeout(HANG):
-                while not taken <= {name for name in taken if partner.answered[name]} | set(w.noticed_at):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                while not taken <= {name for name in taken if partner.answered[name]} | set(w.reported_at):
                     await asyncio.sleep(0.02)
             required = [name for name in taken if account.orders[name].of == "order"]
             found = await until(path, required, RecordState.REPORTED)
@@ -325,4 +334,4 @@
                     partner.answered[name] > 0
                 ), name
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
