--- a/tests/program/test_upgrade.py
+++ b/tests/program/test_upgrade.py
@@ -12,24 +12,24 @@
 
 from loftrelay.relay.fault_points import PREDECESSOR_POINTS, SUCCESSOR_POINTS
 from tests.standins.platform import (
-    HANG,
+    TEST_TIMEOUT_S,
+    RelayHarness,
     Request,
-    World,
-    deliver,
-    failed,
+    format_response,
+    format_submission,
     free_port,
-    message,
-    never,
-    read_message,
-    reply,
-    run,
+    never_respond,
+    read_response,
+    respond_ok,
+    run_scenario,
+    undeliverable_report,
 )
 
 
 class Client:
     """Keeps one connection for all it hands in, as clients do."""
 
-    def __init__(self, world: World, name: str) -> None:
+    def __init__(self, world: RelayHarness, name: str) -> None:
         self.world, self.name = world, name
         self.number = 0
         self.statuses: Counter[int] = Counter()
@@ -42,9 +42,11 @@
         """Raises an error where the connection ends, which a handover must never do."""
         self.number += 1
         name = f"{self.name}-{self.number}"
-        self.writer.write(message(name, of, path=f"/{of}/{self.name}" if of == "order" else f"/{of}"))
-        async with asyncio.timeout(HANG):
-            start, headers, _ = await read_message(self.reader)
+        self.writer.write(
+            format_submission(name, of, path=f"/{of}/{self.name}" if of == "order" else f"/{of}")
+        )
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            start, headers, _ = await read_response(self.reader)
         status = int(start.split()[1])
         assert headers.get("connection") != "close"
         self.statuses[status] += 1
@@ -57,11 +59,11 @@
 
 
 def play(
-    scenario: Callable[[World], Awaitable[None]], folder: Path, most_held: int = 400, **limits: int
+    scenario: Callable[[RelayHarness], Awaitable[None]], folder: Path, most_held: int = 400, **limits: int
 ) -> None:
-    async def with_listener(w: World) -> None:
+    async def with_listener(w: RelayHarness) -> None:
         w.share_listener()
-        w.control = f"127.0.0.1:{free_port()}"
+        w.admin_address = f"127.0.0.1:{free_port()}"
         w.limits |= limits
         await scenario(w)
 
@@ -74,13 +76,13 @@
         },
         "extra": {"bundle_max": [1, 20], "call_slots": 16, "own_limits": [False, False]},
     }
-    run(with_listener, folder, **settings)
+    run_scenario(with_listener, folder, **settings)
 
 
 def test_upgrades_under_load_lose_repeat_and_reorder_nothing(tmp_path: Path) -> None:
     """Three in a row, with orders of many keys under way on connections that stay open throughout."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         busy = 0
 
         async def slowly(request: Request) -> bytes:
@@ -88,9 +90,9 @@
             busy += 1
             await asyncio.sleep(0.01)
             busy -= 1
-            return reply(200)
+            return format_response(200)
 
-        host = await w.host(slowly)
+        host = await w.start_host(slowly)
         await w.start()
         clients = [Client(w, f"c{i}") for i in range(8)]
         for client in clients:
@@ -105,21 +107,21 @@
         for _ in range(3):
             handed_in = sum(client.number for client in clients)
             await w.upgrade()
-            await w.until(lambda n=handed_in: sum(c.number for c in clients) > n + 40)  # type: ignore[misc]
+            await w.wait_until(lambda n=handed_in: sum(c.number for c in clients) > n + 40)  # type: ignore[misc]
         done.set()
         await asyncio.gather(*tasks)
         for client in clients:
             assert set(client.statuses) <= {202, 503}
         taken = [name for client in clients for name in client.taken]
         assert len(taken) > 120
-        await w.until(lambda: set(taken) <= {*host.ids, *(n["id"] for n in w.notices)})
-        runs = Counter(host.ids)
+        await w.wait_until(lambda: set(taken) <= {*host.request_ids, *(n["id"] for n in w.status_reports)})
+        runs = Counter(host.request_ids)
         assert {name: n for name, n in runs.items() if n > 1} == {}
         for client in clients[1:]:
-            mine = [name for name in host.ids if name.startswith(f"{client.name}-")]
+            mine = [name for name in host.request_ids if name.startswith(f"{client.name}-")]
             assert mine == [name for name in client.taken if name in runs]
-        assert len(w.notices) == len({notice["id"] for notice in w.notices})
-        assert not set(runs) & {notice["id"] for notice in w.notices}
+        assert len(w.status_reports) == len({notice["id"] for notice in w.status_reports})
+        assert not set(runs) & {notice["id"] for notice in w.status_reports}
         for client in clients:
             client.close()
 
@@ -130,48 +132,48 @@
     """Its outcome reaches the one that took over: an order that was delivered is not told as failed, and one
     behind it for the same key goes only then."""
 
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         go = asyncio.Event()
 
         async def wait(request: Request) -> bytes:
             await go.wait()
-            return reply(200)
+            return format_response(200)
 
-        host = await w.host(wait)
+        host = await w.start_host(wait)
         await w.start()
-        assert await w.hand_in("first", "order") == 202
-        assert await w.hand_in("second", "order") == 202
-        await w.until(lambda: host.ids == ["first"])
-        await w.start_beside()
-        await w.until_ready()
-        assert "app.outstanding=2" in await w.call("show-stat")
-        assert host.ids == ["first"]
+        assert await w.submit("first", "order") == 202
+        assert await w.submit("second", "order") == 202
+        await w.wait_until(lambda: host.request_ids == ["first"])
+        await w.start_successor()
+        await w.wait_until_ready()
+        assert "app.outstanding=2" in await w.call_admin("show-stat")
+        assert host.request_ids == ["first"]
         go.set()
-        await w.until(lambda: host.ids == ["first", "second"])
-        while "app.succeeded.order=2" not in (told := await w.call("show-stat")):
+        await w.wait_until(lambda: host.request_ids == ["first", "second"])
+        while "app.succeeded.order=2" not in (told := await w.call_admin("show-stat")):
             pass
         assert "app.forwards=1" in told  # the first was written by the process before
-        assert w.before is not None
-        w.before.send_signal(signal.SIGTERM)
-        assert await w.before.wait() == 0
-        assert w.notices == []
+        assert w.predecessor is not None
+        w.predecessor.send_signal(signal.SIGTERM)
+        assert await w.predecessor.wait() == 0
+        assert w.status_reports == []
 
     play(scenario, tmp_path)
 
 
 def test_a_request_that_is_half_there_is_read_to_its_end_elsewhere(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
         reader, writer = await asyncio.open_connection(*w.address)
-        raw = message("half", body=b"a body in two parts")
+        raw = format_submission("half", body=b"a body in two parts")
         writer.write(raw[:-10])
-        await w.call("ready")  # the loop has been round since
+        await w.call_admin("ready")  # the loop has been round since
         await w.upgrade()
         writer.write(raw[-10:])
-        start, _, _ = await read_message(reader)
+        start, _, _ = await read_response(reader)
         assert start.split()[1] == "202"
-        await w.until(lambda: host.answered == 1)
+        await w.wait_until(lambda: host.response_count == 1)
         assert host.requests[0].body == b"a body in two parts"
         writer.close()
 
@@ -181,19 +183,19 @@
 def test_hundreds_of_kept_connections_go_over(tmp_path: Path) -> None:
     """More than the channel takes at once: the process before must not end while some are on their way."""
 
-    async def scenario(w: World) -> None:
-        w.name(dest=3)
+    async def scenario(w: RelayHarness) -> None:
+        w.add_unavailable_destination(destination=3)
         await w.start()
         clients = [Client(w, f"c{n}") for n in range(300)]
         for client in clients:
             await client.connect()
             client.writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-            await read_message(client.reader)
+            await read_response(client.reader)
         await w.upgrade()
         for client in clients:
             client.writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         for client in clients:
-            start, _, _ = await read_message(client.reader)
+            start, _, _ = await read_response(client.reader)
             assert start.split()[1] == "200"
             client.close()
 
@@ -201,27 +203,27 @@
 
 
 def test_a_host_that_is_out_stays_out_and_a_told_wait_is_heeded(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        first, second = await w.host(deliver), await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        first, second = await w.start_host(respond_ok), await w.start_host(respond_ok)
         await w.start()
-        assert await w.call("disable-server h0") == "YES\n"
+        assert await w.call_admin("disable-server h0") == "YES\n"
         await w.upgrade()
-        assert await w.hand_in("m1") == 202
-        await w.until(lambda: second.ids == ["m1"])
-        assert first.ids == []
-        assert "app.ejected=1" in await w.call("show-stat")
+        assert await w.submit("m1") == 202
+        await w.wait_until(lambda: second.request_ids == ["m1"])
+        assert first.request_ids == []
+        assert "app.ejected=1" in await w.call_admin("show-stat")
 
         async def full(_: Request) -> bytes:
-            return reply(429, X_Come_Back_Ms="3600000")
+            return format_response(429, X_Come_Back_Ms="3600000")
 
-        second.script = full
-        assert await w.hand_in("m2") == 202
-        await w.until(lambda: second.ids == ["m1", "m2"])
-        while "app.ejected" not in await w.call("show-stat"):
+        second.handler = full
+        assert await w.submit("m2") == 202
+        await w.wait_until(lambda: second.request_ids == ["m1", "m2"])
+        while "app.ejected" not in await w.call_admin("show-stat"):
             pass
         await w.upgrade()
-        assert await w.hand_in("m3", Request_Timeout_Ms="1500") == 503  # at once: the wait outlasts it
-        assert second.ids == ["m1", "m2"]
+        assert await w.submit("m3", Request_Timeout_Ms="1500") == 503  # at once: the wait outlasts it
+        assert second.request_ids == ["m1", "m2"]
 
     play(scenario, tmp_path)
 
@@ -230,25 +232,25 @@
 def test_the_process_that_serves_is_killed_at_each_step(tmp_path: Path, step: str) -> None:
     """The other one goes on: what may have run and must not run twice fails, the rest is delivered."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
-        silent = await w.host(never, dest=2)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
+        silent = await w.start_host(never_respond, destination=2)
         w.program = ["-m", "tests.standins.killed", step]
         await w.start()
-        assert await w.hand_in("out", "order", dest=2) == 202
-        await w.until(lambda: silent.ids == ["out"])
-        w.name(dest=3)
-        await w.hand_in_once_listed("waits", dest=3)
-        await w.start_beside(["-m", "loftrelay"])
-        await w.until_ready()
-        assert w.before is not None
-        assert await w.before.wait() == -signal.SIGKILL
-        await w.until(lambda: failed("out") in w.notices)
-        assert await w.hand_in("later", "order") == 202
-        w.list_host(3, "plain", "Ready", host.address)
-        await w.until(lambda: {"waits", "later"} <= set(host.ids))
-        assert silent.ids == ["out"]
-        assert Counter(host.ids) == {"waits": 1, "later": 1}
+        assert await w.submit("out", "order", destination=2) == 202
+        await w.wait_until(lambda: silent.request_ids == ["out"])
+        w.add_unavailable_destination(destination=3)
+        await w.submit_once_listed("waits", destination=3)
+        await w.start_successor(["-m", "loftrelay"])
+        await w.wait_until_ready()
+        assert w.predecessor is not None
+        assert await w.predecessor.wait() == -signal.SIGKILL
+        await w.wait_until(lambda: undeliverable_report("out") in w.status_reports)
+        assert await w.submit("later", "order") == 202
+        w.add_endpoint(3, "plain", "Ready", host.address)
+        await w.wait_until(lambda: {"waits", "later"} <= set(host.request_ids))
+        assert silent.request_ids == ["out"]
+        assert Counter(host.request_ids) == {"waits": 1, "later": 1}
 
     play(scenario, tmp_path)
 
@@ -257,59 +259,59 @@
 def test_the_process_that_takes_over_is_killed_at_each_step(tmp_path: Path, step: str) -> None:
     """The one before it serves, as it did or anew from the journal, and a third can take over from it."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
-        w.name(dest=3)
-        await w.hand_in_once_listed("waits", dest=3)
-        door = w.control
-        await w.start_beside(["-m", "tests.standins.killed", step])
+        w.add_unavailable_destination(destination=3)
+        await w.submit_once_listed("waits", destination=3)
+        door = w.admin_address
+        await w.start_successor(["-m", "tests.standins.killed", step])
         assert w.process is not None
-        assert w.before is not None
+        assert w.predecessor is not None
         assert await w.process.wait() == -signal.SIGKILL
-        w.control, w.process, w.before = door, w.before, None
-        await w.until_ready()
+        w.admin_address, w.process, w.predecessor = door, w.predecessor, None
+        await w.wait_until_ready()
         assert w.process.returncode is None
-        assert await w.hand_in("after", "order") == 202
-        w.list_host(3, "plain", "Ready", host.address)
-        await w.until(lambda: {"waits", "after"} <= set(host.ids))
+        assert await w.submit("after", "order") == 202
+        w.add_endpoint(3, "plain", "Ready", host.address)
+        await w.wait_until(lambda: {"waits", "after"} <= set(host.request_ids))
         await w.upgrade()
-        assert await w.hand_in("last", "order") == 202
-        await w.until(lambda: "last" in host.ids)
-        assert Counter(host.ids) == {"waits": 1, "after": 1, "last": 1}
-        assert w.notices == []
+        assert await w.submit("last", "order") == 202
+        await w.wait_until(lambda: "last" in host.request_ids)
+        assert Counter(host.request_ids) == {"waits": 1, "after": 1, "last": 1}
+        assert w.status_reports == []
 
     play(scenario, tmp_path)
 
 
 def test_what_is_left_over_in_the_folder_harms_nothing(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         state = tmp_path / "state"
         state.mkdir()
         (state / "owner.lock").write_text("4711")
         (state / "upgrade.sock").write_text("no socket")
         (state / "hosts-out.json").write_text("{")
         await w.start()
-        await w.until_ready()
-        assert await w.hand_in("m") == 202
-        await w.until(lambda: host.ids == ["m"])
+        await w.wait_until_ready()
+        assert await w.submit("m") == 202
+        await w.wait_until(lambda: host.request_ids == ["m"])
         await w.upgrade()
 
     play(scenario, tmp_path)
 
 
 def test_a_second_process_that_shares_no_listener_ends_with_one_line(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
         other = await w.spawn()
         assert await other.wait() == 1
         assert any("another process of this relay holds" in line for line in w.log)
-        assert await w.hand_in("m") == 202
-        await w.until(lambda: host.ids == ["m"])
+        assert await w.submit("m") == 202
+        await w.wait_until(lambda: host.request_ids == ["m"])
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("text", ["x", "-1", "9999"])
@@ -318,12 +320,12 @@
     import subprocess
     import sys
 
-    path = World(tmp_path).configure("127.0.0.1:9")
+    path = RelayHarness(tmp_path).write_config("127.0.0.1:9")
     done = subprocess.run(
         [sys.executable, "-m", "loftrelay"],
         capture_output=True,
         text=True,
-        timeout=HANG,
+        timeout=TEST_TIMEOUT_S,
         env={
             **os.environ,
             "RELAY_CONFIG": str(path),
@@ -340,21 +342,21 @@
     """SIGHUP goes to the process that serves, when the one that follows has read the file already: whether
     all stand still by then, or it has taken over."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
-        await w.until_ready()
-        await w.start_beside()
-        await w.until(lambda: sum("accepts admin commands on" in line for line in w.log) == 2)
+        await w.wait_until_ready()
+        await w.start_successor()
+        await w.wait_until(lambda: sum("accepts admin commands on" in line for line in w.log) == 2)
         classes = list(w.settings["classes"])
         w.settings["classes"] = [*classes, {**classes[0], "name": "second"}]
-        assert w.before is not None
-        w.configure(w.discovery.address)
-        w.before.send_signal(signal.SIGHUP)
-        await w.until_ready()
-        async with asyncio.timeout(HANG):
-            while await w.hand_in("m", "second") != 202:
+        assert w.predecessor is not None
+        w.write_config(w.discovery.address)
+        w.predecessor.send_signal(signal.SIGHUP)
+        await w.wait_until_ready()
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while await w.submit("m", "second") != 202:
                 pass
-        await w.until(lambda: host.ids == ["m"])
+        await w.wait_until(lambda: host.request_ids == ["m"])
 
     play(scenario, tmp_path)
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -21,7 +21,7 @@
     encode_request,
 )
 from tests.standins.discovery import Discovery, row
-from tests.standins.platform import HANG, free_port
+from tests.standins.platform import TEST_TIMEOUT_S, free_port
 from tests.standins.registry import RegistryConnection, RegistryProcess, run
 
 WATCH_WAIT_MS = 60_000
@@ -303,7 +303,7 @@
             plain.close()
             idle.close()
             assert await registry.wait() == 0
-            assert time.monotonic() - started_at < HANG / 2
+            assert time.monotonic() - started_at < TEST_TIMEOUT_S / 2
 
     run(scenario)
 
@@ -375,7 +375,7 @@
             discovery.notify()
             assert [fields["phase"] for fields in (await client.response()).rows] == ["Terminating"]
             assert len(discovery.requests) > request_count
-            assert time.monotonic() - started_at < HANG / 2
+            assert time.monotonic() - started_at < TEST_TIMEOUT_S / 2
 
     run(scenario)
 
--- a/tests/registry/test_upstream.py
+++ b/tests/registry/test_upstream.py
@@ -13,7 +13,7 @@
 from loftrelay.registry.catalog import Catalog
 from loftrelay.registry.upstream import READ_BYTES, Upstream
 from tests.standins.discovery import Discovery, row
-from tests.standins.platform import HANG
+from tests.standins.platform import TEST_TIMEOUT_S
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
 
@@ -38,7 +38,7 @@
         self.committed.set()
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not condition():
                 self.committed.clear()
                 await self.committed.wait()
@@ -163,7 +163,7 @@
             assert first_response_at is not None
             assert harness.upstream.last_response_at is not None
             assert harness.upstream.last_response_at > first_response_at
-            assert harness.upstream.age < HANG
+            assert harness.upstream.age < TEST_TIMEOUT_S
             assert targets[1].startswith(b"/registry/instances?index=7&wait=")
         finally:
             harness.upstream.close()
@@ -237,7 +237,7 @@
 
             harness.upstream.on_destination_changed = interrupt_at_tenth_change
             discovery.change(*(row(f"h{i}", i, "Terminating") for i in range(50)))
-            async with asyncio.timeout(HANG):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await interrupted.wait()
             await harness.until(lambda: len(harness.commits) > 1 and harness.commits[-1][0])
             assert len(harness.changes) == 50
--- a/tests/relay/test_shutdown_schedule.py
+++ b/tests/relay/test_shutdown_schedule.py
@@ -11,7 +11,15 @@
 
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass
 from loftrelay.relay.shutdown_schedule import shutdown_schedule
-from tests.standins.platform import HANG, SETTINGS, World, deliver, message, read_message, run
+from tests.standins.platform import (
+    SETTINGS,
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    format_submission,
+    read_response,
+    respond_ok,
+    run_scenario,
+)
 
 MESSAGE_CLASS = MessageClass("x", DeliverySemantics.IDEMPOTENT, None, None, None, 1_000_000, 1.0, 0.5, False)
 
@@ -45,17 +53,17 @@
 def test_relay_with_short_deadlines_exits_before_sigkill(tmp_path: Path) -> None:
     """With deadlines of 2 s the platform sends SIGKILL 2.8 s after SIGTERM, which once hit open calls."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
         reader, writer = await asyncio.open_connection(*w.address)
-        writer.write(message("m", Request_Timeout_Ms="1200"))
-        assert (await read_message(reader))[0].startswith("HTTP/1.1 202")
-        await w.until(lambda: host.ids == ["m"])
+        writer.write(format_submission("m", Request_Timeout_Ms="1200"))
+        assert (await read_response(reader))[0].startswith("HTTP/1.1 202")
+        await w.wait_until(lambda: host.request_ids == ["m"])
         assert w.process is not None
         signalled_at = asyncio.get_running_loop().time()
         w.process.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             assert await reader.read() == b""
             assert await w.process.wait() == 0
         # 2.0 s on an idle machine; 3.45 s with a schedule that ignores the deadlines.
@@ -63,4 +71,4 @@
         writer.close()
 
     classes = [{**row, "deadline": 1_200_000} for row in SETTINGS["classes"]]
-    run(scenario, tmp_path, classes=classes)
+    run_scenario(scenario, tmp_path, classes=classes)
--- a/tests/server/admin/test_server.py
+++ b/tests/server/admin/test_server.py
@@ -12,7 +12,15 @@
 import pytest
 
 from loftrelay.server.admin.server import MAX_CONNECTIONS, AdminConnection, AdminServer, OnDone
-from tests.standins.platform import HANG, ROOT, World, deliver, free_port, reply, run
+from tests.standins.platform import (
+    ROOT,
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    format_response,
+    free_port,
+    respond_ok,
+    run_scenario,
+)
 
 
 class FakeHandler:
@@ -34,7 +42,7 @@
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(line)
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await reader.read()
     finally:
         writer.close()
@@ -115,16 +123,16 @@
 
 
 def test_relay_serves_statistics_on_the_configured_admin_address(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         port = free_port()
-        w.control = f"127.0.0.1:{port}"
+        w.admin_address = f"127.0.0.1:{port}"
         await w.start()
         assert await send_line(("127.0.0.1", port), b"ready\n") == b"YES\n"
-        assert await w.hand_in("m1") == 202
-        assert await w.hand_in("m2", dest=9) == 503
-        await w.until(lambda: host.answered == 1)
-        while "app.succeeded.status=1" not in (text := (await w.call("show-stat"))):
+        assert await w.submit("m1") == 202
+        assert await w.submit("m2", destination=9) == 503
+        await w.wait_until(lambda: host.response_count == 1)
+        while "app.succeeded.status=1" not in (text := (await w.call_admin("show-stat"))):
             pass
         statistics = dict(line.split("=") for line in text.splitlines()[:-1])
         assert text.endswith("\nEND\n")
@@ -143,64 +151,64 @@
             "app.sighup_rejected": "0",
         }
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_disable_server_host_gets_no_message_until_enabled(tmp_path: Path) -> None:
     """The host stays disabled after a new endpoint list and a restart of the relay."""
 
-    async def scenario(w: World) -> None:
-        first, second = await w.host(deliver), await w.host(deliver)
-        w.control = f"127.0.0.1:{free_port()}"
+    async def scenario(w: RelayHarness) -> None:
+        first, second = await w.start_host(respond_ok), await w.start_host(respond_ok)
+        w.admin_address = f"127.0.0.1:{free_port()}"
         await w.start()
-        assert await w.call("disable-server h0") == "YES\n"
-        assert await w.call("disable-server h0") == "YES\n"
-        assert (await w.call("disable-server h7")).startswith("NO no host has the id h7")
-        assert (await w.call("enable-server h7")).startswith("NO ")
-        while "app.ejected=1" not in await w.call("show-stat"):
+        assert await w.call_admin("disable-server h0") == "YES\n"
+        assert await w.call_admin("disable-server h0") == "YES\n"
+        assert (await w.call_admin("disable-server h7")).startswith("NO no host has the id h7")
+        assert (await w.call_admin("enable-server h7")).startswith("NO ")
+        while "app.ejected=1" not in await w.call_admin("show-stat"):
             pass  # the scheduler applies it in its next batch
-        assert await w.hand_in("m1") == 202
-        await w.until(lambda: second.answered == 1)
-        w.list_host(2, "plain", "Ready", second.address)  # a new revision, in which h0 is ready
-        await w.hand_in_once_listed("other", dest=2)
-        assert await w.hand_in("m2") == 202
+        assert await w.submit("m1") == 202
+        await w.wait_until(lambda: second.response_count == 1)
+        w.add_endpoint(2, "plain", "Ready", second.address)  # a new revision, in which h0 is ready
+        await w.submit_once_listed("other", destination=2)
+        assert await w.submit("m2") == 202
         await w.restart()
-        assert await w.hand_in("m3") == 202
-        await w.until(lambda: {"m1", "m2", "m3", "other"} <= set(second.ids))
-        assert first.ids == []
-        assert await w.call("enable-server h0") == "YES\n"
-        assert await w.call("enable-server h0") == "YES\n"
-        assert await w.call("disable-server h1") == "YES\n"
-        assert await w.hand_in("m4") == 202
-        await w.until(lambda: first.ids == ["m4"])
+        assert await w.submit("m3") == 202
+        await w.wait_until(lambda: {"m1", "m2", "m3", "other"} <= set(second.request_ids))
+        assert first.request_ids == []
+        assert await w.call_admin("enable-server h0") == "YES\n"
+        assert await w.call_admin("enable-server h0") == "YES\n"
+        assert await w.call_admin("disable-server h1") == "YES\n"
+        assert await w.submit("m4") == 202
+        await w.wait_until(lambda: first.request_ids == ["m4"])
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_disable_server_is_rejected_if_it_cannot_be_stored(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
-        await w.host(deliver)
-        w.control = f"127.0.0.1:{free_port()}"
+    async def scenario(w: RelayHarness) -> None:
+        await w.start_host(respond_ok)
+        w.admin_address = f"127.0.0.1:{free_port()}"
         (tmp_path / "state" / "hosts-out.json").mkdir(parents=True)  # a directory, which a file can't replace
         await w.start()
-        assert (await w.call("disable-server h0")).startswith("NO it can't be written down")
-        assert "app.ejected=0" in await w.call("show-stat")
+        assert (await w.call_admin("disable-server h0")).startswith("NO it can't be written down")
+        assert "app.ejected=0" in await w.call_admin("show-stat")
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(("address", "status"), [("here", 2), ("127.0.0.1:99999", 2), ("192.0.2.1:7", 1)])
 def test_relay_with_unusable_admin_address_exits_with_one_error_line(
     tmp_path: Path, address: str, status: int
 ) -> None:
-    world = World(tmp_path)
-    path = world.configure("127.0.0.1:9")
+    world = RelayHarness(tmp_path)
+    path = world.write_config("127.0.0.1:9")
     completed = subprocess.run(
         [sys.executable, "-m", "loftrelay"],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=HANG,
+        timeout=TEST_TIMEOUT_S,
         env={
             **os.environ,
             "RELAY_CONFIG": str(path),
@@ -214,27 +222,27 @@
 
 
 def test_relay_counts_failed_host_as_ejected(tmp_path: Path) -> None:
-    async def scenario(w: World) -> None:
+    async def scenario(w: RelayHarness) -> None:
         async def fail(_: object) -> bytes:
-            return reply(500)
+            return format_response(500)
 
-        host = await w.host(fail)
-        w.control = f"127.0.0.1:{free_port()}"
+        host = await w.start_host(fail)
+        w.admin_address = f"127.0.0.1:{free_port()}"
         await w.start()
-        assert await w.hand_in("m1") == 202
-        await w.until(lambda: host.answered >= 1)
-        while "app.ejected=1" not in await w.call("show-stat"):
+        assert await w.submit("m1") == 202
+        await w.wait_until(lambda: host.response_count >= 1)
+        while "app.ejected=1" not in await w.call_admin("show-stat"):
             pass
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_relay_answers_admin_commands_while_clients_exhaust_descriptors(tmp_path: Path) -> None:
     """Descriptors are reserved for the admin endpoint, so clients can't use them up."""
 
-    async def scenario(w: World) -> None:
-        await w.host(deliver)
-        w.control = f"127.0.0.1:{free_port()}"
+    async def scenario(w: RelayHarness) -> None:
+        await w.start_host(respond_ok)
+        w.admin_address = f"127.0.0.1:{free_port()}"
         w.limits["sockets"] = 160
         await w.start()
         assert w.process is not None
@@ -243,12 +251,12 @@
         for _, writer in clients[::3]:
             writer.write(b"POST /status HTTP/1.1\r\n")
         for _ in range(3):
-            assert await w.call("ready") == "YES\n"
-            assert (await w.call("show-stat")).endswith("\nEND\n")
-            assert await w.call("disable-server h0") == "YES\n"
-            assert await w.call("enable-server h0") == "YES\n"
+            assert await w.call_admin("ready") == "YES\n"
+            assert (await w.call_admin("show-stat")).endswith("\nEND\n")
+            assert await w.call_admin("disable-server h0") == "YES\n"
+            assert await w.call_admin("enable-server h0") == "YES\n"
         assert not any("Too many open files" in line for line in w.log)
         for _, writer in clients:
             writer.close()
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/server/http/test_connection_close.py
+++ b/tests/server/http/test_connection_close.py
@@ -18,12 +18,12 @@
 from loftrelay.server.http.server import HTTPServer
 from tests.relay.test_engine import make_engine
 from tests.standins.platform import (
-    HANG,
-    World,
-    deliver,
-    message,
-    read_message,
-    run,
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    format_submission,
+    read_response,
+    respond_ok,
+    run_scenario,
 )
 
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -49,7 +49,7 @@
             assert await reader.readexactly(len(READY_RESPONSE)) == READY_RESPONSE
             return reader, writer
 
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await scenario(server, connect_client)
         assert not engine.context.journal.messages
         await server.shutdown()
@@ -66,7 +66,9 @@
 
 
 @pytest.mark.parametrize(
-    "request_bytes", [message("m"), message("m")[:-3], b"P"], ids=["complete", "partial", "one byte"]
+    "request_bytes",
+    [format_submission("m"), format_submission("m")[:-3], b"P"],
+    ids=["complete", "partial", "one byte"],
 )
 @pytest.mark.parametrize("cause", ["idle", "eviction", "shutdown"])
 def test_connection_closed_while_a_request_arrives_is_not_reset(
@@ -105,7 +107,7 @@
 
 @pytest.mark.parametrize(
     "request_bytes",
-    [b"no HTTP\r\n\r\n", message("m", Tenant="nobody"), READINESS_REQUEST + READINESS_REQUEST],
+    [b"no HTTP\r\n\r\n", format_submission("m", Tenant="nobody"), READINESS_REQUEST + READINESS_REQUEST],
 )
 def test_error_response_reaches_a_client_that_is_still_sending(tmp_path: Path, request_bytes: bytes) -> None:
     async def scenario(server: HTTPServer, connect_client: Callable[[], Awaitable[Streams]]) -> None:
@@ -185,24 +187,24 @@
 def test_relay_shutdown_closes_idle_connections_and_admits_no_later_request(tmp_path: Path) -> None:
     """An incomplete request gets a response, and no connection is reset."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
         assert w.process is not None
         idle = [await asyncio.open_connection(*w.address) for _ in range(3)]
         for number, (reader, writer) in enumerate(idle):
-            writer.write(message(f"m{number}"))
-            assert (await read_message(reader))[0].startswith("HTTP/1.1 202")
-        await w.until(lambda: len(host.ids) == 3)
+            writer.write(format_submission(f"m{number}"))
+            assert (await read_response(reader))[0].startswith("HTTP/1.1 202")
+        await w.wait_until(lambda: len(host.request_ids) == 3)
         started_at = asyncio.get_running_loop().time()
         w.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(2.9)
         partial = await asyncio.open_connection(*w.address)
-        partial[1].write(message("half")[:-3])
-        async with asyncio.timeout(HANG):
+        partial[1].write(format_submission("half")[:-3])
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             for reader, writer in idle:
                 await expect_close_without_reset(reader)
-                writer.write(message("late"))  # half-closed: it may still write
+                writer.write(format_submission("late"))  # half-closed: it may still write
             response = await partial[0].read()
             assert response.startswith(b"HTTP/1.1 503 ")
             assert b"Connection: close" in response
@@ -211,26 +213,26 @@
         for _, writer in (*idle, partial):
             writer.close()
         await w.start()
-        assert await w.hand_in("again") == 202
-        await w.until(lambda: "again" in host.ids)
-        assert not {"half", "late"} & set(host.ids)
+        assert await w.submit("again") == 202
+        await w.wait_until(lambda: "again" in host.request_ids)
+        assert not {"half", "late"} & set(host.request_ids)
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_relay_serves_clients_beside_disconnecting_flooding_and_slow_ones(tmp_path: Path) -> None:
     """Bursts of clients that disconnect at once, that send too much, or that send single bytes slowly."""
 
-    async def scenario(w: World) -> None:
-        host = await w.host(deliver)
+    async def scenario(w: RelayHarness) -> None:
+        host = await w.start_host(respond_ok)
         await w.start()
         loop = asyncio.get_running_loop()
 
         async def disconnect(number: int) -> None:
             reader, writer = await asyncio.open_connection(*w.address)
-            writer.write(message(f"leaver{number}"))
+            writer.write(format_submission(f"leaver{number}"))
             if number % 3 == 0:
-                assert (await read_message(reader))[0].startswith("HTTP/1.1 202")
+                assert (await read_response(reader))[0].startswith("HTTP/1.1 202")
             if number % 2:  # with a reset
                 sock = writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -238,14 +240,14 @@
 
         async def flood(number: int) -> None:
             _, writer = await asyncio.open_connection(*w.address)
-            writer.write(message(f"flood{number}", Content_Length="60000") + b"z" * (2 << 20))
+            writer.write(format_submission(f"flood{number}", Content_Length="60000") + b"z" * (2 << 20))
             await asyncio.sleep(0)
             writer.transport.abort()
 
         async def write_slowly() -> bytes:
             reader, writer = await asyncio.open_connection(*w.address)
             response = asyncio.create_task(reader.read())
-            for byte in message("slow"):
+            for byte in format_submission("slow"):
                 writer.write(bytes([byte]))
                 if (await asyncio.wait([response], timeout=0.2))[0]:
                     break
@@ -253,17 +255,17 @@
             return await response
 
         slow = asyncio.create_task(write_slowly())
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await asyncio.gather(
                 *(disconnect(number) for number in range(60)), *(flood(number) for number in range(10))
             )
             started_at = loop.time()
-            assert await w.hand_in("good") == 202
+            assert await w.submit("good") == 202
             assert loop.time() - started_at < 5
             assert (await slow).startswith(b"HTTP/1.1 408 ")
-        await w.until(lambda: "good" in host.ids)
+        await w.wait_until(lambda: "good" in host.request_ids)
         admitted = {f"leaver{number}" for number in range(0, 60, 3)}  # those that got a 202
-        await w.until(lambda: admitted <= set(host.ids))
-        assert len(host.ids) == len(set(host.ids))
+        await w.wait_until(lambda: admitted <= set(host.request_ids))
+        assert len(host.request_ids) == len(set(host.request_ids))
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/standins/discovery.py
+++ b/tests/standins/discovery.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from tests.standins.platform import HANG
+from tests.standins.platform import TEST_TIMEOUT_S
 
 
 def row(host: str, cell: int, phase: str = "Ready", **more: Any) -> dict[str, Any]:
@@ -90,7 +90,7 @@
         self._changed = asyncio.Event()
 
     async def wait_for_requests(self, count: int) -> None:
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while len(self.requests) < count:
                 await self._changed.wait()
 
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 ROOT = Path(__file__).parents[2]
-HANG = 60  # seconds after which a test that waits has failed
+TEST_TIMEOUT_S = 60  # seconds after which a test that waits has failed
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "status", "effect": "idempotent", "deadline": 24_000_000, "on_time": 3_000_000, "worth": 1},
@@ -57,29 +57,29 @@
         return self.headers.get("request-id", "")
 
 
-Script = Callable[[Request], Awaitable[bytes | None]]
+RequestHandler = Callable[[Request], Awaitable[bytes | None]]
 
 
-def reply(status: int, body: bytes = b"", **headers: str) -> bytes:
+def format_response(status: int, body: bytes = b"", **headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-class Peer:
+class StubServer:
     """Answers each request with what its script gives: raw bytes, or None to close with no answer."""
 
-    def __init__(self, world: World, script: Script) -> None:
-        self.world, self.script = world, script
+    def __init__(self, harness: RelayHarness, handler: RequestHandler) -> None:
+        self.harness, self.handler = harness, handler
         self.requests: list[Request] = []
-        self.connections: list[PeerConnection] = []
-        self.answered = 0
-        self.ended: list[int] = []  # connections, by number
+        self.connections: list[StubServerConnection] = []
+        self.response_count = 0
+        self.closed_connections: list[int] = []  # connections, by number
         self.server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: PeerConnection(self), "127.0.0.1", port)
+        self.server = await loop.create_server(lambda: StubServerConnection(self), "127.0.0.1", port)
 
     @property
     def address(self) -> str:
@@ -87,7 +87,7 @@
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     @property
-    def ids(self) -> list[str]:
+    def request_ids(self) -> list[str]:
         return [request.id for request in self.requests]
 
     def close_connections(self) -> None:
@@ -95,11 +95,11 @@
             connection.transport.close()
 
 
-class PeerConnection(asyncio.Protocol):
+class StubServerConnection(asyncio.Protocol):
     transport: asyncio.Transport
 
-    def __init__(self, peer: Peer) -> None:
-        self.peer = peer
+    def __init__(self, peer: StubServer) -> None:
+        self.server = peer
         self.data = b""
         self.task: asyncio.Task[None] | None = None
         peer.connections.append(self)
@@ -120,27 +120,27 @@
         self.data = rest[length:]
         method, target, _ = start.split()
         request = Request(method, target, headers, rest[:length], self.number)
-        self.peer.requests.append(request)
-        self.task = asyncio.create_task(self._answer(self.peer.script(request)))
-        self.peer.world.bump()
+        self.server.requests.append(request)
+        self.task = asyncio.create_task(self._answer(self.server.handler(request)))
+        self.server.harness.notify_changed()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.peer.ended.append(self.number)
+        self.server.closed_connections.append(self.number)
         if self.task is not None:
             self.task.cancel()
-        self.peer.world.bump()
+        self.server.harness.notify_changed()
 
     async def _answer(self, scripted: Awaitable[bytes | None]) -> None:
         answer = await scripted
         if answer is not None:
             self.transport.write(answer)
-            self.peer.answered += 1
-            self.peer.world.bump()
+            self.server.response_count += 1
+            self.server.harness.notify_changed()
         if answer is None or b"Connection: close" in answer:
             self.transport.close()
 
 
-class World:
+class RelayHarness:
     """Discovery and hosts in this process, the relay in one of its own. Use as an async context."""
 
     def __init__(self, folder: Path, **settings: Any) -> None:
@@ -148,126 +148,128 @@
         self.settings = {**SETTINGS, **settings}
         self.limits: dict[str, Any] = {"sockets": 256, "disk_mb": 3}
         self.tasks: list[asyncio.Task[None]] = []
-        self.peers: list[Peer] = []
-        self.members: list[dict[str, Any]] = []
+        self.servers: list[StubServer] = []
+        self.endpoints: list[dict[str, Any]] = []
         self.revision = 1
-        self.notices: list[dict[str, Any]] = []
-        self.hear: Script | None = None  # in place of the 204 to a notice
-        self.list_answer: Script | None = None
+        self.status_reports: list[dict[str, Any]] = []
+        self.report_handler: RequestHandler | None = None  # in place of the 204 to a notice
+        self.list_handler: RequestHandler | None = None
         self.log: list[str] = []
         self.root = ROOT  # where the program is that is started, and what it is told on its command line
         self.program = ["-m", "loftrelay"]
         self.arguments: list[str] = []
-        self.name_ = "n1"
-        self.keep_file = False  # the file of the platform stands as it is
-        self.faults: list[str] = []  # of the program itself, as its log tells
-        self.control = ""  # where operators call; empty: nowhere
-        self.noticed_at: dict[str, float] = {}  # message -> when its notice came (Unix time)
+        self.relay_name = "n1"
+        self.keeps_config_file = False  # the file of the platform stands as it is
+        self.internal_errors: list[str] = []  # of the program itself, as its log tells
+        self.admin_address = ""  # where operators call; empty: nowhere
+        self.reported_at: dict[str, float] = {}  # message -> when its notice came (Unix time)
         self.process: asyncio.subprocess.Process | None = None  # the one that was started last
-        self.before: asyncio.subprocess.Process | None = None  # the one beside which it was started
-        self.accept: socket.socket | None = None  # the clients' socket, where all processes share it
+        self.predecessor: asyncio.subprocess.Process | None = None  # the one beside which it was started
+        self.listener: socket.socket | None = None  # the clients' socket, where all processes share it
         self.address = ("", 0)
         self._changed = asyncio.Event()
 
-    async def __aenter__(self) -> World:
-        self.discovery = await self.peer(self.discover)
+    async def __aenter__(self) -> RelayHarness:
+        self.discovery = await self.start_server(self.handle_discovery_request)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for process in (self.before, self.process):
+        for process in (self.predecessor, self.process):
             if process is not None and process.returncode is None:
                 process.kill()
                 await process.wait()
-        if self.accept is not None:
-            self.accept.close()
-        for peer in self.peers:
+        if self.listener is not None:
+            self.listener.close()
+        for peer in self.servers:
             assert peer.server is not None
             peer.server.close()
             peer.close_connections()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        assert not self.faults
+        assert not self.internal_errors
 
-    async def peer(self, script: Script) -> Peer:
-        peer = Peer(self, script)
+    async def start_server(self, handler: RequestHandler) -> StubServer:
+        peer = StubServer(self, handler)
         await peer.start()
-        self.peers.append(peer)
+        self.servers.append(peer)
         return peer
 
-    async def host(self, script: Script, dest: int = 1, kind: str = "plain") -> Peer:
+    async def start_host(
+        self, handler: RequestHandler, destination: int = 1, flavor: str = "plain"
+    ) -> StubServer:
         """A host that the next known list and discovery's answers name."""
-        peer = await self.peer(script)
-        self.list_host(dest, kind, "Ready", peer.address)
+        peer = await self.start_server(handler)
+        self.add_endpoint(destination, flavor, "Ready", peer.address)
         return peer
 
-    def list_host(self, dest: int, kind: str, phase: str, address: str) -> None:
-        self.members.append(
+    def add_endpoint(self, destination: int, flavor: str, phase: str, address: str) -> None:
+        self.endpoints.append(
             {
-                "id": f"h{len(self.members)}",
+                "id": f"h{len(self.endpoints)}",
                 "host_port": address,
                 "locality": "a",
-                "flavor": kind,
-                "cell": dest,
+                "flavor": flavor,
+                "cell": destination,
                 "phase": phase,
                 "size": 1.0,
                 "up_since_ms": 0,
             }
         )
         self.revision += 1
-        self.bump()
+        self.notify_changed()
 
-    def name(self, dest: int = 1, kind: str = "plain") -> None:
+    def add_unavailable_destination(self, destination: int = 1, flavor: str = "plain") -> None:
         """Makes a destination known by a host that takes nothing, so that its messages wait."""
-        self.list_host(dest, kind, "Terminating", "127.0.0.1:9")
+        self.add_endpoint(destination, flavor, "Terminating", "127.0.0.1:9")
 
-    def whole_list(self) -> dict[str, Any]:
-        return {"revision": self.revision, "complete": True, "members": self.members}
+    def full_list(self) -> dict[str, Any]:
+        return {"revision": self.revision, "complete": True, "members": self.endpoints}
 
-    async def discover(self, request: Request) -> bytes | None:
+    async def handle_discovery_request(self, request: Request) -> bytes | None:
         if request.target == "/reports":
-            if self.hear is not None and (answer := await self.hear(request)) != b"":
+            if self.report_handler is not None and (answer := await self.report_handler(request)) != b"":
                 return answer
             heard = [json.loads(line) for line in request.body.splitlines()]
-            self.notices += heard
+            self.status_reports += heard
             for notice in heard:
-                self.noticed_at.setdefault(notice["id"], time.time())
-            self.bump()
-            return reply(204)
-        if self.list_answer is not None and (answer := await self.list_answer(request)) != b"":
+                self.reported_at.setdefault(notice["id"], time.time())
+            self.notify_changed()
+            return format_response(204)
+        if self.list_handler is not None and (answer := await self.list_handler(request)) != b"":
             return answer
         if "index=" in request.target:
             index = int(request.target.partition("index=")[2].partition("&")[0])
             wait = int(request.target.partition("wait=")[2]) / 1000
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.until(lambda: self.revision > index), wait)
-        return reply(200, json.dumps(self.whole_list()).encode())
+                await asyncio.wait_for(self.wait_until(lambda: self.revision > index), wait)
+        return format_response(200, json.dumps(self.full_list()).encode())
 
     # Waiting
 
-    def bump(self) -> None:
+    def notify_changed(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(HANG):
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not condition():
                 await self._changed.wait()
 
     # The relay
 
-    def configure(self, discovery: str) -> Path:
+    def write_config(self, discovery: str) -> Path:
         config = {
-            "name": self.name_,
+            "name": self.relay_name,
             "listen": "127.0.0.1:0",
             "discovery": discovery,
             "seed": "8c1f30d2",
             "limits": self.limits,
-            "known": self.whole_list(),
+            "known": self.full_list(),
             "settings": self.settings,
         }
         path = self.folder / "config.json"
-        if not self.keep_file:
+        if not self.keeps_config_file:
             path.write_text(json.dumps(config))
         return path
 
@@ -277,11 +279,11 @@
 
     async def spawn(self, program: list[str] | None = None) -> asyncio.subprocess.Process:
         """A process of the relay; does not wait for anything of it."""
-        path = self.configure(self.discovery.address)
-        more = {"RELAY_CONTROL": self.control} if self.control else {}
+        path = self.write_config(self.discovery.address)
+        more = {"RELAY_CONTROL": self.admin_address} if self.admin_address else {}
         files: tuple[int, ...] = ()
-        if self.accept is not None:
-            more["RELAY_ACCEPT_FD"], files = str(self.accept.fileno()), (self.accept.fileno(),)
+        if self.listener is not None:
+            more["RELAY_ACCEPT_FD"], files = str(self.listener.fileno()), (self.listener.fileno(),)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             *(program or self.program),
@@ -296,37 +298,37 @@
 
     def share_listener(self) -> None:
         """From now on the platform holds the clients' socket, and every process inherits it."""
-        self.accept = socket.create_server(("127.0.0.1", 0))
-        self.accept.listen(128)
-        self.address = self.accept.getsockname()
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.listener.listen(128)
+        self.address = self.listener.getsockname()
 
-    async def start_beside(self, program: list[str] | None = None) -> None:
+    async def start_successor(self, program: list[str] | None = None) -> None:
         """Starts the process that is to take over, at a door of its own; does not wait for it."""
-        self.before, self.control = self.process, f"127.0.0.1:{free_port()}"
+        self.predecessor, self.admin_address = self.process, f"127.0.0.1:{free_port()}"
         self.process = await self.spawn(program)
 
-    async def until_ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Until the process that was started last says so at its door."""
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while True:
                 with contextlib.suppress(OSError):
-                    if await self.call("ready") == "YES\n":
+                    if await self.call_admin("ready") == "YES\n":
                         return
                 await asyncio.sleep(0.01)
 
     async def upgrade(self) -> None:
         """Replaces the process, as the platform does."""
-        await self.start_beside()
-        await self.until_ready()
-        assert self.before is not None
-        self.before.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(HANG):
-            assert await self.before.wait() == 0
+        await self.start_successor()
+        await self.wait_until_ready()
+        assert self.predecessor is not None
+        self.predecessor.send_signal(signal.SIGTERM)
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            assert await self.predecessor.wait() == 0
 
     async def start(self) -> None:
         self.log.clear()
         process = self.process = await self.spawn()
-        await self.until(
+        await self.wait_until(
             lambda: any("listens on" in line for line in self.log) or process.returncode is not None
         )
         assert process.returncode is None, self.log
@@ -337,48 +339,48 @@
         assert process.stderr is not None
         while line := await process.stderr.readline():
             self.log.append(line.decode().strip())
-            self.faults += [self.log[-1]] * ("a fault of the program" in self.log[-1])
-            self.bump()
+            self.internal_errors += [self.log[-1]] * ("a fault of the program" in self.log[-1])
+            self.notify_changed()
         await process.wait()
-        self.bump()
+        self.notify_changed()
 
-    async def end(self, number: signal.Signals) -> int:
+    async def stop(self, signal_number: signal.Signals) -> int:
         assert self.process is not None
-        self.process.send_signal(number)
-        async with asyncio.timeout(HANG):
+        self.process.send_signal(signal_number)
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.process.wait()
 
     async def kill(self) -> None:
-        await self.end(signal.SIGKILL)
+        await self.stop(signal.SIGKILL)
 
     async def restart(self) -> None:
         await self.kill()
         await self.start()
 
-    async def warm(self, host: Peer) -> None:
+    async def warm_up(self, host: StubServer) -> None:
         """Gives the module a demand to go by: where it sees next to none, it is wary for minutes."""
-        script, host.script = host.script, deliver
+        script, host.handler = host.handler, respond_ok
         for i in range(20):
-            assert await self.hand_in(f"warm{i}") == 202
-        await self.until(lambda: host.answered == 20)
+            assert await self.submit(f"warm{i}") == 202
+        await self.wait_until(lambda: host.response_count == 20)
         host.requests.clear()
-        host.script = script
+        host.handler = script
 
-    async def ask(self, raw: bytes) -> tuple[int, dict[str, str], bytes]:
+    async def send(self, request: bytes) -> tuple[int, dict[str, str], bytes]:
         """One request as it stands, on a connection of its own."""
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*self.address)
             try:
-                writer.write(raw)
-                start, headers, body = await read_message(reader)
+                writer.write(request)
+                start, headers, body = await read_response(reader)
             finally:
                 writer.close()
         return int(start.split()[1]), headers, body
 
-    async def call(self, line: str) -> str:
+    async def call_admin(self, line: str) -> str:
         """One call at the operators' door."""
-        async with asyncio.timeout(HANG):
-            host, _, port = self.control.rpartition(":")
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            host, _, port = self.admin_address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             try:
                 writer.write(line.encode() + b"\n")
@@ -386,15 +388,20 @@
             finally:
                 writer.close()
 
-    async def hand_in(
-        self, name: str, of: str = "status", dest: int = 1, body: bytes = b"hello", **changes: str
+    async def submit(
+        self,
+        message_id: str,
+        class_name: str = "status",
+        destination: int = 1,
+        body: bytes = b"hello",
+        **headers: str,
     ) -> int:
-        return (await self.ask(message(name, of, dest, body, **changes)))[0]
+        return (await self.send(format_submission(message_id, class_name, destination, body, **headers)))[0]
 
-    async def hand_in_once_listed(self, name: str, dest: int) -> None:
+    async def submit_once_listed(self, message_id: str, destination: int) -> None:
         """A destination is turned away until the relay's list names it."""
-        async with asyncio.timeout(HANG):
-            while (status := await self.hand_in(name, dest=dest)) == 503:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while (status := await self.submit(message_id, destination=destination)) == 503:
                 pass
         assert status == 202
 
@@ -410,23 +417,25 @@
             return place[1]
 
 
-async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+async def read_response(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
     start, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
     headers = {k.strip().lower(): v.strip() for k, _, v in (line.partition(":") for line in lines)}
     return start, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-def message(name: str, of: str = "status", dest: int = 1, body: bytes = b"hello", **changes: str) -> bytes:
+def format_submission(
+    message_id: str, class_name: str = "status", destination: int = 1, body: bytes = b"hello", **changes: str
+) -> bytes:
     """A request that hands a message in; `path` and headers (with _ for -) may be changed, '' drops one."""
-    path = changes.pop("path", f"/{of}/turbine-7" if of == "order" else f"/{of}")
+    path = changes.pop("path", f"/{class_name}/turbine-7" if class_name == "order" else f"/{class_name}")
     method = changes.pop("method", "POST")
     headers = {
         "Host": "app.svc",
-        "Request-Id": name,
-        "Request-Class": of,
+        "Request-Id": message_id,
+        "Request-Class": class_name,
         "Tenant": "acme",
         "Request-Timeout-Ms": "20000",
-        "X-Consignee": f"dest={dest}",
+        "X-Consignee": f"dest={destination}",
         "Content-Length": str(len(body)),
         **{k.replace("_", "-"): v for k, v in changes.items()},
     }
@@ -434,22 +443,24 @@
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-async def deliver(request: Request) -> bytes:
-    return reply(200)
+async def respond_ok(request: Request) -> bytes:
+    return format_response(200)
 
 
-async def never(request: Request) -> bytes:
+async def never_respond(request: Request) -> bytes:
     await asyncio.Event().wait()
     return b""
 
 
-def run(scenario: Callable[[World], Awaitable[None]], folder: Path, **settings: object) -> None:
+def run_scenario(
+    scenario: Callable[[RelayHarness], Awaitable[None]], folder: Path, **settings: object
+) -> None:
     async def main() -> None:
-        async with World(folder, **settings) as world:
+        async with RelayHarness(folder, **settings) as world:
             await scenario(world)
 
     asyncio.run(main())
 
 
-def failed(name: str) -> dict[str, str]:
-    return {"id": name, "status": "undeliverable"}
+def undeliverable_report(message_id: str) -> dict[str, str]:
+    return {"id": message_id, "status": "undeliverable"}
--- a/tests/standins/predecessor.py
+++ b/tests/standins/predecessor.py
@@ -21,11 +21,20 @@
 from pathlib import Path
 from typing import Any
 
-from tests.standins.platform import HANG, ROOT, World, deliver, free_port, message, never, read_message
+from tests.standins.platform import (
+    ROOT,
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    format_submission,
+    free_port,
+    never_respond,
+    read_response,
+    respond_ok,
+)
 from tests.standins.recovered import CLASSES
 
 FRAME = struct.Struct(">II")  # bytes of the JSON object, descriptors that come with it
-HALF_REQUEST = message("half", body=b"a body in two parts")
+HALF_REQUEST = format_submission("half", body=b"a body in two parts")
 HALF = len(HALF_REQUEST) - 10
 
 
@@ -34,7 +43,7 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        sock.settimeout(HANG)
+        sock.settimeout(TEST_TIMEOUT_S)
         self.data = b""
         self.files: list[int] = []
 
@@ -57,24 +66,24 @@
         return json.loads(body), files
 
 
-def prepare(world: World, state: Path) -> None:
-    world.control = f"127.0.0.1:{free_port()}"
+def prepare(world: RelayHarness, state: Path) -> None:
+    world.admin_address = f"127.0.0.1:{free_port()}"
     shutil.copytree(state, world.folder / "state")
     world.share_listener()
 
 
 async def record(folder: Path, root: Path, fixtures: Path) -> list[dict[str, Any]]:
     """All that a relay sends to one that takes over and goes by the journal alone."""
-    async with World(folder, classes=CLASSES) as world:
+    async with RelayHarness(folder, classes=CLASSES) as world:
         world.root = root
         prepare(world, fixtures / "journal")
-        host = await world.host(never)
-        await world.host(never, dest=2)
+        host = await world.start_host(never_respond)
+        await world.start_host(never_respond, destination=2)
         await world.start()
-        await world.until(lambda: bool(host.ids))  # calls are out
+        await world.wait_until(lambda: bool(host.request_ids))  # calls are out
         reader, writer = await asyncio.open_connection(*world.address)
         writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        await read_message(reader)
+        await read_response(reader)
         writer.write(HALF_REQUEST[:HALF])
         await asyncio.sleep(0.2)
         sock = socket.socket(socket.AF_UNIX)
@@ -89,7 +98,7 @@
         (fixtures / "journal_handover").mkdir()
         for path in sorted((folder / "state").glob("*.log")):
             shutil.copy(path, fixtures / "journal_handover")
-        operator = asyncio.create_task(world.call("disable-server h1"))
+        operator = asyncio.create_task(world.call_admin("disable-server h1"))
         received.append((await line.receive())[0])
         await line.send({"is": "changed", "n": received[-1]["n"], "why": None})
         assert await operator == "YES\n"
@@ -110,7 +119,7 @@
     told = json.loads((fixtures / "handover.json").read_text())
     if is_refused:
         told[0]["module"] = "{}"
-    async with World(folder, classes=CLASSES) as world:
+    async with RelayHarness(folder, classes=CLASSES) as world:
         world.root = root
         prepare(world, fixtures / "journal_handover")
         lock = os.open(folder / "state" / "owner.lock", os.O_RDWR | os.O_CREAT)
@@ -118,9 +127,9 @@
         listener = socket.socket(socket.AF_UNIX)
         listener.bind(str(folder / "state" / "upgrade.sock"))
         listener.listen(1)
-        listener.settimeout(HANG)
-        host = await world.host(deliver)
-        await world.host(deliver, dest=2)  # the one that an operator disables meanwhile
+        listener.settimeout(TEST_TIMEOUT_S)
+        host = await world.start_host(respond_ok)
+        await world.start_host(respond_ok, destination=2)  # the one that an operator disables meanwhile
         world.process = await world.spawn()
         line = Line((await asyncio.to_thread(listener.accept))[0])
         listener.close()
@@ -147,10 +156,12 @@
         client.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=client)
         writer.write(HALF_REQUEST[HALF:])
-        start, _, _ = await read_message(reader)
+        start, _, _ = await read_response(reader)
         writer.close()
-        await world.until_ready()
-        await world.until(lambda: unfinished <= {*host.ids, *(notice["id"] for notice in world.notices)})
+        await world.wait_until_ready()
+        await world.wait_until(
+            lambda: unfinished <= {*host.request_ids, *(notice["id"] for notice in world.status_reports)}
+        )
         await asyncio.sleep(0.5)  # for a message that runs twice
         disabled = json.loads((folder / "state" / "hosts-out.json").read_text())
         return {
@@ -158,8 +169,8 @@
             "changed": changed,
             "half_request": start,
             "disabled": disabled,
-            "calls": dict(sorted(Counter(host.ids).items())),
-            "reports": sorted(world.notices, key=lambda report: str(report["id"])),
+            "calls": dict(sorted(Counter(host.request_ids).items())),
+            "reports": sorted(world.status_reports, key=lambda report: str(report["id"])),
         }
 
 
--- a/tests/standins/recovered.py
+++ b/tests/standins/recovered.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.standins.platform import HANG, ROOT, SETTINGS, World, deliver, free_port
+from tests.standins.platform import ROOT, SETTINGS, TEST_TIMEOUT_S, RelayHarness, free_port, respond_ok
 
 CENTURY_US = 3_155_760_000_000_000
 CLASSES = [
@@ -44,39 +44,41 @@
     folder: Path, state: Path, unfinished: set[str], root: Path = ROOT, record: Path | None = None
 ) -> dict[str, Any]:
     """Starts the program of `root` on a copy of `state` until all of `unfinished` have ended."""
-    async with World(folder, classes=CLASSES) as world:
+    async with RelayHarness(folder, classes=CLASSES) as world:
         world.root = root
-        world.control = f"127.0.0.1:{free_port()}"
+        world.admin_address = f"127.0.0.1:{free_port()}"
         shutil.copytree(state, folder / "state")
         if record is not None:
             shutil.copy(record, folder / "record.sqlite")
             (folder / "record.toml").write_text(f'file = "{folder / "record.sqlite"}"\n')
             world.arguments = ["--record", str(folder / "record.toml")]
-        host = await world.host(deliver)
+        host = await world.start_host(respond_ok)
         await world.start()
-        await world.until(lambda: unfinished <= {*host.ids, *(notice["id"] for notice in world.notices)})
+        await world.wait_until(
+            lambda: unfinished <= {*host.request_ids, *(notice["id"] for notice in world.status_reports)}
+        )
         resubmitted = {}
         if record is None:
             for name in RESUBMITTED:
                 of = name.rpartition("-")[2]
-                resubmitted[name] = await world.hand_in(name, of, path=f"/{of}/{name}")
+                resubmitted[name] = await world.submit(name, of, path=f"/{of}/{name}")
         else:
             for name in ("store-told-delivered", "store-told-failed", "store-told-refused"):
-                resubmitted[name] = await world.hand_in(name, "order", path=f"/order/{name}")
-        async with asyncio.timeout(HANG):
-            while "app.outstanding=0" not in await world.call("show-stat"):
+                resubmitted[name] = await world.submit(name, "order", path=f"/order/{name}")
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while "app.outstanding=0" not in await world.call_admin("show-stat"):
                 await asyncio.sleep(0.02)
         rows = await finished_rows(folder / "record.sqlite") if record is not None else []
         await world.kill()
         return {
-            "calls": dict(sorted(Counter(host.ids).items())),
+            "calls": dict(sorted(Counter(host.request_ids).items())),
             "bodies": {request.id: request.body for request in host.requests},
             "idempotency_keys": {
                 request.id: request.headers["idempotency-key"]
                 for request in host.requests
                 if "idempotency-key" in request.headers
             },
-            "reports": sorted(world.notices, key=lambda report: str(report["id"])),
+            "reports": sorted(world.status_reports, key=lambda report: str(report["id"])),
             "resubmitted": resubmitted,
             "rows": rows,
         }
@@ -86,7 +88,7 @@
     """Id, state, answer and attempts of each message, once the end of every message was reported."""
     database = sqlite3.connect(f"file:{store}?mode=ro", uri=True)
     try:
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while database.execute("SELECT count(*) FROM messages WHERE told_at IS NULL").fetchone() != (0,):
                 await asyncio.sleep(0.02)
         rows = database.execute("SELECT id, run, state, answer, attempts, result FROM messages ORDER BY id")
--- a/tests/standins/registries.py
+++ b/tests/standins/registries.py
@@ -10,7 +10,7 @@
 
 from loftrelay.discovery.registry_selection import preference_order
 from loftrelay.net.address import parse_address
-from tests.standins.platform import HANG, World, free_port
+from tests.standins.platform import TEST_TIMEOUT_S, RelayHarness, free_port
 
 FLEET = "windwacht"
 
@@ -19,13 +19,13 @@
     """So many for one World, whose relay is then to be started with them. Use as an async context within
     that of the world."""
 
-    def __init__(self, world: World, number: int = 2, **subscription: Any) -> None:
+    def __init__(self, world: RelayHarness, number: int = 2, **subscription: Any) -> None:
         self.world = world
         self.addresses = [f"127.0.0.1:{free_port()}" for _ in range(number)]
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.logs: dict[str, list[str]] = {address: [] for address in self.addresses}
         self.tasks: list[asyncio.Task[None]] = []
-        world.control = world.control or f"127.0.0.1:{free_port()}"
+        world.admin_address = world.admin_address or f"127.0.0.1:{free_port()}"
         told = {"fleet": f'"{FLEET}"', "registries": str(self.addresses).replace("'", '"'), **subscription}
         path = world.folder / "subscription.toml"
         path.write_text("[subscription]\n" + "".join(f"{key} = {value}\n" for key, value in told.items()))
@@ -42,7 +42,9 @@
 
     def order(self) -> list[str]:
         """As the relay prefers them."""
-        places = preference_order(self.world.name_, [parse_address(address) for address in self.addresses])
+        places = preference_order(
+            self.world.relay_name, [parse_address(address) for address in self.addresses]
+        )
         return [f"{host}:{port}" for host, port in places]
 
     async def start(self, address: str, discovery: str = "") -> None:
@@ -61,7 +63,7 @@
         )
         log = self.logs[address] = []
         self.tasks.append(asyncio.create_task(self._read_log(process, log)))
-        await self.world.until(
+        await self.world.wait_until(
             lambda: any("listens on" in line for line in log) or process.returncode is not None
         )
         assert process.returncode is None, log
@@ -70,14 +72,14 @@
         assert process.stderr is not None
         while line := await process.stderr.readline():
             log.append(line.decode().strip())
-            self.world.bump()
+            self.world.notify_changed()
         await process.wait()
-        self.world.bump()
+        self.world.notify_changed()
 
     async def kill(self, address: str) -> None:
         process = self.processes.pop(address)
         process.kill()
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await process.wait()
 
     async def suspend(self, address: str) -> None:
@@ -85,7 +87,7 @@
         process = self.processes[address]
         process.send_signal(signal.SIGSTOP)
         stat = Path(f"/proc/{process.pid}/stat")
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while stat.read_text().rpartition(")")[2].split()[0] != "T":
                 await asyncio.sleep(0.002)
 
@@ -95,10 +97,12 @@
     # What the relay shows at its door
 
     async def metric(self, name: str) -> int:
-        lines = dict(line.split("=") for line in (await self.world.call("show-stat")).split() if "=" in line)
+        lines = dict(
+            line.split("=") for line in (await self.world.call_admin("show-stat")).split() if "=" in line
+        )
         return int(lines[f"app.{name}"])
 
     async def wait_for_metric(self, name: str, least: int) -> None:
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while await self.metric(name) < least:
                 await asyncio.sleep(0.01)
--- a/tests/standins/registry.py
+++ b/tests/standins/registry.py
@@ -20,7 +20,7 @@
     decode_response,
     encode_request,
 )
-from tests.standins.platform import HANG, ROOT
+from tests.standins.platform import ROOT, TEST_TIMEOUT_S
 
 
 class RegistryConnection:
@@ -33,7 +33,7 @@
         self.writer.write(f"{method} {what} HTTP/1.1\r\nHost: registry\r\n\r\n".encode())
 
     async def read(self) -> tuple[int, dict[str, str], bytes]:
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
             headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:])}
             body = await self.reader.readexactly(int(headers["content-length"]))
@@ -56,7 +56,7 @@
 
     async def read_until_closed(self) -> bytes:
         """What comes until the registry ends the connection."""
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
                 return await self.reader.read()
             return b""
@@ -123,7 +123,7 @@
 
     async def wait_for_log(self, pattern: str, since: int = 0) -> re.Match[str]:
         """The first line from number `since` on in which that is found."""
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while True:
                 self._logged.clear()
                 for line in self.log[since:]:
@@ -138,7 +138,7 @@
 
     async def wait(self) -> int:
         assert self.process is not None
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.process.wait()
 
     async def connect(self) -> RegistryConnection:
@@ -154,7 +154,7 @@
         return {name: float(value) for name, value in (told.split() for told in body.splitlines())}
 
     async def until(self, holds: Callable[[dict[str, float]], bool]) -> dict[str, float]:
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not holds(figures := await self.metrics()):
                 await asyncio.sleep(0.01)
         return figures
--- a/tests/standins/traffic.py
+++ b/tests/standins/traffic.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from tests.standins.partner import Partner
-from tests.standins.platform import HANG, SETTINGS, World, message, read_message
+from tests.standins.platform import SETTINGS, TEST_TIMEOUT_S, RelayHarness, format_submission, read_response
 
 GRACE = 0.35  # seconds after a message's time in which its notice is in time: 300 ms, and 50 on sockets
 
@@ -68,7 +68,7 @@
 class Client:
     """One kept connection, one request at a time."""
 
-    def __init__(self, world: World, account: Account) -> None:
+    def __init__(self, world: RelayHarness, account: Account) -> None:
         self.world, self.account = world, account
         self.stream: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
@@ -76,16 +76,16 @@
         changes = {"Request_Timeout_Ms": str(int(order.timeout * 1000))}
         if order.key is not None:
             changes["path"] = f"/{order.of}/{order.key}"
-        raw = message(order.id, order.of, order.dest, body, **changes)
+        raw = format_submission(order.id, order.of, order.dest, body, **changes)
         for last in (False, True):
             kept = self.stream is not None
             try:
-                async with asyncio.timeout(HANG):
+                async with asyncio.timeout(TEST_TIMEOUT_S):
                     reader, writer = self.stream or await asyncio.open_connection(*self.world.address)
                     self.stream = reader, writer
                     sent = time.time()
                     writer.write(raw)
-                    start, headers, _ = await read_message(reader)
+                    start, headers, _ = await read_response(reader)
                 break
             except (ConnectionError, asyncio.IncompleteReadError):
                 self.close()  # the relay may close a kept connection just then: once more on a new one
@@ -108,7 +108,7 @@
 
 
 async def hand_in_all(
-    world: World, lines: Sequence[Iterable[Order]], account: Account, pause: float = 0.0
+    world: RelayHarness, lines: Sequence[Iterable[Order]], account: Account, pause: float = 0.0
 ) -> None:
     """Each line of messages by a client of its own, one after another, `pause` seconds between two."""
 
@@ -123,24 +123,24 @@
     await asyncio.gather(*(go(line) for line in lines))
 
 
-async def all_over(world: World, partners: Sequence[Partner], account: Account) -> None:
+async def all_over(world: RelayHarness, partners: Sequence[Partner], account: Account) -> None:
     """Until each message taken on has run or was told of, or its time and the grace are over."""
     while True:
         now = time.time()
         open_ = [
             ends + GRACE
             for name, ends in account.taken.items()
-            if name not in world.noticed_at and not any(p.answered[name] for p in partners)
+            if name not in world.reported_at and not any(p.answered[name] for p in partners)
         ]
         left = [ends for ends in open_ if ends > now]
         if not left:
             return
-        heard = len(world.notices)
+        heard = len(world.status_reports)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(world.until(lambda n=heard: len(world.notices) > n), 0.1)  # type: ignore[misc]
+            await asyncio.wait_for(world.wait_until(lambda n=heard: len(world.status_reports) > n), 0.1)  # type: ignore[misc]
 
 
-def find(world: World, partners: Sequence[Partner], account: Account, slack: float = 0.0) -> Findings:
+def find(world: RelayHarness, partners: Sequence[Partner], account: Account, slack: float = 0.0) -> Findings:
     """To be called when all is over. `slack`: seconds by which this process may have read calls late."""
     effects: dict[str, int] = {}
     began: dict[str, float] = {}
@@ -153,7 +153,7 @@
         for call in partner.calls:
             for name in call.ids:
                 began[name] = max(began.get(name, 0.0), call.at + offset)
-    deferred = {notice["id"] for notice in world.notices if notice["status"] == "deferred"}
+    deferred = {notice["id"] for notice in world.status_reports if notice["status"] == "deferred"}
     duplicates = misattributed = late = begun_late = 0
     for name, ends in account.taken.items():
         of, ran = account.orders[name].of, effects.get(name, 0)
@@ -163,9 +163,9 @@
         if of == "order":
             duplicates += max(0, ran - 1)
             misattributed += ran > 0 and name in deferred
-        misattributed += ran == 0 and name not in world.noticed_at
+        misattributed += ran == 0 and name not in world.reported_at
         begun_late += began.get(name, 0.0) > ends + GRACE + slack
-        late += began.get(name, 0.0) > ends + GRACE or world.noticed_at.get(name, 0.0) > ends + GRACE
+        late += began.get(name, 0.0) > ends + GRACE or world.reported_at.get(name, 0.0) > ends + GRACE
     misattributed += sum(effects.get(name, 0) > 0 for name in account.refused)
     keys: dict[str, list[str]] = {}
     for _, name in sorted(sequence):
@@ -182,5 +182,5 @@
         late,
         begun_late,
         breaks,
-        len(world.noticed_at),
+        len(world.reported_at),
     )
--- a/tests/standins/wire.py
+++ b/tests/standins/wire.py
@@ -16,16 +16,16 @@
 from pathlib import Path
 
 from tests.standins.platform import (
-    HANG,
     ROOT,
-    Peer,
-    PeerConnection,
+    TEST_TIMEOUT_S,
+    RelayHarness,
     Request,
-    World,
-    deliver,
+    StubServer,
+    StubServerConnection,
+    format_response,
+    format_submission,
     free_port,
-    message,
-    reply,
+    respond_ok,
 )
 from tests.standins.recovered import CLASSES
 from tests.standins.registries import Registries
@@ -49,18 +49,18 @@
     return data.decode("latin-1")
 
 
-class RawConnection(PeerConnection):
+class RecordingConnection(StubServerConnection):
     def data_received(self, data: bytes) -> None:
-        assert isinstance(self.peer, RawPeer)
-        before = len(self.peer.requests)
+        assert isinstance(self.server, RecordingServer)
+        before = len(self.server.requests)
         self.unfinished = getattr(self, "unfinished", b"") + data
         super().data_received(data)
-        if len(self.peer.requests) > before:
-            self.peer.raw.append(self.unfinished)
+        if len(self.server.requests) > before:
+            self.server.raw.append(self.unfinished)
             self.unfinished = b""
 
 
-class RawPeer(Peer):
+class RecordingServer(StubServer):
     """A peer that keeps the bytes of each request."""
 
     raw: list[bytes]
@@ -68,21 +68,21 @@
     async def start(self, port: int = 0) -> None:
         self.raw = []
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: RawConnection(self), "127.0.0.1", port)
+        self.server = await loop.create_server(lambda: RecordingConnection(self), "127.0.0.1", port)
 
 
-class RawWorld(World):
+class RecordingHarness(RelayHarness):
     """A world whose peers keep the bytes of each request."""
 
-    async def peer(self, script: Callable[[Request], Awaitable[bytes | None]]) -> RawPeer:
-        peer = RawPeer(self, script)
+    async def start_server(self, handler: Callable[[Request], Awaitable[bytes | None]]) -> RecordingServer:
+        peer = RecordingServer(self, handler)
         await peer.start()
-        self.peers.append(peer)
+        self.servers.append(peer)
         return peer
 
 
-def raw_of(peer: Peer) -> list[str]:
-    assert isinstance(peer, RawPeer)
+def recorded_requests(peer: StubServer) -> list[str]:
+    assert isinstance(peer, RecordingServer)
     return [normalized(raw) for raw in peer.raw]
 
 
@@ -92,7 +92,7 @@
     answer = b""
     before, end, body = raw.partition(b"\r\n\r\n")
     waits = b"100-continue" in before
-    async with asyncio.timeout(HANG):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         writer.write(before + end if waits else raw)
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
@@ -113,154 +113,159 @@
 
 
 SUBMISSIONS = {  # in their order: later ones meet the ids of earlier ones
-    "accepted": message("m1", "order"),
-    "accepted, idempotent": message("m2"),
-    "accepted, chunked body": message("m3", Content_Length="", Transfer_Encoding="chunked").removesuffix(
-        b"hello"
-    )
+    "accepted": format_submission("m1", "order"),
+    "accepted, idempotent": format_submission("m2"),
+    "accepted, chunked body": format_submission(
+        "m3", Content_Length="", Transfer_Encoding="chunked"
+    ).removesuffix(b"hello")
     + b"5\r\nhello\r\n0\r\n\r\n",
-    "100-continue": message("m4", Expect="100-continue"),
-    "accepted, to fail": message("bad", "order", path="/order/bad"),
-    "destination unknown": message("m5", dest=77),
-    "deadline passed": message("m6", Request_Timeout_Ms="0"),
-    "no id": message("", Request_Id=""),
-    "malformed id": message("a b"),
-    "class differs from path": message("m7", Request_Class="order"),
-    "class unknown": message("m7", "nothing"),
-    "path too long": message("m7", path="/status/a/b"),
-    "no tenant": message("m7", Tenant=""),
-    "tenant unknown": message("m7", Tenant="nobody"),
-    "no timeout": message("m7", Request_Timeout_Ms=""),
-    "malformed timeout": message("m7", Request_Timeout_Ms="1.5"),
-    "timeout too long": message("m7", Request_Timeout_Ms="999999"),
-    "no destination": message("m7", X_Consignee=""),
-    "malformed destination": message("m7", X_Consignee="dest=x"),
-    "key too long": message("m7", "order", path="/order/" + "k" * 257),
-    "malformed idempotency key": message("m7", Idempotency_Key="k" * 257),
-    "method not allowed": message("m7", method="GET"),
-    "repeated header": message("m7").replace(b"Tenant:", b"Tenant: acme\r\nTenant:"),
-    "two lengths of the body": message("m7", Transfer_Encoding="chunked"),
-    "body too long": message("m7", Content_Length="65537"),
-    "two requests at once": message("m7") + message("m8"),
+    "100-continue": format_submission("m4", Expect="100-continue"),
+    "accepted, to fail": format_submission("bad", "order", path="/order/bad"),
+    "destination unknown": format_submission("m5", destination=77),
+    "deadline passed": format_submission("m6", Request_Timeout_Ms="0"),
+    "no id": format_submission("", Request_Id=""),
+    "malformed id": format_submission("a b"),
+    "class differs from path": format_submission("m7", Request_Class="order"),
+    "class unknown": format_submission("m7", "nothing"),
+    "path too long": format_submission("m7", path="/status/a/b"),
+    "no tenant": format_submission("m7", Tenant=""),
+    "tenant unknown": format_submission("m7", Tenant="nobody"),
+    "no timeout": format_submission("m7", Request_Timeout_Ms=""),
+    "malformed timeout": format_submission("m7", Request_Timeout_Ms="1.5"),
+    "timeout too long": format_submission("m7", Request_Timeout_Ms="999999"),
+    "no destination": format_submission("m7", X_Consignee=""),
+    "malformed destination": format_submission("m7", X_Consignee="dest=x"),
+    "key too long": format_submission("m7", "order", path="/order/" + "k" * 257),
+    "malformed idempotency key": format_submission("m7", Idempotency_Key="k" * 257),
+    "method not allowed": format_submission("m7", method="GET"),
+    "repeated header": format_submission("m7").replace(b"Tenant:", b"Tenant: acme\r\nTenant:"),
+    "two lengths of the body": format_submission("m7", Transfer_Encoding="chunked"),
+    "body too long": format_submission("m7", Content_Length="65537"),
+    "two requests at once": format_submission("m7") + format_submission("m8"),
     "not HTTP": b"nonsense\r\n\r\n",
-    "unknown version": message("m7").replace(b"HTTP/1.1", b"HTTP/3.1"),
-    "HTTP/1.0": message("m9").replace(b"HTTP/1.1", b"HTTP/1.0"),
-    "client closes": message("m10", Connection="close"),
+    "unknown version": format_submission("m7").replace(b"HTTP/1.1", b"HTTP/3.1"),
+    "HTTP/1.0": format_submission("m9").replace(b"HTTP/1.1", b"HTTP/1.0"),
+    "client closes": format_submission("m10", Connection="close"),
     "ready": b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n",
     "ready, HEAD": b"HEAD /health/ready HTTP/1.1\r\nHost: x\r\n\r\n",
     "ready, POST": b"POST /health/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n",
     "no such path": b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n",
 }
 RESUBMISSIONS = {
-    "delivered before": message("m1", "order"),
-    "failed before": message("bad", "order", path="/order/bad"),
+    "delivered before": format_submission("m1", "order"),
+    "failed before": format_submission("bad", "order", path="/order/bad"),
 }
 
 
-async def client_responses(world: RawWorld) -> list[str]:
+async def client_responses(world: RecordingHarness) -> list[str]:
     async def script(request: Request) -> bytes:
-        return reply(500 if request.id == "bad" else 200)
+        return format_response(500 if request.id == "bad" else 200)
 
-    host = await world.host(script)
+    host = await world.start_host(script)
     await world.start()
     answers = [f"# {name}\n{await response(world.address, raw)}" for name, raw in SUBMISSIONS.items()]
-    await world.until(lambda: {"m1", "bad"} <= set(host.ids) and bool(world.notices))
-    async with asyncio.timeout(HANG):
-        while "app.outstanding=0" not in await world.call("show-stat"):
+    await world.wait_until(lambda: {"m1", "bad"} <= set(host.request_ids) and bool(world.status_reports))
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        while "app.outstanding=0" not in await world.call_admin("show-stat"):
             await asyncio.sleep(0.02)
     return answers + [
         f"# {name}\n{await response(world.address, raw)}" for name, raw in RESUBMISSIONS.items()
     ]
 
 
-async def overload_responses(world: RawWorld) -> list[str]:
+async def overload_responses(world: RecordingHarness) -> list[str]:
     """With room for two messages, neither of which can be delivered."""
-    world.name()
+    world.add_unavailable_destination()
     await world.start()
-    answers = [await response(world.address, message(f"m{n}", path="/status")) for n in range(4)]
-    return [*answers, await response(world.address, message("order", "order"))]
+    answers = [await response(world.address, format_submission(f"m{n}", path="/status")) for n in range(4)]
+    return [*answers, await response(world.address, format_submission("order", "order"))]
 
 
-async def host_calls(world: RawWorld) -> list[str]:
-    single, batch = await world.host(deliver), await world.peer(deliver)
+async def host_calls(world: RecordingHarness) -> list[str]:
+    single, batch = await world.start_host(respond_ok), await world.start_server(respond_ok)
 
     async def batch_script(request: Request) -> bytes:
-        return reply(200)
+        return format_response(200)
 
-    batch.script = batch_script
+    batch.handler = batch_script
     await world.start()
-    await world.hand_in("first", "order", body=bytes(range(256)))
-    await world.until(lambda: single.answered == 1)
-    await world.hand_in("second", "alarm", Idempotency_Key="client 7")
-    await world.until(lambda: single.answered == 2)
-    await world.hand_in("third", "status", body=b"", Client_Retry="1")
-    await world.until(lambda: single.answered == 3)
-    world.name(2, "bulk")
+    await world.submit("first", "order", body=bytes(range(256)))
+    await world.wait_until(lambda: single.response_count == 1)
+    await world.submit("second", "alarm", Idempotency_Key="client 7")
+    await world.wait_until(lambda: single.response_count == 2)
+    await world.submit("third", "status", body=b"", Client_Retry="1")
+    await world.wait_until(lambda: single.response_count == 3)
+    world.add_unavailable_destination(2, "bulk")
     for number, of in enumerate(("order", "status", "alarm")):
-        async with asyncio.timeout(HANG):
-            while await world.hand_in(f"batch{number}", of, 2) == 503:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while await world.submit(f"batch{number}", of, 2) == 503:
                 await asyncio.sleep(0.02)
-    world.list_host(2, "bulk", "Ready", batch.address)
-    await world.until(lambda: batch.answered >= 1)
-    return [*raw_of(single), *raw_of(batch)]
+    world.add_endpoint(2, "bulk", "Ready", batch.address)
+    await world.wait_until(lambda: batch.response_count >= 1)
+    return [*recorded_requests(single), *recorded_requests(batch)]
 
 
-async def status_reports(world: RawWorld) -> list[str]:
+async def status_reports(world: RecordingHarness) -> list[str]:
     async def fail(request: Request) -> bytes:
-        return reply(500)
+        return format_response(500)
 
-    await world.host(fail)
-    world.name(2)
+    await world.start_host(fail)
+    world.add_unavailable_destination(2)
     await world.start()
     for name, of, dest, timeout in (
         ("failed", "order", 1, "20000"),
         ("expired", "status", 2, "300"),
         ('q"uote', "order", 1, "20000"),
     ):
-        before = len(world.notices)
-        await world.hand_in(name, of, dest, path=f"/{of}/{name}", Request_Timeout_Ms=timeout)
-        await world.until(lambda n=before: len(world.notices) > n)  # type: ignore[misc]
-    return [raw for raw in raw_of(world.discovery) if "/reports" in raw.partition("\r\n")[0]]
+        before = len(world.status_reports)
+        await world.submit(name, of, dest, path=f"/{of}/{name}", Request_Timeout_Ms=timeout)
+        await world.wait_until(lambda n=before: len(world.status_reports) > n)  # type: ignore[misc]
+    return [raw for raw in recorded_requests(world.discovery) if "/reports" in raw.partition("\r\n")[0]]
 
 
-async def recovered_status_reports(world: RawWorld) -> list[str]:
+async def recovered_status_reports(world: RecordingHarness) -> list[str]:
     """Reports of the final statuses that a journal of 32c0038 holds, one of them deferred."""
     shutil.copytree(JOURNAL, world.folder / "state")
-    world.name()
+    world.add_unavailable_destination()
     await world.start()
-    await world.until(lambda: any(notice["id"] == "deferred" for notice in world.notices))
-    reports = [raw for raw in raw_of(world.discovery) if "/reports" in raw.partition("\r\n")[0]]
+    await world.wait_until(lambda: any(notice["id"] == "deferred" for notice in world.status_reports))
+    reports = [raw for raw in recorded_requests(world.discovery) if "/reports" in raw.partition("\r\n")[0]]
     return [raw for raw in reports if '"deferred"' in raw]
 
 
-async def retry_after_responses(world: RawWorld) -> list[str]:
+async def retry_after_responses(world: RecordingHarness) -> list[str]:
     """The only host has asked to wait for longer than the next message may take."""
 
     async def reject(request: Request) -> bytes:
-        return reply(429, X_Come_Back_Ms="3600000")
+        return format_response(429, X_Come_Back_Ms="3600000")
 
-    host = await world.host(reject)
+    host = await world.start_host(reject)
     await world.start()
-    await world.hand_in("m1")
-    await world.until(lambda: host.answered == 1)
-    async with asyncio.timeout(HANG):
-        while await world.hand_in("first", Request_Timeout_Ms="1500") != 503:
+    await world.submit("m1")
+    await world.wait_until(lambda: host.response_count == 1)
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        while await world.submit("first", Request_Timeout_Ms="1500") != 503:
             await asyncio.sleep(0.02)
-    answers = [await response(world.address, message(f"m{n}", Request_Timeout_Ms="1500")) for n in (2, 3)]
-    return [*answers, await response(world.address, message("m4", "order", Request_Timeout_Ms="1500"))]
+    answers = [
+        await response(world.address, format_submission(f"m{n}", Request_Timeout_Ms="1500")) for n in (2, 3)
+    ]
+    return [
+        *answers,
+        await response(world.address, format_submission("m4", "order", Request_Timeout_Ms="1500")),
+    ]
 
 
-async def discovery_calls(world: RawWorld) -> list[str]:
-    await world.host(deliver)
+async def discovery_calls(world: RecordingHarness) -> list[str]:
+    await world.start_host(respond_ok)
     await world.start()
-    await world.until(lambda: len(world.discovery.requests) >= 2)
-    world.name(2)
-    await world.until(lambda: len(world.discovery.requests) >= 3)
-    return raw_of(world.discovery)[:3]
+    await world.wait_until(lambda: len(world.discovery.requests) >= 2)
+    world.add_unavailable_destination(2)
+    await world.wait_until(lambda: len(world.discovery.requests) >= 3)
+    return recorded_requests(world.discovery)[:3]
 
 
-async def admin_replies(world: RawWorld) -> list[str]:
-    await world.host(deliver)
+async def admin_replies(world: RecordingHarness) -> list[str]:
+    await world.start_host(respond_ok)
     await world.start()
     lines = (
         "ready",
@@ -278,7 +283,7 @@
         "",
         "x" * 600,
     )
-    return [f"# {line[:40]}\n{normalized((await world.call(line)).encode())}" for line in lines]
+    return [f"# {line[:40]}\n{normalized((await world.call_admin(line)).encode())}" for line in lines]
 
 
 class RecordingProxy:
@@ -320,25 +325,32 @@
         return [normalized(data) for direction, data in self.exchanged if direction == way and text in data]
 
 
-async def registry_calls(world: RawWorld) -> list[str]:
+async def registry_calls(world: RecordingHarness) -> list[str]:
     """A relay that subscribes at a registry: its calls, the registry's answers, and the registry's calls."""
     async with Registries(world, 1, wait_ms=10_000) as registries:
         proxy = RecordingProxy(registries.addresses[0])
         path = world.folder / "subscription.toml"
         path.write_text(path.read_text().replace(registries.addresses[0], await proxy.start()))
         try:
-            host = await world.host(deliver)
+            host = await world.start_host(respond_ok)
             await world.start()
-            await world.hand_in_once_listed("m1", 1)
-            await world.until(lambda: host.ids == ["m1"])
-            world.list_host(1, "plain", "Terminating", "127.0.0.1:9")
-            async with asyncio.timeout(HANG):
+            await world.submit_once_listed("m1", 1)
+            await world.wait_until(lambda: host.request_ids == ["m1"])
+            world.add_endpoint(1, "plain", "Terminating", "127.0.0.1:9")
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not proxy.seen("answer", b'"Terminating"'):
                     await asyncio.sleep(0.02)
             changes, watches = proxy.seen("call", b"add="), proxy.seen("call", b"wait=")
             told = proxy.seen("answer", b'"Ready"'), proxy.seen("answer", b'"Terminating"')
-            figures = normalized((await world.call("show-stat")).encode())
-            return [figures, changes[0], watches[0], told[0][0], told[1][0], *raw_of(world.discovery)[:1]]
+            figures = normalized((await world.call_admin("show-stat")).encode())
+            return [
+                figures,
+                changes[0],
+                watches[0],
+                told[0][0],
+                told[1][0],
+                *recorded_requests(world.discovery)[:1],
+            ]
         finally:
             proxy.close()
 
@@ -365,12 +377,12 @@
 )
 
 
-async def registry_answers(world: RawWorld) -> list[str]:
-    await world.host(deliver)
+async def registry_answers(world: RecordingHarness) -> list[str]:
+    await world.start_host(respond_ok)
     async with Registries(world, 1) as registries:
         host, _, port = registries.addresses[0].rpartition(":")
         ready = b"GET /health/ready HTTP/1.1\r\nHost: registry\r\n\r\n"
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not (await response((host, int(port)), ready)).startswith("HTTP/1.1 200"):
                 await asyncio.sleep(0.02)
         calls = [f"{line} HTTP/1.1\r\nHost: registry\r\n\r\n".encode() for line in REGISTRY_CALLS]
@@ -380,7 +392,7 @@
         ]
 
 
-async def admin_figures_with_fleet_and_store(world: RawWorld) -> list[str]:
+async def admin_figures_with_fleet_and_store(world: RecordingHarness) -> list[str]:
     (world.folder / "record.toml").write_text(f'file = "{world.folder / "record.sqlite"}"\n')
     (world.folder / "fleet.toml").write_text(f'[fleet]\nlisten = "127.0.0.1:{free_port()}"\n')
     world.arguments = [
@@ -389,12 +401,12 @@
         "--fleet",
         str(world.folder / "fleet.toml"),
     ]
-    await world.host(deliver)
+    await world.start_host(respond_ok)
     await world.start()
-    return [normalized((await world.call("show-stat")).encode())]
+    return [normalized((await world.call_admin("show-stat")).encode())]
 
 
-SCENES: dict[str, Callable[[RawWorld], Awaitable[list[str]]]] = {
+SCENES: dict[str, Callable[[RecordingHarness], Awaitable[list[str]]]] = {
     scene.__name__: scene
     for scene in (
         client_responses,
@@ -415,10 +427,10 @@
 async def play(name: str, folder: Path, root: Path = ROOT) -> str:
     """The bytes of one scene as text: lines end at each LF, other control characters are escaped."""
     settings = {"policy_limits": {**LIMITS, "most_held": 2 if name == "overload_responses" else 100}}
-    world = RawWorld(folder, classes=CLASSES, **settings)
+    world = RecordingHarness(folder, classes=CLASSES, **settings)
     async with world:
         world.root = root
-        world.control = f"127.0.0.1:{free_port()}"
+        world.admin_address = f"127.0.0.1:{free_port()}"
         pieces = await SCENES[name](world)
     lines = "\n\n".join(pieces).split("\n")
     return "".join(f"{line.encode('unicode_escape').decode()}\n" for line in lines)
--- a/tests/upgrade/test_channel.py
+++ b/tests/upgrade/test_channel.py
@@ -15,7 +15,7 @@
 
 from loftrelay.upgrade.channel import HEADER, MAX_DESCRIPTORS, Channel, Listener, connect
 from loftrelay.upgrade.lock import Lock
-from tests.standins.platform import HANG
+from tests.standins.platform import TEST_TIMEOUT_S
 
 
 class ChannelEnd:
@@ -36,7 +36,7 @@
         self.changed.set()
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not condition():
                 self.changed.clear()
                 await self.changed.wait()
