--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -27,10 +27,19 @@
 from loftrelay.delivery.connection_pool.manager import PoolManager
 from loftrelay.delivery.connection_pool.settings import PoolSettings
 from tests.program.test_connections import LIMITS, STRICT, plan
-from tests.standins.partner import Behaviour, Call, Doing, Partner
+from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
 from tests.standins.platform import SETTINGS, RelayHarness
-from tests.standins.traffic import CLASSES, GRACE, Account, Client, Order, all_over, find, hand_in_all
-from tests.standins.trouble import behaviours
+from tests.standins.traffic import (
+    CLASSES,
+    REPORT_GRACE_S,
+    Client,
+    Submission,
+    SubmissionLog,
+    evaluate,
+    submit_all,
+    wait_until_final,
+)
+from tests.standins.trouble import faulty_behaviours
 
 
 async def storm(folder: Path, root: Path, count: int, text: str | None) -> dict[str, int]:
@@ -42,16 +51,16 @@
             (folder / "connections.toml").write_text(text)
             w.arguments = ["--connections", str(folder / "connections.toml")]
         partners = []
-        for n, behaviour in enumerate(behaviours()):
-            partner = await stack.enter_async_context(Partner(behaviour, seed=500 + n))
+        for n, behaviour in enumerate(faulty_behaviours()):
+            partner = await stack.enter_async_context(FakeHost(behaviour, seed=500 + n))
             partners.append(partner)
             kind = "bulk" if n % 4 == 3 else "plain"
             w.add_endpoint(n + 1, kind, "Ready", "{}:{}".format(*partner.address))
         await w.start()
-        account = Account()
-        await hand_in_all(w, plan(count, len(partners), 9), account)
-        await all_over(w, partners, account)
-        return asdict(find(w, partners, account))
+        account = SubmissionLog()
+        await submit_all(w, plan(count, len(partners), 9), account)
+        await wait_until_final(w, partners, account)
+        return asdict(evaluate(w, partners, account))
 
 
 async def late_copies(folder: Path, root: Path, text: str | None, rounds: int) -> list[int]:
@@ -60,10 +69,10 @@
     held to be delivered, by round."""
     pairs = 20
 
-    def script(call: Call) -> Doing:
-        if call.ids[0].startswith("copied"):
-            return Doing(copies=(0.05,))
-        return Doing(503, delay=0.15) if call.ids[0].startswith("order") else Doing()
+    def script(call: Call) -> ResponsePlan:
+        if call.message_ids[0].startswith("copied"):
+            return ResponsePlan(duplicate_delays_s=(0.05,))
+        return ResponsePlan(503, delay_s=0.15) if call.message_ids[0].startswith("order") else ResponsePlan()
 
     settings = {**SETTINGS["extra"], "call_slots": 200}
     async with RelayHarness(folder, policy_limits=LIMITS, extra=settings) as w, AsyncExitStack() as stack:
@@ -73,25 +82,27 @@
             w.arguments = ["--connections", str(folder / "connections.toml")]
         partners = []
         for n in range(pairs):
-            partner = await stack.enter_async_context(Partner(Behaviour(script)))
+            partner = await stack.enter_async_context(FakeHost(Behaviour(script)))
             partners.append(partner)
             w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
         await w.start()
-        account, misattributed = Account(), []
+        account, misattributed = SubmissionLog(), []
 
         async def pair(client: Client, number: int, dest: int) -> None:
             for i in range(4):
                 name = f"plain{number}-{dest}-{i}"
-                await client.hand_in(Order(name, "status", dest))
-                await partners[dest - 1].until(lambda name=name: partners[dest - 1].answered[name] > 0)  # type: ignore[misc]
-            await client.hand_in(Order(f"copied{number}-{dest}", "status", dest))
+                await client.submit(Submission(name, "status", dest))
+                await partners[dest - 1].wait_until(lambda name=name: partners[dest - 1].responses[name] > 0)  # type: ignore[misc]
+            await client.submit(Submission(f"copied{number}-{dest}", "status", dest))
             await asyncio.sleep(0.025)
-            await client.hand_in(Order(f"order{number}-{dest}", "order", dest, f"k{number}-{dest}", 1.0))
+            await client.submit(Submission(f"order{number}-{dest}", "order", dest, f"k{number}-{dest}", 1.0))
 
         clients = [Client(w, account) for _ in range(pairs)]
         for number in range(rounds):
             await asyncio.gather(*(pair(client, number, n + 1) for n, client in enumerate(clients)))
-            await asyncio.sleep(1.0 + GRACE)  # the orders' time is up: each is over, or held to be delivered
+            await asyncio.sleep(
+                1.0 + REPORT_GRACE_S
+            )  # the orders' time is up: each is over, or held to be delivered
             names = {f"order{number}-{n + 1}" for n in range(pairs)}
             misattributed.append(len(names - set(w.reported_at)))
         return misattributed
@@ -103,17 +114,19 @@
         w.root = root
         partners = []
         for n in range(24):
-            partner = await stack.enter_async_context(Partner(Behaviour(lambda call: Doing(delay=0.01))))
+            partner = await stack.enter_async_context(
+                FakeHost(Behaviour(lambda call: ResponsePlan(delay_s=0.01)))
+            )
             partners.append(partner)
             w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
         await w.start()
         chance, loop = random.Random(3), asyncio.get_running_loop()
         weights = [1 / (n + 1) ** 1.2 for n in range(24)]
-        account, number, due = Account(), 0, loop.time()
+        account, number, due = SubmissionLog(), 0, loop.time()
         idle, tasks = [Client(w, account) for _ in range(24)], set[asyncio.Task[None]]()
 
-        async def hand_in(client: Client, order: Order) -> None:
-            await client.hand_in(order)
+        async def hand_in(client: Client, order: Submission) -> None:
+            await client.submit(order)
             idle.append(client)
 
         ends = due + seconds
@@ -124,14 +137,16 @@
             (dest,) = chance.choices(range(1, 25), weights)
             of, key = ("order", f"k{number}") if number % 2 else ("status", None)
             client = idle.pop(0) if idle else Client(w, account)
-            task = asyncio.create_task(hand_in(client, Order(f"s{number}", of, dest, key)))
+            task = asyncio.create_task(hand_in(client, Submission(f"s{number}", of, dest, key)))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
         for client in idle:
             client.close()
-        await all_over(w, partners, account)
-        return sum(partner.accepted for partner in partners) / sum(len(partner.ids) for partner in partners)
+        await wait_until_final(w, partners, account)
+        return sum(partner.accepted_count for partner in partners) / sum(
+            len(partner.message_ids) for partner in partners
+        )
 
 
 async def costs(base: Path, blocks: int, size: int) -> dict[int, float]:
@@ -140,29 +155,29 @@
     does falls on both alike; the median of the blocks counts."""
     settings = {**SETTINGS["extra"], "call_slots": 1200}
     async with AsyncExitStack() as stack:
-        worlds: dict[int, tuple[RelayHarness, list[Partner], Account]] = {}
+        worlds: dict[int, tuple[RelayHarness, list[FakeHost], SubmissionLog]] = {}
         for servers in (24, 2000):
             (base / str(servers)).mkdir()
             w = await stack.enter_async_context(
                 RelayHarness(base / str(servers), policy_limits=LIMITS, extra=settings)
             )
             w.limits |= {"sockets": 12_000, "disk_mb": 50}
-            partners = [await stack.enter_async_context(Partner()) for _ in range(16)]
+            partners = [await stack.enter_async_context(FakeHost()) for _ in range(16)]
             for n in range(servers):
                 w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partners[n % 16].address))
             await w.start()
-            worlds[servers] = w, partners, Account()
+            worlds[servers] = w, partners, SubmissionLog()
 
         async def send(servers: int, first: int, many: int) -> float:
             w, partners, account = worlds[servers]
             assert w.process is not None
             lines = [
-                [Order(f"c{first + i}", "status", (first + i) % servers + 1) for i in range(n, many, 32)]
+                [Submission(f"c{first + i}", "status", (first + i) % servers + 1) for i in range(n, many, 32)]
                 for n in range(32)
             ]
             began = cpu_seconds(w.process.pid)
-            await hand_in_all(w, lines, account)
-            await all_over(w, partners, account)
+            await submit_all(w, lines, account)
+            await wait_until_final(w, partners, account)
             return (cpu_seconds(w.process.pid) - began) / many * 1e6
 
         for servers in worlds:
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -30,9 +30,9 @@
 from loftrelay.net.address import Address
 from loftrelay.simulation.fleet import MS, SECOND, LinkFaults, SimulatedFleet
 from loftrelay.simulation.proxy import FaultProxy, PathFaults
-from tests.standins.partner import Behaviour, Doing, Partner
+from tests.standins.partner import Behaviour, FakeHost, ResponsePlan
 from tests.standins.platform import RelayHarness, StubServer, free_port, respond_ok
-from tests.standins.traffic import Account, Order, hand_in_all
+from tests.standins.traffic import Submission, SubmissionLog, submit_all
 
 LARGE, SMALL = 200, 16
 TIMING = SwimConfig(200 * MS, 1000 * MS)  # the defaults
@@ -74,7 +74,7 @@
     """Relays of one fleet behind a proxy, with a discovery each, and hosts of their own: two, or one beside a
     partner of all. `told`: more lines of the fleet's file. The first seed never comes."""
 
-    def __init__(self, folder: Path, partner: Partner | None = None, told: str = "") -> None:
+    def __init__(self, folder: Path, partner: FakeHost | None = None, told: str = "") -> None:
         self.folder, self.partner, self.told = folder, partner, told
         self.hosts: list[list[StubServer]] = []
         self.proxy = FaultProxy(seed=1)
@@ -127,7 +127,7 @@
         return time.monotonic() - began
 
 
-async def converge(folder: Path, partner: Partner, loss: float) -> tuple[Processes, float, float]:
+async def converge(folder: Path, partner: FakeHost, loss: float) -> tuple[Processes, float, float]:
     """A fleet of processes, seconds until all know all, and until a call at one door holds at all."""
     fleet = Processes(folder, partner)
     fleet.proxy.default_faults = PathFaults(loss=loss)
@@ -149,7 +149,7 @@
 
 
 async def processes(folder: Path) -> dict[str, Any]:
-    async with Partner(Behaviour(lambda call: Doing(200, delay=0.005))) as partner:
+    async with FakeHost(Behaviour(lambda call: ResponsePlan(200, delay_s=0.005))) as partner:
         lossy, lossy_s, lossy_call = await converge(folder / "lossy", partner, 0.1)
         await lossy.close()
         fleet, took, call = await converge(folder / "whole", partner, 0.0)
@@ -162,9 +162,11 @@
                 (await fleet.figure(world, "fleet_sent_bytes") - before) / SETTLED
                 for world, before in zip(members, sent, strict=True)
             ]
-            lines = [[Order(f"c{c}-{i}", "status", 1, None, 20.0) for i in range(400)] for c in range(12)]
+            lines = [
+                [Submission(f"c{c}-{i}", "status", 1, None, 20.0) for i in range(400)] for c in range(12)
+            ]
             began, loaded = time.monotonic(), cpu_seconds(alone.process.pid)  # type: ignore[union-attr]
-            await hand_in_all(alone, lines, Account())
+            await submit_all(alone, lines, SubmissionLog())
             at_load = (cpu_seconds(alone.process.pid) - loaded) / (time.monotonic() - began)  # type: ignore[union-attr]
             more = max(0.0, sum(idle[:-1]) / SMALL - idle[-1]) / SETTLED
         finally:
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -39,9 +39,9 @@
     StoredFinalStatus,
 )
 from tests.program.test_connections import LIMITS
-from tests.standins.partner import Partner
+from tests.standins.partner import FakeHost
 from tests.standins.platform import SETTINGS, RelayHarness
-from tests.standins.traffic import Account, Client, Order
+from tests.standins.traffic import Client, Submission, SubmissionLog
 
 DESTINATIONS, CLIENTS = 8, 48
 EXTRA = {**SETTINGS["extra"], "call_slots": 64}
@@ -57,29 +57,29 @@
 async def agree(folder: Path, count: int) -> dict[str, int]:
     """So many work orders while the relay is killed and started again; then each is looked up on both."""
     chance = random.Random(5)
-    async with RelayHarness(folder, policy_limits=LIMITS, extra=EXTRA) as w, Partner() as partner:
+    async with RelayHarness(folder, policy_limits=LIMITS, extra=EXTRA) as w, FakeHost() as partner:
         w.limits["disk_mb"] = 50
         path = use_store(w, "required")
         w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
         await w.start()
-        account, kills, number = Account(), 0, 0
-        while len(account.taken) < count:
+        account, kills, number = SubmissionLog(), 0, 0
+        while len(account.admitted) < count:
             stop = asyncio.Event()
 
             async def client(n: int, stop: asyncio.Event) -> None:
                 nonlocal number
                 own = Client(w, account)
-                while not stop.is_set() and len(account.taken) < count:
+                while not stop.is_set() and len(account.admitted) < count:
                     number += 1
                     with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                        await own.hand_in(Order(f"o{number}", "order", 1, f"k{n}-{number}", 20.0))
+                        await own.submit(Submission(f"o{number}", "order", 1, f"k{n}-{number}", 20.0))
                 own.close()
 
             clients = [asyncio.create_task(client(n, stop)) for n in range(16)]
-            wanted = len(account.taken) + chance.randrange(count // 8, count // 4)
-            while len(account.taken) < min(wanted, count) and not all(c.done() for c in clients):
+            wanted = len(account.admitted) + chance.randrange(count // 8, count // 4)
+            while len(account.admitted) < min(wanted, count) and not all(c.done() for c in clients):
                 await asyncio.sleep(0.005)
-            if len(account.taken) < count:
+            if len(account.admitted) < count:
                 await w.kill()
                 kills += 1
             stop.set()
@@ -92,25 +92,25 @@
                 found = {entry.message_id: entry for entry in store.select(RecordQuery())}
                 wrong = store.verify()
                 store.close()
-                if all(name in found and found[name].reported_at is not None for name in account.taken):
+                if all(name in found and found[name].reported_at is not None for name in account.admitted):
                     break
                 await asyncio.sleep(0.1)
         return {"kills": kills, **compare(found, wrong, partner, account)}
 
 
 def compare(
-    found: dict[str, MessageRecord], wrong: list[str], partner: Partner, account: Account
+    found: dict[str, MessageRecord], wrong: list[str], partner: FakeHost, account: SubmissionLog
 ) -> dict[str, int]:
     """Store against partner, message by message."""
-    disagreements = len(wrong) + len(set(partner.effects) - set(found))
+    disagreements = len(wrong) + len(set(partner.executions) - set(found))
     for name, entry in found.items():
-        ran = partner.effects[name] > 0
+        ran = partner.executions[name] > 0
         if (entry.final_status is StoredFinalStatus.DELIVERED and not ran) or (
             entry.final_status is StoredFinalStatus.REJECTED and ran
         ):
             disagreements += 1
-    duplicates = sum(ran - 1 for ran in partner.effects.values())
-    return {"messages": len(account.taken), "disagreements": disagreements, "duplicates": duplicates}
+    duplicates = sum(ran - 1 for ran in partner.executions.values())
+    return {"messages": len(account.admitted), "disagreements": disagreements, "duplicates": duplicates}
 
 
 async def agree_cut(folder: Path, count: int) -> dict[str, int | None]:
@@ -129,18 +129,18 @@
 
     with PostgresStandIn(folder / "server.sqlite") as server:
         server.drawn = draw
-        async with RelayHarness(folder, policy_limits=LIMITS, extra=EXTRA) as w, Partner() as partner:
+        async with RelayHarness(folder, policy_limits=LIMITS, extra=EXTRA) as w, FakeHost() as partner:
             w.limits["disk_mb"] = 50
             (w.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\n')
             w.arguments = ["--record", str(w.folder / "record.toml")]
             w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
             await w.start()
-            account = Account()
+            account = SubmissionLog()
 
             async def client(n: int) -> None:
                 own = Client(w, account)
                 for i in range(n, count, 16):
-                    while await own.hand_in(Order(f"o{i}", "order", 1, f"k{i}", 20.0)) == 503:
+                    while await own.submit(Submission(f"o{i}", "order", 1, f"k{i}", 20.0)) == 503:
                         await asyncio.sleep(0.02)
                 own.close()
 
@@ -154,7 +154,9 @@
                     found = {entry.message_id: entry for entry in entries}
                     wrong = await asyncio.to_thread(store.verify)
                     store.close()
-                    if all(name in found and found[name].reported_at is not None for name in account.taken):
+                    if all(
+                        name in found and found[name].reported_at is not None for name in account.admitted
+                    ):
                         break
                     await asyncio.sleep(0.1)
             return {"cuts": server.cuts, **compare(found, wrong, partner, account)}
@@ -164,19 +166,19 @@
     """The three ways take turns, so that what else the machine does falls on all alike. Each client waits
     until its message has run: a backlog would measure how the decision module ranks it, alike in all."""
     async with AsyncExitStack() as stack:
-        worlds: dict[str, tuple[RelayHarness, list[Partner], Account]] = {}
+        worlds: dict[str, tuple[RelayHarness, list[FakeHost], SubmissionLog]] = {}
         store = Path()
         for mode in ("none", "follows", "required"):
             (base / mode).mkdir()
             w = await stack.enter_async_context(RelayHarness(base / mode, policy_limits=LIMITS, extra=EXTRA))
             w.limits["disk_mb"] = 50
-            partners = [await stack.enter_async_context(Partner()) for _ in range(DESTINATIONS)]
+            partners = [await stack.enter_async_context(FakeHost()) for _ in range(DESTINATIONS)]
             for n, partner in enumerate(partners):
                 w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
             if mode != "none":
                 store = use_store(w, mode)
             await w.start()
-            worlds[mode] = w, partners, Account()
+            worlds[mode] = w, partners, SubmissionLog()
         times: list[float] = []
         cpu: dict[str, list[float]] = {mode: [] for mode in worlds}
 
@@ -188,12 +190,12 @@
                 own, partner = Client(w, account), partners[n % DESTINATIONS]
                 for i in range(n, size, CLIENTS):
                     began, name = time.perf_counter(), f"m{first + i}"
-                    order = Order(name, "order", n % DESTINATIONS + 1, f"k{first + i}", 20.0)
-                    while await own.hand_in(order) != 202:
+                    order = Submission(name, "order", n % DESTINATIONS + 1, f"k{first + i}", 20.0)
+                    while await own.submit(order) != 202:
                         await asyncio.sleep(0.001)
                     if mode == "required":
                         times.append(time.perf_counter() - began)
-                    await partner.until(lambda: partner.answered[name] > 0)  # noqa: B023
+                    await partner.wait_until(lambda: partner.responses[name] > 0)  # noqa: B023
                 own.close()
 
             began, used = time.perf_counter(), cpu_seconds(w.process.pid)
@@ -218,7 +220,7 @@
             if mode == "required":
                 told = re.search(r"(\d+) changes were stored in (\d+) commits", "\n".join(w.log))
                 assert told is not None
-                result["commits_per_message"] = round(int(told[2]) / len(account.taken), 3)
+                result["commits_per_message"] = round(int(told[2]) / len(account.admitted), 3)
         opened = SQLiteStore(store)
         result["recorded"] = sum(1 for _ in opened.select(RecordQuery()))
         opened.close()
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -45,7 +45,7 @@
 from loftrelay.simulation.fleet import MS, SECOND, SimulatedFleet, SimulatedRelay
 from tests.standins.platform import SETTINGS, RelayHarness, free_port, respond_ok
 from tests.standins.platform import StubServer as Host
-from tests.standins.traffic import Account, Client, Order
+from tests.standins.traffic import Client, Submission, SubmissionLog
 
 NOBODY = ("127.0.0.1", 9)  # where connections are refused
 Figures = dict[str, float]
@@ -200,8 +200,8 @@
 
 async def hand_in(client: Client, name: str, destination: int) -> None:
     """Until it is taken on."""
-    order = Order(name, "status", destination, timeout=HOUR_MS / 1000)
-    while (status := await client.hand_in(order)) != 202:
+    order = Submission(name, "status", destination, timeout_s=HOUR_MS / 1000)
+    while (status := await client.submit(order)) != 202:
         if status != 503:
             raise RuntimeError(f"{name} is answered {status}")
         await asyncio.sleep(0.01)
@@ -209,7 +209,7 @@
 
 async def take_on(world: RelayHarness, first: int, last: int, destinations: int) -> None:
     """Messages first to last, by clients on kept connections, each as soon as its last one was answered."""
-    account, numbers = Account(), iter(range(first, last))
+    account, numbers = SubmissionLog(), iter(range(first, last))
 
     async def go() -> None:
         client = Client(world, account)
@@ -223,7 +223,7 @@
 async def traffic(world: RelayHarness, of: str, seconds: float) -> int:
     """What a relay is given at the target, evenly in time: to the live destinations, and a part to those that
     are down. Gives how many messages."""
-    account, chance, count = Account(), random.Random(1), int(RATE * seconds)
+    account, chance, count = SubmissionLog(), random.Random(1), int(RATE * seconds)
     loop = asyncio.get_running_loop()
     began, numbers = loop.time(), iter(range(count))
 
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -25,7 +25,7 @@
 from typing import Any
 
 from benchmarks.process import ROOT, earlier_program, run
-from tests.standins.partner import Behaviour, Call, Doing, Partner
+from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
 from tests.standins.platform import SETTINGS, RelayHarness, format_submission, read_response
 
 BEFORE = "b0decec"
@@ -88,7 +88,7 @@
     def __init__(self, folder: Path, root: Path, relays: int) -> None:
         self.folder, self.root, self.relays = folder, root, relays
         self.worlds: list[RelayHarness] = []
-        self.partners: list[Partner] = []
+        self.partners: list[FakeHost] = []
         self.seen: list[Seen] = []
 
     async def start(self, behaviour: Behaviour, program: list[str] | None = None, **extra: Any) -> None:
@@ -99,7 +99,7 @@
             )
             await world.__aenter__()
             self.worlds.append(world)
-            partner = Partner(behaviour, seed=n)
+            partner = FakeHost(behaviour, seed=n)
             await partner.__aenter__()
             self.partners.append(partner)
             world.root, world.program = self.root, program or world.program
@@ -171,29 +171,29 @@
         for world, partner, seen in zip(self.worlds, self.partners, self.seen, strict=True):
             found["taken"] += len(seen.taken)
             for call in partner.calls:
-                for name in call.ids:
-                    seen.began[name] = max(seen.began.get(name, 0.0), call.at + offset)
+                for name in call.message_ids:
+                    seen.began[name] = max(seen.began.get(name, 0.0), call.received_at + offset)
             for name, ends in seen.taken.items():
                 told = world.reported_at.get(name)
-                found["no_end"] += told is None and not partner.answered[name]
+                found["no_end"] += told is None and not partner.responses[name]
                 woke = [end for began, end in seen.stalls if told is not None and began <= told]
                 late = told is not None and told > ends + NOTICE
                 if late and (not woke or (told or 0.0) > max(woke) + AFTER_STALL):
                     found["unjudged" if watch.at(told or 0.0) else "late_end"] += 1
                 if (began_at := seen.began.get(name, 0.0)) > ends + SOCKETS:
                     found["unjudged" if watch.at(began_at) else "late_effects"] += 1
-                found["unsafe_twice"] += name.startswith("o") and partner.effects[name] > 1
+                found["unsafe_twice"] += name.startswith("o") and partner.executions[name] > 1
         return found
 
 
-def script(call: Call) -> Doing:
+def script(call: Call) -> ResponsePlan:
     """Most run in a moment; some hang, some are turned away: calls and notices are out at any time."""
-    turn = sum(map(ord, call.ids[0])) % 12
+    turn = sum(map(ord, call.message_ids[0])) % 12
     if turn == 0:
-        return Doing(0)
+        return ResponsePlan(0)
     if turn in (1, 2):
-        return Doing(503)
-    return Doing(200, delay=0.03 * turn)
+        return ResponsePlan(503)
+    return ResponsePlan(200, delay_s=0.03 * turn)
 
 
 async def stalls(folder: Path, roots: dict[str, Path], seconds: float) -> dict[str, dict[str, int]]:
@@ -217,7 +217,7 @@
     try:
         rate = 8 / 0.02
         await rig.start(
-            Behaviour(lambda call: Doing(200, delay=0.02)), ["-c", TIMED], call_slots=8
+            Behaviour(lambda call: ResponsePlan(200, delay_s=0.02)), ["-c", TIMED], call_slots=8
         )  # the window takes three quarters of the slots
         until, clients = time.time() + seconds, 80
         pause = clients / (1.3 * rate)
--- a/tests/delivery/test_misattribution.py
+++ b/tests/delivery/test_misattribution.py
@@ -18,7 +18,7 @@
 from loftrelay.relay import fault_points
 from loftrelay.relay.ports import AttemptResult
 from tests.delivery.host_client_fixture import ClientHarness
-from tests.standins.partner import Behaviour, Call, Doing, Partner
+from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
 
 DUPLICATE_DELAYS_S = (0.005, 0.015, 0.05, 0.2, 1.0)
 SCENARIOS = list(itertools.product(DUPLICATE_DELAYS_S, (200, 503), (1, 3), (False, True), (False, True)))
@@ -31,14 +31,14 @@
 
 
 async def send_until_written(
-    harness: ClientHarness, partner: Partner, message_id: str, is_batch: bool, is_at_most_once: bool = False
+    harness: ClientHarness, partner: FakeHost, message_id: str, is_batch: bool, is_at_most_once: bool = False
 ) -> AttemptResult:
     """Sends the message again, as the engine does, if a connect times out on a starved machine."""
     while True:
         result = await harness.send(message_id, is_at_most_once=is_at_most_once, is_batch=is_batch)
         if (
             result.status not in (AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
-            or partner.effects[message_id]
+            or partner.executions[message_id]
         ):
             return result
 
@@ -52,19 +52,19 @@
     was taken for the response to the order, whether it was noticed, the harness, and the result of the order.
     """
 
-    def script(call: Call) -> Doing:
-        if call.ids == ["order"]:
-            return Doing(503 if status == 200 else 200, stale=True, delay=0.05)
-        return Doing(status)
+    def script(call: Call) -> ResponsePlan:
+        if call.message_ids == ["order"]:
+            return ResponsePlan(503 if status == 200 else 200, repeats_previous=True, delay_s=0.05)
+        return ResponsePlan(status)
 
     async with (
-        Partner(Behaviour(script)) as partner,
+        FakeHost(Behaviour(script)) as partner,
         ClientHarness({"h": partner.address}, at_most_once_reuse_delay=0) as harness,
     ):
         await harness.send("first", is_batch=is_batch)
         await harness.send("second", is_batch=is_batch)
         result = await harness.send("order", is_at_most_once=True, is_batch=is_batch)
-        await partner.until(lambda: partner.answered["order"] > 0)
+        await partner.wait_until(lambda: partner.responses["order"] > 0)
         await run_loop_iterations()
         misattributed = DuplicateScenario(0, status, 1, is_batch, True).is_misattributed(
             partner, "order", result
@@ -83,18 +83,18 @@
         self.delay, self.status, self.pieces = delay, status, pieces
         self.is_batch, self.is_call_pending = is_batch, is_call_pending
 
-    def script(self, call: Call) -> Doing:
-        if call.ids[0].startswith("plain"):
-            return Doing()
-        if call.ids[0].startswith("duplicated"):
-            return Doing(self.status, copies=(self.delay,), pieces=self.pieces)
-        return Doing(
-            503 if self.status == 200 else 200, delay=self.delay + 0.15 if self.is_call_pending else 0.0
+    def script(self, call: Call) -> ResponsePlan:
+        if call.message_ids[0].startswith("plain"):
+            return ResponsePlan()
+        if call.message_ids[0].startswith("duplicated"):
+            return ResponsePlan(self.status, duplicate_delays_s=(self.delay,), duplicate_segments=self.pieces)
+        return ResponsePlan(
+            503 if self.status == 200 else 200, delay_s=self.delay + 0.15 if self.is_call_pending else 0.0
         )
 
-    def is_misattributed(self, partner: Partner, message_id: str, result: AttemptResult) -> bool:
+    def is_misattributed(self, partner: FakeHost, message_id: str, result: AttemptResult) -> bool:
         """Whether the relay takes a message as run that has not run, or as not run that has run."""
-        ran = partner.effects[message_id] > 0
+        ran = partner.executions[message_id] > 0
         claims_not_run = result.status in (
             AttemptStatus.REJECTED,
             AttemptStatus.NOT_SENT,
@@ -102,7 +102,7 @@
         )
         return (result.is_final and not ran) or (claims_not_run and ran)
 
-    async def run_round(self, partner: Partner, harness: ClientHarness, number: int) -> bool:
+    async def run_round(self, partner: FakeHost, harness: ClientHarness, number: int) -> bool:
         """Sends an order beside a duplicate and returns whether the order was misattributed.
 
         Ends after the duplicate was sent.
@@ -114,13 +114,15 @@
         result = await send_until_written(
             harness, partner, f"order{number}", self.is_batch, is_at_most_once=True
         )
-        await partner.until(lambda: partner.copied > number and partner.answered[f"order{number}"] > 0)
+        await partner.wait_until(
+            lambda: partner.duplicate_count > number and partner.responses[f"order{number}"] > 0
+        )
         await run_loop_iterations()
         return self.is_misattributed(partner, f"order{number}", result)
 
     async def run(self, rounds: int, is_strict: bool) -> tuple[list[bool], bool, ClientHarness]:
         async with (
-            Partner(Behaviour(self.script)) as partner,
+            FakeHost(Behaviour(self.script)) as partner,
             ClientHarness({"h": partner.address}, is_strict=is_strict) as harness,
         ):
             misattributed = [await self.run_round(partner, harness, n) for n in range(rounds)]
@@ -150,14 +152,18 @@
     """
 
     async def main() -> None:
-        partner = Partner(Behaviour(lambda call: Doing(503 if call.ids == ["last"] else 200, behind=1)))
+        partner = FakeHost(
+            Behaviour(
+                lambda call: ResponsePlan(503 if call.message_ids == ["last"] else 200, duplicates_in_write=1)
+            )
+        )
         async with partner, ClientHarness({"h": partner.address}, is_strict=is_strict) as harness:
             for i in range(5):
                 result = await harness.send(f"order{i}", is_at_most_once=True)
                 assert result.status is AttemptStatus.OK
-                assert partner.effects[f"order{i}"] == 1
+                assert partner.executions[f"order{i}"] == 1
             assert harness.client.driver.pool.trust.unsolicited_count == 5
-            assert partner.accepted == 5
+            assert partner.accepted_count == 5
             assert harness.client.driver.pool.requires_unused("h") == is_strict
             assert (await harness.send("last", is_at_most_once=True)).status is AttemptStatus.REJECTED
 
@@ -173,7 +179,7 @@
 
     async def main() -> None:
         async with (
-            Partner() as partner,
+            FakeHost() as partner,
             ClientHarness({"h": partner.address}, at_most_once_reuse_delay=0) as harness,
         ):
             await harness.send("first")
@@ -181,8 +187,8 @@
             def listen(at: str) -> None:
                 if at == step:
                     monkeypatch.setattr(fault_points, "listener", None)
-                    transport = partner.open[0].transport
-                    transport.write(partner.open[0].last)
+                    transport = partner.connections[0].transport
+                    transport.write(partner.connections[0].last_response)
                     (opened,) = harness.client.driver.connections.values()
                     assert opened.connection.transport is not None
                     poll = select.poll()
@@ -192,7 +198,7 @@
             monkeypatch.setattr(fault_points, "listener", listen)
             assert (await harness.send("second", is_at_most_once=True)).status is AttemptStatus.OK
             assert harness.client.driver.pool.trust.unsolicited_count == 1
-            assert partner.effects["second"] == 1
+            assert partner.executions["second"] == 1
 
     asyncio.run(main())
 
@@ -239,20 +245,20 @@
 def test_early_response_is_rejected_if_another_follows() -> None:
     """The host takes 60 ms per call, but its late duplicate arrives as soon as the order is sent."""
 
-    def script(call: Call) -> Doing:
-        if call.ids == ["order"]:
-            return Doing(503, delay=0.1, stale=True)
-        return Doing(delay=0.06)
+    def script(call: Call) -> ResponsePlan:
+        if call.message_ids == ["order"]:
+            return ResponsePlan(503, delay_s=0.1, repeats_previous=True)
+        return ResponsePlan(delay_s=0.06)
 
     async def main() -> None:
         async with (
-            Partner(Behaviour(script)) as partner,
+            FakeHost(Behaviour(script)) as partner,
             ClientHarness({"h": partner.address}, at_most_once_reuse_delay=0) as harness,
         ):
             for i in range(36):
                 await harness.send(f"plain{i}")
             result = await harness.send("order", is_at_most_once=True)
-            assert partner.calls[-1].connection == partner.calls[-2].connection
+            assert partner.calls[-1].connection_number == partner.calls[-2].connection_number
             assert result.status is AttemptStatus.MALFORMED_RESPONSE
             assert not result.is_final
             assert harness.client.driver.pool.trust.unsolicited_at is not None
@@ -262,11 +268,11 @@
 
 def test_early_response_is_accepted_if_none_follows() -> None:
     async def main() -> None:
-        def script(call: Call) -> Doing:
-            return Doing(delay=0.0 if call.ids == ["order"] else 0.03)
+        def script(call: Call) -> ResponsePlan:
+            return ResponsePlan(delay_s=0.0 if call.message_ids == ["order"] else 0.03)
 
         async with (
-            Partner(Behaviour(script)) as partner,
+            FakeHost(Behaviour(script)) as partner,
             ClientHarness({"h": partner.address}, at_most_once_reuse_delay=0) as harness,
         ):
             for i in range(36):
@@ -274,7 +280,7 @@
             result = await harness.send("order", is_at_most_once=True)
             assert result.status is AttemptStatus.OK
             await harness.send("next")
-            assert partner.accepted == 1  # the connection is kept
+            assert partner.accepted_count == 1  # the connection is kept
 
     asyncio.run(main())
 
--- a/tests/delivery/test_retry_after.py
+++ b/tests/delivery/test_retry_after.py
@@ -18,22 +18,26 @@
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult
 from tests.delivery.host_client_fixture import ClientHarness
-from tests.standins.partner import Behaviour, Call, Doing, Partner
+from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
 
 TEST_TIMEOUT_S = 60  # seconds after which a test that waits has failed
 RETRY_AFTER_MS = 3_600_000  # longer than any test, however busy the machine
 
 
-def reject_full(call: Call) -> Doing:
+def reject_full(call: Call) -> ResponsePlan:
     """Rejects messages whose id begins with "full", with a Retry-After."""
-    return Doing(429, wait_ms=RETRY_AFTER_MS) if call.ids[0].startswith("full") else Doing()
+    return (
+        ResponsePlan(429, retry_after_ms=RETRY_AFTER_MS)
+        if call.message_ids[0].startswith("full")
+        else ResponsePlan()
+    )
 
 
 def run(
-    scenario: Callable[[Partner, ClientHarness], Awaitable[None]], do: Any = reject_full, **settings: Any
+    scenario: Callable[[FakeHost, ClientHarness], Awaitable[None]], do: Any = reject_full, **settings: Any
 ) -> None:
     async def main() -> None:
-        async with Partner(Behaviour(do)) as partner:
+        async with FakeHost(Behaviour(do)) as partner:
             addresses = {"h": partner.address, "g": partner.address}
             async with ClientHarness(addresses, **settings) as harness:
                 await scenario(partner, harness)
@@ -71,7 +75,7 @@
 ) -> None:
     """The call is blocked if its host shares the Retry-After of the host that sent it, else sent."""
 
-    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+    async def scenario(partner: FakeHost, harness: ClientHarness) -> None:
         harness.is_retry_after_shared = is_shared
         gate = ConnectGate(monkeypatch)
         gate.permits.release()
@@ -85,27 +89,31 @@
         gate.permits.release()
         if is_shared or host == "h":
             assert status_and_blocked(await result) == BLOCKED
-            assert partner.ids == ["full"]
+            assert partner.message_ids == ["full"]
             assert harness.attempted == ["full"]
         else:
             assert status_and_blocked(await result) == (AttemptStatus.OK, False)
 
     run(
         scenario,
-        lambda call: Doing(429, wait_ms=RETRY_AFTER_MS, delay=0.1) if call.ids == ["full"] else Doing(),
+        lambda call: (
+            ResponsePlan(429, retry_after_ms=RETRY_AFTER_MS, delay_s=0.1)
+            if call.ids == ["full"]
+            else ResponsePlan()
+        ),
     )
 
 
 def test_retry_after_blocks_calls_that_wait_at_host_limit() -> None:
-    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+    async def scenario(partner: FakeHost, harness: ClientHarness) -> None:
         first, second, third = harness.send("full"), harness.send("m"), harness.send("n")
         assert (await first).status is AttemptStatus.REJECTED
         assert status_and_blocked(await second) == BLOCKED
         assert status_and_blocked(await third) == BLOCKED
-        assert partner.ids == ["full"]
+        assert partner.message_ids == ["full"]
         harness.blocked_until.clear()
         assert (await harness.send("o")).status is AttemptStatus.OK
-        assert partner.accepted == 1
+        assert partner.accepted_count == 1
 
     run(scenario, max_per_host=1)
 
@@ -116,7 +124,7 @@
 ) -> None:
     """Before a handover, a message that was withdrawn must not get a result as well."""
 
-    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+    async def scenario(partner: FakeHost, harness: ClientHarness) -> None:
         gate = ConnectGate(monkeypatch)
         result = harness.send("m")
         while not gate.requests:
@@ -134,7 +142,7 @@
 
 
 def test_retry_after_blocks_call_during_reuse_delay() -> None:
-    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+    async def scenario(partner: FakeHost, harness: ClientHarness) -> None:
         assert (await harness.send("a")).status is AttemptStatus.OK
         result = harness.send("m")
         # Until the call holds its connection, which is in the reuse delay.
@@ -142,13 +150,13 @@
             await asyncio.sleep(0)
         assert (await harness.send("full", host="g")).status is AttemptStatus.REJECTED
         assert status_and_blocked(await result) == BLOCKED
-        assert partner.ids == ["a", "full"]
+        assert partner.message_ids == ["a", "full"]
 
     run(scenario, reuse_delay=300_000, max_reuse_delay=300_000, max_per_host=1)
 
 
 def test_retry_after_blocks_call_while_attempt_is_recorded() -> None:
-    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+    async def scenario(partner: FakeHost, harness: ClientHarness) -> None:
         def on_attempt(message: Message, host: str) -> None:
             harness.apply_retry_after("g", RETRY_AFTER_MS * 1000)
 
@@ -160,7 +168,7 @@
 
 
 def test_retry_after_blocks_call_that_changes_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+    async def scenario(partner: FakeHost, harness: ClientHarness) -> None:
         assert (await harness.send("a")).status is AttemptStatus.OK
         # The connection is closed between the check and the first byte.
         is_usable, results = Connection.is_usable, [True, False]
@@ -173,7 +181,7 @@
 
         monkeypatch.setattr(Connection, "is_usable", check_usable)
         assert status_and_blocked(await harness.send("m")) == BLOCKED
-        assert partner.ids == ["a"]
+        assert partner.message_ids == ["a"]
 
     run(scenario)
 
@@ -251,7 +259,7 @@
 def test_response_received_before_late_timeout_check_is_processed(monkeypatch: pytest.MonkeyPatch) -> None:
     """A late event loop runs the deadline timer before it reads a response that arrived long ago."""
 
-    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+    async def scenario(partner: FakeHost, harness: ClientHarness) -> None:
         result = harness.send("full", timeout=60.0)
         while not partner.calls:
             await asyncio.sleep(0)
--- a/tests/delivery/test_stale_calls.py
+++ b/tests/delivery/test_stale_calls.py
@@ -25,7 +25,7 @@
 )
 from tests.delivery.host_client_fixture import ClientHarness
 from tests.delivery.test_retry_after import ConnectGate, run
-from tests.standins.partner import Partner
+from tests.standins.partner import FakeHost
 
 WINDOW_S = 0.15  # deduplication window
 
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("event", EVENTS)
 def test_stale_call_waiting_for_connect_is_not_sent(monkeypatch: pytest.MonkeyPatch, event: str) -> None:
-    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+    async def scenario(partner: FakeHost, harness: ClientHarness) -> None:
         gate = ConnectGate(monkeypatch)
         result = harness.send("m", send_within=send_within(event))
         while not gate.requests:
@@ -63,14 +63,14 @@
 
 @pytest.mark.parametrize("event", EVENTS)
 def test_stale_call_in_reuse_delay_is_not_sent(event: str) -> None:
-    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+    async def scenario(partner: FakeHost, harness: ClientHarness) -> None:
         assert (await harness.send("a")).status is AttemptStatus.OK
         result = harness.send("m", send_within=send_within(event))
         while harness.client.driver.waiting or not harness.client.calls:
             await asyncio.sleep(0)
         EVENTS[event](harness)
         assert (await result).status in (AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED)
-        assert partner.ids == ["a"]
+        assert partner.message_ids == ["a"]
         assert harness.attempted == ["a"]
 
     run(scenario, reuse_delay=300_000, max_reuse_delay=300_000, max_per_host=1)
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("event", EVENTS)
 def test_stale_call_whose_attempt_is_being_recorded_is_not_sent(event: str) -> None:
-    async def scenario(partner: Partner, harness: ClientHarness) -> None:
+    async def scenario(partner: FakeHost, harness: ClientHarness) -> None:
         def on_attempt(message: Message, host: str) -> None:
             EVENTS[event](harness)
             if event == "window":
--- a/tests/delivery/test_truncated_responses.py
+++ b/tests/delivery/test_truncated_responses.py
@@ -10,7 +10,7 @@
 
 from loftrelay.decisions.events import AttemptStatus
 from tests.delivery.host_client_fixture import ClientHarness
-from tests.standins.partner import ABORT
+from tests.standins.partner import LINGER_RESET
 from tests.standins.platform import format_response
 
 NOT_RUN_STATUSES = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
@@ -45,7 +45,7 @@
             if end == "reset":
                 await asyncio.sleep(0.002)  # the data is read before the reset arrives
                 sock = writer.get_extra_info("socket")
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             writer.transport.abort() if end == "reset" else writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
--- a/tests/program/test_connections.py
+++ b/tests/program/test_connections.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from tests.standins.partner import Partner
+from tests.standins.partner import FakeHost
 from tests.standins.platform import SETTINGS, RelayHarness
-from tests.standins.traffic import CLASSES, Account, Order, all_over, find, hand_in_all
-from tests.standins.trouble import behaviours
+from tests.standins.traffic import CLASSES, Submission, SubmissionLog, evaluate, submit_all, wait_until_final
+from tests.standins.trouble import faulty_behaviours
 
 STRICT = """
 strict = true
@@ -26,20 +26,20 @@
 LIMITS = {**SETTINGS["policy_limits"], "most_held": 4000, "connect_timeout": 300_000}
 
 
-def plan(count: int, servers: int, seed: int, clients: int = 24) -> list[list[Order]]:
+def plan(count: int, servers: int, seed: int, clients: int = 24) -> list[list[Submission]]:
     """Three classes over all destinations; each client keeps the keys that it uses."""
     chance = random.Random(seed)
-    lines: list[list[Order]] = [[] for _ in range(clients)]
+    lines: list[list[Submission]] = [[] for _ in range(clients)]
     for i in range(count):
         client, dest = i % clients, chance.randrange(1, servers + 1)
         timeout = chance.choice((0.4, 2.0, 4.0))
         kind = chance.random()
         if kind < 0.5:
             key = f"c{client}d{dest}" if chance.random() < 0.5 else f"single{i}"
-            lines[client].append(Order(f"m{i}", "order", dest, key, timeout))
+            lines[client].append(Submission(f"m{i}", "order", dest, key, timeout))
         else:
             of = "status" if kind < 0.8 else "alarm"
-            lines[client].append(Order(f"m{i}", of, dest, None, timeout))
+            lines[client].append(Submission(f"m{i}", of, dest, None, timeout))
     return lines
 
 
@@ -50,7 +50,7 @@
     async def main() -> None:
         limits = tmp_path / "connections.toml"
         limits.write_text(STRICT)
-        kinds = behaviours()
+        kinds = faulty_behaviours()
         async with (
             RelayHarness(tmp_path, policy_limits=LIMITS, classes=CLASSES) as w,
             AsyncExitStack() as stack,
@@ -59,12 +59,12 @@
             w.limits["disk_mb"] = 20
             partners = []
             for n, behaviour in enumerate(kinds):
-                partner = await stack.enter_async_context(Partner(behaviour, seed=100 * seed + n))
+                partner = await stack.enter_async_context(FakeHost(behaviour, seed=100 * seed + n))
                 partners.append(partner)
                 kind = "bulk" if n % 4 == 3 else "plain"
                 w.add_endpoint(n + 1, kind, "Ready", "{}:{}".format(*partner.address))
             await w.start()
-            account, lag = Account(), [0.0]
+            account, lag = SubmissionLog(), [0.0]
 
             async def watch() -> None:
                 while True:
@@ -75,10 +75,10 @@
             watching = asyncio.create_task(watch())
             stack.callback(watching.cancel)
             lines = plan(2000, len(kinds), seed)
-            await hand_in_all(w, [line[:40] for line in lines], account)
+            await submit_all(w, [line[:40] for line in lines], account)
             # Meanwhile one server moves, one drains for its successor, and one shuts and comes back cold.
-            moved = await stack.enter_async_context(Partner(kinds[0], seed=7))
-            successor = await stack.enter_async_context(Partner(kinds[2], seed=8))
+            moved = await stack.enter_async_context(FakeHost(kinds[0], seed=7))
+            successor = await stack.enter_async_context(FakeHost(kinds[2], seed=8))
             w.endpoints[0]["host_port"] = "{}:{}".format(*moved.address)
             w.endpoints[2]["phase"] = "Terminating"
             w.add_endpoint(3, "plain", "Ready", "{}:{}".format(*successor.address))
@@ -86,13 +86,13 @@
             assert partners[6].server is not None
             port = partners[6].address[1]
             partners[6].server.close()
-            for connection in list(partners[6].open.values()):
-                connection.end()
-            await hand_in_all(w, [line[40:60] for line in lines], account)
+            for connection in list(partners[6].connections.values()):
+                connection.abort()
+            await submit_all(w, [line[40:60] for line in lines], account)
             await partners[6].__aenter__(port)
-            await hand_in_all(w, [line[60:] for line in lines], account)
-            await all_over(w, partners, account)
-            findings = find(w, partners, account)
+            await submit_all(w, [line[60:] for line in lines], account)
+            await wait_until_final(w, partners, account)
+            findings = evaluate(w, partners, account)
             assert moved.calls
             assert successor.calls
             assert findings.messages > 1000
@@ -101,7 +101,7 @@
             assert (findings.duplicates, findings.misattributed, findings.order_breaks) == (0, 0, 0), findings
             # When notices came is measured (benchmarks.connections): here the machine may be slow. Calls are
             # read as late as this process was at its worst.
-            assert find(w, partners, account, max(lag)).begun_late == 0, findings
+            assert evaluate(w, partners, account, max(lag)).begun_late == 0, findings
             assert w.process is not None
             assert w.process.returncode is None
             assert not any("Traceback" in line for line in w.log)
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -17,7 +17,7 @@
 from loftrelay.store.state_machine import MessageRecord, RecordState, StoredFinalStatus  # noqa: E402
 from tests.program.test_connections import LIMITS  # noqa: E402
 from tests.program.test_record import given_to_two  # noqa: E402
-from tests.standins.partner import Partner  # noqa: E402
+from tests.standins.partner import FakeHost  # noqa: E402
 from tests.standins.platform import (  # noqa: E402
     SETTINGS,
     TEST_TIMEOUT_S,
@@ -27,7 +27,7 @@
     run_scenario,
 )
 from tests.standins.postgres import Faults, PostgresStandIn, cut  # noqa: E402
-from tests.standins.traffic import Account, Client, Order  # noqa: E402
+from tests.standins.traffic import Client, Submission, SubmissionLog  # noqa: E402
 
 ORDERS, CLIENTS = 10_000, 32
 FULL = SETTINGS["policy_limits"]["most_held"]
@@ -62,8 +62,8 @@
             await asyncio.sleep(0.05)
 
 
-async def until_taken(client: Client, order: Order) -> None:
-    while await client.hand_in(order) == 503:
+async def until_taken(client: Client, order: Submission) -> None:
+    while await client.submit(order) == 503:
         await asyncio.sleep(0.02)
 
 
@@ -81,36 +81,36 @@
     async def scenario(w: RelayHarness) -> None:
         w.limits["disk_mb"] = 50
         with_server(w, server)
-        async with Partner() as partner:
+        async with FakeHost() as partner:
             w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
             server.drawn = draw
             await w.start()
-            account = Account()
+            account = SubmissionLog()
 
             async def client(n: int) -> None:
                 own = Client(w, account)
                 for i in range(n, ORDERS, CLIENTS):
-                    await until_taken(own, Order(f"o{i}", "order", 1, f"k{i}", 20.0))
+                    await until_taken(own, Submission(f"o{i}", "order", 1, f"k{i}", 20.0))
                 own.close()
 
             await asyncio.gather(*(client(n) for n in range(CLIENTS)))
             server.drawn = None
             server.cut_all()
-            found = await all_told(server, set(account.taken))
+            found = await all_told(server, set(account.admitted))
             assert server.cuts >= 10
             assert len(found) == ORDERS
-            assert max(partner.effects.values()) == 1
+            assert max(partner.executions.values()) == 1
             told = {notice["id"]: notice["status"] for notice in w.status_reports}
             ends = {StoredFinalStatus.FAILED: "undeliverable", StoredFinalStatus.REJECTED: "deferred"}
             for name, entry in found.items():
-                assert (entry.final_status is StoredFinalStatus.DELIVERED) == (partner.effects[name] == 1), (
-                    name
-                )
-                if entry.final_status is not StoredFinalStatus.DELIVERED and name in account.taken:
+                assert (entry.final_status is StoredFinalStatus.DELIVERED) == (
+                    partner.executions[name] == 1
+                ), name
+                if entry.final_status is not StoredFinalStatus.DELIVERED and name in account.admitted:
                     assert entry.final_status is not None
                     assert told[name] == ends[entry.final_status]
-            assert set(partner.effects) <= set(found)
-            assert len(partner.effects) > 0.99 * ORDERS
+            assert set(partner.executions) <= set(found)
+            assert len(partner.executions) > 0.99 * ORDERS
 
     run_scenario(scenario, tmp_path, policy_limits=LIMITS, extra={**SETTINGS["extra"], "call_slots": 64})
 
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -15,7 +15,7 @@
 from loftrelay.relay.fault_points import PREDECESSOR_POINTS
 from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.program.test_record import until, with_store
-from tests.standins.partner import Behaviour, Call, Doing, Partner
+from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
 from tests.standins.platform import (
     TEST_TIMEOUT_S,
     RelayHarness,
@@ -26,7 +26,7 @@
     run_scenario,
     undeliverable_report,
 )
-from tests.standins.traffic import Account, Order, all_over, find, hand_in_all
+from tests.standins.traffic import Submission, SubmissionLog, evaluate, submit_all, wait_until_final
 
 TIME = 1.0  # seconds that the messages of these tests have
 SHORT: dict[str, Any] = {"Request_Timeout_Ms": str(int(TIME * 1000))}
@@ -254,10 +254,10 @@
     begun after its time, and no order ran twice or out of turn."""
 
     async def main() -> None:
-        def script(call: Call) -> Doing:
-            return Doing(503 if len(call.ids[0]) % 7 == 0 else 200, delay=0.02)
+        def script(call: Call) -> ResponsePlan:
+            return ResponsePlan(503 if len(call.message_ids[0]) % 7 == 0 else 200, delay_s=0.02)
 
-        async with Partner(Behaviour(script)) as partner:
+        async with FakeHost(Behaviour(script)) as partner:
             worlds, accounts = [], []
             for n in range(4):
                 (tmp_path / str(n)).mkdir()
@@ -265,20 +265,20 @@
                 world.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
                 await world.start()
                 worlds.append(world)
-                accounts.append(Account())
+                accounts.append(SubmissionLog())
             try:
                 lines = []
                 for n in range(4):
                     for c in range(4):
                         of, key = ("order", f"k{n}-{c}") if c % 2 == 0 else ("status", None)
-                        lines.append([Order(f"r{n}c{c}-{i}", of, 1, key, TIME) for i in range(40)])
+                        lines.append([Submission(f"r{n}c{c}-{i}", of, 1, key, TIME) for i in range(40)])
                 handing = [
-                    asyncio.create_task(hand_in_all(w, lines[4 * n : 4 * n + 4], accounts[n], 0.03))
+                    asyncio.create_task(submit_all(w, lines[4 * n : 4 * n + 4], accounts[n], 0.03))
                     for n, w in enumerate(worlds)
                 ]
                 for _ in range(2):
                     heard = len(partner.calls)
-                    await partner.until(lambda heard=heard: len(partner.calls) > heard + 40)  # type: ignore[misc]
+                    await partner.wait_until(lambda heard=heard: len(partner.calls) > heard + 40)  # type: ignore[misc]
                     for w in worlds[:2]:
                         stop(w)
                     await asyncio.gather(*(stopped(w) for w in worlds[:2]))
@@ -287,9 +287,11 @@
                         go_on(w)
                 await asyncio.gather(*handing)
                 for w, account in zip(worlds, accounts, strict=True):
-                    await all_over(w, [partner], account)
+                    await wait_until_final(w, [partner], account)
                     await w.stop(signal.SIGTERM)  # what it owes is told before it ends
-                    found = find(w, [partner], account, slack=0.3)  # those begun late would be so by a second
+                    found = evaluate(
+                        w, [partner], account, tolerance_s=0.3
+                    )  # those begun late would be so by a second
                     assert found.messages > 20
                     assert any("exits, keeping 0 messages" in line for line in w.log)
                     assert (found.duplicates, found.misattributed, found.order_breaks) == (0, 0, 0)
@@ -309,29 +311,31 @@
     async def scenario(w: RelayHarness) -> None:
         path = with_store(w)
         w.program = ["-m", "tests.standins.slowed", str(seed)]
-        script = Behaviour(lambda call: Doing(500 if call.ids[0].endswith("7") else 200, delay=0.02))
-        async with Partner(script) as partner:
+        script = Behaviour(
+            lambda call: ResponsePlan(500 if call.message_ids[0].endswith("7") else 200, delay_s=0.02)
+        )
+        async with FakeHost(script) as partner:
             w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
             await w.start()
-            account = Account()
+            account = SubmissionLog()
             lines = [
-                [Order(f"c{c}-{i}", ("order", "status")[c % 2], 1, f"k{c}", TIME) for i in range(12)]
+                [Submission(f"c{c}-{i}", ("order", "status")[c % 2], 1, f"k{c}", TIME) for i in range(12)]
                 for c in range(6)
             ]
-            await hand_in_all(w, lines, account, 0.02)
+            await submit_all(w, lines, account, 0.02)
             assert any("a commit takes 5.0 s" in line for line in w.log)
-            taken = set(account.taken)
+            taken = set(account.admitted)
             async with asyncio.timeout(TEST_TIMEOUT_S):
-                while not taken <= {name for name in taken if partner.answered[name]} | set(w.reported_at):
+                while not taken <= {name for name in taken if partner.responses[name]} | set(w.reported_at):
                     await asyncio.sleep(0.02)
-            required = [name for name in taken if account.orders[name].of == "order"]
+            required = [name for name in taken if account.submissions[name].class_name == "order"]
             found = await until(path, required, RecordState.REPORTED)
-            seen = find(w, [partner], account, slack=0.3)
+            seen = evaluate(w, [partner], account, tolerance_s=0.3)
             assert seen.messages > 20
             assert (seen.duplicates, seen.misattributed, seen.order_breaks, seen.begun_late) == (0, 0, 0, 0)
             for name in required:
                 assert (found[name].final_status is StoredFinalStatus.DELIVERED) == (
-                    partner.answered[name] > 0
+                    partner.responses[name] > 0
                 ), name
 
     run_scenario(scenario, tmp_path)
