--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -119,16 +119,16 @@
         from loftrelay.store.postgres import PostgresStore
     except ImportError:
         return {"messages": 0, "cuts": None, "disagreements": 0, "duplicates": 0}
-    from tests.standins.postgres import Faults, PostgresStandIn, cut
+    from tests.standins.postgres import FakePostgresServer, Faults, cut_connection
 
     chance, guard = random.Random(5), threading.Lock()
 
     def draw() -> Faults:
         with guard:
-            return cut(chance.choice(("heard", "said")), chance.randrange(10_000, 250 * count))
+            return cut_connection(chance.choice(("received", "sent")), chance.randrange(10_000, 250 * count))
 
-    with PostgresStandIn(folder / "server.sqlite") as server:
-        server.drawn = draw
+    with FakePostgresServer(folder / "server.sqlite") as server:
+        server.draw_faults = draw
         async with RelayHarness(folder, policy_limits=LIMITS, extra=EXTRA) as w, FakeHost() as partner:
             w.limits["disk_mb"] = 50
             (w.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\n')
@@ -145,8 +145,8 @@
                 own.close()
 
             await asyncio.gather(*(client(n) for n in range(16)))
-            server.drawn = None
-            server.cut_all()
+            server.draw_faults = None
+            server.close_connections()
             async with asyncio.timeout(60):
                 while True:
                     store = await asyncio.to_thread(PostgresStore, server.dsn)
@@ -159,7 +159,7 @@
                     ):
                         break
                     await asyncio.sleep(0.1)
-            return {"cuts": server.cuts, **compare(found, wrong, partner, account)}
+            return {"cuts": server.cut_count, **compare(found, wrong, partner, account)}
 
 
 async def rates(base: Path, turns: int, size: int) -> dict[str, Any]:
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -18,7 +18,7 @@
 )
 from loftrelay.decisions.scheduler import Scheduler
 from tests.decisions.harness import SECOND_US, SETTINGS, START, SchedulerDriver, make_entry
-from tests.standins.work import Walked, steps
+from tests.standins.work import IterationCountingDict, count_instructions
 
 FEW, MANY = 1_000, 50_000
 CHANGES = {
@@ -32,7 +32,7 @@
 def count_change_steps(scheduler: Scheduler, *entries: EndpointEntry) -> int:
     """Returns the number of interpreter steps that a list change takes."""
     endpoint_list = EndpointListReceived(EndpointListKind.DELTA, entries)
-    return steps(lambda: scheduler.handle_batch(scheduler.state.now + 100_000, [endpoint_list]))
+    return count_instructions(lambda: scheduler.handle_batch(scheduler.state.now + 100_000, [endpoint_list]))
 
 
 @pytest.fixture(scope="module")
@@ -45,8 +45,8 @@
             [EndpointListReceived(EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size)))],
         )
         scheduler.state.endpoints, scheduler.state.destinations = (
-            Walked(scheduler.state.endpoints),
-            Walked(scheduler.state.destinations),
+            IterationCountingDict(scheduler.state.endpoints),
+            IterationCountingDict(scheduler.state.destinations),
         )
     return created
 
@@ -58,20 +58,20 @@
     few, many = (count_change_steps(schedulers[size], *CHANGES[change]) for size in (FEW, MANY))
     assert 0 < many <= 1.5 * few
     for scheduler in schedulers.values():
-        assert isinstance(scheduler.state.endpoints, Walked)
-        assert scheduler.state.endpoints.walked == 0
-        assert isinstance(scheduler.state.destinations, Walked)
-        assert scheduler.state.destinations.walked == 0
+        assert isinstance(scheduler.state.endpoints, IterationCountingDict)
+        assert scheduler.state.endpoints.iterated_entries == 0
+        assert isinstance(scheduler.state.destinations, IterationCountingDict)
+        assert scheduler.state.destinations.iterated_entries == 0
 
 
 def test_walk_over_all_endpoints_is_counted(schedulers: dict[int, Scheduler]) -> None:
     """Shows that the test above can fail: a walk over all endpoints is visible in both counts."""
-    few, many = (steps(schedulers[size].avoided_endpoint_count) for size in (FEW, MANY))
+    few, many = (count_instructions(schedulers[size].avoided_endpoint_count) for size in (FEW, MANY))
     assert many > 40 * few
     for size, scheduler in schedulers.items():
-        assert isinstance(scheduler.state.endpoints, Walked)
-        assert size - 9 < scheduler.state.endpoints.walked < size + 9
-        scheduler.state.endpoints.walked = 0
+        assert isinstance(scheduler.state.endpoints, IterationCountingDict)
+        assert size - 9 < scheduler.state.endpoints.iterated_entries < size + 9
+        scheduler.state.endpoints.iterated_entries = 0
 
 
 def test_removed_endpoint_is_dropped_at_first_change_after_it_is_unused() -> None:
--- a/tests/decisions/test_hibernation.py
+++ b/tests/decisions/test_hibernation.py
@@ -50,7 +50,7 @@
     sent_messages,
 )
 from tests.decisions.test_rules import run_outage
-from tests.standins.work import Walked, steps
+from tests.standins.work import IterationCountingDict, count_instructions
 
 
 def release_destination(driver: SchedulerDriver, after: int = 0, number: int = 1) -> None:
@@ -537,8 +537,8 @@
         scheduler.handle_batch(START + 60 * SECOND_US, [TimerFired(0)])
         assert len(scheduler.state.hibernated) == size
         scheduler.state.hibernated, scheduler.state.hibernated_endpoints = (
-            Walked(scheduler.state.hibernated),
-            Walked(scheduler.state.hibernated_endpoints),
+            IterationCountingDict(scheduler.state.hibernated),
+            IterationCountingDict(scheduler.state.hibernated_endpoints),
         )
         batches: list[list[Event]] = [
             [DestinationsReleased((-1,))],
@@ -547,10 +547,13 @@
             [make_message("m", destination=-2, time_remaining=SECOND_US)],
         ]
         costs.append(
-            [steps(partial(scheduler.handle_batch, START + 61 * SECOND_US, batch)) for batch in batches]
+            [
+                count_instructions(partial(scheduler.handle_batch, START + 61 * SECOND_US, batch))
+                for batch in batches
+            ]
         )
-        assert scheduler.state.hibernated.walked == 0
-        assert scheduler.state.hibernated_endpoints.walked == 0
+        assert scheduler.state.hibernated.iterated_entries == 0
+        assert scheduler.state.hibernated_endpoints.iterated_entries == 0
     assert all(0 < many <= 1.5 * few for few, many in zip(*costs, strict=True))
 
 
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -26,7 +26,7 @@
     respond_ok,
     run_scenario,
 )
-from tests.standins.postgres import Faults, PostgresStandIn, cut  # noqa: E402
+from tests.standins.postgres import FakePostgresServer, Faults, cut_connection  # noqa: E402
 from tests.standins.traffic import Client, Submission, SubmissionLog  # noqa: E402
 
 ORDERS, CLIENTS = 10_000, 32
@@ -34,17 +34,17 @@
 
 
 @pytest.fixture
-def server(tmp_path: Path) -> Iterator[PostgresStandIn]:
-    with PostgresStandIn(tmp_path / "server.sqlite", password="harbour") as server:
+def server(tmp_path: Path) -> Iterator[FakePostgresServer]:
+    with FakePostgresServer(tmp_path / "server.sqlite", password="harbour") as server:
         yield server
 
 
-def with_server(w: RelayHarness, server: PostgresStandIn) -> None:
+def with_server(w: RelayHarness, server: FakePostgresServer) -> None:
     (w.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\ncall_s = 20.0\n')
     w.arguments = ["--record", str(w.folder / "record.toml")]
 
 
-def entries(server: PostgresStandIn) -> dict[str, MessageRecord]:
+def entries(server: FakePostgresServer) -> dict[str, MessageRecord]:
     store = PostgresStore(server.dsn)
     try:
         assert not store.verify()
@@ -53,7 +53,7 @@
         store.close()
 
 
-async def all_told(server: PostgresStandIn, names: set[str]) -> dict[str, MessageRecord]:
+async def all_told(server: FakePostgresServer, names: set[str]) -> dict[str, MessageRecord]:
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
             found = await asyncio.to_thread(entries, server)
@@ -68,22 +68,22 @@
 
 
 def test_ten_thousand_orders_while_the_connection_is_cut_at_random(
-    tmp_path: Path, server: PostgresStandIn
+    tmp_path: Path, server: FakePostgresServer
 ) -> None:
     """Store and partner agree on every one; nothing ran twice, nothing is claimed that was not recorded."""
     chance, guard = random.Random(3), threading.Lock()
 
     def draw() -> Faults:
         with guard:
-            side = chance.choice(("heard", "said"))
-            return cut(side, chance.randrange(50_000, 2_000_000))
+            side = chance.choice(("received", "sent"))
+            return cut_connection(side, chance.randrange(50_000, 2_000_000))
 
     async def scenario(w: RelayHarness) -> None:
         w.limits["disk_mb"] = 50
         with_server(w, server)
         async with FakeHost() as partner:
             w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
-            server.drawn = draw
+            server.draw_faults = draw
             await w.start()
             account = SubmissionLog()
 
@@ -94,10 +94,10 @@
                 own.close()
 
             await asyncio.gather(*(client(n) for n in range(CLIENTS)))
-            server.drawn = None
-            server.cut_all()
+            server.draw_faults = None
+            server.close_connections()
             found = await all_told(server, set(account.admitted))
-            assert server.cuts >= 10
+            assert server.cut_count >= 10
             assert len(found) == ORDERS
             assert max(partner.executions.values()) == 1
             told = {notice["id"]: notice["status"] for notice in w.status_reports}
@@ -122,7 +122,7 @@
 
 
 def test_more_than_full_load_while_the_store_is_slow_then_away_then_back(
-    tmp_path: Path, server: PostgresStandIn
+    tmp_path: Path, server: FakePostgresServer
 ) -> None:
     """130% of what may be held: orders are refused at once with when to come back, status updates go on,
     memory is bounded, and each that comes again when the store is back runs once."""
@@ -143,20 +143,20 @@
                 assert {status for status, *_ in answers} == {503}
                 assert all(float(headers["retry-after"]) > 0 for _, headers, _ in answers)
 
-        server.gate.clear()
+        server.may_commit.clear()
         await refused(1)
         before = resident(w.process.pid)
         await refused(3)
         assert await w.submit("during") == 202  # the journal answers for it
         await w.wait_until(lambda: "during" in host.request_ids)
-        server.faults.refuse = "57P03"  # the database system is starting up
-        server.cut_all()
-        server.gate.set()
+        server.faults.startup_error = "57P03"  # the database system is starting up
+        server.close_connections()
+        server.may_commit.set()
         await w.wait_until(lambda: any("store of record is unavailable" in line for line in w.log))
         await refused(20)
         assert not any(name in host.request_ids for name in names)
         assert resident(w.process.pid) - before < 16 << 20
-        server.faults.refuse = None
+        server.faults.startup_error = None
 
         async def again(name: str) -> None:
             while await w.submit(name, "order", path=f"/order/{name}") == 503:
@@ -170,7 +170,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_two_relays_share_a_server_and_one_id_runs_once(tmp_path: Path, server: PostgresStandIn) -> None:
+def test_two_relays_share_a_server_and_one_id_runs_once(tmp_path: Path, server: FakePostgresServer) -> None:
     async def scenario(w: RelayHarness) -> None:
         with_server(w, server)
         host = await w.start_host(respond_ok)
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -232,7 +232,7 @@
     it wakes up does no harm."""
 
     async def scenario(w: RelayHarness, registries: Registries) -> None:
-        first, second = registries.order()
+        first, second = registries.preferred_addresses()
         hosts = [await w.start_host(respond_ok), await w.start_host(respond_ok)]
         await w.start()
         number = 0
@@ -315,7 +315,7 @@
     """One of them hears an older discovery. The relay stays with what it knows, and says so."""
 
     async def scenario(w: RelayHarness, registries: Registries) -> None:
-        first, second = registries.order()
+        first, second = registries.preferred_addresses()
         old = await w.start_host(respond_ok)
         members, revision = list(w.endpoints), w.revision
         behind = await w.start_server(w.handle_discovery_request)
--- a/tests/registry/test_catalog.py
+++ b/tests/registry/test_catalog.py
@@ -25,7 +25,7 @@
     SubscriptionUpdate,
     WaitingWatch,
 )
-from tests.standins.discovery import row
+from tests.standins.discovery import make_endpoint
 
 Rows = dict[str, dict[str, Any]]
 
@@ -48,14 +48,17 @@
 
 
 def test_catalog_with_the_same_list_again_changes_nothing() -> None:
-    catalog = make_catalog(row("a", 1), row("b", 2))
-    assert catalog.load(5, make_entries(row("b", 2), row("a", 1))) == set()
+    catalog = make_catalog(make_endpoint("a", 1), make_endpoint("b", 2))
+    assert catalog.load(5, make_entries(make_endpoint("b", 2), make_endpoint("a", 1))) == set()
     assert (catalog.revision, catalog.last_change(1), catalog.last_change(2), catalog.changes) == (5, 1, 1, 0)
 
 
 def test_catalog_with_a_new_list_records_the_revision_only_for_changed_destinations() -> None:
-    catalog = make_catalog(row("a", 1), row("b", 2), row("c", 3))
-    assert catalog.load(2, make_entries(row("a", 1), row("b", 2, "Terminating"))) == {2, 3}
+    catalog = make_catalog(make_endpoint("a", 1), make_endpoint("b", 2), make_endpoint("c", 3))
+    assert catalog.load(2, make_entries(make_endpoint("a", 1), make_endpoint("b", 2, "Terminating"))) == {
+        2,
+        3,
+    }
     assert [catalog.last_change(destination) for destination in (1, 2, 3)] == [1, 2, 2]
     rows = catalog.changes_since(3, 1)
     assert rows is not None
@@ -63,19 +66,19 @@
     assert not rows.listed
     assert catalog.full_rows(3) == []
     assert decode_rows(catalog.full_rows(2)) == [("b", 2, "Terminating")]
-    assert catalog.apply(3, make_entries(row("a", 1))) == set()
+    assert catalog.apply(3, make_entries(make_endpoint("a", 1))) == set()
     assert catalog.last_change(1) == 1
 
 
 def test_catalog_with_a_moved_endpoint_returns_its_removal_from_the_old_destination() -> None:
-    catalog = make_catalog(row("a", 1), row("b", 1))
-    assert catalog.apply(2, make_entries(row("a", 7))) == {1, 7}
+    catalog = make_catalog(make_endpoint("a", 1), make_endpoint("b", 1))
+    assert catalog.apply(2, make_entries(make_endpoint("a", 7))) == {1, 7}
     old, new = catalog.changes_since(1, 1), catalog.changes_since(7, 1)
     assert old is not None
     assert (decode_rows(old.removed), decode_rows(old.listed)) == ([("a", 1, "Gone")], [])
     assert new is not None
     assert (decode_rows(new.removed), decode_rows(new.listed)) == ([], [("a", 7, "Ready")])
-    assert catalog.apply(3, make_entries(row("a", 1))) == {1, 7}  # moves back
+    assert catalog.apply(3, make_entries(make_endpoint("a", 1))) == {1, 7}  # moves back
     assert sorted(decode_rows(catalog.full_rows(1))) == [("a", 1, "Ready"), ("b", 1, "Ready")]
     returned = catalog.changes_since(1, 2)
     assert returned is not None
@@ -84,10 +87,16 @@
 
 
 def test_catalog_does_not_know_changes_since_before_the_oldest_revision() -> None:
-    catalog = make_catalog(row("a", 1), row("b", 1), row("c", 2), row("d", 3), max_tombstones=1)
-    catalog.apply(2, make_entries(row("a", 1, "Gone")))
+    catalog = make_catalog(
+        make_endpoint("a", 1),
+        make_endpoint("b", 1),
+        make_endpoint("c", 2),
+        make_endpoint("d", 3),
+        max_tombstones=1,
+    )
+    catalog.apply(2, make_entries(make_endpoint("a", 1, "Gone")))
     assert catalog.oldest_revision == 1
-    catalog.apply(3, make_entries(row("c", 2, "Gone")))
+    catalog.apply(3, make_entries(make_endpoint("c", 2, "Gone")))
     assert (catalog.oldest_revision, catalog.tombstone_count) == (2, 1)
     assert catalog.changes_since(1, 1) is None
     assert catalog.last_change(1) == 2
@@ -98,9 +107,9 @@
 
 
 def test_catalog_with_restarted_revisions_does_not_know_older_changes() -> None:
-    catalog = make_catalog(row("a", 1), row("b", 2), revision=5000)
-    catalog.apply(5001, make_entries(row("b", 2, "Gone")))
-    assert catalog.load(3, make_entries(row("a", 1), row("c", 3))) == {3}
+    catalog = make_catalog(make_endpoint("a", 1), make_endpoint("b", 2), revision=5000)
+    catalog.apply(5001, make_entries(make_endpoint("b", 2, "Gone")))
+    assert catalog.load(3, make_entries(make_endpoint("a", 1), make_endpoint("c", 3))) == {3}
     assert (catalog.revision, catalog.oldest_revision, catalog.tombstone_count) == (3, 3, 0)
     assert [catalog.last_change(destination) for destination in (1, 2, 3)] == [3, 3, 3]
     assert catalog.changes_since(1, 5001) is None
@@ -109,28 +118,28 @@
 
 
 def test_catalog_rejects_a_delta_that_does_not_follow_its_list() -> None:
-    catalog = make_catalog(row("a", 1), revision=7)
+    catalog = make_catalog(make_endpoint("a", 1), revision=7)
     with pytest.raises(ValueError):
-        catalog.apply(6, make_entries(row("a", 1, "Gone")))
+        catalog.apply(6, make_entries(make_endpoint("a", 1, "Gone")))
     with pytest.raises(ValueError):
-        Catalog(5).apply(6, make_entries(row("a", 1)))
+        Catalog(5).apply(6, make_entries(make_endpoint("a", 1)))
     assert decode_rows(catalog.full_rows(1)) == [("a", 1, "Ready")]
     assert catalog.revision == 7
 
 
 def test_catalog_with_a_duplicate_endpoint_uses_its_last_row() -> None:
-    for first in (row("a", 1), row("a", 1, "Terminating"), row("a", 2)):
-        catalog = make_catalog(row("a", 1))
-        catalog.load(2, make_entries(first, row("a", 1)))
+    for first in (make_endpoint("a", 1), make_endpoint("a", 1, "Terminating"), make_endpoint("a", 2)):
+        catalog = make_catalog(make_endpoint("a", 1))
+        catalog.load(2, make_entries(first, make_endpoint("a", 1)))
         assert decode_rows(catalog.full_rows(1)) == [("a", 1, "Ready")]
         assert catalog.full_rows(2) == []
 
 
 def test_catalog_keeps_its_revision_until_a_staged_list_is_committed() -> None:
     """Staged entries are not returned; during a commit, rows are of the current revision or newer."""
-    catalog = make_catalog(*(row(f"h{i}", i) for i in range(10)))
+    catalog = make_catalog(*(make_endpoint(f"h{i}", i) for i in range(10)))
     staged = StagedList(catalog)
-    staged.add(make_entries(*(row(f"h{i}", i, "Terminating") for i in range(5))))
+    staged.add(make_entries(*(make_endpoint(f"h{i}", i, "Terminating") for i in range(5))))
     assert decode_rows(catalog.full_rows(0)) == [("h0", 0, "Ready")]
     commit = catalog.commit(staged, 2, True)
     assert next(commit) == 0
@@ -146,17 +155,22 @@
 
 def test_catalog_discards_an_interrupted_first_list() -> None:
     catalog = Catalog(5)
-    StagedList(catalog).add(make_entries(row("a", 1)))
+    StagedList(catalog).add(make_entries(make_endpoint("a", 1)))
     assert not catalog.is_loaded
-    catalog.load(4, make_entries(row("b", 2)))
+    catalog.load(4, make_entries(make_endpoint("b", 2)))
     assert catalog.is_loaded
     assert catalog.endpoint_count == 1
     assert catalog.full_rows(1) == []
 
 
 def test_catalog_returns_recent_changes_of_a_large_destination() -> None:
-    catalog = make_catalog(*(row(f"h{i}", 1) for i in range(2000)))
-    catalog.apply(2, make_entries(row("h5", 1, "Terminating"), row("x", 2), row("h6", 1, "Gone")))
+    catalog = make_catalog(*(make_endpoint(f"h{i}", 1) for i in range(2000)))
+    catalog.apply(
+        2,
+        make_entries(
+            make_endpoint("h5", 1, "Terminating"), make_endpoint("x", 2), make_endpoint("h6", 1, "Gone")
+        ),
+    )
     rows = catalog.changes_since(1, 1)
     assert rows is not None
     assert (decode_rows(rows.removed), decode_rows(rows.listed)) == (
@@ -169,8 +183,8 @@
     """Compares processor time; a scan of the destination for each endpoint would take 16 times as much."""
 
     def cost_per_endpoint(count: int) -> float:
-        rows = make_entries(*(row(f"h{i}", 1) for i in range(count)))
-        added = make_entries(*(row(f"g{i}", 1) for i in range(count)))
+        rows = make_entries(*(make_endpoint(f"h{i}", 1) for i in range(count)))
+        added = make_entries(*(make_endpoint(f"g{i}", 1) for i in range(count)))
         costs = []
         for _ in range(5):
             started_at = time.process_time()
@@ -187,14 +201,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(catalog_module, "MAX_RECENT_CHANGES", 3)
-    catalog = make_catalog(*(row(f"h{i}", i) for i in range(6)))
+    catalog = make_catalog(*(make_endpoint(f"h{i}", i) for i in range(6)))
     for i in range(3):
-        catalog.apply(2 + i, make_entries(row(f"h{i}", i, "Terminating")))
+        catalog.apply(2 + i, make_entries(make_endpoint(f"h{i}", i, "Terminating")))
     rows = catalog.all_changes_since(2)
     assert rows is not None
     assert sorted(decode_rows(rows.listed)) == [("h1", 1, "Terminating"), ("h2", 2, "Terminating")]
     assert catalog.all_changes_since(1) is not None
-    catalog.apply(5, make_entries(row("h3", 3, "Gone")))
+    catalog.apply(5, make_entries(make_endpoint("h3", 3, "Gone")))
     assert catalog.all_changes_since(1) is None
     assert catalog.all_changes_since(2) is not None
     assert catalog.all_changes_since(6) is None
@@ -300,7 +314,7 @@
 
 
 ROW = st.builds(
-    row,
+    make_endpoint,
     st.integers(0, ENDPOINT_COUNT - 1).map(lambda i: f"h{i}"),
     st.integers(0, DESTINATION_COUNT - 1),
     st.sampled_from(["Ready", "Ready", "Terminating"]),
@@ -340,7 +354,7 @@
 def test_relay_has_the_rows_of_its_destinations_after_any_sequence_of_operations(
     operations: list[tuple[str, Any]], max_tombstones: int
 ) -> None:
-    revision, listed = 100, {"h0": row("h0", 0)}
+    revision, listed = 100, {"h0": make_endpoint("h0", 0)}
     catalog = Catalog(max_tombstones)
     catalog.load(revision, make_entries(*listed.values()))
     subscriptions, relay = Subscriptions("f", catalog, 30.0), FakeRelay("a.1")
@@ -359,7 +373,7 @@
             case "remove row":
                 revision += 1
                 endpoint = f"h{argument}"
-                last = listed.pop(endpoint, row(endpoint, 0))
+                last = listed.pop(endpoint, make_endpoint(endpoint, 0))
                 record_changes(catalog.apply(revision, make_entries({**last, "phase": "Gone"})))
             case "replace list":
                 revision += 1
@@ -419,7 +433,7 @@
 
 
 def test_watch_without_changes_is_waiting() -> None:
-    subscriptions = Subscriptions("f", make_catalog(row("a", 1)), 30.0)
+    subscriptions = Subscriptions("f", make_catalog(make_endpoint("a", 1)), 30.0)
     subscriptions.change(SubscriptionChange("f", "a.1", 1, 0, (1,), is_reset=True), 0.0)
     update, older = subscriptions.watch(SubscriptionWatch("f", "a.1", 1, 0), "token", 0.0)
     waiting = subscriptions.by_subscriber["a.1"].watch
--- a/tests/registry/test_listing.py
+++ b/tests/registry/test_listing.py
@@ -12,7 +12,7 @@
 
 from loftrelay.registry import listing
 from loftrelay.registry.listing import ListEntry, ListParser, decode_entries, decode_entry
-from tests.standins.discovery import row
+from tests.standins.discovery import make_endpoint
 
 TEXT = st.text(max_size=12)
 VALUES = st.recursive(
@@ -62,7 +62,9 @@
     assert parse_in_chunks(body, list(range(len(body)))) == (members, revision, is_complete)
 
 
-LIST_BODY = json.dumps({"revision": 4, "complete": True, "members": [row("a", 1), row("b", 2)]}).encode()
+LIST_BODY = json.dumps(
+    {"revision": 4, "complete": True, "members": [make_endpoint("a", 1), make_endpoint("b", 2)]}
+).encode()
 
 
 def test_parser_rejects_a_list_truncated_at_any_length() -> None:
@@ -119,7 +121,7 @@
 
 
 def test_decode_entry_encodes_equal_rows_identically() -> None:
-    fields = row("a", 1, other=["x", None])
+    fields = make_endpoint("a", 1, other=["x", None])
     reversed_fields = dict(reversed(fields.items()))
     assert decode_entry(fields) == decode_entry(reversed_fields)
     entry = decode_entry(fields)
@@ -137,26 +139,26 @@
         "a",
         [],
         {},
-        row("a", -1),
-        row("a", 1, "Lost"),
-        row("a", (1 << 53) + 1),
-        row("a\ud800", 1),
-        {**row("a", 1), "phase": None},
-        {**row("a", 1), "id": 5},
-        {**row("a", 1), "cell": "1"},
-        {**row("a", 1), "cell": True},
-        {**row("a", 1), "cell": 1.0},
+        make_endpoint("a", -1),
+        make_endpoint("a", 1, "Lost"),
+        make_endpoint("a", (1 << 53) + 1),
+        make_endpoint("a\ud800", 1),
+        {**make_endpoint("a", 1), "phase": None},
+        {**make_endpoint("a", 1), "id": 5},
+        {**make_endpoint("a", 1), "cell": "1"},
+        {**make_endpoint("a", 1), "cell": True},
+        {**make_endpoint("a", 1), "cell": 1.0},
     ],
 )
 def test_decode_entries_skips_only_the_malformed_row(malformed: Any) -> None:
     skipped: list[Any] = []
-    rows = [row("x", 1), malformed, row("y", 2)]
+    rows = [make_endpoint("x", 1), malformed, make_endpoint("y", 2)]
     entries = list(decode_entries(rows, lambda skipped_row, reason: skipped.append(skipped_row)))
     assert [entry.endpoint for entry in entries] == ["x", "y"]
     assert skipped == [malformed]
 
 
 def test_standard_encoder_encodes_rows_as_msgspec_does() -> None:
-    fields = row("ä", 3, size=0.5, other={"b": [1, 2.5, "\n"], "a": None})
+    fields = make_endpoint("ä", 3, size=0.5, other={"b": [1, 2.5, "\n"], "a": None})
     assert listing._standard_encoder()(fields) == decode_entry(fields).row
     assert ListEntry("ä", 3, False, listing._standard_encoder()(fields)) == decode_entry(fields)
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -20,9 +20,9 @@
     decode_response,
     encode_request,
 )
-from tests.standins.discovery import Discovery, row
+from tests.standins.discovery import FakeDiscovery, make_endpoint
 from tests.standins.platform import TEST_TIMEOUT_S, free_port
-from tests.standins.registry import RegistryConnection, RegistryProcess, run
+from tests.standins.registry import RegistryConnection, RegistryProcess, run_scenario
 
 WATCH_WAIT_MS = 60_000
 
@@ -30,13 +30,13 @@
 @asynccontextmanager
 async def running_registry(
     folder: Path, destinations: int = 20, **keys: str
-) -> AsyncIterator[tuple[Discovery, RegistryProcess]]:
+) -> AsyncIterator[tuple[FakeDiscovery, RegistryProcess]]:
     """Starts a discovery with one endpoint per destination at revision 5, and a registry with its list."""
     async with (
-        Discovery([row(f"h{i}", i) for i in range(destinations)], 5) as discovery,
+        FakeDiscovery([make_endpoint(f"h{i}", i) for i in range(destinations)], 5) as discovery,
         RegistryProcess(folder, discovery.address, **keys) as registry,
     ):
-        await registry.ready()
+        await registry.wait_until_ready()
         yield discovery, registry
 
 
@@ -54,8 +54,8 @@
             clients = [await subscribe(registry, f"r{i}.1", i, i + 1) for i in range(6)]
             for number, client in enumerate(clients):
                 client.send(encode_request(SubscriptionWatch("f", f"r{number}.1", 5, WATCH_WAIT_MS)))
-            await registry.until(lambda metrics: metrics["watches"] == 6)
-            discovery.change(row("h3", 3, "Terminating"))
+            await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 6)
+            discovery.change(make_endpoint("h3", 3, "Terminating"))
             for number in (2, 3):
                 response = await clients[number].response()
                 assert (response.revision, response.fleet, response.full_destinations) == (6, "f", ())
@@ -67,7 +67,7 @@
             metrics = await registry.metrics()
             assert (metrics["watches"], metrics["woken"]) == (4, 2)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_watch_without_changes_ends_after_its_wait(tmp_path: Path) -> None:
@@ -80,7 +80,7 @@
             response = await client.call(SubscriptionWatch("f", "a.1", 9, WATCH_WAIT_MS))
             assert (response.revision, response.rows) == (5, [])
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_responds_to_an_invalid_call_with_a_one_line_error(tmp_path: Path) -> None:
@@ -113,7 +113,7 @@
             assert b"Content-Length: 0" not in head
             assert (await client.request("/health/ready"))[0] == 200
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,7 @@
             assert await client.read_until_closed() == b""
             assert (await (await registry.connect()).request("/health/ready"))[0] == 200
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_accepts_a_request_target_of_nearly_16_kib(tmp_path: Path) -> None:
@@ -156,7 +156,7 @@
             assert response.rows == []
             assert response.full_destinations == destinations
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_disconnects_a_slow_client_and_serves_others_without_delay(tmp_path: Path) -> None:
@@ -169,8 +169,8 @@
             half_closed.writer.write_eof()  # whether or not this cancels the call, others must be served
             client = await subscribe(registry, "a.1", 3)
             client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
-            await registry.until(lambda metrics: metrics["watches"] == 1)
-            discovery.change(row("h3", 3, "Terminating"))
+            await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 1)
+            discovery.change(make_endpoint("h3", 3, "Terminating"))
             assert (await client.response()).revision == 6
             for late_client in (silent, slow):
                 status, headers, _ = await late_client.read()
@@ -179,31 +179,31 @@
             assert time.monotonic() - started_at > client_connection.REQUEST_TIMEOUT_S - 0.1
             await half_closed.read_until_closed()
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_disconnects_a_client_that_does_not_read_and_serves_others(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with running_registry(tmp_path, destinations=3, idle_s="3600") as (discovery, registry):
-            rows = [row(f"x{i}", 1, locality="z" * 200) for i in range(20_000)]
+            rows = [make_endpoint(f"x{i}", 1, locality="z" * 200) for i in range(20_000)]
             discovery.change(*rows)
-            await registry.until(lambda metrics: metrics["revision"] == 6)
+            await registry.wait_for_metrics(lambda metrics: metrics["revision"] == 6)
             unread = socket.socket()
             with unread:
                 unread.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 unread.connect(registry.address)
                 call = SubscriptionChange("f", "unread.1", 1, added=(1,), is_reset=True)
                 unread.sendall(f"GET {encode_request(call)} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
-                await registry.until(lambda metrics: metrics["subscribers"] == 1)
+                await registry.wait_for_metrics(lambda metrics: metrics["subscribers"] == 1)
                 reader = await registry.connect()
                 response = await reader.call(SubscriptionChange("f", "b.1", 1, added=(1,), is_reset=True))
                 assert len(response.rows) == 20_001
                 # Two clients and the connection for metrics; then without the client that does not read.
-                await registry.until(lambda metrics: metrics["connections"] == 3)
-                await registry.until(lambda metrics: metrics["connections"] == 2)
+                await registry.wait_for_metrics(lambda metrics: metrics["connections"] == 3)
+                await registry.wait_for_metrics(lambda metrics: metrics["connections"] == 2)
                 assert (await reader.request("/health/ready"))[0] == 200
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_with_1100_waiting_watches_ends_only_affected_ones(tmp_path: Path) -> None:
@@ -213,18 +213,18 @@
             for number in range(1100):
                 clients.append(await subscribe(registry, f"r{number}.1", number, 1150))
                 clients[-1].send(encode_request(SubscriptionWatch("f", f"r{number}.1", 5, WATCH_WAIT_MS)))
-            metrics = await registry.until(lambda metrics: metrics["watches"] == 1100)
+            metrics = await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 1100)
             assert (metrics["subscribers"], metrics["subscribed"]) == (1100, 2200)
-            discovery.change(row("h7", 7, "Terminating"))
+            discovery.change(make_endpoint("h7", 7, "Terminating"))
             assert len((await clients[7].response()).rows) == 1
             assert (await registry.metrics())["watches"] == 1099
-            discovery.change(row("h1150", 1150, "Gone"))
+            discovery.change(make_endpoint("h1150", 1150, "Gone"))
             for number, client in enumerate(clients):
                 if number != 7:
                     assert [fields["phase"] for fields in (await client.response()).rows] == ["Gone"]
             assert (await registry.metrics())["woken"] == 1100
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_newer_watch_of_a_subscriber_ends_its_older_one(tmp_path: Path) -> None:
@@ -232,14 +232,14 @@
         async with running_registry(tmp_path) as (discovery, registry):
             older, newer = await subscribe(registry, "a.1", 3), await registry.connect()
             older.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
-            await registry.until(lambda metrics: metrics["watches"] == 1)
+            await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 1)
             newer.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
             assert (await older.response()).rows == []
-            await registry.until(lambda metrics: metrics["watches"] == 1)
-            discovery.change(row("h3", 3, "Terminating"))
+            await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 1)
+            discovery.change(make_endpoint("h3", 3, "Terminating"))
             assert len((await newer.response()).rows) == 1
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_closed_connection_ends_its_watch_and_later_the_subscription(tmp_path: Path) -> None:
@@ -247,17 +247,17 @@
         async with running_registry(tmp_path, forget_s="1.0") as (_, registry):
             client = await subscribe(registry, "a.1", 3)
             client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
-            await registry.until(lambda metrics: metrics["watches"] == 1)
+            await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 1)
             client.close()
-            metrics = await registry.until(lambda metrics: metrics["watches"] == 0)
-            metrics = await registry.until(lambda metrics: metrics["subscribers"] == 0)
+            metrics = await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 0)
+            metrics = await registry.wait_for_metrics(lambda metrics: metrics["subscribers"] == 0)
             assert metrics["subscribed"] == 0
             status, _ = await (await registry.connect()).request(
                 encode_request(SubscriptionWatch("f", "a.1", 5, 0))
             )
             assert status == 410
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_second_call_during_a_watch_is_rejected_and_ends_the_watch(tmp_path: Path) -> None:
@@ -265,18 +265,18 @@
         async with running_registry(tmp_path) as (discovery, registry):
             client = await subscribe(registry, "a.1", 3)
             client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
-            await registry.until(lambda metrics: metrics["watches"] == 1)
+            await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 1)
             client.send("/health/ready")
             status, headers, body = await client.read()
             assert (status, headers["connection"]) == (400, "close")
             assert b"one call at a time" in body
             assert await client.read_until_closed() == b""
             assert (await registry.metrics())["watches"] == 0
-            discovery.change(row("h3", 3, "Terminating"))
-            metrics = await registry.until(lambda metrics: metrics["revision"] == 6)
+            discovery.change(make_endpoint("h3", 3, "Terminating"))
+            metrics = await registry.wait_for_metrics(lambda metrics: metrics["revision"] == 6)
             assert metrics["woken"] == 0
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_shutdown_ends_every_watch_and_closes_connections(tmp_path: Path) -> None:
@@ -287,7 +287,7 @@
                 client.send(encode_request(SubscriptionWatch("f", f"r{number}.1", 5, WATCH_WAIT_MS)))
             plain, idle = await registry.connect(), await subscribe(registry, "idle.1", 1)
             plain.send(f"{LIST_PATH}?index=5&wait={WATCH_WAIT_MS}")
-            await registry.until(lambda metrics: metrics["watches"] == 11)
+            await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 11)
             started_at = time.monotonic()
             assert registry.process is not None
             registry.process.send_signal(signal.SIGTERM)
@@ -302,15 +302,15 @@
             assert await idle.read_until_closed() == b""
             plain.close()
             idle.close()
-            assert await registry.wait() == 0
+            assert await registry.wait_for_exit() == 0
             assert time.monotonic() - started_at < TEST_TIMEOUT_S / 2
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_without_discovery_responds_with_503_and_retries(tmp_path: Path) -> None:
     async def scenario() -> None:
-        discovery = Discovery([row("a", 1)], 9)
+        discovery = FakeDiscovery([make_endpoint("a", 1)], 9)
         await discovery.start()
         await discovery.stop()
         async with RegistryProcess(tmp_path, discovery.address) as registry:
@@ -325,7 +325,7 @@
                 assert body["error"]
             await registry.wait_for_log("retrying until it succeeds")
             await discovery.start()
-            await registry.ready()
+            await registry.wait_until_ready()
             response = await (await registry.connect()).call(
                 SubscriptionChange("f", "a.1", 1, added=(1,), is_reset=True)
             )
@@ -333,7 +333,7 @@
             assert sum("retrying until" in log_line for log_line in registry.log) == 1
             await discovery.stop()
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_serves_its_list_during_a_discovery_outage_and_catches_up(tmp_path: Path) -> None:
@@ -347,7 +347,7 @@
             assert response.size == 2
             assert [fields["id"] for fields in response.rows] == ["h4"]
             client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
-            discovery.change(row("h3", 3, "Terminating"))
+            discovery.change(make_endpoint("h3", 3, "Terminating"))
             request_count = len(discovery.requests)
             await discovery.start()
             assert [fields["phase"] for fields in (await client.response()).rows] == ["Terminating"]
@@ -355,7 +355,7 @@
             assert discovery.requests[request_count] == f"{LIST_PATH}?index=5&wait=0"
             await registry.wait_for_log("responds again, revision 6")
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_repeats_a_call_to_a_silent_discovery(tmp_path: Path) -> None:
@@ -367,7 +367,7 @@
             request_count = len(discovery.requests)
             discovery.notify()
             started_at = time.monotonic()
-            discovery.change(row("h3", 3, "Terminating"))
+            discovery.change(make_endpoint("h3", 3, "Terminating"))
             await registry.wait_for_log("retrying until it succeeds")
             age = (await registry.metrics())["age_ms"]
             assert age > 1000 * upstream.RESPONSE_TIMEOUT_S
@@ -377,7 +377,7 @@
             assert len(discovery.requests) > request_count
             assert time.monotonic() - started_at < TEST_TIMEOUT_S / 2
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_with_restarted_revisions_requires_subscriptions_to_be_reset(tmp_path: Path) -> None:
@@ -385,8 +385,8 @@
         async with running_registry(tmp_path) as (discovery, registry):
             client, other = await subscribe(registry, "a.1", 3), await subscribe(registry, "b.1", 4)
             client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
-            await registry.until(lambda metrics: metrics["watches"] == 1)
-            discovery.restart_revisions(2, [row("h3", 3), row("h9", 4)])
+            await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 1)
+            discovery.restart_revisions(2, [make_endpoint("h3", 3), make_endpoint("h9", 4)])
             response = await client.response()
             assert (response.revision, response.rows, response.full_destinations) == (2, [], ())
             response = await other.call(SubscriptionChange("f", "b.1", 2, 5, confirmed=(4,)))
@@ -402,57 +402,57 @@
             assert response.full_destinations == (3,)
             assert [fields["id"] for fields in response.rows] == ["h3"]
             client.send(encode_request(SubscriptionWatch("f", "a.1", 2, WATCH_WAIT_MS)))
-            await registry.until(lambda metrics: metrics["watches"] == 1)
-            discovery.change(row("h3", 3, "Terminating"))
+            await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 1)
+            discovery.change(make_endpoint("h3", 3, "Terminating"))
             assert (await client.response()).revision == 3
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_sends_rows_of_an_indented_list_in_compact_form(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Discovery([row(f"h{i}", i) for i in range(3000)]) as discovery:
+        async with FakeDiscovery([make_endpoint(f"h{i}", i) for i in range(3000)]) as discovery:
             discovery.indent = 4
             async with RegistryProcess(tmp_path, discovery.address) as registry:
-                await registry.ready()
+                await registry.wait_until_ready()
                 client = await registry.connect()
                 client.send(encode_request(SubscriptionChange("f", "a.1", 1, added=(7,), is_reset=True)))
                 status, _, body = await client.read()
                 assert status == 200
                 assert b" " not in body
                 assert b"\n" not in body
-                assert decode_response(body).rows == [row("h7", 7)]
+                assert decode_response(body).rows == [make_endpoint("h7", 7)]
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_skips_a_malformed_row_of_a_list(tmp_path: Path) -> None:
     async def scenario() -> None:
-        rows = [row("a", 1), {**row("b", 2), "cell": "2"}, row("c", 3)]
-        async with Discovery(rows) as discovery, RegistryProcess(tmp_path, discovery.address) as registry:
-            await registry.ready()
+        rows = [make_endpoint("a", 1), {**make_endpoint("b", 2), "cell": "2"}, make_endpoint("c", 3)]
+        async with FakeDiscovery(rows) as discovery, RegistryProcess(tmp_path, discovery.address) as registry:
+            await registry.wait_until_ready()
             assert (await registry.metrics())["hosts"] == 2
             await registry.wait_for_log("malformed list entry skipped: .*cell = '2'")
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_rejects_an_oversize_list_with_one_log_line_and_keeps_its_list(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with running_registry(tmp_path, most_list_mb="1") as (discovery, registry):
             client = await subscribe(registry, "a.1", 3)
-            discovery.change(*(row(f"x{i}", i, locality="z" * 1000) for i in range(2000)))
+            discovery.change(*(make_endpoint(f"x{i}", i, locality="z" * 1000) for i in range(2000)))
             await registry.wait_for_log(
                 r"response of 2 MB rejected, the limit is most_list_mb = 1; keeping the current list"
             )
             response = await client.call(SubscriptionChange("f", "a.1", 2, added=(4,)))
             assert response.revision == 5
             assert [fields["id"] for fields in response.rows] == ["h4"]
-            discovery.restart_revisions(7, [row("h4", 4, "Terminating")])
-            await registry.until(lambda metrics: metrics["revision"] == 7)
+            discovery.restart_revisions(7, [make_endpoint("h4", 4, "Terminating")])
+            await registry.wait_for_metrics(lambda metrics: metrics["revision"] == 7)
             assert sum("most_list_mb" in log_line for log_line in registry.log) == 1
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_serves_a_relay_without_subscription_in_discovery_format(tmp_path: Path) -> None:
@@ -467,8 +467,8 @@
                 20,
             )
             client.send(f"{LIST_PATH}?index=5&wait={WATCH_WAIT_MS}")
-            await registry.until(lambda metrics: metrics["watches"] == 1)
-            discovery.change(row("h3", 3, "Terminating"), row("h4", 9))
+            await registry.wait_for_metrics(lambda metrics: metrics["watches"] == 1)
+            discovery.change(make_endpoint("h3", 3, "Terminating"), make_endpoint("h4", 9))
             _, _, body = await client.read()
             document = json.loads(body)
             assert (document["revision"], document["complete"]) == (6, False)
@@ -481,7 +481,7 @@
                 status, document = await client.request(f"{LIST_PATH}?index={index}&wait={WATCH_WAIT_MS}")
                 assert (document["revision"], document["complete"], len(document["members"])) == (6, True, 20)
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_rejects_a_request_for_a_full_list_over_the_limit(tmp_path: Path) -> None:
@@ -493,7 +493,7 @@
             size = int(body["error"].split()[4])
             assert size > server.MAX_FULL_LIST_BYTES
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 # Operator
@@ -503,7 +503,7 @@
     async def scenario() -> None:
         async with (
             running_registry(tmp_path) as (discovery, registry),
-            Discovery([row("h3", 3, "Terminating")], 2) as new_discovery,
+            FakeDiscovery([make_endpoint("h3", 3, "Terminating")], 2) as new_discovery,
         ):
             client = await subscribe(registry, "a.1", 3)
             assert registry.process is not None
@@ -538,42 +538,42 @@
             assert response.full_destinations == (3, 4)
             assert [fields["phase"] for fields in response.rows] == ["Terminating"]
             request_count = len(discovery.requests)
-            new_discovery.change(row("h3", 3, "Gone"))
+            new_discovery.change(make_endpoint("h3", 3, "Gone"))
             assert (await client.call(SubscriptionWatch("f", "a.1", 2, WATCH_WAIT_MS))).revision == 3
             assert len(discovery.requests) == request_count
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_with_an_invalid_settings_file_exits_with_one_line(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Discovery() as discovery:
+        async with FakeDiscovery() as discovery:
             registry = RegistryProcess(tmp_path, discovery.address, keep_gone="-1")
             await registry.start(listens=False)
-            assert await registry.wait() == 2
+            assert await registry.wait_for_exit() == 2
             await registry.wait_for_log("^loftrelay registry: ")
             reason = "is not from 0 to 1e+07 hosts"
             assert registry.log == [f"loftrelay registry: {registry.file}: keep_gone = -1: {reason}"]
             assert not discovery.requests
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_with_an_address_in_use_exits(tmp_path: Path) -> None:
     async def scenario() -> None:
         address = f"127.0.0.1:{free_port()}"
         async with (
-            Discovery() as discovery,
+            FakeDiscovery() as discovery,
             RegistryProcess(tmp_path, discovery.address, listen=f'"{address}"'),
         ):
             other_folder = tmp_path / "other"
             other_folder.mkdir()
             second = RegistryProcess(other_folder, discovery.address, listen=f'"{address}"')
             await second.start(listens=False)
-            assert await second.wait() == 1
+            assert await second.wait_for_exit() == 1
             await second.wait_for_log("^loftrelay registry: can't start: .*in use")
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_subscription_moves_to_another_registry_after_the_first_is_killed(tmp_path: Path) -> None:
@@ -584,11 +584,11 @@
             running_registry(tmp_path) as (discovery, first),
             RegistryProcess(other_folder, discovery.address) as second,
         ):
-            await second.ready()
+            await second.wait_until_ready()
             client = await subscribe(first, "a.1", 3, 4)
-            discovery.change(row("h3", 3, "Terminating"))
+            discovery.change(make_endpoint("h3", 3, "Terminating"))
             assert (await client.call(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS))).revision == 6
-            await second.until(lambda metrics: metrics["revision"] == 6)
+            await second.wait_for_metrics(lambda metrics: metrics["revision"] == 6)
             assert await first.terminate(signal.SIGKILL) == -signal.SIGKILL
             client = await second.connect()
             status, _ = await client.request(encode_request(SubscriptionWatch("f", "a.1", 6, 0)))
@@ -597,10 +597,10 @@
                 SubscriptionChange("f", "a.1", 2, 6, confirmed=(3, 4), is_reset=True)
             )
             assert (response.full_destinations, response.rows, response.size) == ((), [], 2)
-            discovery.change(row("h4", 4, "Gone"))
+            discovery.change(make_endpoint("h4", 4, "Gone"))
             assert (await client.call(SubscriptionWatch("f", "a.1", 6, WATCH_WAIT_MS))).revision == 7
 
-    run(scenario)
+    run_scenario(scenario)
 
 
 def test_registry_resumed_after_a_stop_sends_missed_changes(tmp_path: Path) -> None:
@@ -610,10 +610,10 @@
             assert registry.process is not None
             registry.process.send_signal(signal.SIGSTOP)
             client.send(encode_request(SubscriptionWatch("f", "a.1", 5, WATCH_WAIT_MS)))
-            discovery.change(row("h3", 3, "Terminating"))
+            discovery.change(make_endpoint("h3", 3, "Terminating"))
             request_count = len(discovery.requests)
             registry.process.send_signal(signal.SIGCONT)
             assert [fields["phase"] for fields in (await client.response()).rows] == ["Terminating"]
             await discovery.wait_for_requests(request_count + 1)
 
-    run(scenario)
+    run_scenario(scenario)
--- a/tests/registry/test_subscriptions.py
+++ b/tests/registry/test_subscriptions.py
@@ -24,7 +24,7 @@
     SubscriptionUpdate,
     WaitingWatch,
 )
-from tests.standins.discovery import row
+from tests.standins.discovery import make_endpoint
 
 
 class FakeRegistry:
@@ -32,7 +32,7 @@
 
     def __init__(self, destinations: int = 20, max_tombstones: int = 100) -> None:
         self.catalog = Catalog(max_tombstones)
-        self.catalog.load(1, [decode_entry(row(f"h{i}", i)) for i in range(destinations)])
+        self.catalog.load(1, [decode_entry(make_endpoint(f"h{i}", i)) for i in range(destinations)])
         self.subscriptions = Subscriptions("f", self.catalog, 30.0)
         self.now = 0.0
 
@@ -92,7 +92,7 @@
 
 def test_change_response_contains_only_changed_confirmed_destinations() -> None:
     registry = FakeRegistry()
-    registry.apply_delta(row("h3", 3, "Terminating"))
+    registry.apply_delta(make_endpoint("h3", 3, "Terminating"))
     update = registry.change(1, is_reset=True, since=1, confirmed=(3, 5, 99))
     assert update.full_destinations == (3,)
     assert endpoints_of(update) == [("h3", "Terminating")]
@@ -130,7 +130,7 @@
     update = registry.change(2, is_reset=True, added=(4,))
     assert (update.size, update.checksum, registry.subscriptions.destination_count) == (1, 4, 1)
     assert isinstance(registry.watch(1), WaitingWatch)
-    assert registry.apply_delta(row("h1", 1, "Terminating")) == []
+    assert registry.apply_delta(make_endpoint("h1", 1, "Terminating")) == []
 
 
 def test_list_change_affects_only_the_watches_of_its_subscribers() -> None:
@@ -138,13 +138,13 @@
     for number in range(10):
         registry.change(1, name=f"r{number}.1", is_reset=True, added=(number, number + 1))
         registry.watch(1, name=f"r{number}.1", token=number)
-    affected = registry.apply_delta(row("h4", 4, "Terminating"))
+    affected = registry.apply_delta(make_endpoint("h4", 4, "Terminating"))
     assert sorted(watch.token for watch in affected) == [3, 4]
     assert registry.subscriptions.ended_by_change == 2
     for watch in affected:
         assert endpoints_of(registry.subscriptions.end_watch(watch, registry.now)) == [("h4", "Terminating")]
     assert registry.subscriptions.waiting_watches == 8
-    assert registry.apply_delta(row("x", 19)) == []
+    assert registry.apply_delta(make_endpoint("x", 19)) == []
     assert registry.subscriptions.ended_by_change == 2
 
 
@@ -156,7 +156,7 @@
     for remaining in range(count, -1, -1):  # the subscribers drop it one by one
         for number in range(count):
             registry.watch(registry.catalog.revision, name=f"r{number}.1", token=number)
-        affected = registry.apply_delta(row("h3", 3, locality=f"at {remaining}"))
+        affected = registry.apply_delta(make_endpoint("h3", 3, locality=f"at {remaining}"))
         assert sorted(watch.token for watch in affected) == list(range(count - remaining, count))
         if remaining:
             registry.change(2, name=f"r{count - remaining}.1", dropped=(3,))
@@ -166,8 +166,8 @@
 def test_watch_since_an_older_revision_returns_changes_immediately() -> None:
     registry = FakeRegistry()
     registry.change(1, is_reset=True, added=(3, 4))
-    registry.apply_delta(row("h3", 3, "Terminating"))
-    registry.apply_delta(row("h9", 9, "Gone"))
+    registry.apply_delta(make_endpoint("h3", 3, "Terminating"))
+    registry.apply_delta(make_endpoint("h9", 9, "Gone"))
     assert endpoints_of(registry.watch(1)) == [("h3", "Terminating")]
     assert isinstance(registry.watch(2), WaitingWatch)
 
@@ -175,14 +175,14 @@
 def test_watch_response_to_a_moved_endpoint_contains_its_removal_first() -> None:
     registry = FakeRegistry()
     registry.change(1, is_reset=True, added=(3, 8))
-    registry.apply_delta(row("h8", 3))
+    registry.apply_delta(make_endpoint("h8", 3))
     assert endpoints_of(registry.watch(1)) == [("h8", "Gone"), ("h8", "Ready")]
 
 
 def test_watch_response_without_tombstones_contains_full_destinations() -> None:
     registry = FakeRegistry(max_tombstones=0)
     registry.change(1, is_reset=True, added=(3, 4, 5))
-    registry.apply_delta(row("h3", 3, "Gone"), row("h4", 4, "Terminating"))
+    registry.apply_delta(make_endpoint("h3", 3, "Gone"), make_endpoint("h4", 4, "Terminating"))
     update = registry.watch(1)
     assert isinstance(update, SubscriptionUpdate)
     assert update.full_destinations == (3, 4)
@@ -199,7 +199,7 @@
     assert older is first
     assert not first.is_waiting
     assert registry.subscriptions.waiting_watches == 1
-    affected = registry.apply_delta(row("h3", 3, "Terminating"))
+    affected = registry.apply_delta(make_endpoint("h3", 3, "Terminating"))
     assert [watch.token for watch in affected] == ["second"]
 
 
@@ -208,7 +208,9 @@
     registry = FakeRegistry()
     registry.change(1, is_reset=True, added=(3,))
     staged = StagedList(registry.catalog)
-    staged.add([decode_entry(row("h3", 3, "Terminating")), decode_entry(row("h4", 4, "Gone"))])
+    staged.add(
+        [decode_entry(make_endpoint("h3", 3, "Terminating")), decode_entry(make_endpoint("h4", 4, "Gone"))]
+    )
     commit = registry.catalog.commit(staged, 2, False)
     registry.subscriptions.destination_changed(next(commit), 2)
     watch = registry.watch(1)
@@ -226,7 +228,7 @@
     registry.change(1, is_reset=True, added=(3,))
     watch = registry.watch(900)
     assert isinstance(watch, WaitingWatch)
-    registry.catalog.load(2, [decode_entry(row("h3", 3))])
+    registry.catalog.load(2, [decode_entry(make_endpoint("h3", 3))])
     assert registry.subscriptions.pop_affected_watches(is_restarted=True) == [watch]
     update = registry.subscriptions.end_watch(watch, registry.now)
     assert not update.rows
@@ -244,9 +246,11 @@
     registry = FakeRegistry()
     registry.change(1, is_reset=True, added=(3, 4))
     registry.apply_delta()
-    registry.catalog.load(1, [decode_entry(row("h3", 3, "Terminating")), decode_entry(row("h4", 4))])
+    registry.catalog.load(
+        1, [decode_entry(make_endpoint("h3", 3, "Terminating")), decode_entry(make_endpoint("h4", 4))]
+    )
     registry.subscriptions.pop_affected_watches(is_restarted=True)
-    registry.apply_delta(row("h9", 9))
+    registry.apply_delta(make_endpoint("h9", 9))
     assert registry.catalog.revision == 2
     assert rejection_status(registry, SubscriptionWatch("f", "a.1", 2, 0)) == GONE
     update = registry.change(2, is_reset=True, since=2, confirmed=(3,))
@@ -283,7 +287,7 @@
     registry.subscriptions.abandon_watch(disconnected, 200.0)  # its connection was closed
     assert not disconnected.is_waiting
     assert registry.subscriptions.waiting_watches == 0
-    assert registry.apply_delta(row("h3", 3, "Gone")) == []
+    assert registry.apply_delta(make_endpoint("h3", 3, "Gone")) == []
     assert registry.subscriptions.expire(229.0) == 0
     assert registry.subscriptions.expire(231.0) == 1
 
@@ -317,7 +321,7 @@
         )
         registry.watch(1, name=f"r{number}.1")
     lookups.clear()
-    affected = registry.apply_delta(row("h45", 45, "Terminating"))
+    affected = registry.apply_delta(make_endpoint("h45", 45, "Terminating"))
     assert len(affected) == 1
     assert lookups == []
     registry.subscriptions.end_watch(affected[0], registry.now)
--- a/tests/registry/test_upstream.py
+++ b/tests/registry/test_upstream.py
@@ -12,7 +12,7 @@
 from loftrelay.net.address import Address, parse_address
 from loftrelay.registry.catalog import Catalog
 from loftrelay.registry.upstream import READ_BYTES, Upstream
-from tests.standins.discovery import Discovery, row
+from tests.standins.discovery import FakeDiscovery, make_endpoint
 from tests.standins.platform import TEST_TIMEOUT_S
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
@@ -45,7 +45,7 @@
 
 
 def make_list(revision: int, *endpoints: str) -> bytes:
-    rows = [row(endpoint, i) for i, endpoint in enumerate(endpoints)]
+    rows = [make_endpoint(endpoint, i) for i, endpoint in enumerate(endpoints)]
     return json.dumps({"revision": revision, "complete": True, "members": rows}).encode()
 
 
@@ -131,7 +131,11 @@
 def test_upstream_with_an_interrupted_watch_applies_its_changes_only_once_complete() -> None:
     async def scenario() -> None:
         delta = json.dumps(
-            {"revision": 8, "complete": False, "members": [row("a", 0, "Gone"), row("c", 2)]}
+            {
+                "revision": 8,
+                "complete": False,
+                "members": [make_endpoint("a", 0, "Gone"), make_endpoint("c", 2)],
+            }
         ).encode()
         truncated = HEAD % (len(delta), delta[:-20])
         harness, targets = await scripted_discovery(
@@ -202,7 +206,7 @@
                 turns += 1
                 await asyncio.sleep(0)
 
-        async with Discovery([row(f"h{i}", i) for i in range(20_000)]) as discovery:
+        async with FakeDiscovery([make_endpoint(f"h{i}", i) for i in range(20_000)]) as discovery:
             harness = UpstreamHarness(parse_address(discovery.address))
             harness.upstream.start()
             counter = asyncio.create_task(count_turns())
@@ -223,7 +227,7 @@
     monkeypatch.setattr("loftrelay.registry.upstream.MAX_TURN_S", 0.0)  # one change in each turn
 
     async def scenario() -> None:
-        async with Discovery([row(f"h{i}", i) for i in range(50)], 5) as discovery:
+        async with FakeDiscovery([make_endpoint(f"h{i}", i) for i in range(50)], 5) as discovery:
             harness = UpstreamHarness(parse_address(discovery.address))
             harness.upstream.start()
             await harness.until(lambda: harness.catalog.is_loaded)
@@ -236,7 +240,7 @@
                     interrupted.set()
 
             harness.upstream.on_destination_changed = interrupt_at_tenth_change
-            discovery.change(*(row(f"h{i}", i, "Terminating") for i in range(50)))
+            discovery.change(*(make_endpoint(f"h{i}", i, "Terminating") for i in range(50)))
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 await interrupted.wait()
             await harness.until(lambda: len(harness.commits) > 1 and harness.commits[-1][0])
--- a/tests/relay/test_endpoint_list_cost.py
+++ b/tests/relay/test_endpoint_list_cost.py
@@ -26,7 +26,7 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.service.assembly import build_engine
 from tests.relay.test_message_counts import close_engine, make_config
-from tests.standins.work import Walked, steps
+from tests.standins.work import IterationCountingDict, count_instructions
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
 
@@ -64,22 +64,22 @@
             assert len(engine.endpoints.entries) == size
             scheduler = engine.context.scheduler
             engine.endpoints.entries, engine.endpoints.batch_sizes = (
-                Walked(engine.endpoints.entries),
-                Walked(engine.endpoints.batch_sizes),
+                IterationCountingDict(engine.endpoints.entries),
+                IterationCountingDict(engine.endpoints.batch_sizes),
             )
             scheduler.state.endpoints, scheduler.state.destinations = (
-                Walked(scheduler.state.endpoints),
-                Walked(scheduler.state.destinations),
+                IterationCountingDict(scheduler.state.endpoints),
+                IterationCountingDict(scheduler.state.destinations),
             )
-            costs.append(steps(partial(apply_list, engine, EndpointListKind.DELTA, change)))
+            costs.append(count_instructions(partial(apply_list, engine, EndpointListKind.DELTA, change)))
             for table in (
                 engine.endpoints.entries,
                 engine.endpoints.batch_sizes,
                 scheduler.state.endpoints,
                 scheduler.state.destinations,
             ):
-                assert isinstance(table, Walked)
-                assert table.walked == 0
+                assert isinstance(table, IterationCountingDict)
+                assert table.iterated_entries == 0
             close_engine(engine)
             journal.close()
         assert 0 < costs[1] <= 1.5 * costs[0]
--- a/tests/standins/discovery.py
+++ b/tests/standins/discovery.py
@@ -10,27 +10,27 @@
 from tests.standins.platform import TEST_TIMEOUT_S
 
 
-def row(host: str, cell: int, phase: str = "Ready", **more: Any) -> dict[str, Any]:
+def make_endpoint(endpoint_id: str, destination: int, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
     return {
-        "id": host,
+        "id": endpoint_id,
         "host_port": "127.0.0.1:9",
         "locality": "a",
         "flavor": "plain",
-        "cell": cell,
+        "cell": destination,
         "phase": phase,
         "size": 1.0,
         "up_since_ms": 0,
-        **more,
+        **fields,
     }
 
 
-class Discovery:
+class FakeDiscovery:
     """Use as an async context. `indent`: of its answers; `silent`: calls are taken and never answered."""
 
-    def __init__(self, rows: Iterable[dict[str, Any]] = (), revision: int = 1) -> None:
+    def __init__(self, endpoints: Iterable[dict[str, Any]] = (), revision: int = 1) -> None:
         self.revision = revision
-        self.rows = {told["id"]: told for told in rows}
-        self.log: list[tuple[int, dict[str, Any]]] = []  # what changed, by revision
+        self.endpoints = {told["id"]: told for told in endpoints}
+        self.changes: list[tuple[int, dict[str, Any]]] = []  # what changed, by revision
         self.indent: int | None = None
         self.is_silent = False
         self.requests: list[str] = []  # targets
@@ -43,7 +43,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
         self._changed = asyncio.Event()
 
-    async def __aenter__(self) -> Discovery:
+    async def __aenter__(self) -> FakeDiscovery:
         await self.start()
         return self
 
@@ -69,20 +69,20 @@
         self.notify()
         await asyncio.gather(*self._tasks)
 
-    def change(self, *rows: dict[str, Any]) -> None:
+    def change(self, *endpoints: dict[str, Any]) -> None:
         """All under one new revision; with the phase Gone a host is listed no longer."""
         self.revision += 1
-        for told in rows:
-            if told["phase"] == "Gone":
-                self.rows.pop(told["id"], None)
+        for endpoint in endpoints:
+            if endpoint["phase"] == "Gone":
+                self.endpoints.pop(endpoint["id"], None)
             else:
-                self.rows[told["id"]] = told
-            self.log.append((self.revision, told))
+                self.endpoints[endpoint["id"]] = endpoint
+            self.changes.append((self.revision, endpoint))
         self.notify()
 
-    def restart_revisions(self, revision: int, rows: Iterable[dict[str, Any]]) -> None:
-        self.revision, self.log, self._since = revision, [], revision
-        self.rows = {told["id"]: told for told in rows}
+    def restart_revisions(self, revision: int, endpoints: Iterable[dict[str, Any]]) -> None:
+        self.revision, self.changes, self._since = revision, [], revision
+        self.endpoints = {told["id"]: told for told in endpoints}
         self.notify()
 
     def notify(self) -> None:
@@ -135,7 +135,7 @@
             await self._wait()
         if not self._since <= index <= self.revision:
             return self._full_list()
-        last = {told["id"]: told for revision, told in self.log if revision > index}
+        last = {told["id"]: told for revision, told in self.changes if revision > index}
         return self._encode(False, list(last.values()))
 
     async def _wait(self) -> None:
@@ -144,7 +144,7 @@
             raise ConnectionError
 
     def _full_list(self) -> bytes:
-        return self._encode(True, list(self.rows.values()))
+        return self._encode(True, list(self.endpoints.values()))
 
     def _encode(self, complete: bool, members: list[dict[str, Any]]) -> bytes:
         told = {"revision": self.revision, "complete": complete, "members": members}
--- a/tests/standins/killed.py
+++ b/tests/standins/killed.py
@@ -11,7 +11,7 @@
 from loftrelay.relay import fault_points
 
 
-def kill_at(step: str) -> None:
+def kill_at_fault_point(step: str) -> None:
     """Raises SystemExit for a step that isn't there: nothing would ever be killed."""
     if step not in fault_points.ALL_POINTS:
         raise SystemExit(f"there is no step {step!r}")
@@ -24,5 +24,5 @@
 
 
 if __name__ == "__main__":
-    kill_at(sys.argv[1])
+    kill_at_fault_point(sys.argv[1])
     sys.exit(main(sys.argv[2:]))
--- a/tests/standins/registries.py
+++ b/tests/standins/registries.py
@@ -19,17 +19,17 @@
     """So many for one World, whose relay is then to be started with them. Use as an async context within
     that of the world."""
 
-    def __init__(self, world: RelayHarness, number: int = 2, **subscription: Any) -> None:
-        self.world = world
-        self.addresses = [f"127.0.0.1:{free_port()}" for _ in range(number)]
+    def __init__(self, harness: RelayHarness, count: int = 2, **subscription: Any) -> None:
+        self.harness = harness
+        self.addresses = [f"127.0.0.1:{free_port()}" for _ in range(count)]
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.logs: dict[str, list[str]] = {address: [] for address in self.addresses}
         self.tasks: list[asyncio.Task[None]] = []
-        world.admin_address = world.admin_address or f"127.0.0.1:{free_port()}"
+        harness.admin_address = harness.admin_address or f"127.0.0.1:{free_port()}"
         told = {"fleet": f'"{FLEET}"', "registries": str(self.addresses).replace("'", '"'), **subscription}
-        path = world.folder / "subscription.toml"
+        path = harness.folder / "subscription.toml"
         path.write_text("[subscription]\n" + "".join(f"{key} = {value}\n" for key, value in told.items()))
-        world.arguments = ["--subscription", str(path)]
+        harness.arguments = ["--subscription", str(path)]
 
     async def __aenter__(self) -> Registries:
         await asyncio.gather(*(self.start(address) for address in self.addresses))
@@ -40,16 +40,16 @@
             await self.kill(address)
         await asyncio.gather(*self.tasks)
 
-    def order(self) -> list[str]:
+    def preferred_addresses(self) -> list[str]:
         """As the relay prefers them."""
         places = preference_order(
-            self.world.relay_name, [parse_address(address) for address in self.addresses]
+            self.harness.relay_name, [parse_address(address) for address in self.addresses]
         )
         return [f"{host}:{port}" for host, port in places]
 
     async def start(self, address: str, discovery: str = "") -> None:
-        path = self.world.folder / f"registry-{address.rpartition(':')[2]}.toml"
-        told = {"fleet": FLEET, "listen": address, "discovery": discovery or self.world.discovery.address}
+        path = self.harness.folder / f"registry-{address.rpartition(':')[2]}.toml"
+        told = {"fleet": FLEET, "listen": address, "discovery": discovery or self.harness.discovery.address}
         path.write_text("[registry]\n" + "".join(f'{key} = "{value}"\n' for key, value in told.items()))
         process = self.processes[address] = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -58,12 +58,12 @@
             "registry",
             "--settings",
             str(path),
-            cwd=self.world.root,
+            cwd=self.harness.root,
             stderr=asyncio.subprocess.PIPE,
         )
         log = self.logs[address] = []
         self.tasks.append(asyncio.create_task(self._read_log(process, log)))
-        await self.world.wait_until(
+        await self.harness.wait_until(
             lambda: any("listens on" in line for line in log) or process.returncode is not None
         )
         assert process.returncode is None, log
@@ -72,9 +72,9 @@
         assert process.stderr is not None
         while line := await process.stderr.readline():
             log.append(line.decode().strip())
-            self.world.notify_changed()
+            self.harness.notify_changed()
         await process.wait()
-        self.world.notify_changed()
+        self.harness.notify_changed()
 
     async def kill(self, address: str) -> None:
         process = self.processes.pop(address)
@@ -98,11 +98,11 @@
 
     async def metric(self, name: str) -> int:
         lines = dict(
-            line.split("=") for line in (await self.world.call_admin("show-stat")).split() if "=" in line
+            line.split("=") for line in (await self.harness.call_admin("show-stat")).split() if "=" in line
         )
         return int(lines[f"app.{name}"])
 
-    async def wait_for_metric(self, name: str, least: int) -> None:
+    async def wait_for_metric(self, name: str, minimum: int) -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while await self.metric(name) < least:
+            while await self.metric(name) < minimum:
                 await asyncio.sleep(0.01)
--- a/tests/standins/registry.py
+++ b/tests/standins/registry.py
@@ -29,8 +29,8 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def send(self, what: str, method: str = "GET") -> None:
-        self.writer.write(f"{method} {what} HTTP/1.1\r\nHost: registry\r\n\r\n".encode())
+    def send(self, target: str, method: str = "GET") -> None:
+        self.writer.write(f"{method} {target} HTTP/1.1\r\nHost: registry\r\n\r\n".encode())
 
     async def read(self) -> tuple[int, dict[str, str], bytes]:
         async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -39,9 +39,9 @@
             body = await self.reader.readexactly(int(headers["content-length"]))
         return int(head[0].split()[1]), headers, body
 
-    async def request(self, what: str) -> tuple[int, Any]:
+    async def request(self, target: str) -> tuple[int, Any]:
         """Status, and the body: as JSON where it is that."""
-        self.send(what)
+        self.send(target)
         status, headers, body = await self.read()
         return status, json.loads(body) if headers["content-type"] == "application/json" else body.decode()
 
@@ -134,9 +134,9 @@
     async def terminate(self, number: signal.Signals = signal.SIGTERM) -> int:
         assert self.process is not None
         self.process.send_signal(number)
-        return await self.wait()
+        return await self.wait_for_exit()
 
-    async def wait(self) -> int:
+    async def wait_for_exit(self) -> int:
         assert self.process is not None
         async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.process.wait()
@@ -153,17 +153,17 @@
         assert status == 200
         return {name: float(value) for name, value in (told.split() for told in body.splitlines())}
 
-    async def until(self, holds: Callable[[dict[str, float]], bool]) -> dict[str, float]:
+    async def wait_for_metrics(self, condition: Callable[[dict[str, float]], bool]) -> dict[str, float]:
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while not holds(figures := await self.metrics()):
+            while not condition(metrics := await self.metrics()):
                 await asyncio.sleep(0.01)
-        return figures
+        return metrics
 
-    async def ready(self) -> None:
-        await self.until(lambda figures: figures["revision"] > 0)
+    async def wait_until_ready(self) -> None:
+        await self.wait_for_metrics(lambda figures: figures["revision"] > 0)
 
 
-def run(scenario: Callable[[], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
     async def main() -> None:
         await scenario()
 
--- a/tests/standins/slowed.py
+++ b/tests/standins/slowed.py
@@ -14,7 +14,7 @@
 ONE_IN = 12
 
 
-def slow_down(seed: int) -> None:
+def delay_commits(seed: int) -> None:
     chance = random.Random(seed)
     times = [*LONG, *SHORT, *SHORT]
     chance.shuffle(times)
@@ -30,5 +30,5 @@
 
 
 if __name__ == "__main__":
-    slow_down(int(sys.argv[1]))
+    delay_commits(int(sys.argv[1]))
     sys.exit(main(sys.argv[2:]))
--- a/tests/standins/stalled.py
+++ b/tests/standins/stalled.py
@@ -12,7 +12,7 @@
 from loftrelay.relay import fault_points
 
 
-def stop_at(step: str, shift: float) -> None:
+def stop_at_fault_point(step: str, shift: float) -> None:
     """Raises SystemExit for a step that isn't there: nothing would ever stop."""
     if step not in fault_points.ALL_POINTS:
         raise SystemExit(f"there is no step {step!r}")
@@ -29,5 +29,5 @@
 
 
 if __name__ == "__main__":
-    stop_at(sys.argv[1], float(sys.argv[2]))
+    stop_at_fault_point(sys.argv[1], float(sys.argv[2]))
     sys.exit(main(sys.argv[3:]))
--- a/tests/standins/work.py
+++ b/tests/standins/work.py
@@ -11,7 +11,7 @@
 V = TypeVar("V")
 
 
-def steps(run: Callable[[], object]) -> int:
+def count_instructions(run: Callable[[], object]) -> int:
     """Instructions of the interpreter that a call takes, in all that it calls."""
     count = 0
 
@@ -30,26 +30,26 @@
     return count
 
 
-class Walked(dict[K, V]):
+class IterationCountingDict(dict[K, V]):
     """Counts the entries that are walked by its views and iterators: no instructions of their own."""
 
-    walked = 0
+    iterated_entries = 0
 
-    def _walk(self) -> None:
-        self.walked += len(self)
+    def _count(self) -> None:
+        self.iterated_entries += len(self)
 
     def __iter__(self) -> Iterator[K]:
-        self._walk()
+        self._count()
         return super().__iter__()
 
     def keys(self) -> KeysView[K]:  # type: ignore[override]
-        self._walk()
+        self._count()
         return super().keys()
 
     def values(self) -> ValuesView[V]:  # type: ignore[override]
-        self._walk()
+        self._count()
         return super().values()
 
     def items(self) -> ItemsView[K, V]:  # type: ignore[override]
-        self._walk()
+        self._count()
         return super().items()
--- a/tests/store/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -17,17 +17,17 @@
 )
 from loftrelay.store.postgres import VERSION, PostgresStore  # noqa: E402
 from loftrelay.store.state_machine import RecordRuleError, RecordState, StoredFinalStatus  # noqa: E402
-from tests.standins.postgres import PostgresStandIn  # noqa: E402
+from tests.standins.postgres import FakePostgresServer  # noqa: E402
 from tests.store.test_sqlite import make_changes  # noqa: E402
 
 
 @pytest.fixture
-def server(tmp_path: Path) -> Iterator[PostgresStandIn]:
-    with PostgresStandIn(tmp_path / "server.sqlite") as server:
+def server(tmp_path: Path) -> Iterator[FakePostgresServer]:
+    with FakePostgresServer(tmp_path / "server.sqlite") as server:
         yield server
 
 
-def test_postgres_store_reads_commit_of_another_connection(server: PostgresStandIn) -> None:
+def test_postgres_store_reads_commit_of_another_connection(server: FakePostgresServer) -> None:
     store, other = PostgresStore(server.dsn), PostgresStore(server.dsn)
     assert store.commit(make_changes("m")) == {}
     record = other.read(["m", "never"])["m"]
@@ -43,7 +43,7 @@
     other.close()
 
 
-def test_postgres_commit_with_invalid_change_stores_nothing(server: PostgresStandIn) -> None:
+def test_postgres_commit_with_invalid_change_stores_nothing(server: FakePostgresServer) -> None:
     store = PostgresStore(server.dsn)
     with pytest.raises(RecordRuleError):
         store.commit([*make_changes("a"), make_changes("b")[1]])
@@ -53,7 +53,7 @@
     store.close()
 
 
-def test_postgres_commit_of_id_of_another_instance_returns_its_record(server: PostgresStandIn) -> None:
+def test_postgres_commit_of_id_of_another_instance_returns_its_record(server: FakePostgresServer) -> None:
     one, two = PostgresStore(server.dsn), PostgresStore(server.dsn)
     one.commit(make_changes("m", final_status=None))
     ids_in_use = two.commit(
@@ -65,7 +65,7 @@
     two.close()
 
 
-def test_postgres_commit_with_concurrent_write_is_rolled_back(server: PostgresStandIn) -> None:
+def test_postgres_commit_with_concurrent_write_is_rolled_back(server: FakePostgresServer) -> None:
     store = PostgresStore(server.dsn)
     store.commit(make_changes("m")[:1])
     original_read = store._read
@@ -83,7 +83,7 @@
     store.close()
 
 
-def test_postgres_select_and_prune_return_matching_records(server: PostgresStandIn) -> None:
+def test_postgres_select_and_prune_return_matching_records(server: FakePostgresServer) -> None:
     store = PostgresStore(server.dsn)
     for i in range(10):
         store.commit(make_changes(f"m{i}", at=1000 * (i + 1), tenant="acme" if i % 2 else "dijk"))
@@ -100,7 +100,7 @@
 
 
 def test_postgres_store_proves_password_without_sending_it(tmp_path: Path) -> None:
-    with PostgresStandIn(tmp_path / "s.sqlite", password="harbour") as server:
+    with FakePostgresServer(tmp_path / "s.sqlite", password="harbour") as server:
         PostgresStore(server.dsn).close()
         with pytest.raises(
             (StoreUnusableError, StoreUnavailableError), match="password authentication failed"
@@ -108,7 +108,7 @@
             PostgresStore(server.dsn.replace("harbour", "wrong"))
 
 
-def test_postgres_store_with_newer_schema_is_unusable(server: PostgresStandIn) -> None:
+def test_postgres_store_with_newer_schema_is_unusable(server: FakePostgresServer) -> None:
     store = PostgresStore(server.dsn)
     store.database.execute(f"UPDATE record_version SET version = {VERSION + 1}".encode())
     store.close()
@@ -118,11 +118,11 @@
 
 @pytest.mark.parametrize("state", ["40001", "40P01", "25006", "53100", "55P03"])
 def test_postgres_commit_rolled_back_by_server_is_unavailable_and_repeatable(
-    server: PostgresStandIn, state: str
+    server: FakePostgresServer, state: str
 ) -> None:
     """Serialization failure, deadlock, read-only standby after a failover, full disk, lock not available."""
     store = PostgresStore(server.dsn)
-    server.faults.errors.append(state)
+    server.faults.commit_errors.append(state)
     with pytest.raises(StoreUnavailableError):
         store.commit(make_changes("m"))
     assert not store.read(["m"])
@@ -132,23 +132,23 @@
 
 
 @pytest.mark.parametrize("state", ["57P01", "08006", "40003"])
-def test_postgres_commit_with_unknown_outcome_is_uncertain(server: PostgresStandIn, state: str) -> None:
+def test_postgres_commit_with_unknown_outcome_is_uncertain(server: FakePostgresServer, state: str) -> None:
     store = PostgresStore(server.dsn)
-    server.faults.errors.append(state)
+    server.faults.commit_errors.append(state)
     with pytest.raises(CommitUncertainError):
         store.commit(make_changes("m"))
     store.close()
 
 
-def test_postgres_store_with_too_many_connections_is_unavailable(server: PostgresStandIn) -> None:
-    server.faults.refuse = "53300"
+def test_postgres_store_with_too_many_connections_is_unavailable(server: FakePostgresServer) -> None:
+    server.faults.startup_error = "53300"
     with pytest.raises(StoreUnavailableError):
         PostgresStore(server.dsn)
-    server.faults.refuse = None
+    server.faults.startup_error = None
     PostgresStore(server.dsn).close()
 
 
-def test_postgres_store_without_server_is_unavailable(server: PostgresStandIn) -> None:
+def test_postgres_store_without_server_is_unavailable(server: FakePostgresServer) -> None:
     dsn = server.dsn
     server.__exit__()
     with pytest.raises(StoreUnavailableError):
--- a/tests/store/test_postgres_cuts.py
+++ b/tests/store/test_postgres_cuts.py
@@ -20,23 +20,23 @@
 from loftrelay.store.postgres import PostgresStore  # noqa: E402
 from loftrelay.store.state_machine import CommitStatus, RecordState, resolve_commit  # noqa: E402
 from loftrelay.store.writer import Writer  # noqa: E402
-from tests.standins.postgres import Faults, PostgresStandIn, cut  # noqa: E402
+from tests.standins.postgres import FakePostgresServer, Faults, cut_connection  # noqa: E402
 from tests.store.test_sqlite import make_changes  # noqa: E402
 
 
 @pytest.fixture
-def server(tmp_path: Path) -> Iterator[PostgresStandIn]:
-    with PostgresStandIn(tmp_path / "server.sqlite") as server:
+def server(tmp_path: Path) -> Iterator[FakePostgresServer]:
+    with FakePostgresServer(tmp_path / "server.sqlite") as server:
         yield server
 
 
-def measure_commit_bytes(server: PostgresStandIn) -> tuple[int, int]:
+def measure_commit_bytes(server: FakePostgresServer) -> tuple[int, int]:
     """Returns the bytes that the server receives and sends in one commit of one change, without a fault."""
     store = PostgresStore(server.dsn)
-    line = server.lines[-1]
-    heard, said = line.heard, line.said
+    line = server.connections[-1]
+    heard, said = line.received, line.sent
     store.commit(make_changes("probe")[:1])
-    sizes = line.heard - heard, line.said - said
+    sizes = line.received - heard, line.sent - said
     store.close()
     return sizes
 
@@ -46,19 +46,21 @@
 FLUSH_BYTES = 5
 
 
-@pytest.mark.parametrize("side", ["heard", "said"])
-def test_postgres_commit_cut_at_every_byte_raises_the_right_error(server: PostgresStandIn, side: str) -> None:
+@pytest.mark.parametrize("side", ["received", "sent"])
+def test_postgres_commit_cut_at_every_byte_raises_the_right_error(
+    server: FakePostgresServer, side: str
+) -> None:
     """StoreUnavailableError: nothing is stored. CommitUncertainError: reading back tells if it is stored.
     In both cases committing the same change again results in one consistent record. A commit that the server
     received completely before the cut succeeds."""
-    size = measure_commit_bytes(server)[side == "said"]
+    size = measure_commit_bytes(server)[side == "sent"]
     outcomes: dict[str, set[bool]] = {"StoreUnavailableError": set(), "CommitUncertainError": set()}
     reader = PostgresStore(server.dsn)
     for byte in range(size):
         change = make_changes(f"m{byte:04}")[0]  # as long as the id of the probe
         store = PostgresStore(server.dsn)
-        line = server.lines[-1]
-        line.faults = cut(side, getattr(line, side) + byte)
+        line = server.connections[-1]
+        line.faults = cut_connection(side, getattr(line, side) + byte)
         try:
             store.commit([change])
             outcome = ""
@@ -71,7 +73,7 @@
         if outcome:
             outcomes[outcome].add(status is CommitStatus.APPLIED)
         else:
-            assert side == "heard"
+            assert side == "received"
             assert byte >= size - FLUSH_BYTES
             assert status is CommitStatus.APPLIED
         assert reader.commit([change]) == {}
@@ -80,16 +82,16 @@
     assert len(list(reader.select(RecordQuery()))) == size + 1
     assert outcomes["StoreUnavailableError"] == {False}
     # Cut in the request, the server never had the complete COMMIT; cut in the response, it had committed.
-    assert outcomes["CommitUncertainError"] == {side == "said"}
+    assert outcomes["CommitUncertainError"] == {side == "sent"}
     reader.close()
 
 
-def test_postgres_store_cut_while_opening_is_unavailable_or_open(server: PostgresStandIn) -> None:
+def test_postgres_store_cut_while_opening_is_unavailable_or_open(server: FakePostgresServer) -> None:
     PostgresStore(server.dsn).close()
-    sizes = server.lines[-1].heard, server.lines[-1].said
-    for side, size in zip(("heard", "said"), sizes, strict=True):
+    sizes = server.connections[-1].received, server.connections[-1].sent
+    for side, size in zip(("received", "sent"), sizes, strict=True):
         for byte in range(0, size, 7):
-            server.faults = cut(side, byte)
+            server.faults = cut_connection(side, byte)
             # The bytes of the Terminate message may be cut, too: then the store was opened.
             try:
                 PostgresStore(server.dsn).close()
@@ -103,11 +105,11 @@
 
 
 @pytest.mark.parametrize("after", [0, 40], ids=["immediately", "within a response"])
-def test_postgres_commit_with_unresponsive_server_times_out(server: PostgresStandIn, after: int) -> None:
+def test_postgres_commit_with_unresponsive_server_times_out(server: FakePostgresServer, after: int) -> None:
     """The connection is open and nothing is received: the call ends, and another connection works."""
     store = PostgresStore(server.dsn, call_timeout_s=0.2)
-    line = server.lines[-1]
-    line.faults = Faults(hush_said=line.said + after)
+    line = server.connections[-1]
+    line.faults = Faults(silent_after_sent=line.sent + after)
     with pytest.raises(StoreUnavailableError):
         store.commit(make_changes("m")[:1])
     with pytest.raises(StoreError):  # this connection can't be used any more
@@ -119,12 +121,12 @@
     other.close()
 
 
-def test_postgres_commit_without_response_to_commit_is_uncertain(server: PostgresStandIn) -> None:
+def test_postgres_commit_without_response_to_commit_is_uncertain(server: FakePostgresServer) -> None:
     said = measure_commit_bytes(server)[1]
     # Long enough for the statements before the COMMIT on a slow machine; the COMMIT waits for all of it.
     store = PostgresStore(server.dsn, call_timeout_s=3.0)
-    line = server.lines[-1]
-    line.faults = Faults(hush_said=line.said + said - 5)
+    line = server.connections[-1]
+    line.faults = Faults(silent_after_sent=line.sent + said - 5)
     change = make_changes("m")[0]
     with pytest.raises(CommitUncertainError):
         store.commit([change])
@@ -134,21 +136,21 @@
     other.close()
 
 
-def test_writer_with_randomly_cut_connections_stores_every_change_once(server: PostgresStandIn) -> None:
+def test_writer_with_randomly_cut_connections_stores_every_change_once(server: FakePostgresServer) -> None:
     rng, lock = random.Random(11), threading.Lock()
 
     def draw_faults() -> Faults:
         with lock:
-            return cut(rng.choice(("heard", "said")), rng.randrange(1500, 12_000))
+            return cut_connection(rng.choice(("received", "sent")), rng.randrange(1500, 12_000))
 
     async def main() -> None:
-        server.drawn = draw_faults
+        server.draw_faults = draw_faults
         writer = Writer(partial(PostgresStore, server.dsn), max_changes_per_commit=20)
         names = [f"m{i}" for i in range(300)]
         await asyncio.gather(*(writer.write(change) for name in names for change in make_changes(name)))
-        server.drawn = None
+        server.draw_faults = None
         await writer.close()
-        assert server.cuts >= 5
+        assert server.cut_count >= 5
 
     asyncio.run(main())
     store = PostgresStore(server.dsn)
