--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -26,7 +26,7 @@
 from loftrelay.delivery.connection_pool.actions import UseConnection
 from loftrelay.delivery.connection_pool.manager import PoolManager
 from loftrelay.delivery.connection_pool.settings import PoolSettings
-from tests.program.test_connections import LIMITS, STRICT, plan
+from tests.program.test_connections import POLICY_LIMITS, STRICT_SETTINGS, plan_submissions
 from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
 from tests.standins.platform import SETTINGS, RelayHarness
 from tests.standins.traffic import (
@@ -44,7 +44,10 @@
 
 async def storm(folder: Path, root: Path, count: int, text: str | None) -> dict[str, int]:
     """A run among all faults: what became of each message."""
-    async with RelayHarness(folder, policy_limits=LIMITS, classes=CLASSES) as w, AsyncExitStack() as stack:
+    async with (
+        RelayHarness(folder, policy_limits=POLICY_LIMITS, classes=CLASSES) as w,
+        AsyncExitStack() as stack,
+    ):
         w.root = root
         w.limits["disk_mb"] = 20
         if text is not None:
@@ -58,7 +61,7 @@
             w.add_endpoint(n + 1, kind, "Ready", "{}:{}".format(*partner.address))
         await w.start()
         account = SubmissionLog()
-        await submit_all(w, plan(count, len(partners), 9), account)
+        await submit_all(w, plan_submissions(count, len(partners), 9), account)
         await wait_until_final(w, partners, account)
         return asdict(evaluate(w, partners, account))
 
@@ -75,7 +78,10 @@
         return ResponsePlan(503, delay_s=0.15) if call.message_ids[0].startswith("order") else ResponsePlan()
 
     settings = {**SETTINGS["extra"], "call_slots": 200}
-    async with RelayHarness(folder, policy_limits=LIMITS, extra=settings) as w, AsyncExitStack() as stack:
+    async with (
+        RelayHarness(folder, policy_limits=POLICY_LIMITS, extra=settings) as w,
+        AsyncExitStack() as stack,
+    ):
         w.root = root
         if text is not None:
             (folder / "connections.toml").write_text(text)
@@ -110,7 +116,7 @@
 
 async def sound(folder: Path, root: Path, seconds: float) -> float:
     """Handshakes for each message: 24 sound servers, a few of which get most of the traffic."""
-    async with RelayHarness(folder, policy_limits=LIMITS) as w, AsyncExitStack() as stack:
+    async with RelayHarness(folder, policy_limits=POLICY_LIMITS) as w, AsyncExitStack() as stack:
         w.root = root
         partners = []
         for n in range(24):
@@ -159,7 +165,7 @@
         for servers in (24, 2000):
             (base / str(servers)).mkdir()
             w = await stack.enter_async_context(
-                RelayHarness(base / str(servers), policy_limits=LIMITS, extra=settings)
+                RelayHarness(base / str(servers), policy_limits=POLICY_LIMITS, extra=settings)
             )
             w.limits |= {"sockets": 12_000, "disk_mb": 50}
             partners = [await stack.enter_async_context(FakeHost()) for _ in range(16)]
@@ -225,13 +231,13 @@
 
         before = earlier_program(BEFORE_GROWTH, folder("before"))
         count = 1000 if quick else 6000
-        result |= await storm(folder("storm"), ROOT, count, STRICT)
+        result |= await storm(folder("storm"), ROOT, count, STRICT_SETTINGS)
         result["by_default"] = await storm(folder("default"), ROOT, count, None)
         case: dict[str, Any] = {"of": 20, "before": None}
         if before:
             case["before"] = await late_copies(folder("late-old"), before, None, 1)
         case["by_default"] = await late_copies(folder("late"), ROOT, None, 2)
-        case["strict"] = await late_copies(folder("late-strict"), ROOT, STRICT, 2)
+        case["strict"] = await late_copies(folder("late-strict"), ROOT, STRICT_SETTINGS, 2)
         result["measured_case"] = case
         seconds = 4.0 if quick else 60.0
         result["handshakes_per_message"] = round(await sound(folder("sound"), ROOT, seconds), 4)
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -38,7 +38,7 @@
     MessageRecord,
     StoredFinalStatus,
 )
-from tests.program.test_connections import LIMITS
+from tests.program.test_connections import POLICY_LIMITS
 from tests.standins.partner import FakeHost
 from tests.standins.platform import SETTINGS, RelayHarness
 from tests.standins.traffic import Client, Submission, SubmissionLog
@@ -57,7 +57,7 @@
 async def agree(folder: Path, count: int) -> dict[str, int]:
     """So many work orders while the relay is killed and started again; then each is looked up on both."""
     chance = random.Random(5)
-    async with RelayHarness(folder, policy_limits=LIMITS, extra=EXTRA) as w, FakeHost() as partner:
+    async with RelayHarness(folder, policy_limits=POLICY_LIMITS, extra=EXTRA) as w, FakeHost() as partner:
         w.limits["disk_mb"] = 50
         path = use_store(w, "required")
         w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
@@ -129,7 +129,7 @@
 
     with FakePostgresServer(folder / "server.sqlite") as server:
         server.draw_faults = draw
-        async with RelayHarness(folder, policy_limits=LIMITS, extra=EXTRA) as w, FakeHost() as partner:
+        async with RelayHarness(folder, policy_limits=POLICY_LIMITS, extra=EXTRA) as w, FakeHost() as partner:
             w.limits["disk_mb"] = 50
             (w.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\n')
             w.arguments = ["--record", str(w.folder / "record.toml")]
@@ -170,7 +170,9 @@
         store = Path()
         for mode in ("none", "follows", "required"):
             (base / mode).mkdir()
-            w = await stack.enter_async_context(RelayHarness(base / mode, policy_limits=LIMITS, extra=EXTRA))
+            w = await stack.enter_async_context(
+                RelayHarness(base / mode, policy_limits=POLICY_LIMITS, extra=EXTRA)
+            )
             w.limits["disk_mb"] = 50
             partners = [await stack.enter_async_context(FakeHost()) for _ in range(DESTINATIONS)]
             for n, partner in enumerate(partners):
--- a/tests/program/test_connections.py
+++ b/tests/program/test_connections.py
@@ -14,7 +14,7 @@
 from tests.standins.traffic import CLASSES, Submission, SubmissionLog, evaluate, submit_all, wait_until_final
 from tests.standins.trouble import faulty_behaviours
 
-STRICT = """
+STRICT_SETTINGS = """
 strict = true
 most_per_server = 6
 most_connecting = 3
@@ -23,10 +23,10 @@
 open_ahead = 2
 calm_s = 0.5
 """
-LIMITS = {**SETTINGS["policy_limits"], "most_held": 4000, "connect_timeout": 300_000}
+POLICY_LIMITS = {**SETTINGS["policy_limits"], "most_held": 4000, "connect_timeout": 300_000}
 
 
-def plan(count: int, servers: int, seed: int, clients: int = 24) -> list[list[Submission]]:
+def plan_submissions(count: int, servers: int, seed: int, clients: int = 24) -> list[list[Submission]]:
     """Three classes over all destinations; each client keeps the keys that it uses."""
     chance = random.Random(seed)
     lines: list[list[Submission]] = [[] for _ in range(clients)]
@@ -44,15 +44,17 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_scripted_run_of_thousands_among_all_faults(tmp_path: Path, seed: int) -> None:
+def test_relay_with_faulty_hosts_keeps_guarantees_for_thousands_of_messages(
+    tmp_path: Path, seed: int
+) -> None:
     """No duplicate effect, no answer taken for another's, no wait beyond a message's time, one end each."""
 
     async def main() -> None:
         limits = tmp_path / "connections.toml"
-        limits.write_text(STRICT)
+        limits.write_text(STRICT_SETTINGS)
         kinds = faulty_behaviours()
         async with (
-            RelayHarness(tmp_path, policy_limits=LIMITS, classes=CLASSES) as w,
+            RelayHarness(tmp_path, policy_limits=POLICY_LIMITS, classes=CLASSES) as w,
             AsyncExitStack() as stack,
         ):
             w.arguments = ["--connections", str(limits)]
@@ -74,7 +76,7 @@
 
             watching = asyncio.create_task(watch())
             stack.callback(watching.cancel)
-            lines = plan(2000, len(kinds), seed)
+            lines = plan_submissions(2000, len(kinds), seed)
             await submit_all(w, [line[:40] for line in lines], account)
             # Meanwhile one server moves, one drains for its successor, and one shuts and comes back cold.
             moved = await stack.enter_async_context(FakeHost(kinds[0], seed=7))
--- a/tests/program/test_fault_points.py
+++ b/tests/program/test_fault_points.py
@@ -14,7 +14,7 @@
 
 from loftrelay.relay.fault_points import DELIVERY_POINTS, FINAL_STATUS_POINTS, SUCCESSOR_POINTS
 from loftrelay.store.state_machine import RecordState, StoredFinalStatus
-from tests.program.test_record import entries, until, with_store
+from tests.program.test_record import configure_store, read_records, wait_for_state
 from tests.standins.platform import (
     SETTINGS,
     TEST_TIMEOUT_S,
@@ -24,18 +24,20 @@
     run_scenario,
 )
 
-LIMITS = {**SETTINGS["policy_limits"], "most_tries": 1}
+POLICY_LIMITS = {**SETTINGS["policy_limits"], "most_tries": 1}
 # Host's answer, the message's end, and the steps on the way there.
-COMMON = [step for step in DELIVERY_POINTS if step not in ("journal end", "journal over")]
-WAYS = [
+COMMON_POINTS = [step for step in DELIVERY_POINTS if step not in ("journal end", "journal over")]
+CASES = [
     *((200, step) for step in DELIVERY_POINTS),
-    *((500, step) for step in (*COMMON, *FINAL_STATUS_POINTS)),
+    *((500, step) for step in (*COMMON_POINTS, *FINAL_STATUS_POINTS)),
     *((503, step) for step in FINAL_STATUS_POINTS),
 ]
 
 
-@pytest.mark.parametrize(("status", "step"), WAYS, ids=lambda value: str(value).replace(" ", "-"))
-def test_killed_at_a_step(tmp_path: Path, status: int, step: str) -> None:
+@pytest.mark.parametrize(("status", "step"), CASES, ids=lambda value: str(value).replace(" ", "-"))
+def test_relay_killed_at_fault_point_keeps_guarantees_after_restart(
+    tmp_path: Path, status: int, step: str
+) -> None:
     async def scenario(w: RelayHarness) -> None:
         ran: list[str] = []
 
@@ -44,7 +46,7 @@
                 ran.append(request.id)
             return format_response(status)
 
-        path = with_store(w, busy_ms="2000")
+        path = configure_store(w, busy_ms="2000")
         host = await w.start_host(script)
         plain = w.program
         w.program = ["-m", "tests.standins.killed", step]
@@ -62,7 +64,7 @@
             heard = await w.submit("m", "order")  # as a client does that heard nothing
         assert heard in (200, 202, 500, 503)
         if heard in (202, 200):
-            found = await until(path, ["m"], RecordState.REPORTED)
+            found = await wait_for_state(path, ["m"], RecordState.REPORTED)
             ends = {"delivered": [], "failed": ["undeliverable"], "refused": ["deferred"]}
             answer = found["m"].final_status
             assert answer is not None
@@ -78,31 +80,31 @@
             assert len(host.request_ids) <= 1
             assert asked == 0 or len(host.request_ids) == asked
 
-    run_scenario(scenario, tmp_path, policy_limits=LIMITS)
+    run_scenario(scenario, tmp_path, policy_limits=POLICY_LIMITS)
 
 
-def test_the_order_of_a_life_is_the_order_of_the_steps(tmp_path: Path) -> None:
+def test_message_passes_fault_points_in_listed_order(tmp_path: Path) -> None:
     """A step that a message passes twice, or never, would make its kill mean something else."""
 
     async def scenario(w: RelayHarness) -> None:
         async def script(request: Request) -> bytes | None:
             return format_response(200)
 
-        path = with_store(w)
+        path = configure_store(w)
         await w.start_host(script)
-        w.program = ["-c", TRACED]
+        w.program = ["-c", TRACING_PROGRAM]
         await w.start()
         assert await w.submit("m", "order") == 202
-        await until(path, ["m"], RecordState.REPORTED)
+        await wait_for_state(path, ["m"], RecordState.REPORTED)
         await w.wait_until(lambda: "step journal over" in w.log)
         passed = [line[5:] for line in w.log if line.startswith("step ")]
         assert [step for step in passed if step not in SUCCESSOR_POINTS] == list(DELIVERY_POINTS)
-        assert entries(path)["m"].final_status is StoredFinalStatus.DELIVERED
+        assert read_records(path)["m"].final_status is StoredFinalStatus.DELIVERED
 
     run_scenario(scenario, tmp_path)
 
 
-TRACED = """
+TRACING_PROGRAM = """
 import sys
 from loftrelay.__main__ import main
 from loftrelay.relay import fault_points
--- a/tests/program/test_figures.py
+++ b/tests/program/test_figures.py
@@ -19,23 +19,23 @@
 )
 
 
-async def shown(w: RelayHarness) -> dict[str, int]:
+async def read_metrics(w: RelayHarness) -> dict[str, int]:
     lines = (await w.call_admin("show-stat")).splitlines()
     assert lines[-1] == "END"
     return {name.removeprefix("app."): int(value) for name, value in (line.split("=") for line in lines[:-1])}
 
 
-async def settle(w: RelayHarness, **wanted: int) -> None:
+async def wait_for_metrics(w: RelayHarness, **wanted: int) -> None:
     """Until the figures are what the script counts; a wrong one never comes to be right."""
     async with asyncio.timeout(30):
         while True:
-            told = await shown(w)
+            told = await read_metrics(w)
             if all(told[name.replace("__", ".")] == value for name, value in wanted.items()):
                 return
             await asyncio.sleep(0.02)
 
 
-def test_every_kind_of_end_is_counted_once(tmp_path: Path) -> None:
+def test_metrics_count_each_kind_of_result_once(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         counted = Counter[str]()
         w.admin_address = f"127.0.0.1:{free_port()}"
@@ -75,28 +75,28 @@
         assert (
             await w.submit("b1", "order", destination=2) == 200
         )  # an unsafe one is remembered, and not counted
-        await settle(w, outstanding=0, **{k.replace(".", "__"): v for k, v in counted.items()})
-        assert (await shown(w))["forwards"] == len(host.request_ids) + 10 + len(broken.request_ids)
+        await wait_for_metrics(w, outstanding=0, **{k.replace(".", "__"): v for k, v in counted.items()})
+        assert (await read_metrics(w))["forwards"] == len(host.request_ids) + 10 + len(broken.request_ids)
         # One whose client goes before its answer counts nowhere; one that waits is outstanding.
         w.add_unavailable_destination(destination=4)
         await w.submit_once_listed("waits", destination=4)
         _, writer = await asyncio.open_connection(*w.address)
         writer.write(format_submission("half")[:-2])
         writer.close()
-        told = await shown(w)
+        told = await read_metrics(w)
         assert told["outstanding"] == 1
         assert told["discovered"] == 4
         refused = told["declined.status"]  # until the list named the destination
         await w.restart()
-        await settle(w, outstanding=1, succeeded__status=0, declined__status=0, forwards=0)
+        await wait_for_metrics(w, outstanding=1, succeeded__status=0, declined__status=0, forwards=0)
         w.add_endpoint(4, "plain", "Ready", host.address)
-        await settle(w, outstanding=0, succeeded__status=1, forwards=1)
+        await wait_for_metrics(w, outstanding=0, succeeded__status=1, forwards=1)
         assert refused >= 3
 
     run_scenario(scenario, tmp_path)
 
 
-def test_a_notice_that_is_told_again_counts_once(tmp_path: Path) -> None:
+def test_metrics_count_repeated_status_report_once(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         w.admin_address = f"127.0.0.1:{free_port()}"
         asked = 0
@@ -114,8 +114,8 @@
         await w.start()
         assert await w.submit("m", "order") == 202
         await w.wait_until(lambda: asked >= 2)
-        assert (await shown(w))["outstanding"] == 1  # the platform has not heard
-        await settle(w, aborted__order=1, outstanding=0)
+        assert (await read_metrics(w))["outstanding"] == 1  # the platform has not heard
+        await wait_for_metrics(w, aborted__order=1, outstanding=0)
         assert asked == 4
 
     run_scenario(scenario, tmp_path)
--- a/tests/program/test_handover_from_baseline.py
+++ b/tests/program/test_handover_from_baseline.py
@@ -26,11 +26,13 @@
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "state_32c0038"
 MESSAGES: list[dict[str, Any]] = json.loads((FIXTURES / "handover.json").read_text())
 EXPECTED: dict[str, Any] = json.loads((FIXTURES / "handover_recovery.json").read_text())
-HELD: dict[str, Any] = json.loads((FIXTURES / "journal_contents.json").read_text())["journal_handover"]
+STORED_JOURNAL: dict[str, Any] = json.loads((FIXTURES / "journal_contents.json").read_text())[
+    "journal_handover"
+]
 
 
-def test_no_message_is_lost_and_none_runs_twice(tmp_path: Path) -> None:
-    unfinished = set(HELD["messages"])
+def test_successor_of_baseline_loses_and_repeats_no_message(tmp_path: Path) -> None:
+    unfinished = set(STORED_JOURNAL["messages"])
     assert unfinished
     in_flight = set(MESSAGES[0]["sent_at"])
     assert in_flight
@@ -41,18 +43,18 @@
     assert unfinished <= set(result["calls"]) | reported
     assert not set(result["calls"]) & reported
     assert set(result["calls"].values()) == {1}
-    at_most_once = {id_ for id_ in in_flight if HELD["messages"][id_]["class_name"] == "order"}
+    at_most_once = {id_ for id_ in in_flight if STORED_JOURNAL["messages"][id_]["class_name"] == "order"}
     assert at_most_once
     assert at_most_once <= reported  # it may have run at the predecessor
 
 
-def test_the_snapshot_of_another_shape_is_refused() -> None:
+def test_read_state_rejects_baseline_snapshot() -> None:
     state = MESSAGES[0]
     with pytest.raises(HandoverError):
         read_state(state, 1)
 
 
-def test_outcomes_are_read_and_written_as_before() -> None:
+def test_attempt_results_are_read_and_written_as_at_baseline() -> None:
     names = {
         "over": "is_final",
         "expired": "is_expired",
--- a/tests/program/test_ids_seen_before.py
+++ b/tests/program/test_ids_seen_before.py
@@ -17,11 +17,11 @@
     run_scenario,
 )
 
-ONE_TRY = {**SETTINGS["policy_limits"], "most_tries": 1}
+SINGLE_ATTEMPT = {**SETTINGS["policy_limits"], "most_tries": 1}
 
 
 @pytest.mark.parametrize(("status", "told", "answer"), [(503, "deferred", 503), (500, "undeliverable", 500)])
-def test_while_its_notice_is_out_it_gets_the_same_end(
+def test_resubmission_during_status_report_gets_same_result(
     tmp_path: Path, status: int, told: str, answer: int
 ) -> None:
     """The notice may have been heard already: after a 202 nothing more would come, and it would be lost."""
@@ -52,10 +52,10 @@
         await w.wait_until(lambda: bool(w.status_reports))
         assert host.request_ids == ["m"]
 
-    run_scenario(scenario, tmp_path, policy_limits=ONE_TRY)
+    run_scenario(scenario, tmp_path, policy_limits=SINGLE_ATTEMPT)
 
 
-def test_while_it_is_open_it_is_taken_on_once(tmp_path: Path) -> None:
+def test_resubmission_of_open_message_is_delivered_once(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         release = asyncio.Event()
 
--- a/tests/program/test_record.py
+++ b/tests/program/test_record.py
@@ -26,10 +26,10 @@
     run_scenario,
 )
 
-FAST = {**SETTINGS["policy_limits"], "most_held": 2000}
+POLICY_LIMITS = {**SETTINGS["policy_limits"], "most_held": 2000}
 
 
-def with_store(w: RelayHarness, **keys: str) -> Path:
+def configure_store(w: RelayHarness, **keys: str) -> Path:
     path = w.folder / "record.sqlite"
     lines = {"file": f'"{path}"', "busy_ms": "50", **keys}
     (w.folder / "record.toml").write_text("".join(f"{key} = {value}\n" for key, value in lines.items()))
@@ -37,7 +37,7 @@
     return path
 
 
-def entries(path: Path) -> dict[str, MessageRecord]:
+def read_records(path: Path) -> dict[str, MessageRecord]:
     store = SQLiteStore(path)
     try:
         assert not store.verify()
@@ -46,27 +46,27 @@
         store.close()
 
 
-async def until(path: Path, names: list[str], state: RecordState) -> dict[str, MessageRecord]:
+async def wait_for_state(path: Path, names: list[str], state: RecordState) -> dict[str, MessageRecord]:
     """Until the store tells that of all these."""
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
-            found = entries(path)
+            found = read_records(path)
             if all(name in found and found[name].state is state for name in names):
                 return found
             await asyncio.sleep(0.02)
 
 
-def test_what_was_taken_and_answered_is_in_the_store(tmp_path: Path) -> None:
+def test_store_records_admissions_and_results(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         async def script(request: Request) -> bytes | None:
             return format_response(500 if request.id == "bad" else 200)
 
-        path = with_store(w)
+        path = configure_store(w)
         await w.start_host(script)
         await w.start()
         for name, of in (("order", "order"), ("status", "status"), ("bad", "order")):
             assert await w.submit(name, of, path="/order/k1" if name == "bad" else f"/{of}") == 202
-        found = await until(path, ["order", "status", "bad"], RecordState.REPORTED)
+        found = await wait_for_state(path, ["order", "status", "bad"], RecordState.REPORTED)
         assert [found[name].final_status for name in ("order", "status", "bad")] == [
             StoredFinalStatus.DELIVERED,
             StoredFinalStatus.DELIVERED,
@@ -83,15 +83,15 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_an_id_seen_before_gets_the_answer_that_its_message_had(tmp_path: Path) -> None:
+def test_resubmission_gets_recorded_answer_after_restart_and_elsewhere(tmp_path: Path) -> None:
     """After a restart, after its journal is lost, and at another instance that shares the store."""
 
     async def scenario(w: RelayHarness) -> None:
-        path = with_store(w)
+        path = configure_store(w)
         host = await w.start_host(respond_ok)
         await w.start()
         assert await w.submit("m", "order") == 202
-        await until(path, ["m"], RecordState.REPORTED)
+        await wait_for_state(path, ["m"], RecordState.REPORTED)
         assert await w.submit("m", "order") == 200
         await w.kill()
         shutil.rmtree(tmp_path / "state")
@@ -107,7 +107,7 @@
     run_scenario(scenario, tmp_path)
 
 
-async def given_to_two(w: RelayHarness, folder: Path) -> list[str]:
+async def submit_to_two_relays(w: RelayHarness, folder: Path) -> list[str]:
     """Hands each id to two relays that share a store at the same moment. Returns the ids."""
     names = [f"m{i}" for i in range(30)]
     await w.start()
@@ -126,25 +126,25 @@
     return names
 
 
-def test_two_instances_given_one_id_at_the_same_moment(tmp_path: Path) -> None:
+def test_id_submitted_to_two_relays_at_once_is_delivered_once(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
-        path = with_store(w, busy_ms="2000")
+        path = configure_store(w, busy_ms="2000")
         host = await w.start_host(respond_ok)
-        names = await given_to_two(w, tmp_path)
+        names = await submit_to_two_relays(w, tmp_path)
         assert sorted(host.request_ids) == sorted(names)
-        assert set(entries(path)) == set(names)
+        assert set(read_records(path)) == set(names)
 
     run_scenario(scenario, tmp_path)
 
 
-def test_while_the_store_is_away_orders_are_refused_at_once_and_updates_go_on(tmp_path: Path) -> None:
+def test_locked_store_rejects_orders_and_admits_status_updates(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
-        path = with_store(w)
+        path = configure_store(w)
         host = await w.start_host(respond_ok)
         await w.start()
         await w.warm_up(host)
         assert await w.submit("before", "order") == 202
-        await until(path, ["before"], RecordState.REPORTED)
+        await wait_for_state(path, ["before"], RecordState.REPORTED)
         lock = sqlite3.connect(path, isolation_level=None)
         lock.execute("BEGIN EXCLUSIVE")
         status, headers, _ = await w.send(format_submission("away", "order"))
@@ -157,14 +157,14 @@
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while await w.submit("after", "order") == 503:
                 await asyncio.sleep(0.02)
-        found = await until(path, ["update", "after"], RecordState.REPORTED)
+        found = await wait_for_state(path, ["update", "after"], RecordState.REPORTED)
         assert "away" not in found
         assert "away" not in host.request_ids
 
     run_scenario(scenario, tmp_path)
 
 
-def test_what_is_out_when_the_store_goes_away_is_recorded_when_it_is_back(tmp_path: Path) -> None:
+def test_call_in_flight_during_store_outage_is_recorded_afterwards(tmp_path: Path) -> None:
     """Its delivery is claimed to nobody before; a restart in between forgets nothing."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -174,7 +174,7 @@
             await release.wait()
             return format_response(200)
 
-        path = with_store(w)
+        path = configure_store(w)
         host = await w.start_host(script)
         await w.start()
         assert await w.submit("m", "order") == 202
@@ -187,9 +187,9 @@
         await w.kill()
         lock.execute("ROLLBACK")
         lock.close()
-        assert entries(path)["m"].final_status is None
+        assert read_records(path)["m"].final_status is None
         await w.start()
-        found = await until(path, ["m"], RecordState.REPORTED)
+        found = await wait_for_state(path, ["m"], RecordState.REPORTED)
         # The answer was read before the kill, or the attempt may have run: never a second time either way.
         assert found["m"].final_status in (StoredFinalStatus.DELIVERED, StoredFinalStatus.FAILED)
         assert host.request_ids == ["m"]
@@ -197,11 +197,11 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_the_journal_lost_with_the_store_left(tmp_path: Path) -> None:
+def test_restart_without_journal_fails_message_in_flight(tmp_path: Path) -> None:
     """Nobody knows whether it ran: it is failed, told, and never sent."""
 
     async def scenario(w: RelayHarness) -> None:
-        path = with_store(w)
+        path = configure_store(w)
         host = await w.start_host(never_respond)
         await w.start()
         assert await w.submit("m", "order") == 202
@@ -210,18 +210,18 @@
         shutil.rmtree(tmp_path / "state")
         await w.start()
         await w.wait_until(lambda: w.status_reports == [{"id": "m", "status": "undeliverable"}])
-        found = await until(path, ["m"], RecordState.REPORTED)
+        found = await wait_for_state(path, ["m"], RecordState.REPORTED)
         assert found["m"].final_status is StoredFinalStatus.FAILED
         assert host.request_ids == ["m"]
 
     run_scenario(scenario, tmp_path)
 
 
-def test_the_store_lost_with_the_journal_left(tmp_path: Path) -> None:
+def test_restart_without_store_file_continues_from_journal(tmp_path: Path) -> None:
     """What the journal holds goes on, and is told to the new store; what may have run is failed."""
 
     async def scenario(w: RelayHarness) -> None:
-        path = with_store(w)
+        path = configure_store(w)
         host = await w.start_host(never_respond, destination=1)
         w.add_unavailable_destination(2)
         await w.start()
@@ -233,20 +233,20 @@
             file.unlink()
         await w.start()
         await w.wait_until(lambda: w.status_reports == [{"id": "out", "status": "undeliverable"}])
-        found = await until(path, ["out"], RecordState.REPORTED)
+        found = await wait_for_state(path, ["out"], RecordState.REPORTED)
         assert found["out"].final_status is StoredFinalStatus.FAILED
         assert found["out"].attempts == 1
-        assert (await until(path, ["waits"], RecordState.ADMITTED))["waits"].attempts == 0
+        assert (await wait_for_state(path, ["waits"], RecordState.ADMITTED))["waits"].attempts == 0
         assert host.request_ids == ["out"]
 
     run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_killed_at_random_points_store_and_partner_agree_on_every_message(tmp_path: Path, seed: int) -> None:
+def test_relay_killed_at_random_agrees_with_store_and_host(tmp_path: Path, seed: int) -> None:
     async def scenario(w: RelayHarness) -> None:
         chance = random.Random(seed)
-        path = with_store(w, busy_ms="2000")
+        path = configure_store(w, busy_ms="2000")
         host = await w.start_host(respond_ok)
         taken: list[str] = []
 
@@ -269,7 +269,7 @@
             stop.set()
             await asyncio.gather(*clients)
         await w.start()
-        found = await until(path, taken, RecordState.REPORTED)
+        found = await wait_for_state(path, taken, RecordState.REPORTED)
         assert len(taken) > 50
         assert len(set(host.request_ids)) == len(host.request_ids)
         told = {notice["id"]: notice["status"] for notice in w.status_reports}
@@ -280,12 +280,12 @@
                 assert told[name] == "undeliverable"
         assert set(host.request_ids) <= set(found)  # nothing went out that the store had not seen
 
-    run_scenario(scenario, tmp_path, policy_limits=FAST)
+    run_scenario(scenario, tmp_path, policy_limits=POLICY_LIMITS)
 
 
-def test_a_store_that_will_not_get_better_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_start_with_unsupported_store_version_fails_with_one_line(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
-        path = with_store(w)
+        path = configure_store(w)
         SQLiteStore(path).close()
         database = sqlite3.connect(path)
         database.execute(f"PRAGMA user_version={VERSION + 1}")
@@ -301,9 +301,9 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_a_store_that_is_away_at_the_start_is_waited_for(tmp_path: Path) -> None:
+def test_start_with_locked_store_waits_for_it(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
-        path = with_store(w)
+        path = configure_store(w)
         SQLiteStore(path).close()
         lock = sqlite3.connect(path, isolation_level=None)
         lock.execute("PRAGMA locking_mode=EXCLUSIVE")
--- a/tests/program/test_recovered.py
+++ b/tests/program/test_recovered.py
@@ -26,7 +26,7 @@
     undeliverable_report,
 )
 
-ALARM = {
+ALARM_CLASS = {
     "name": "alarm",
     "effect": "deduplicated",
     "key_scope": "all",
@@ -35,14 +35,12 @@
     "on_time": 3_000_000,
     "worth": 2,
 }
-CLASSES = [*SETTINGS["classes"], ALARM]
-READY = 10.0  # seconds within which nine in ten restarted processes are ready
+CLASSES = [*SETTINGS["classes"], ALARM_CLASS]
+MAX_START_S = 10.0  # seconds within which nine in ten restarted processes are ready
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
-def test_untried_messages_are_tried_however_little_time_they_have(
-    tmp_path: Path, number: signal.Signals
-) -> None:
+def test_restart_tries_untried_messages_with_little_time_left(tmp_path: Path, number: signal.Signals) -> None:
     """With half, a tenth and nearly none of their time left, of each class, beside each other in one call."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -76,7 +74,9 @@
     ("of", "window", "goes"),
     [("status", 1, True), ("order", 1, False), ("alarm", 60, True), ("alarm", 1, False)],
 )
-def test_one_that_may_have_run(tmp_path: Path, of: str, window: int, goes: bool) -> None:
+def test_restart_repeats_uncertain_message_only_where_its_class_allows(
+    tmp_path: Path, of: str, window: int, goes: bool
+) -> None:
     """Of each effect, inside its window and after one of 1 s."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -94,12 +94,14 @@
             await w.wait_until(lambda: w.status_reports == [undeliverable_report("m")])
             assert host.request_ids == ["m"]
 
-    alarm = {**ALARM, "window": window * 1_000_000}
+    alarm = {**ALARM_CLASS, "window": window * 1_000_000}
     run_scenario(scenario, tmp_path, classes=[*SETTINGS["classes"], alarm])
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
-def test_with_batches_out_and_every_second_host_hanging(tmp_path: Path, number: signal.Signals) -> None:
+def test_restart_with_batches_in_flight_ends_each_message_once(
+    tmp_path: Path, number: signal.Signals
+) -> None:
     """Each message has one end, and what must not run twice runs once."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -142,7 +144,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_a_client_comes_again_at_once_at_the_same_relay_and_at_another(tmp_path: Path) -> None:
+def test_resubmission_after_restart_is_admitted_once_at_each_relay(tmp_path: Path) -> None:
     """An id that one relay has is taken on there once, over its restart too; another knows nothing of it."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -167,7 +169,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_ready_in_time_with_sixty_thousand_old_records_and_a_full_share(tmp_path: Path) -> None:
+def test_start_with_sixty_thousand_records_and_full_disk_is_ready_in_time(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         w.limits["disk_mb"] = 40
         about = MessageClass(
@@ -190,7 +192,7 @@
         began = time.monotonic()
         await w.start()
         assert await w.submit("old59999", "order") == 200  # it is known
-        assert time.monotonic() - began < READY
+        assert time.monotonic() - began < MAX_START_S
         assert not host.requests
 
     run_scenario(scenario, tmp_path)
--- a/tests/program/test_restarts.py
+++ b/tests/program/test_restarts.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_killed_while_a_call_is_out(tmp_path: Path) -> None:
+def test_kill_during_call_fails_order_and_repeats_status_update(tmp_path: Path) -> None:
     """The call may have run: what is unsafe must fail and not go again; what is safe goes again."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -42,7 +42,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_killed_before_any_attempt_keeps_the_order_of_a_key(tmp_path: Path) -> None:
+def test_kill_before_first_attempt_keeps_order_of_key(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         w.add_unavailable_destination()
         await w.start()
@@ -59,7 +59,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_killed_before_its_notice_was_heard(tmp_path: Path) -> None:
+def test_kill_before_report_is_answered_repeats_report(tmp_path: Path) -> None:
     """The end was decided: after the restart it is told again, and the message does not go again."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -84,7 +84,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_what_is_over_stays_over_after_a_kill(tmp_path: Path) -> None:
+def test_kill_after_delivery_repeats_nothing(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         host = await w.start_host(respond_ok)
         await w.start()
@@ -101,7 +101,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_a_deadline_that_passed_while_the_relay_was_down(tmp_path: Path) -> None:
+def test_deadline_passed_while_relay_was_down_fails_message(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         w.add_unavailable_destination()
         await w.start()
@@ -113,7 +113,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_sigterm_ends_in_order_under_load(tmp_path: Path) -> None:
+def test_sigterm_under_load_serves_clients_until_calls_end(tmp_path: Path) -> None:
     """Clients go on using their connections: they are served to the last; calls out may finish."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -155,7 +155,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_what_ran_out_of_time_meanwhile_is_told_before_clients_come(tmp_path: Path) -> None:
+def test_start_reports_expired_messages_before_it_listens(tmp_path: Path) -> None:
     """Overdue ends are not owed while a relay is not ready; one that listens first owes them at once."""
 
     async def scenario(w: RelayHarness) -> None:
--- a/tests/program/test_settings_in_service.py
+++ b/tests/program/test_settings_in_service.py
@@ -19,17 +19,23 @@
     undeliverable_report,
 )
 
-STATUS: dict[str, Any] = {
+STATUS_CLASS: dict[str, Any] = {
     "name": "status",
     "effect": "idempotent",
     "deadline": 24_000_000,
     "on_time": 3_000_000,
     "worth": 1,
 }
-ORDER: dict[str, Any] = {**STATUS, "name": "order", "effect": "at_most_once", "in_order": True, "worth": 3}
+ORDER_CLASS: dict[str, Any] = {
+    **STATUS_CLASS,
+    "name": "order",
+    "effect": "at_most_once",
+    "in_order": True,
+    "worth": 3,
+}
 
 
-async def change(w: RelayHarness, applied: int, **changes: Any) -> None:
+async def apply_settings(w: RelayHarness, applied: int, **changes: Any) -> None:
     """A new file and SIGHUP; returns once it is in force."""
     w.settings = {**w.settings, **changes}
     w.write_config(w.discovery.address)
@@ -38,17 +44,17 @@
         pass
 
 
-async def begin(w: RelayHarness) -> None:
+async def start_relay(w: RelayHarness) -> None:
     w.admin_address = f"127.0.0.1:{free_port()}"
     await w.start()
 
 
-def test_a_class_is_added_and_another_dropped(tmp_path: Path) -> None:
+def test_reload_adds_and_drops_classes(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         host = await w.start_host(respond_ok)
-        await begin(w)
+        await start_relay(w)
         assert await w.submit("early", "status-2") == 404
-        await change(w, 1, classes=[{**STATUS, "name": "status-2"}, ORDER])
+        await apply_settings(w, 1, classes=[{**STATUS_CLASS, "name": "status-2"}, ORDER_CLASS])
         assert await w.submit("new", "status-2") == 202
         assert await w.submit("old", "status") == 202  # its client has not heard yet
         await w.wait_until(lambda: {"new", "old"} <= set(host.request_ids))
@@ -60,19 +66,19 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_a_message_keeps_the_effect_that_it_was_taken_under(tmp_path: Path) -> None:
+def test_reload_keeps_semantics_of_admitted_messages(tmp_path: Path) -> None:
     """Over a restart too: what was harmless goes again after a broken call though its class is unsafe now,
     and what was unsafe does not though its class is harmless."""
 
     async def scenario(w: RelayHarness) -> None:
         host = await w.start_host(never_respond)
         other = await w.start_host(never_respond, destination=2)
-        await begin(w)
+        await start_relay(w)
         assert await w.submit("harmless", "status") == 202
         assert await w.submit("unsafe", "order", destination=2) == 202
         await w.wait_until(lambda: host.request_ids == ["harmless"] and other.request_ids == ["unsafe"])
-        turned = [{**STATUS, "effect": "at_most_once"}, {**ORDER, "effect": "idempotent"}]
-        await change(w, 1, classes=turned)
+        turned = [{**STATUS_CLASS, "effect": "at_most_once"}, {**ORDER_CLASS, "effect": "idempotent"}]
+        await apply_settings(w, 1, classes=turned)
         host.handler = other.handler = respond_ok
         await w.restart()
         await w.wait_until(lambda: host.request_ids == ["harmless", "harmless"])
@@ -82,13 +88,13 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_messages_of_a_dropped_class_go_on_under_their_terms_after_a_restart(tmp_path: Path) -> None:
+def test_restart_keeps_terms_of_messages_of_dropped_class(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         host = await w.start_host(never_respond)
-        await begin(w)
+        await start_relay(w)
         assert await w.submit("m", "status") == 202
         await w.wait_until(lambda: host.request_ids == ["m"])
-        await change(w, 1, classes=[{**STATUS, "name": "another"}, ORDER])
+        await apply_settings(w, 1, classes=[{**STATUS_CLASS, "name": "another"}, ORDER_CLASS])
         host.handler = respond_ok
         await w.restart()
         await w.wait_until(lambda: host.request_ids == ["m", "m"])
@@ -99,17 +105,17 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_fewer_attempts_bind_new_messages_alone(tmp_path: Path) -> None:
+def test_reload_with_fewer_attempts_affects_new_messages_only(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         async def fail(_: Request) -> bytes:
             return format_response(500)
 
         host, other = await w.start_host(fail), await w.start_host(fail, destination=2)
-        await begin(w)
+        await start_relay(w)
         await w.warm_up(host)
         assert await w.submit("old") == 202
         await w.wait_until(lambda: host.request_ids == ["old"])
-        await change(w, 1, policy_limits={**w.settings["policy_limits"], "most_tries": 1})
+        await apply_settings(w, 1, policy_limits={**w.settings["policy_limits"], "most_tries": 1})
         assert await w.submit("new", destination=2) == 202
         await w.wait_until(lambda: any(n["id"] == "new" for n in w.status_reports))
         await w.wait_until(lambda: host.request_ids.count("old") >= 2)
@@ -123,15 +129,15 @@
     "broken",
     ["", "\n", "{", "[]", "{}", "discovery", "deadline", "most_tries", "classes"],
 )
-def test_a_broken_file_moves_nothing(tmp_path: Path, broken: str) -> None:
+def test_reload_of_invalid_file_changes_nothing(tmp_path: Path, broken: str) -> None:
     """Neither the settings nor where discovery is."""
 
     async def scenario(w: RelayHarness) -> None:
         host = await w.start_host(respond_ok)
-        await begin(w)
+        await start_relay(w)
         path = w.write_config("127.0.0.1:9")  # nobody listens there
         file = json.loads(path.read_text())
-        file["settings"]["classes"] = [{**STATUS, "name": "other"}, ORDER]
+        file["settings"]["classes"] = [{**STATUS_CLASS, "name": "other"}, ORDER_CLASS]
         match broken:
             case "discovery":
                 del file["discovery"]
@@ -160,11 +166,11 @@
 
 
 @pytest.mark.parametrize("broken", ["", "{}", '{"settings": {"classes": []}}'])
-def test_a_start_that_finds_a_broken_file_goes_on_with_the_last_one(tmp_path: Path, broken: str) -> None:
+def test_start_with_invalid_file_uses_last_valid_configuration(tmp_path: Path, broken: str) -> None:
     async def scenario(w: RelayHarness) -> None:
         host = await w.start_host(never_respond)
-        await begin(w)
-        await change(w, 1, classes=[{**STATUS, "name": "second"}, ORDER])
+        await start_relay(w)
+        await apply_settings(w, 1, classes=[{**STATUS_CLASS, "name": "second"}, ORDER_CLASS])
         assert await w.submit("m", "second") == 202
         await w.wait_until(lambda: host.request_ids == ["m"])
         (tmp_path / "config.json").write_text(broken)
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -12,7 +12,7 @@
 import pytest
 
 from loftrelay.store.state_machine import RecordState, StoredFinalStatus
-from tests.program.test_record import until, with_store
+from tests.program.test_record import configure_store, wait_for_state
 from tests.standins.platform import (
     TEST_TIMEOUT_S,
     RelayHarness,
@@ -26,12 +26,12 @@
 )
 from tests.standins.registries import Registries
 
-GRACE = 2.0  # seconds after which a drain binds
+DRAIN_GRACE_S = 2.0  # seconds after which a drain binds
 
 Scenario = Callable[[RelayHarness, Registries], Awaitable[None]]
 
 
-def play(scenario: Scenario, folder: Path, number: int = 2, **subscription: Any) -> None:
+def run_with_registries(scenario: Scenario, folder: Path, number: int = 2, **subscription: Any) -> None:
     async def main(w: RelayHarness) -> None:
         # A busy machine may take long to answer a first message; where one is to be refused, it is said.
         async with Registries(w, number, **{"wait_ms": 10_000, **subscription}) as registries:
@@ -40,28 +40,28 @@
     run_scenario(main, folder)
 
 
-def change(w: RelayHarness, host: int, phase: str) -> None:
+def set_phase(w: RelayHarness, host: int, phase: str) -> None:
     """Of the host that was listed as so many."""
     w.endpoints[host] = {**w.endpoints[host], "phase": phase}
     w.revision += 1
     w.notify_changed()
 
 
-async def refused(w: RelayHarness, name: str, dest: int = 1) -> str:
+async def submit_rejected(w: RelayHarness, name: str, dest: int = 1) -> str:
     """When to come back, as a refusal says."""
     status, headers, _ = await w.send(format_submission(name, destination=dest))
     assert status == 503
     return headers["retry-after"]
 
 
-async def served_by(w: RelayHarness, hosts: list[StubServer], name: str, dest: int = 1) -> int:
+async def submit_until_delivered(w: RelayHarness, hosts: list[StubServer], name: str, dest: int = 1) -> int:
     """Hands a message in until it is taken: the host that it went to."""
     await w.submit_once_listed(name, dest)
     await w.wait_until(lambda: any(name in host.request_ids for host in hosts))
     return next(number for number, host in enumerate(hosts) if name in host.request_ids)
 
 
-def test_a_relay_holds_what_it_serves_and_no_more(tmp_path: Path) -> None:
+def test_relay_subscribes_only_to_destinations_that_it_serves(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
         host = await w.start_host(respond_ok)
         for dest in range(2, 202):
@@ -72,17 +72,17 @@
         assert await asyncio.gather(*(w.submit(f"m{n}") for n in range(5))) == [202] * 5
         await w.wait_until(lambda: host.response_count == 5)
         assert await registries.metric("slices_held") == 1 == await registries.metric("discovered")
-        assert await refused(w, "nobody", dest=900) == "1"
+        assert await submit_rejected(w, "nobody", dest=900) == "1"
         more = await w.start_host(respond_ok, destination=900)
-        assert await served_by(w, [more], "somebody", dest=900) == 0
+        assert await submit_until_delivered(w, [more], "somebody", dest=900) == 0
         assert not [r for r in w.discovery.requests if r.target == "/reports"]
         known = {r.target.partition("?")[0] for r in w.discovery.requests}
         assert known == {"/registry/instances"}  # of the registries
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
-def test_first_messages_go_out_in_the_order_in_which_they_came(tmp_path: Path) -> None:
+def test_first_messages_are_delivered_in_arrival_order(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
         host = await w.start_host(respond_ok)
         await w.start()
@@ -112,11 +112,11 @@
         await w.wait_until(lambda: host.response_count == 7)
         assert host.request_ids == [f"m{number}" for number in range(8) if number != 3]
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("how", ["dead", "stopped"])
-def test_a_first_message_while_all_registries_are_away(tmp_path: Path, how: str) -> None:
+def test_first_message_without_registries_is_rejected_with_retry_after(tmp_path: Path, how: str) -> None:
     """Refused in the time set, told when to come back; what is held goes on being served."""
 
     async def scenario(w: RelayHarness, registries: Registries) -> None:
@@ -125,11 +125,11 @@
             await w.start_host(respond_ok, destination=2),
         )
         await w.start()
-        assert await served_by(w, [known], "before") == 0
+        assert await submit_until_delivered(w, [known], "before") == 0
         for address in registries.addresses:
             await (registries.kill(address) if how == "dead" else registries.suspend(address))
         began = time.monotonic()
-        assert await refused(w, "first", dest=2) == "1"
+        assert await submit_rejected(w, "first", dest=2) == "1"
         assert time.monotonic() - began >= 0.2
         assert await w.submit("held") == 202  # its destination is held
         await w.wait_until(lambda: "held" in known.request_ids)
@@ -138,14 +138,14 @@
                 await registries.start(address)
             else:
                 registries.resume(address)
-        assert await served_by(w, [other], "again", dest=2) == 0
+        assert await submit_until_delivered(w, [other], "again", dest=2) == 0
         assert other.request_ids == ["again"]
         assert not w.status_reports
 
-    play(scenario, tmp_path, wait_ms=200)
+    run_with_registries(scenario, tmp_path, wait_ms=200)
 
 
-def test_a_start_while_all_registries_are_away(tmp_path: Path) -> None:
+def test_start_without_registries_serves_and_delivers_once_one_answers(tmp_path: Path) -> None:
     """It serves all the same: what it held is taken up and goes out once a registry tells where; what comes
     is refused; and what runs out of time meanwhile is told."""
 
@@ -162,7 +162,7 @@
         for address in registries.addresses:
             await registries.kill(address)
         await w.restart()
-        assert await refused(w, "new", dest=1) == "1"
+        assert await submit_rejected(w, "new", dest=1) == "1"
         await w.wait_until(lambda: [n["id"] for n in w.status_reports] == ["short"])
         host.requests.clear()
         host.handler = respond_ok
@@ -170,10 +170,10 @@
         await w.wait_until(lambda: sorted(host.request_ids) == ["m0", "m1", "m2"])
         await w.wait_until(lambda: host.response_count >= 3)
 
-    play(scenario, tmp_path, wait_ms=200)
+    run_with_registries(scenario, tmp_path, wait_ms=200)
 
 
-def test_a_change_made_while_a_relay_restarts(tmp_path: Path) -> None:
+def test_endpoint_change_during_restart_is_applied(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
         async def not_now(request: Request) -> bytes:
             return format_response(503)
@@ -184,21 +184,21 @@
         await w.wait_until(lambda: old.response_count > 0)
         await w.kill()
         old.requests.clear()
-        change(w, 0, "Gone")
+        set_phase(w, 0, "Gone")
         w.add_endpoint(1, "plain", "Ready", new.address)
         await w.start()
         await w.wait_until(lambda: new.request_ids == ["m"])
-        assert await served_by(w, [new], "n") == 0
+        assert await submit_until_delivered(w, [new], "n") == 0
         assert not old.request_ids
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
-async def drained(w: RelayHarness, hosts: list[StubServer], told_at: float) -> float:
+async def submit_through_drain(w: RelayHarness, hosts: list[StubServer], told_at: float) -> float:
     """Messages go on until long after the grace: when the last one came to the first host, in seconds after
     `told_at`."""
     last, number, taken = 0.0, 0, ""
-    while time.monotonic() < told_at + GRACE + 1.5:
+    while time.monotonic() < told_at + DRAIN_GRACE_S + 1.5:
         number += 1
         before = len(hosts[0].request_ids)
         if await w.submit(f"after{number}") == 202:
@@ -211,7 +211,7 @@
     return last
 
 
-def test_a_drain_is_told_through_a_registry_within_its_grace(tmp_path: Path) -> None:
+def test_drain_through_registry_takes_effect_within_grace(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
         hosts = [await w.start_host(respond_ok), await w.start_host(respond_ok)]
         await w.start()
@@ -220,14 +220,14 @@
             number += 1
             await w.submit_once_listed(f"before{number}", 1)
         told_at = time.monotonic()
-        change(w, 0, "Terminating")
-        assert await drained(w, hosts, told_at) < GRACE
+        set_phase(w, 0, "Terminating")
+        assert await submit_through_drain(w, hosts, told_at) < DRAIN_GRACE_S
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("how", ["dead", "stopped"])
-def test_a_change_made_as_the_registry_in_use_goes(tmp_path: Path, how: str) -> None:
+def test_change_during_registry_failure_is_read_from_next_registry(tmp_path: Path, how: str) -> None:
     """In the midst of a watch. One that stands still is left once its watch is overdue, and what it tells as
     it wakes up does no harm."""
 
@@ -241,7 +241,7 @@
             await w.submit_once_listed(f"before{number}", 1)
         assert await registries.metric("slices_registry") == 0
         await (registries.kill(first) if how == "dead" else registries.suspend(first))
-        change(w, 0, "Terminating")
+        set_phase(w, 0, "Terminating")
         await registries.wait_for_metric("slices_moved", 1)
         assert any(f"registry {first} does not answer" in line for line in w.log)
         # The first change at the next registry tells it, and the watch begins after that.
@@ -256,18 +256,18 @@
             registries.resume(first)
         else:
             await registries.start(first)
-        change(w, 1, "Terminating")
+        set_phase(w, 1, "Terminating")
         third = await w.start_host(respond_ok)
         while "last" not in third.request_ids:
             await w.submit("last")
         assert not hosts[0].request_ids
         assert await registries.metric("slices_registry") == 1
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("sliced", [True, False])
-def test_a_destination_that_empties_and_a_host_that_comes_back(tmp_path: Path, sliced: bool) -> None:
+def test_messages_of_emptied_destination_wait_for_next_host(tmp_path: Path, sliced: bool) -> None:
     """With registries as without: what is held, and what comes while it is in use, waits for a host."""
 
     async def scenario(w: RelayHarness, registries: Registries) -> None:
@@ -280,7 +280,7 @@
         await w.start()
         assert await w.submit("held") == 202
         await w.wait_until(lambda: host.response_count > 0)
-        change(w, 0, "Gone")
+        set_phase(w, 0, "Gone")
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while await registries.metric("discovered"):
                 await asyncio.sleep(0.01)
@@ -289,29 +289,29 @@
         assert await w.submit("short", Request_Timeout_Ms="500") in (202, 503)
         back = await w.start_host(respond_ok)
         await w.wait_until(lambda: {"held", "meanwhile"} <= set(back.request_ids))
-        assert await served_by(w, [back], "new") == 0
+        assert await submit_until_delivered(w, [back], "new") == 0
         assert not host.request_ids
         assert {notice["id"] for notice in w.status_reports} <= {"short"}
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
-def test_one_that_emptied_and_was_let_go_is_refused_as_an_unlisted_one(tmp_path: Path) -> None:
+def test_released_destination_is_rejected_like_unlisted_one(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
         host = await w.start_host(respond_ok)
         await w.start()
-        assert await served_by(w, [host], "before") == 0
-        change(w, 0, "Gone")
+        assert await submit_until_delivered(w, [host], "before") == 0
+        set_phase(w, 0, "Gone")
         await registries.wait_for_metric("slices_let_go", 1)
-        assert await refused(w, "new") == "1"
+        assert await submit_rejected(w, "new") == "1"
         back = await w.start_host(respond_ok)
-        assert await served_by(w, [back], "again") == 0
+        assert await submit_until_delivered(w, [back], "again") == 0
         assert host.request_ids == ["before"]
 
-    play(scenario, tmp_path, idle_s=1)
+    run_with_registries(scenario, tmp_path, idle_s=1)
 
 
-def test_of_two_registries_that_disagree_the_later_revision_holds(tmp_path: Path) -> None:
+def test_registry_with_older_revision_is_ignored(tmp_path: Path) -> None:
     """One of them hears an older discovery. The relay stays with what it knows, and says so."""
 
     async def scenario(w: RelayHarness, registries: Registries) -> None:
@@ -329,10 +329,10 @@
         behind.handler = stale
         await registries.kill(second)
         await registries.start(second, discovery=behind.address)
-        change(w, 0, "Gone")
+        set_phase(w, 0, "Gone")
         new = await w.start_host(respond_ok)
         await w.start()
-        assert await served_by(w, [new], "before") == 0
+        assert await submit_until_delivered(w, [new], "before") == 0
         await registries.kill(first)
         await registries.wait_for_metric("slices_older", 1)
         assert any(f"registry {second} has an older revision" in line for line in w.log)
@@ -340,15 +340,15 @@
         await w.wait_until(lambda: "after" in new.request_ids)
         await registries.start(first)
         third = await w.start_host(respond_ok)
-        change(w, 1, "Gone")
+        set_phase(w, 1, "Gone")
         while "last" not in third.request_ids:
             await w.submit("last")
         assert not old.request_ids
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
-def test_a_destination_is_let_go_when_nothing_of_it_is_held_and_its_told_wait_binds_when_it_returns(
+def test_idle_destination_is_released_and_keeps_its_retry_after(
     tmp_path: Path,
 ) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
@@ -381,16 +381,16 @@
         assert await w.submit("last") == 503
         assert host.request_ids == ["out"]
 
-    play(scenario, tmp_path, idle_s=1)
+    run_with_registries(scenario, tmp_path, idle_s=1)
 
 
-def test_the_next_process_goes_on_with_the_slice(tmp_path: Path) -> None:
+def test_successor_continues_subscription(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
         w.share_listener()
         hosts = [await w.start_host(respond_ok, destination=dest) for dest in (1, 2)]
         await w.start()
         for dest in (1, 2):
-            assert await served_by(w, [hosts[dest - 1]], f"before{dest}", dest) == 0
+            assert await submit_until_delivered(w, [hosts[dest - 1]], f"before{dest}", dest) == 0
         await w.upgrade()
         assert await registries.metric("slices_held") == 2
         assert await registries.metric("slices_cells") == 0  # nothing was told whole again
@@ -400,30 +400,30 @@
         assert await w.submit("after2", destination=2) == 202
         await w.wait_until(lambda: "after1" in hosts[0].request_ids and "after2" in hosts[1].request_ids)
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
-def test_a_process_without_registries_that_follows_asks_for_the_whole_list(tmp_path: Path) -> None:
+def test_successor_without_registries_requests_full_list(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
         w.share_listener()
         hosts = [await w.start_host(respond_ok, destination=dest) for dest in (1, 2)]
         await w.start()
-        assert await served_by(w, hosts[:1], "before") == 0
+        assert await submit_until_delivered(w, hosts[:1], "before") == 0
         w.arguments = []
         await w.upgrade()
-        assert await served_by(w, hosts[1:], "after", dest=2) == 0
+        assert await submit_until_delivered(w, hosts[1:], "after", dest=2) == 0
         assert "/registry/instances" in {r.target for r in w.discovery.requests}
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
-def test_beside_a_store_of_record_what_was_held_goes_on_after_a_restart(tmp_path: Path) -> None:
+def test_restart_with_store_and_registries_delivers_open_messages(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
         async def not_now(request: Request) -> bytes:
             return format_response(503)
 
         subscription = w.arguments
-        path = with_store(w)
+        path = configure_store(w)
         w.arguments = [*subscription, *w.arguments]
         host = await w.start_host(not_now)
         await w.start()
@@ -432,16 +432,16 @@
             assert await w.submit(f"m{number}", "order") == 202
         await w.restart()
         host.handler = respond_ok
-        found = await until(path, ["m0", "m1", "m2"], RecordState.REPORTED)
+        found = await wait_for_state(path, ["m0", "m1", "m2"], RecordState.REPORTED)
         assert {found[name].final_status for name in ("m0", "m1", "m2")} == {StoredFinalStatus.DELIVERED}
         orders = [name for name in dict.fromkeys(reversed(host.request_ids)) if name != "m0"]
         assert orders == ["m2", "m1"]
         assert not w.status_reports
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
-def test_a_reload_that_moves_discovery_moves_notices_alone(tmp_path: Path) -> None:
+def test_reload_that_moves_discovery_moves_only_status_reports(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
         async def no(request: Request) -> bytes:
             return format_response(500)
@@ -459,10 +459,10 @@
         assert host.request_ids
         assert await registries.metric("slices_changes") == changes + 1  # the first message's
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
-def test_at_an_end_first_messages_that_wait_are_answered(tmp_path: Path) -> None:
+def test_shutdown_rejects_waiting_first_messages(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness, registries: Registries) -> None:
         await w.start_host(respond_ok)
         await w.start()
@@ -479,7 +479,7 @@
         writer.close()
         assert any("exits, keeping 0 messages" in line for line in w.log)
 
-    play(scenario, tmp_path)
+    run_with_registries(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
@@ -493,7 +493,7 @@
         ("[registry]\n", "registry = {}: all keys stand in the table [subscription]"),
     ],
 )
-def test_a_file_that_can_not_be_used_is_one_line(tmp_path: Path, text: str, line: str) -> None:
+def test_unusable_subscription_file_ends_start_with_one_line(tmp_path: Path, text: str, line: str) -> None:
     async def scenario(w: RelayHarness) -> None:
         path = tmp_path / "subscription.toml"
         path.write_text(text)
@@ -508,7 +508,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_the_deploy_file_is_taken_and_so_are_many_registries(tmp_path: Path) -> None:
+def test_subscription_file_accepts_deploy_example_and_many_registries(tmp_path: Path) -> None:
     from loftrelay.discovery.settings import load_subscription
 
     told = load_subscription(Path(__file__).parents[2] / "deploy" / "subscription.toml")
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -14,7 +14,7 @@
 
 from loftrelay.relay.fault_points import PREDECESSOR_POINTS
 from loftrelay.store.state_machine import RecordState, StoredFinalStatus
-from tests.program.test_record import until, with_store
+from tests.program.test_record import configure_store, wait_for_state
 from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
 from tests.standins.platform import (
     TEST_TIMEOUT_S,
@@ -28,11 +28,11 @@
 )
 from tests.standins.traffic import Submission, SubmissionLog, evaluate, submit_all, wait_until_final
 
-TIME = 1.0  # seconds that the messages of these tests have
-SHORT: dict[str, Any] = {"Request_Timeout_Ms": str(int(TIME * 1000))}
+MESSAGE_TIMEOUT_S = 1.0  # seconds that the messages of these tests have
+SHORT_TIMEOUT: dict[str, Any] = {"Request_Timeout_Ms": str(int(MESSAGE_TIMEOUT_S * 1000))}
 
 
-async def stopped(w: RelayHarness) -> None:
+async def wait_until_suspended(w: RelayHarness) -> None:
     """Until the process of the relay has stopped."""
     assert w.process is not None
     stat = Path(f"/proc/{w.process.pid}/stat")
@@ -41,23 +41,23 @@
             await asyncio.sleep(0.002)
 
 
-def go_on(w: RelayHarness) -> None:
+def resume(w: RelayHarness) -> None:
     assert w.process is not None
     w.process.send_signal(signal.SIGCONT)
 
 
-def stop(w: RelayHarness) -> None:
+def suspend(w: RelayHarness) -> None:
     assert w.process is not None
     w.process.send_signal(signal.SIGSTOP)
 
 
-def ended(w: RelayHarness, host_ids: list[str], names: set[str]) -> set[str]:
+def finished(w: RelayHarness, host_ids: list[str], names: set[str]) -> set[str]:
     return names & {*host_ids, *(notice["id"] for notice in w.status_reports)}
 
 
 @pytest.mark.parametrize("clock", [0, 3600, -3600], ids=["true", "an-hour-on", "an-hour-back"])
 @pytest.mark.parametrize("step", ["journal take", "answered taken", "journal try", "heard"])
-def test_a_stall_longer_than_every_deadline(tmp_path: Path, step: str, clock: int) -> None:
+def test_stall_beyond_every_deadline_starts_no_late_call(tmp_path: Path, step: str, clock: int) -> None:
     """After it no call begins for what ran out of time meanwhile, whatever the wall clock says by then."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -66,15 +66,15 @@
         await w.start()
         statuses = {}
         for i in range(3):
-            changes = {**SHORT, "path": f"/order/k{i}"}
+            changes = {**SHORT_TIMEOUT, "path": f"/order/k{i}"}
             statuses[f"o{i}"] = asyncio.create_task(w.submit(f"o{i}", "order", **changes))
-            statuses[f"s{i}"] = asyncio.create_task(w.submit(f"s{i}", **SHORT))
-        await stopped(w)
-        await asyncio.sleep(TIME + 0.2)
+            statuses[f"s{i}"] = asyncio.create_task(w.submit(f"s{i}", **SHORT_TIMEOUT))
+        await wait_until_suspended(w)
+        await asyncio.sleep(MESSAGE_TIMEOUT_S + 0.2)
         before = list(host.request_ids)
-        go_on(w)
+        resume(w)
         taken = {name for name, task in statuses.items() if await task == 202}
-        await w.wait_until(lambda: ended(w, host.request_ids, taken) == taken)
+        await w.wait_until(lambda: finished(w, host.request_ids, taken) == taken)
         await w.submit_once_listed("after", 1)
         await w.wait_until(lambda: "after" in host.request_ids)
         assert host.request_ids == [*before, "after"]  # nothing of before the stall was begun after it
@@ -86,22 +86,22 @@
 @pytest.mark.parametrize(
     "step", ["commit take", "committed intend", "journal end", "commit end", "committed told", "journal over"]
 )
-def test_a_stall_beside_a_store_of_record(tmp_path: Path, step: str) -> None:
+def test_stall_with_store_keeps_store_host_and_platform_consistent(tmp_path: Path, step: str) -> None:
     """Between an answer and its record, or an intent and its call: store, partner and platform agree."""
 
     async def scenario(w: RelayHarness) -> None:
-        path = with_store(w)
+        path = configure_store(w)
         host = await w.start_host(respond_ok)
         w.program = ["-m", "tests.standins.stalled", step, "0"]
         await w.start()
-        handing = asyncio.create_task(w.submit("m", "order", **SHORT))
-        await stopped(w)
-        await asyncio.sleep(TIME + 0.2)
+        handing = asyncio.create_task(w.submit("m", "order", **SHORT_TIMEOUT))
+        await wait_until_suspended(w)
+        await asyncio.sleep(MESSAGE_TIMEOUT_S + 0.2)
         begun = list(host.request_ids)
-        go_on(w)
+        resume(w)
         status = await handing
         assert host.request_ids == begun == ([] if step in ("commit take", "committed intend") else ["m"])
-        found = await until(path, ["m"], RecordState.REPORTED)
+        found = await wait_for_state(path, ["m"], RecordState.REPORTED)
         told = [notice["id"] for notice in w.status_reports]
         if begun:
             assert status == 202
@@ -115,22 +115,22 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_an_answer_that_came_during_a_stall_ends_its_message(tmp_path: Path) -> None:
+def test_response_received_during_stall_completes_message(tmp_path: Path) -> None:
     """The call's own time-out is due in the same moment: the answer was there, and it is a delivery."""
 
     async def scenario(w: RelayHarness) -> None:
         async def script(request: Request) -> bytes:
             if request.id.startswith("m"):
-                stop(w)
-                await stopped(w)
+                suspend(w)
+                await wait_until_suspended(w)
             return format_response(200)
 
         host = await w.start_host(script)
         await w.start()
-        assert await w.submit("m", "order", **SHORT) == 202
+        assert await w.submit("m", "order", **SHORT_TIMEOUT) == 202
         await w.wait_until(lambda: host.response_count == 1)
-        await asyncio.sleep(TIME + 0.2)
-        go_on(w)
+        await asyncio.sleep(MESSAGE_TIMEOUT_S + 0.2)
+        resume(w)
         await w.submit_once_listed("after", 1)
         await w.wait_until(lambda: host.response_count == 2)
         await w.stop(signal.SIGTERM)  # whatever it owes is told before it ends
@@ -141,7 +141,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_a_drain_told_during_a_stall_binds_what_was_decided_before_it(tmp_path: Path) -> None:
+def test_drain_received_during_stall_applies_to_pending_call(tmp_path: Path) -> None:
     """The list lies unread in its connection when the relay goes on, and a call is due at that host."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -149,26 +149,26 @@
         w.program = ["-m", "tests.standins.stalled", "journal try", "0"]
         await w.start()
         assert await w.submit("m") == 202
-        await stopped(w)
+        await wait_until_suspended(w)
         w.endpoints[0]["phase"] = "Terminating"
         other = await w.start_host(respond_ok)
         await asyncio.sleep(0.5)
-        go_on(w)
+        resume(w)
         await w.wait_until(lambda: other.request_ids == ["m"])
         assert not first.request_ids
 
     run_scenario(scenario, tmp_path)
 
 
-def test_a_notice_answered_during_a_stall_is_not_sent_again(tmp_path: Path) -> None:
+def test_report_answered_during_stall_is_not_repeated(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         reports: list[bytes] = []
 
         async def hear(request: Request) -> bytes:
             reports.append(request.body)
             if len(reports) == 1:
-                stop(w)
-                await stopped(w)
+                suspend(w)
+                await wait_until_suspended(w)
             return b""
 
         async def error(request: Request) -> bytes:
@@ -180,7 +180,7 @@
         assert await w.submit("m", "order") == 202
         await w.wait_until(lambda: bool(w.status_reports))
         await asyncio.sleep(0.5)  # the relay waits for the platform's answer for 0.2 s
-        go_on(w)
+        resume(w)
         await w.stop(signal.SIGTERM)
         assert w.status_reports == [undeliverable_report("m")]
         assert any("exits, keeping 0 messages" in line for line in w.log)
@@ -188,22 +188,22 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_a_client_that_left_during_a_stall_has_its_message_withdrawn(tmp_path: Path) -> None:
+def test_client_disconnected_during_stall_has_its_message_withdrawn(tmp_path: Path) -> None:
     """It comes again under another id: what it wrote must not go out, though it is read only now."""
 
     async def scenario(w: RelayHarness) -> None:
         host = await w.start_host(respond_ok)
         await w.start()
         await w.warm_up(host)
-        stop(w)
-        await stopped(w)
+        suspend(w)
+        await wait_until_suspended(w)
         _, writer = await asyncio.open_connection(*w.address)
         writer.write(format_submission("left", "order"))
         await writer.drain()
         writer.close()
         await writer.wait_closed()
         await asyncio.sleep(0.5)
-        go_on(w)
+        resume(w)
         await w.submit_once_listed("again", 1)
         await w.wait_until(lambda: "again" in host.request_ids)
         assert host.request_ids == ["again"]
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize("step", ["frozen", "given", "loaded", "yours"])
-def test_a_stall_in_a_handover(tmp_path: Path, step: str) -> None:
+def test_stall_during_handover_reports_expired_messages_consistently(tmp_path: Path, step: str) -> None:
     """Of the process that serves, or of the one that takes over. Messages run out of time meanwhile; whoever
     owns them then tells of it."""
 
@@ -225,20 +225,20 @@
         w.program = stalled if step in PREDECESSOR_POINTS else plain
         await w.start()
         for i in range(5):
-            assert await w.submit(f"m{i}", destination=2, **SHORT) == 202  # no host of it serves
+            assert await w.submit(f"m{i}", destination=2, **SHORT_TIMEOUT) == 202  # no host of it serves
         w.program = plain if step in PREDECESSOR_POINTS else stalled
         assert w.process is not None
         old = w.process
         await w.start_successor()
         new = w.process
         w.process = old if step in PREDECESSOR_POINTS else new
-        await stopped(w)
-        await asyncio.sleep(TIME + 0.2)
-        go_on(w)
+        await wait_until_suspended(w)
+        await asyncio.sleep(MESSAGE_TIMEOUT_S + 0.2)
+        resume(w)
         w.process = new
         await w.wait_until_ready()
         names = {f"m{i}" for i in range(5)}
-        await w.wait_until(lambda: ended(w, host.request_ids, names) == names)
+        await w.wait_until(lambda: finished(w, host.request_ids, names) == names)
         # A notice whose answer the frozen process did not read is told again, in the same words.
         assert {notice["id"] for notice in w.status_reports} == names
         assert not host.request_ids
@@ -249,7 +249,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_half_of_the_relays_stand_still_at_once(tmp_path: Path) -> None:
+def test_relays_suspended_under_load_keep_guarantees(tmp_path: Path) -> None:
     """Four relays under load at one partner, two of them stopped twice. Each message has one end, none was
     begun after its time, and no order ran twice or out of turn."""
 
@@ -271,7 +271,9 @@
                 for n in range(4):
                     for c in range(4):
                         of, key = ("order", f"k{n}-{c}") if c % 2 == 0 else ("status", None)
-                        lines.append([Submission(f"r{n}c{c}-{i}", of, 1, key, TIME) for i in range(40)])
+                        lines.append(
+                            [Submission(f"r{n}c{c}-{i}", of, 1, key, MESSAGE_TIMEOUT_S) for i in range(40)]
+                        )
                 handing = [
                     asyncio.create_task(submit_all(w, lines[4 * n : 4 * n + 4], accounts[n], 0.03))
                     for n, w in enumerate(worlds)
@@ -280,11 +282,11 @@
                     heard = len(partner.calls)
                     await partner.wait_until(lambda heard=heard: len(partner.calls) > heard + 40)  # type: ignore[misc]
                     for w in worlds[:2]:
-                        stop(w)
-                    await asyncio.gather(*(stopped(w) for w in worlds[:2]))
-                    await asyncio.sleep(TIME + 0.3)
+                        suspend(w)
+                    await asyncio.gather(*(wait_until_suspended(w) for w in worlds[:2]))
+                    await asyncio.sleep(MESSAGE_TIMEOUT_S + 0.3)
                     for w in worlds[:2]:
-                        go_on(w)
+                        resume(w)
                 await asyncio.gather(*handing)
                 for w, account in zip(worlds, accounts, strict=True):
                     await wait_until_final(w, [partner], account)
@@ -304,12 +306,12 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_store_of_record_whose_commits_take_up_to_five_seconds(tmp_path: Path, seed: int) -> None:
+def test_store_with_commits_of_up_to_five_seconds_keeps_guarantees(tmp_path: Path, seed: int) -> None:
     """Nothing is begun late or twice meanwhile, clients are answered, and each message gets its one end when
     the store has it: store, partner and platform agree on all."""
 
     async def scenario(w: RelayHarness) -> None:
-        path = with_store(w)
+        path = configure_store(w)
         w.program = ["-m", "tests.standins.slowed", str(seed)]
         script = Behaviour(
             lambda call: ResponsePlan(500 if call.message_ids[0].endswith("7") else 200, delay_s=0.02)
@@ -319,7 +321,10 @@
             await w.start()
             account = SubmissionLog()
             lines = [
-                [Submission(f"c{c}-{i}", ("order", "status")[c % 2], 1, f"k{c}", TIME) for i in range(12)]
+                [
+                    Submission(f"c{c}-{i}", ("order", "status")[c % 2], 1, f"k{c}", MESSAGE_TIMEOUT_S)
+                    for i in range(12)
+                ]
                 for c in range(6)
             ]
             await submit_all(w, lines, account, 0.02)
@@ -329,7 +334,7 @@
                 while not taken <= {name for name in taken if partner.responses[name]} | set(w.reported_at):
                     await asyncio.sleep(0.02)
             required = [name for name in taken if account.submissions[name].class_name == "order"]
-            found = await until(path, required, RecordState.REPORTED)
+            found = await wait_for_state(path, required, RecordState.REPORTED)
             seen = evaluate(w, [partner], account, tolerance_s=0.3)
             assert seen.messages > 20
             assert (seen.duplicates, seen.misattributed, seen.order_breaks, seen.begun_late) == (0, 0, 0, 0)
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("name", JOURNALS)
 @pytest.mark.parametrize("read_only", [True, False])
-def test_every_message_of_a_journal_is_read_as_it_was(tmp_path: Path, name: str, read_only: bool) -> None:
+def test_journal_reads_every_baseline_message(tmp_path: Path, name: str, read_only: bool) -> None:
     shutil.copytree(FIXTURES / name, tmp_path / "state")
     journal = Journal(tmp_path / "state", DISK_BYTES, read_only)
     expected = CONTENTS[name]
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("name", JOURNALS)
-def test_a_journal_that_was_read_and_rewritten_is_read_again(tmp_path: Path, name: str) -> None:
+def test_journal_rewritten_from_baseline_holds_same_messages(tmp_path: Path, name: str) -> None:
     """The start of an owner drops the old segments: what they hold is written anew."""
     shutil.copytree(FIXTURES / name, tmp_path / "state")
     old = {path.name for path in (tmp_path / "state").iterdir()}
@@ -92,9 +92,7 @@
 
 
 @pytest.mark.parametrize("name", RECOVERY)
-def test_a_relay_started_on_old_state_delivers_reports_and_answers_as_the_old_one(
-    tmp_path: Path, name: str
-) -> None:
+def test_relay_started_on_baseline_state_acts_as_baseline(tmp_path: Path, name: str) -> None:
     record = FIXTURES / "record.sqlite" if name == "journal_of_store" else None
     expected = RECOVERY[name]
     unfinished = {*expected["calls"], *(report["id"] for report in expected["reports"])}
@@ -108,16 +106,16 @@
             assert bodies[id_] == bytes.fromhex(stored["body"])
 
 
-def test_disabled_hosts_are_read() -> None:
+def test_disabled_hosts_file_of_baseline_is_read() -> None:
     assert DisabledHostsFile(FIXTURES).load() == {"h1", "host with spaces", "höst"}
 
 
-def test_disabled_hosts_are_written_as_before(tmp_path: Path) -> None:
+def test_disabled_hosts_file_is_written_as_at_baseline(tmp_path: Path) -> None:
     DisabledHostsFile(tmp_path).save({"höst", "h1", "host with spaces"})
     assert (tmp_path / "hosts-out.json").read_bytes() == (FIXTURES / "hosts-out.json").read_bytes()
 
 
-def test_the_last_configuration_is_read_and_written_as_before(tmp_path: Path) -> None:
+def test_last_config_file_is_read_and_written_as_at_baseline(tmp_path: Path) -> None:
     config = LastConfigFile(FIXTURES).load()
     assert config == {
         "name": "n1",
@@ -130,7 +128,7 @@
     assert (tmp_path / "last-config.json").read_bytes() == (FIXTURES / "last-config.json").read_bytes()
 
 
-def test_operator_overrides_are_read_and_written_as_before(
+def test_override_file_is_read_and_written_as_at_baseline(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     shutil.copy(FIXTURES / "fleet-calls.json", tmp_path)
@@ -151,7 +149,7 @@
     assert (tmp_path / "fleet-calls.json").read_bytes() == (FIXTURES / "fleet-calls.json").read_bytes()
 
 
-def test_every_row_of_a_store_is_read(tmp_path: Path) -> None:
+def test_sqlite_store_reads_every_baseline_row(tmp_path: Path) -> None:
     shutil.copy(FIXTURES / "record.sqlite", tmp_path)
     store = SQLiteStore(tmp_path / "record.sqlite")
     assert store.verify() == []
--- a/tests/program/test_upgrade.py
+++ b/tests/program/test_upgrade.py
@@ -30,18 +30,18 @@
     """Keeps one connection for all it hands in, as clients do."""
 
     def __init__(self, world: RelayHarness, name: str) -> None:
-        self.world, self.name = world, name
-        self.number = 0
+        self.harness, self.name = world, name
+        self.submitted_count = 0
         self.statuses: Counter[int] = Counter()
-        self.taken: list[str] = []  # in the order in which they were handed in
+        self.admitted: list[str] = []  # in the order in which they were handed in
 
     async def connect(self) -> None:
-        self.reader, self.writer = await asyncio.open_connection(*self.world.address)
+        self.reader, self.writer = await asyncio.open_connection(*self.harness.address)
 
-    async def hand_in(self, of: str = "order") -> int:
+    async def submit(self, of: str = "order") -> int:
         """Raises an error where the connection ends, which a handover must never do."""
-        self.number += 1
-        name = f"{self.name}-{self.number}"
+        self.submitted_count += 1
+        name = f"{self.name}-{self.submitted_count}"
         self.writer.write(
             format_submission(name, of, path=f"/{of}/{self.name}" if of == "order" else f"/{of}")
         )
@@ -51,14 +51,14 @@
         assert headers.get("connection") != "close"
         self.statuses[status] += 1
         if status == 202:
-            self.taken.append(name)
+            self.admitted.append(name)
         return status
 
     def close(self) -> None:
         self.writer.close()
 
 
-def play(
+def run_with_shared_listener(
     scenario: Callable[[RelayHarness], Awaitable[None]], folder: Path, most_held: int = 400, **limits: int
 ) -> None:
     async def with_listener(w: RelayHarness) -> None:
@@ -101,34 +101,34 @@
 
         async def keep_on(client: Client) -> None:
             while not done.is_set():
-                await client.hand_in("order" if client.name != "c0" else "status")
+                await client.submit("order" if client.name != "c0" else "status")
 
         tasks = [asyncio.create_task(keep_on(client)) for client in clients]
         for _ in range(3):
-            handed_in = sum(client.number for client in clients)
+            handed_in = sum(client.submitted_count for client in clients)
             await w.upgrade()
-            await w.wait_until(lambda n=handed_in: sum(c.number for c in clients) > n + 40)  # type: ignore[misc]
+            await w.wait_until(lambda n=handed_in: sum(c.submitted_count for c in clients) > n + 40)  # type: ignore[misc]
         done.set()
         await asyncio.gather(*tasks)
         for client in clients:
             assert set(client.statuses) <= {202, 503}
-        taken = [name for client in clients for name in client.taken]
+        taken = [name for client in clients for name in client.admitted]
         assert len(taken) > 120
         await w.wait_until(lambda: set(taken) <= {*host.request_ids, *(n["id"] for n in w.status_reports)})
         runs = Counter(host.request_ids)
         assert {name: n for name, n in runs.items() if n > 1} == {}
         for client in clients[1:]:
             mine = [name for name in host.request_ids if name.startswith(f"{client.name}-")]
-            assert mine == [name for name in client.taken if name in runs]
+            assert mine == [name for name in client.admitted if name in runs]
         assert len(w.status_reports) == len({notice["id"] for notice in w.status_reports})
         assert not set(runs) & {notice["id"] for notice in w.status_reports}
         for client in clients:
             client.close()
 
-    play(scenario, tmp_path)
+    run_with_shared_listener(scenario, tmp_path)
 
 
-def test_a_call_that_is_out_ends_in_the_process_that_made_it(tmp_path: Path) -> None:
+def test_call_in_flight_during_handover_ends_in_predecessor(tmp_path: Path) -> None:
     """Its outcome reaches the one that took over: an order that was delivered is not told as failed, and one
     behind it for the same key goes only then."""
 
@@ -158,10 +158,10 @@
         assert await w.predecessor.wait() == 0
         assert w.status_reports == []
 
-    play(scenario, tmp_path)
+    run_with_shared_listener(scenario, tmp_path)
 
 
-def test_a_request_that_is_half_there_is_read_to_its_end_elsewhere(tmp_path: Path) -> None:
+def test_partial_request_during_handover_is_completed_by_successor(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         host = await w.start_host(respond_ok)
         await w.start()
@@ -177,10 +177,10 @@
         assert host.requests[0].body == b"a body in two parts"
         writer.close()
 
-    play(scenario, tmp_path)
+    run_with_shared_listener(scenario, tmp_path)
 
 
-def test_hundreds_of_kept_connections_go_over(tmp_path: Path) -> None:
+def test_hundreds_of_idle_connections_survive_handover(tmp_path: Path) -> None:
     """More than the channel takes at once: the process before must not end while some are on their way."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -199,10 +199,10 @@
             assert start.split()[1] == "200"
             client.close()
 
-    play(scenario, tmp_path, sockets=1024, memory_mb=192)
+    run_with_shared_listener(scenario, tmp_path, sockets=1024, memory_mb=192)
 
 
-def test_a_host_that_is_out_stays_out_and_a_told_wait_is_heeded(tmp_path: Path) -> None:
+def test_handover_keeps_disabled_host_and_retry_after(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         first, second = await w.start_host(respond_ok), await w.start_host(respond_ok)
         await w.start()
@@ -225,11 +225,11 @@
         assert await w.submit("m3", Request_Timeout_Ms="1500") == 503  # at once: the wait outlasts it
         assert second.request_ids == ["m1", "m2"]
 
-    play(scenario, tmp_path)
+    run_with_shared_listener(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("step", PREDECESSOR_POINTS)
-def test_the_process_that_serves_is_killed_at_each_step(tmp_path: Path, step: str) -> None:
+def test_predecessor_killed_at_fault_point_is_replaced_by_successor(tmp_path: Path, step: str) -> None:
     """The other one goes on: what may have run and must not run twice fails, the rest is delivered."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -252,11 +252,11 @@
         assert silent.request_ids == ["out"]
         assert Counter(host.request_ids) == {"waits": 1, "later": 1}
 
-    play(scenario, tmp_path)
+    run_with_shared_listener(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("step", SUCCESSOR_POINTS)
-def test_the_process_that_takes_over_is_killed_at_each_step(tmp_path: Path, step: str) -> None:
+def test_successor_killed_at_fault_point_leaves_predecessor_serving(tmp_path: Path, step: str) -> None:
     """The one before it serves, as it did or anew from the journal, and a third can take over from it."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -281,10 +281,10 @@
         assert Counter(host.request_ids) == {"waits": 1, "after": 1, "last": 1}
         assert w.status_reports == []
 
-    play(scenario, tmp_path)
+    run_with_shared_listener(scenario, tmp_path)
 
 
-def test_what_is_left_over_in_the_folder_harms_nothing(tmp_path: Path) -> None:
+def test_start_with_leftover_state_files_succeeds(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         host = await w.start_host(respond_ok)
         state = tmp_path / "state"
@@ -298,10 +298,10 @@
         await w.wait_until(lambda: host.request_ids == ["m"])
         await w.upgrade()
 
-    play(scenario, tmp_path)
+    run_with_shared_listener(scenario, tmp_path)
 
 
-def test_a_second_process_that_shares_no_listener_ends_with_one_line(tmp_path: Path) -> None:
+def test_second_process_without_shared_listener_ends_with_one_line(tmp_path: Path) -> None:
     async def scenario(w: RelayHarness) -> None:
         host = await w.start_host(respond_ok)
         await w.start()
@@ -315,7 +315,7 @@
 
 
 @pytest.mark.parametrize("text", ["x", "-1", "9999"])
-def test_a_descriptor_that_is_none_ends_with_one_line(tmp_path: Path, text: str) -> None:
+def test_invalid_accept_descriptor_ends_start_with_one_line(tmp_path: Path, text: str) -> None:
     import os
     import subprocess
     import sys
@@ -338,7 +338,7 @@
     assert "RELAY_ACCEPT_FD" in done.stderr
 
 
-def test_settings_that_change_in_the_midst_of_a_handover_are_not_missed(tmp_path: Path) -> None:
+def test_settings_changed_during_handover_are_applied(tmp_path: Path) -> None:
     """SIGHUP goes to the process that serves, when the one that follows has read the file already: whether
     all stand still by then, or it has taken over."""
 
@@ -359,4 +359,4 @@
                 pass
         await w.wait_until(lambda: host.request_ids == ["m"])
 
-    play(scenario, tmp_path)
+    run_with_shared_listener(scenario, tmp_path)
--- a/tests/program/test_waits.py
+++ b/tests/program/test_waits.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.program.test_upgrade import play
+from tests.program.test_upgrade import run_with_shared_listener
 from tests.standins.platform import (
     TEST_TIMEOUT_S,
     RelayHarness,
@@ -19,32 +19,32 @@
     run_scenario,
 )
 
-WAIT = 1.5  # seconds
-KINDS: dict[str, Any] = {"extra": {"bundle_max": [1, 1], "call_slots": 6, "own_limits": [False, True]}}
+RETRY_AFTER_S = 1.5  # seconds
+SINGLE_CALLS: dict[str, Any] = {"extra": {"bundle_max": [1, 1], "call_slots": 6, "own_limits": [False, True]}}
 
 
-class Full:
+class RateLimitedHost:
     """A host that turns its first call away and tells the wait, and notes when each later one came."""
 
     def __init__(self) -> None:
-        self.told_at: float | None = None
-        self.came: dict[str, float] = {}
-        self.let = asyncio.Event()
+        self.rejected_at: float | None = None
+        self.arrived_at: dict[str, float] = {}
+        self.release = asyncio.Event()
 
-    async def script(self, request: Request) -> bytes:
+    async def respond(self, request: Request) -> bytes:
         now = asyncio.get_running_loop().time
-        if self.told_at is None:
-            self.told_at = 0.0
-            await self.let.wait()
-            self.told_at = now()
-            return format_response(429, X_Come_Back_Ms=str(int(WAIT * 1000)))
-        self.came[request.id] = now()
+        if self.rejected_at is None:
+            self.rejected_at = 0.0
+            await self.release.wait()
+            self.rejected_at = now()
+            return format_response(429, X_Come_Back_Ms=str(int(RETRY_AFTER_S * 1000)))
+        self.arrived_at[request.id] = now()
         return format_response(200)
 
 
-async def told(w: RelayHarness, full: Full, host: StubServer) -> None:
+async def wait_until_retry_after_applies(w: RelayHarness, full: RateLimitedHost, host: StubServer) -> None:
     """The relay has read the wait: it gives a call for the destination back at once."""
-    full.let.set()
+    full.release.set()
     await w.wait_until(lambda: host.response_count == 1)
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while await w.submit("short", Request_Timeout_Ms="300") != 503:
@@ -53,21 +53,21 @@
 
 @pytest.mark.parametrize("kind", ["plain", "bulk"])
 @pytest.mark.parametrize("event", ["none", "drained", "gone", "moved", "SIGHUP", "SIGSTOP", "told stopped"])
-def test_a_wait_lasts_through(tmp_path: Path, event: str, kind: str) -> None:
+def test_retry_after_outlasts_endpoint_and_process_events(tmp_path: Path, event: str, kind: str) -> None:
     async def scenario(w: RelayHarness) -> None:
-        full = Full()
-        host = await w.start_host(full.script, flavor=kind)
+        full = RateLimitedHost()
+        host = await w.start_host(full.respond, flavor=kind)
         await w.start()
         assert w.process is not None
         assert await w.submit("first") == 202
         await w.wait_until(lambda: host.request_ids == ["first"])
         if event == "told stopped":  # across its start
             w.process.send_signal(signal.SIGSTOP)
-            full.let.set()
+            full.release.set()
             await w.wait_until(lambda: host.response_count == 1)
-            await asyncio.sleep(WAIT / 3)
+            await asyncio.sleep(RETRY_AFTER_S / 3)
             w.process.send_signal(signal.SIGCONT)
-        await told(w, full, host)
+        await wait_until_retry_after_applies(w, full, host)
         row = w.endpoints[0]
         match event:
             case "drained" | "gone":
@@ -78,7 +78,7 @@
                 await w.wait_until(lambda: heard in w.discovery.requests[-1].target)
                 w.endpoints[0] = row
             case "moved":
-                other = await w.start_server(full.script)
+                other = await w.start_server(full.respond)
                 w.endpoints[0] = {**row, "host_port": other.address}
             case "SIGHUP":
                 w.settings = {**w.settings, "tick": 6000}
@@ -86,20 +86,20 @@
                 w.reload()
             case "SIGSTOP":  # across its end
                 w.process.send_signal(signal.SIGSTOP)
-                await asyncio.sleep(WAIT)
+                await asyncio.sleep(RETRY_AFTER_S)
                 w.process.send_signal(signal.SIGCONT)
         w.revision += 1
         w.notify_changed()
         assert await w.submit("second") in (202, 503)
-        await w.wait_until(lambda: "first" in full.came)
-        assert full.told_at is not None
-        assert min(full.came.values()) >= full.told_at + WAIT
+        await w.wait_until(lambda: "first" in full.arrived_at)
+        assert full.rejected_at is not None
+        assert min(full.arrived_at.values()) >= full.rejected_at + RETRY_AFTER_S
 
-    run_scenario(scenario, tmp_path, **KINDS)
+    run_scenario(scenario, tmp_path, **SINGLE_CALLS)
 
 
 @pytest.mark.parametrize("rest", ["whole", "never ends"])
-def test_a_wait_told_to_the_process_before(tmp_path: Path, rest: str) -> None:
+def test_retry_after_received_by_predecessor_binds_successor(tmp_path: Path, rest: str) -> None:
     """Its call came back after another process had taken over, which is bound."""
 
     async def scenario(w: RelayHarness) -> None:
@@ -124,23 +124,23 @@
         assert await w.submit("second") == 503
         assert host.request_ids == ["first"]
 
-    play(scenario, tmp_path)
+    run_with_shared_listener(scenario, tmp_path)
 
 
-def test_a_key_keeps_its_order_behind_a_wait(tmp_path: Path) -> None:
+def test_retry_after_keeps_order_of_key(tmp_path: Path) -> None:
     """All go once it is over, in the order in which they were handed in."""
 
     async def scenario(w: RelayHarness) -> None:
-        full = Full()
-        host = await w.start_host(full.script)
+        full = RateLimitedHost()
+        host = await w.start_host(full.respond)
         await w.start()
         assert await w.submit("first") == 202
         await w.wait_until(lambda: host.request_ids == ["first"])
-        await told(w, full, host)
+        await wait_until_retry_after_applies(w, full, host)
         assert [await w.submit(f"m{n}", "order") for n in range(4)] == [202] * 4
-        await w.wait_until(lambda: len(full.came) == 5)
-        assert full.told_at is not None
-        assert min(full.came.values()) >= full.told_at + WAIT
-        assert [name for name in full.came if name != "first"] == [f"m{n}" for n in range(4)]
+        await w.wait_until(lambda: len(full.arrived_at) == 5)
+        assert full.rejected_at is not None
+        assert min(full.arrived_at.values()) >= full.rejected_at + RETRY_AFTER_S
+        assert [name for name in full.arrived_at if name != "first"] == [f"m{n}" for n in range(4)]
 
     run_scenario(scenario, tmp_path)
--- a/tests/program/test_wire.py
+++ b/tests/program/test_wire.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("scene", SCENES)
-def test_the_bytes_are_as_before(tmp_path: Path, scene: str) -> None:
+def test_scene_writes_same_bytes_as_baseline(tmp_path: Path, scene: str) -> None:
     actual = asyncio.run(play(scene, tmp_path))
     assert actual.splitlines() == (FIXTURES / f"{scene}.txt").read_text().splitlines()
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -9,7 +9,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[1] / "loftrelay"
-MAY_IMPORT = {
+ALLOWED_IMPORTS = {
     "net": set[str](),
     "config": {"decisions", "net", "state"},
     "state": set[str](),
@@ -28,7 +28,7 @@
     "gossip": {"net", "config"},
     "simulation": {"gossip", "net"},
 }  # besides themselves; `service` assembles all of them
-PURE = {
+PURE_MODULES = {
     "journal/records.py",
     "journal/index.py",
     "delivery/connection_pool/actions.py",
@@ -92,10 +92,10 @@
     "registry/catalog.py",
     "registry/subscriptions.py",
 }
-INPUT_OUTPUT = {"asyncio", "socket", "os", "select", "time", "pathlib", "threading", "subprocess"}
+IO_MODULES = {"asyncio", "socket", "os", "select", "time", "pathlib", "threading", "subprocess"}
 
 
-def imports(path: Path) -> set[str]:
+def imported_modules(path: Path) -> set[str]:
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -105,25 +105,25 @@
     return names
 
 
-@pytest.mark.parametrize("package", MAY_IMPORT)
-def test_a_package_imports_only_those_below_it(package: str) -> None:
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_package_imports_only_allowed_packages(package: str) -> None:
     files = list((ROOT / package).rglob("*.py"))
     assert files
     for path in files:
-        parts = {name.split(".")[1] for name in imports(path) if name.startswith("loftrelay.")}
-        assert parts <= MAY_IMPORT[package] | {package}, path
+        parts = {name.split(".")[1] for name in imported_modules(path) if name.startswith("loftrelay.")}
+        assert parts <= ALLOWED_IMPORTS[package] | {package}, path
 
 
-def test_each_package_tells_its_one_job() -> None:
+def test_module_has_docstring() -> None:
     for path in ROOT.rglob("*.py"):
         assert ast.get_docstring(ast.parse(path.read_text())), path
 
 
-def test_what_decides_does_no_input_or_output() -> None:
-    files = [*ROOT.glob("decisions/**/*.py"), *(ROOT / name for name in PURE)]
+def test_pure_module_imports_no_io() -> None:
+    files = [*ROOT.glob("decisions/**/*.py"), *(ROOT / name for name in PURE_MODULES)]
     for path in files:
         if path.name != "simulator.py":
-            assert not imports(path) & INPUT_OUTPUT, path
+            assert not imported_modules(path) & IO_MODULES, path
 
 
 MAX_DECISION_LINES = 400  # not blank
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("path", sorted(ROOT.glob("decisions/*.py")), ids=lambda path: path.stem)
-def test_a_rule_of_the_decisions_stands_in_a_small_module(path: Path) -> None:
+def test_decision_module_stays_small(path: Path) -> None:
     text = path.read_text()
     assert sum(bool(line.strip()) for line in text.splitlines()) <= MAX_DECISION_LINES
     for node in ast.walk(ast.parse(text)):
@@ -140,7 +140,7 @@
             assert len(methods) <= MAX_METHODS, node.name
 
 
-def test_the_deploy_file_names_every_module_of_the_decisions() -> None:
+def test_deploy_file_lists_every_decision_module() -> None:
     deploy = tomllib.loads((ROOT.parent / "deploy" / "balancer.toml").read_text())
     rules = {path.relative_to(ROOT.parent).as_posix() for path in ROOT.glob("decisions/*.py")}
     snapshots = ("snapshot", "snapshot_format", "snapshot_state_records", "snapshot_event_records")
@@ -157,7 +157,7 @@
     sorted({path.parent for path in ROOT.rglob("*.py")}),
     ids=lambda package: package.relative_to(ROOT.parent).as_posix(),
 )
-def test_modules_classes_and_functions_of_a_package_stay_small(package: Path) -> None:
+def test_package_modules_classes_and_functions_stay_small(package: Path) -> None:
     for path in package.glob("*.py"):
         text = path.read_text()
         assert text.count("\n") <= MAX_MODULE_LINES, path
