--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -27,9 +27,10 @@
 from loftrelay.delivery.connection_pool.manager import PoolManager
 from loftrelay.delivery.connection_pool.settings import PoolSettings
 from tests.program.test_connections import POLICY_LIMITS, STRICT_SETTINGS, plan_submissions
-from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
-from tests.standins.platform import SETTINGS, RelayHarness
-from tests.standins.traffic import (
+from tests.standins.fake_host import Behaviour, Call, FakeHost, ResponsePlan
+from tests.standins.faulty_hosts import faulty_behaviours
+from tests.standins.harness import SETTINGS, RelayHarness
+from tests.standins.submissions import (
     CLASSES,
     REPORT_GRACE_S,
     Client,
@@ -39,7 +40,6 @@
     submit_all,
     wait_until_final,
 )
-from tests.standins.trouble import faulty_behaviours
 
 
 async def storm(folder: Path, root: Path, count: int, text: str | None) -> dict[str, int]:
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -30,9 +30,9 @@
 from loftrelay.net.address import Address
 from loftrelay.simulation.fleet import MS, SECOND, LinkFaults, SimulatedFleet
 from loftrelay.simulation.proxy import FaultProxy, PathFaults
-from tests.standins.partner import Behaviour, FakeHost, ResponsePlan
-from tests.standins.platform import RelayHarness, StubServer, free_port, respond_ok
-from tests.standins.traffic import Submission, SubmissionLog, submit_all
+from tests.standins.fake_host import Behaviour, FakeHost, ResponsePlan
+from tests.standins.harness import RelayHarness, StubServer, free_port, respond_ok
+from tests.standins.submissions import Submission, SubmissionLog, submit_all
 
 LARGE, SMALL = 200, 16
 TIMING = SwimConfig(200 * MS, 1000 * MS)  # the defaults
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -39,9 +39,9 @@
     StoredFinalStatus,
 )
 from tests.program.test_connections import POLICY_LIMITS
-from tests.standins.partner import FakeHost
-from tests.standins.platform import SETTINGS, RelayHarness
-from tests.standins.traffic import Client, Submission, SubmissionLog
+from tests.standins.fake_host import FakeHost
+from tests.standins.harness import SETTINGS, RelayHarness
+from tests.standins.submissions import Client, Submission, SubmissionLog
 
 DESTINATIONS, CLIENTS = 8, 48
 EXTRA = {**SETTINGS["extra"], "call_slots": 64}
@@ -119,7 +119,7 @@
         from loftrelay.store.postgres import PostgresStore
     except ImportError:
         return {"messages": 0, "cuts": None, "disagreements": 0, "duplicates": 0}
-    from tests.standins.postgres import FakePostgresServer, Faults, cut_connection
+    from tests.standins.fake_postgres import FakePostgresServer, Faults, cut_connection
 
     chance, guard = random.Random(5), threading.Lock()
 
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -22,7 +22,7 @@
 from benchmarks.scale.links import Forwarder
 from benchmarks.scale.real import RealRelay
 from loftrelay.net.address import Address
-from tests.standins.platform import free_port
+from tests.standins.harness import free_port
 
 FLEET = "scale"
 MOST_PROCESSES = 300
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -36,7 +36,7 @@
 from loftrelay.gossip.transport import GossipTransport
 from loftrelay.net.address import Address
 from loftrelay.relay.ports import ResolutionStatus
-from tests.standins.platform import SETTINGS
+from tests.standins.harness import SETTINGS
 
 LOOK = 0.02  # seconds between looks at who has a change
 BACK = 1.0  # seconds after which a client that was refused comes again
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -19,7 +19,7 @@
 from benchmarks.scale.accounts import moved
 from benchmarks.scale.links import Forwarder
 from loftrelay.net.address import Address
-from tests.standins.platform import RelayHarness, Request, StubServer, format_response, free_port
+from tests.standins.harness import RelayHarness, Request, StubServer, format_response, free_port
 
 EVERY = 0.05  # seconds between a relay's messages
 
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -38,7 +38,7 @@
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.simulator import read_settings
-from tests.standins.platform import SETTINGS
+from tests.standins.harness import SETTINGS
 
 SHARED = 8  # destinations that all hollow relays serve
 SEED = 41
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -27,7 +27,7 @@
 from typing import Any
 
 from benchmarks.process import run
-from tests.standins.platform import (
+from tests.standins.harness import (
     SETTINGS,
     RelayHarness,
     Request,
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -43,9 +43,9 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.service.assembly import build_engine
 from loftrelay.simulation.fleet import MS, SECOND, SimulatedFleet, SimulatedRelay
-from tests.standins.platform import SETTINGS, RelayHarness, free_port, respond_ok
-from tests.standins.platform import StubServer as Host
-from tests.standins.traffic import Client, Submission, SubmissionLog
+from tests.standins.harness import SETTINGS, RelayHarness, free_port, respond_ok
+from tests.standins.harness import StubServer as Host
+from tests.standins.submissions import Client, Submission, SubmissionLog
 
 NOBODY = ("127.0.0.1", 9)  # where connections are refused
 Figures = dict[str, float]
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -25,8 +25,8 @@
 from typing import Any
 
 from benchmarks.process import ROOT, earlier_program, run
-from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
-from tests.standins.platform import SETTINGS, RelayHarness, format_submission, read_response
+from tests.standins.fake_host import Behaviour, Call, FakeHost, ResponsePlan
+from tests.standins.harness import SETTINGS, RelayHarness, format_submission, read_response
 
 BEFORE = "b0decec"
 RELAYS, CLIENTS = 4, 6
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -27,7 +27,7 @@
 from benchmarks.scale.links import CountingLoop, Forwarder, Links, whose
 from benchmarks.scale.run import Plan, measure
 from benchmarks.scale.slopes import Slopes
-from tests.standins.platform import TEST_TIMEOUT_S
+from tests.standins.harness import TEST_TIMEOUT_S
 
 # What is reckoned
 
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -14,7 +14,7 @@
 from benchmarks.watch_server import row
 from loftrelay.gossip.swim_config import SwimConfig
 from loftrelay.simulation.fleet import MS, SECOND
-from tests.standins.platform import TEST_TIMEOUT_S
+from tests.standins.harness import TEST_TIMEOUT_S
 
 
 def test_a_slope_is_judged_by_its_largest_size_and_told_at_the_target() -> None:
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -14,7 +14,7 @@
 from loftrelay.cli.demo import main, report
 from loftrelay.demo.result import DemoResult
 from loftrelay.store.state_machine import MessageRecord, StoredFinalStatus, apply
-from tests.standins.platform import ROOT
+from tests.standins.harness import ROOT
 from tests.store.test_sqlite import make_changes
 
 TOTALS_LINE = re.compile(r"taken (\d+) delivered (\d+) refused (\d+) failed (\d+) duplicates (\d+)")
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -11,7 +11,7 @@
 from loftrelay.cli import log
 from loftrelay.cli.log import LogRateLimit
 from loftrelay.cli.main import COMMAND_MODULES, main
-from tests.standins.platform import ROOT
+from tests.standins.harness import ROOT
 
 
 @pytest.mark.parametrize("command", sorted(COMMAND_MODULES))
--- a/tests/cli/test_record.py
+++ b/tests/cli/test_record.py
@@ -12,7 +12,7 @@
 from loftrelay.cli.record import main, parse_time
 from loftrelay.store.sqlite import SQLiteStore
 from loftrelay.store.state_machine import StoredFinalStatus
-from tests.standins.platform import ROOT
+from tests.standins.harness import ROOT
 from tests.store.test_sqlite import make_changes
 
 DAY_US = 86_400_000_000
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -12,7 +12,7 @@
 
 from loftrelay.config.platform import ConfigError, load_config, reload_config
 from loftrelay.config.validation import InvalidSettingError, check_change, check_settings
-from tests.standins.platform import SETTINGS
+from tests.standins.harness import SETTINGS
 
 DOCUMENT: dict[str, Any] = {
     "name": "n1",
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -18,7 +18,7 @@
 )
 from loftrelay.decisions.scheduler import Scheduler
 from tests.decisions.harness import SECOND_US, SETTINGS, START, SchedulerDriver, make_entry
-from tests.standins.work import IterationCountingDict, count_instructions
+from tests.standins.work_counters import IterationCountingDict, count_instructions
 
 FEW, MANY = 1_000, 50_000
 CHANGES = {
--- a/tests/decisions/test_hibernation.py
+++ b/tests/decisions/test_hibernation.py
@@ -50,7 +50,7 @@
     sent_messages,
 )
 from tests.decisions.test_rules import run_outage
-from tests.standins.work import IterationCountingDict, count_instructions
+from tests.standins.work_counters import IterationCountingDict, count_instructions
 
 
 def release_destination(driver: SchedulerDriver, after: int = 0, number: int = 1) -> None:
--- a/tests/delivery/test_connection_failures.py
+++ b/tests/delivery/test_connection_failures.py
@@ -17,7 +17,7 @@
 from loftrelay.net.http import Connection
 from loftrelay.relay.ports import CallOptions
 from tests.delivery.host_client_fixture import ClientHarness
-from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
+from tests.standins.fake_host import Behaviour, Call, FakeHost, ResponsePlan
 
 NOT_RUN_STATUSES = (AttemptStatus.REJECTED, AttemptStatus.NOT_SENT, AttemptStatus.CONNECT_FAILED)
 
--- a/tests/delivery/test_idempotency_key.py
+++ b/tests/delivery/test_idempotency_key.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.standins.platform import (
+from tests.standins.harness import (
     SETTINGS,
     RelayHarness,
     Request,
--- a/tests/delivery/test_misattribution.py
+++ b/tests/delivery/test_misattribution.py
@@ -18,7 +18,7 @@
 from loftrelay.relay import fault_points
 from loftrelay.relay.ports import AttemptResult
 from tests.delivery.host_client_fixture import ClientHarness
-from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
+from tests.standins.fake_host import Behaviour, Call, FakeHost, ResponsePlan
 
 DUPLICATE_DELAYS_S = (0.005, 0.015, 0.05, 0.2, 1.0)
 SCENARIOS = list(itertools.product(DUPLICATE_DELAYS_S, (200, 503), (1, 3), (False, True), (False, True)))
--- a/tests/delivery/test_outcomes.py
+++ b/tests/delivery/test_outcomes.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.standins.platform import (
+from tests.standins.harness import (
     TEST_TIMEOUT_S,
     RelayHarness,
     Request,
--- a/tests/delivery/test_retry_after.py
+++ b/tests/delivery/test_retry_after.py
@@ -18,7 +18,7 @@
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult
 from tests.delivery.host_client_fixture import ClientHarness
-from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
+from tests.standins.fake_host import Behaviour, Call, FakeHost, ResponsePlan
 
 TEST_TIMEOUT_S = 60  # seconds after which a test that waits has failed
 RETRY_AFTER_MS = 3_600_000  # longer than any test, however busy the machine
--- a/tests/delivery/test_retry_after_properties.py
+++ b/tests/delivery/test_retry_after_properties.py
@@ -35,7 +35,7 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult
-from tests.standins.platform import SETTINGS
+from tests.standins.harness import SETTINGS
 
 # Host -> its destination and its kind; hosts of kind "apart" share no Retry-After.
 HOST_ROUTES = {"a": (1, "plain"), "b": (1, "plain"), "c": (2, "apart"), "d": (2, "apart")}
--- a/tests/delivery/test_settings.py
+++ b/tests/delivery/test_settings.py
@@ -13,7 +13,7 @@
 from loftrelay.config.toml_file import SettingsError
 from loftrelay.delivery.connection_pool.settings import MS, SECOND, DistrustScope, PoolSettings, ReuseOrder
 from loftrelay.delivery.settings import FIELDS, KEYS, load_pool_settings
-from tests.standins.platform import ROOT
+from tests.standins.harness import ROOT
 
 SHIPPED_FILE = ROOT / "deploy" / "connections.toml"
 
--- a/tests/delivery/test_stale_calls.py
+++ b/tests/delivery/test_stale_calls.py
@@ -25,7 +25,7 @@
 )
 from tests.delivery.host_client_fixture import ClientHarness
 from tests.delivery.test_retry_after import ConnectGate, run
-from tests.standins.partner import FakeHost
+from tests.standins.fake_host import FakeHost
 
 WINDOW_S = 0.15  # deduplication window
 
--- a/tests/delivery/test_truncated_responses.py
+++ b/tests/delivery/test_truncated_responses.py
@@ -10,8 +10,8 @@
 
 from loftrelay.decisions.events import AttemptStatus
 from tests.delivery.host_client_fixture import ClientHarness
-from tests.standins.partner import LINGER_RESET
-from tests.standins.platform import format_response
+from tests.standins.fake_host import LINGER_RESET
+from tests.standins.harness import format_response
 
 NOT_RUN_STATUSES = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 BATCH_ROWS = json.dumps([{"id": "m", "state": "refused"}, {"id": "n", "state": "delivered"}]).encode()
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.standins.platform import (
+from tests.standins.harness import (
     ROOT,
     SETTINGS,
     TEST_TIMEOUT_S,
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -21,7 +21,7 @@
 from loftrelay.net.address import Address
 from loftrelay.net.http import MAX_BODY_BYTES, Connection
 from loftrelay.net.response_parser import ResponseTooLongError
-from tests.standins.platform import (
+from tests.standins.harness import (
     RelayHarness,
     Request,
     format_response,
--- a/tests/discovery/test_status_reporter.py
+++ b/tests/discovery/test_status_reporter.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from tests.standins.platform import RelayHarness, Request, format_response, run_scenario, undeliverable_report
+from tests.standins.harness import RelayHarness, Request, format_response, run_scenario, undeliverable_report
 
 
 def test_ordering_key_with_a_pending_report_holds_back_its_next_message(tmp_path: Path) -> None:
--- a/tests/discovery/test_subscriber.py
+++ b/tests/discovery/test_subscriber.py
@@ -26,7 +26,7 @@
     encode_response,
 )
 from loftrelay.relay.ports import ResolutionStatus
-from tests.standins.platform import (
+from tests.standins.harness import (
     TEST_TIMEOUT_S,
     RelayHarness,
     Request,
--- a/tests/discovery/test_update_latency.py
+++ b/tests/discovery/test_update_latency.py
@@ -13,7 +13,7 @@
 
 from loftrelay.decisions.events import EndpointListKind, EndpointListReceived
 from loftrelay.discovery.client import DiscoveryClient
-from tests.standins.platform import (
+from tests.standins.harness import (
     SETTINGS,
     RelayHarness,
     Request,
--- a/tests/program/test_connections.py
+++ b/tests/program/test_connections.py
@@ -9,10 +9,17 @@
 
 import pytest
 
-from tests.standins.partner import FakeHost
-from tests.standins.platform import SETTINGS, RelayHarness
-from tests.standins.traffic import CLASSES, Submission, SubmissionLog, evaluate, submit_all, wait_until_final
-from tests.standins.trouble import faulty_behaviours
+from tests.standins.fake_host import FakeHost
+from tests.standins.faulty_hosts import faulty_behaviours
+from tests.standins.harness import SETTINGS, RelayHarness
+from tests.standins.submissions import (
+    CLASSES,
+    Submission,
+    SubmissionLog,
+    evaluate,
+    submit_all,
+    wait_until_final,
+)
 
 STRICT_SETTINGS = """
 strict = true
--- a/tests/program/test_fault_points.py
+++ b/tests/program/test_fault_points.py
@@ -15,7 +15,7 @@
 from loftrelay.relay.fault_points import DELIVERY_POINTS, FINAL_STATUS_POINTS, SUCCESSOR_POINTS
 from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.program.test_record import configure_store, read_records, wait_for_state
-from tests.standins.platform import (
+from tests.standins.harness import (
     SETTINGS,
     TEST_TIMEOUT_S,
     RelayHarness,
--- a/tests/program/test_fleet.py
+++ b/tests/program/test_fleet.py
@@ -12,7 +12,7 @@
 from benchmarks.links import Processes
 from loftrelay.simulation.proxy import PathFaults
 from tests.program.test_stalls import resume, suspend, wait_until_suspended
-from tests.standins.platform import TEST_TIMEOUT_S
+from tests.standins.harness import TEST_TIMEOUT_S
 
 RELAY_COUNT = 5
 GOSSIP_SETTINGS = "beat_ms = 50\nsuspect_ms = 400\n"
--- a/tests/program/test_figures.py
+++ b/tests/program/test_metrics.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from pathlib import Path
 
-from tests.standins.platform import (
+from tests.standins.harness import (
     RelayHarness,
     Request,
     format_response,
--- a/tests/program/test_record.py
+++ b/tests/program/test_record.py
@@ -14,7 +14,7 @@
 from loftrelay.store.backend import RecordQuery
 from loftrelay.store.sqlite import VERSION, SQLiteStore
 from loftrelay.store.state_machine import MessageRecord, RecordState, StoredFinalStatus
-from tests.standins.platform import (
+from tests.standins.harness import (
     SETTINGS,
     TEST_TIMEOUT_S,
     RelayHarness,
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -17,8 +17,9 @@
 from loftrelay.store.state_machine import MessageRecord, RecordState, StoredFinalStatus  # noqa: E402
 from tests.program.test_connections import POLICY_LIMITS  # noqa: E402
 from tests.program.test_record import submit_to_two_relays  # noqa: E402
-from tests.standins.partner import FakeHost  # noqa: E402
-from tests.standins.platform import (  # noqa: E402
+from tests.standins.fake_host import FakeHost  # noqa: E402
+from tests.standins.fake_postgres import FakePostgresServer, Faults, cut_connection  # noqa: E402
+from tests.standins.harness import (  # noqa: E402
     SETTINGS,
     TEST_TIMEOUT_S,
     RelayHarness,
@@ -26,8 +27,7 @@
     respond_ok,
     run_scenario,
 )
-from tests.standins.postgres import FakePostgresServer, Faults, cut_connection  # noqa: E402
-from tests.standins.traffic import Client, Submission, SubmissionLog  # noqa: E402
+from tests.standins.submissions import Client, Submission, SubmissionLog  # noqa: E402
 
 MESSAGE_COUNT, CLIENT_COUNT = 10_000, 32
 MAX_OPEN_MESSAGES = SETTINGS["policy_limits"]["most_held"]
--- a/tests/program/test_recovered.py
+++ b/tests/program/test_recovered.py
@@ -15,7 +15,7 @@
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.message import Message
 from loftrelay.relay.message_terms import pack
-from tests.standins.platform import (
+from tests.standins.harness import (
     SETTINGS,
     RelayHarness,
     Request,
--- a/tests/program/test_restarts.py
+++ b/tests/program/test_restarts.py
@@ -6,7 +6,7 @@
 import signal
 from pathlib import Path
 
-from tests.standins.platform import (
+from tests.standins.harness import (
     TEST_TIMEOUT_S,
     RelayHarness,
     Request,
--- a/tests/program/test_waits.py
+++ b/tests/program/test_retry_after.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.program.test_upgrade import run_with_shared_listener
-from tests.standins.platform import (
+from tests.standins.harness import (
     TEST_TIMEOUT_S,
     RelayHarness,
     Request,
--- a/tests/program/test_settings_in_service.py
+++ b/tests/program/test_settings_reload.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.standins.platform import (
+from tests.standins.harness import (
     RelayHarness,
     Request,
     format_response,
--- a/tests/program/test_size.py
+++ b/tests/program/test_size.py
@@ -9,7 +9,7 @@
 from loftrelay.gossip.operator_overrides import OperatorOverride, Overrides
 from loftrelay.gossip.settings import load_gossip_settings
 from loftrelay.service.override_file import MAX_FILE_BYTES
-from tests.standins.platform import SETTINGS, RelayHarness, respond_ok, run_scenario
+from tests.standins.harness import SETTINGS, RelayHarness, respond_ok, run_scenario
 
 MEMBER_COUNT = 1_024
 
--- a/tests/program/test_slices.py
+++ b/tests/program/test_slices.py
@@ -13,7 +13,7 @@
 
 from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.program.test_record import configure_store, wait_for_state
-from tests.standins.platform import (
+from tests.standins.harness import (
     TEST_TIMEOUT_S,
     RelayHarness,
     Request,
--- a/tests/program/test_stalls.py
+++ b/tests/program/test_stalls.py
@@ -15,8 +15,8 @@
 from loftrelay.relay.fault_points import PREDECESSOR_POINTS
 from loftrelay.store.state_machine import RecordState, StoredFinalStatus
 from tests.program.test_record import configure_store, wait_for_state
-from tests.standins.partner import Behaviour, Call, FakeHost, ResponsePlan
-from tests.standins.platform import (
+from tests.standins.fake_host import Behaviour, Call, FakeHost, ResponsePlan
+from tests.standins.harness import (
     TEST_TIMEOUT_S,
     RelayHarness,
     Request,
@@ -26,7 +26,7 @@
     run_scenario,
     undeliverable_report,
 )
-from tests.standins.traffic import Submission, SubmissionLog, evaluate, submit_all, wait_until_final
+from tests.standins.submissions import Submission, SubmissionLog, evaluate, submit_all, wait_until_final
 
 MESSAGE_TIMEOUT_S = 1.0  # seconds that the messages of these tests have
 SHORT_TIMEOUT: dict[str, Any] = {"Request_Timeout_Ms": str(int(MESSAGE_TIMEOUT_S * 1000))}
--- a/tests/program/test_upgrade.py
+++ b/tests/program/test_upgrade.py
@@ -11,7 +11,7 @@
 import pytest
 
 from loftrelay.relay.fault_points import PREDECESSOR_POINTS, SUCCESSOR_POINTS
-from tests.standins.platform import (
+from tests.standins.harness import (
     TEST_TIMEOUT_S,
     RelayHarness,
     Request,
--- a/tests/registry/test_catalog.py
+++ b/tests/registry/test_catalog.py
@@ -25,7 +25,7 @@
     SubscriptionUpdate,
     WaitingWatch,
 )
-from tests.standins.discovery import make_endpoint
+from tests.standins.fake_discovery import make_endpoint
 
 Rows = dict[str, dict[str, Any]]
 
--- a/tests/registry/test_listing.py
+++ b/tests/registry/test_listing.py
@@ -12,7 +12,7 @@
 
 from loftrelay.registry import listing
 from loftrelay.registry.listing import ListEntry, ListParser, decode_entries, decode_entry
-from tests.standins.discovery import make_endpoint
+from tests.standins.fake_discovery import make_endpoint
 
 TEXT = st.text(max_size=12)
 VALUES = st.recursive(
--- a/tests/registry/test_server.py
+++ b/tests/registry/test_server.py
@@ -20,8 +20,8 @@
     decode_response,
     encode_request,
 )
-from tests.standins.discovery import FakeDiscovery, make_endpoint
-from tests.standins.platform import TEST_TIMEOUT_S, free_port
+from tests.standins.fake_discovery import FakeDiscovery, make_endpoint
+from tests.standins.harness import TEST_TIMEOUT_S, free_port
 from tests.standins.registry import RegistryConnection, RegistryProcess, run_scenario
 
 WATCH_WAIT_MS = 60_000
--- a/tests/registry/test_upstream.py
+++ b/tests/registry/test_upstream.py
@@ -12,8 +12,8 @@
 from loftrelay.net.address import Address, parse_address
 from loftrelay.registry.catalog import Catalog
 from loftrelay.registry.upstream import READ_BYTES, Upstream
-from tests.standins.discovery import FakeDiscovery, make_endpoint
-from tests.standins.platform import TEST_TIMEOUT_S
+from tests.standins.fake_discovery import FakeDiscovery, make_endpoint
+from tests.standins.harness import TEST_TIMEOUT_S
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
 
--- a/tests/relay/test_endpoint_list_cost.py
+++ b/tests/relay/test_endpoint_list_cost.py
@@ -26,7 +26,7 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.service.assembly import build_engine
 from tests.relay.test_message_counts import close_engine, make_config
-from tests.standins.work import IterationCountingDict, count_instructions
+from tests.standins.work_counters import IterationCountingDict, count_instructions
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
 
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -23,7 +23,7 @@
 from loftrelay.relay.ports import AttemptResult, CallOptions, RecoveryAction, StoreDecision
 from loftrelay.server.http.server import HTTPServer
 from loftrelay.service.assembly import build_engine
-from tests.standins.platform import SETTINGS
+from tests.standins.harness import SETTINGS
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
 
--- a/tests/relay/test_message_counts.py
+++ b/tests/relay/test_message_counts.py
@@ -27,7 +27,7 @@
 from loftrelay.relay.message_state import Stage
 from loftrelay.relay.ports import AttemptResult
 from loftrelay.service.assembly import build_engine
-from tests.standins.platform import SETTINGS
+from tests.standins.harness import SETTINGS
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
 
--- a/tests/relay/test_shutdown_schedule.py
+++ b/tests/relay/test_shutdown_schedule.py
@@ -11,7 +11,7 @@
 
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass
 from loftrelay.relay.shutdown_schedule import shutdown_schedule
-from tests.standins.platform import (
+from tests.standins.harness import (
     SETTINGS,
     TEST_TIMEOUT_S,
     RelayHarness,
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -32,7 +32,7 @@
 from loftrelay.relay.message import Message
 from loftrelay.relay.ports import AttemptResult, ResolutionStatus
 from loftrelay.service.assembly import build_engine
-from tests.standins.platform import SETTINGS
+from tests.standins.harness import SETTINGS
 
 pytestmark = pytest.mark.usefixtures("no_stalls")
 
--- a/tests/server/admin/test_server.py
+++ b/tests/server/admin/test_server.py
@@ -12,7 +12,7 @@
 import pytest
 
 from loftrelay.server.admin.server import MAX_CONNECTIONS, AdminConnection, AdminServer, OnDone
-from tests.standins.platform import (
+from tests.standins.harness import (
     ROOT,
     TEST_TIMEOUT_S,
     RelayHarness,
--- a/tests/server/http/test_connection_close.py
+++ b/tests/server/http/test_connection_close.py
@@ -17,7 +17,7 @@
 from loftrelay.server.http.connection import ClientConnection
 from loftrelay.server.http.server import HTTPServer
 from tests.relay.test_engine import make_engine
-from tests.standins.platform import (
+from tests.standins.harness import (
     TEST_TIMEOUT_S,
     RelayHarness,
     format_submission,
--- a/tests/server/http/test_requests.py
+++ b/tests/server/http/test_requests.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.standins.platform import (
+from tests.standins.harness import (
     SETTINGS,
     TEST_TIMEOUT_S,
     RelayHarness,
--- a/tests/standins/discovery.py
+++ b/tests/standins/fake_discovery.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from tests.standins.platform import TEST_TIMEOUT_S
+from tests.standins.harness import TEST_TIMEOUT_S
 
 
 def make_endpoint(endpoint_id: str, destination: int, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
--- a/tests/standins/trouble.py
+++ b/tests/standins/faulty_hosts.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from tests.standins.partner import Behaviour, Call, ResponsePlan
+from tests.standins.fake_host import Behaviour, Call, ResponsePlan
 
 
 def duplicate_responses(delays_s: tuple[float, ...], seed: int) -> Callable[[Call], ResponsePlan]:
--- a/tests/standins/predecessor.py
+++ b/tests/standins/predecessor.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.standins.platform import (
+from tests.standins.harness import (
     ROOT,
     TEST_TIMEOUT_S,
     RelayHarness,
--- a/tests/standins/recovered.py
+++ b/tests/standins/recovered.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.standins.platform import ROOT, SETTINGS, TEST_TIMEOUT_S, RelayHarness, free_port, respond_ok
+from tests.standins.harness import ROOT, SETTINGS, TEST_TIMEOUT_S, RelayHarness, free_port, respond_ok
 
 CENTURY_US = 3_155_760_000_000_000
 CLASSES = [
--- a/tests/standins/registries.py
+++ b/tests/standins/registries.py
@@ -10,7 +10,7 @@
 
 from loftrelay.discovery.registry_selection import preference_order
 from loftrelay.net.address import parse_address
-from tests.standins.platform import TEST_TIMEOUT_S, RelayHarness, free_port
+from tests.standins.harness import TEST_TIMEOUT_S, RelayHarness, free_port
 
 FLEET = "windwacht"
 
--- a/tests/standins/registry.py
+++ b/tests/standins/registry.py
@@ -20,7 +20,7 @@
     decode_response,
     encode_request,
 )
-from tests.standins.platform import ROOT, TEST_TIMEOUT_S
+from tests.standins.harness import ROOT, TEST_TIMEOUT_S
 
 
 class RegistryConnection:
--- a/tests/standins/traffic.py
+++ b/tests/standins/submissions.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from tests.standins.partner import FakeHost
-from tests.standins.platform import SETTINGS, TEST_TIMEOUT_S, RelayHarness, format_submission, read_response
+from tests.standins.fake_host import FakeHost
+from tests.standins.harness import SETTINGS, TEST_TIMEOUT_S, RelayHarness, format_submission, read_response
 
 REPORT_GRACE_S = (
     0.35  # seconds after a message's time in which its notice is in time: 300 ms, and 50 on sockets
--- a/tests/standins/wire.py
+++ b/tests/standins/wire.py
@@ -15,7 +15,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from tests.standins.platform import (
+from tests.standins.harness import (
     ROOT,
     TEST_TIMEOUT_S,
     RelayHarness,
--- a/tests/store/test_postgres.py
+++ b/tests/store/test_postgres.py
@@ -17,7 +17,7 @@
 )
 from loftrelay.store.postgres import VERSION, PostgresStore  # noqa: E402
 from loftrelay.store.state_machine import RecordRuleError, RecordState, StoredFinalStatus  # noqa: E402
-from tests.standins.postgres import FakePostgresServer  # noqa: E402
+from tests.standins.fake_postgres import FakePostgresServer  # noqa: E402
 from tests.store.test_sqlite import make_changes  # noqa: E402
 
 
--- a/tests/store/test_postgres_cuts.py
+++ b/tests/store/test_postgres_cuts.py
@@ -1,6 +1,6 @@
 """PostgreSQL store with a connection that is cut at every byte or unresponsive: a commit is read back.
 
-All tests use the stand-in (tests/standins/postgres.py), none a real server.
+All tests use the stand-in (tests/standins/fake_postgres.py), none a real server.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from loftrelay.store.postgres import PostgresStore  # noqa: E402
 from loftrelay.store.state_machine import CommitStatus, RecordState, resolve_commit  # noqa: E402
 from loftrelay.store.writer import Writer  # noqa: E402
-from tests.standins.postgres import FakePostgresServer, Faults, cut_connection  # noqa: E402
+from tests.standins.fake_postgres import FakePostgresServer, Faults, cut_connection  # noqa: E402
 from tests.store.test_sqlite import make_changes  # noqa: E402
 
 
--- a/tests/store/test_settings.py
+++ b/tests/store/test_settings.py
@@ -10,7 +10,7 @@
 from loftrelay.config.toml_file import SettingsError
 from loftrelay.store.settings import KEYS, load_store_settings
 from loftrelay.store.state_machine import DurabilityMode
-from tests.standins.platform import ROOT
+from tests.standins.harness import ROOT
 
 SHIPPED = ROOT / "deploy" / "record.toml"
 
--- a/tests/store/test_sqlite.py
+++ b/tests/store/test_sqlite.py
@@ -21,7 +21,7 @@
     RecordState,
     StoredFinalStatus,
 )
-from tests.standins.platform import ROOT
+from tests.standins.harness import ROOT
 
 SECOND_US = 1_000_000
 
--- a/tests/upgrade/test_channel.py
+++ b/tests/upgrade/test_channel.py
@@ -15,7 +15,7 @@
 
 from loftrelay.upgrade.channel import HEADER, MAX_DESCRIPTORS, Channel, Listener, connect
 from loftrelay.upgrade.lock import Lock
-from tests.standins.platform import TEST_TIMEOUT_S
+from tests.standins.harness import TEST_TIMEOUT_S
 
 
 class ChannelEnd:
