--- a/loftrelay/__init__.py
+++ b/loftrelay/__init__.py
@@ -1,1 +1,1 @@
-"""loftrelay: takes on messages over HTTP and owes each of them its end."""
+"""loftrelay: a relay that admits messages over HTTP and brings each to a final status."""
--- a/loftrelay/demo/__init__.py
+++ b/loftrelay/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: one relay with a store of record at work among stand-in peers on loopback, without a platform."""
+"""The demo: one relay with a store of record among simulated peers on loopback, without a platform."""
--- a/loftrelay/demo/clients.py
+++ b/loftrelay/demo/clients.py
@@ -14,16 +14,22 @@
 
 @dataclass
 class ClientStatistics:
-    """What all clients together observed."""
+    """What all clients observed.
+
+    Attributes:
+        admitted: Ids of messages whose admission was confirmed.
+        rejections: How often a submission was rejected.
+        lost_responses: How often a connection ended without a response.
+    """
 
     admitted: set[str] = field(default_factory=set)
     rejections: int = 0
-    lost_responses: int = 0  # connections that ended without a response
+    lost_responses: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message, of class "order" (at most once, ordered by key) or "status" (idempotent)."""
+    """One message of class "order" (at most once, ordered by key) or "status" (idempotent)."""
 
     message_id: str
     class_name: str
@@ -33,7 +39,7 @@
 
     @property
     def request(self) -> bytes:
-        """The HTTP request that submits it."""
+        """The HTTP request that submits the message."""
         path = f"/order/{self.ordering_key}" if self.class_name == "order" else "/status"
         return (
             f"POST {path} HTTP/1.1\r\nHost: relay\r\nRequest-Id: {self.message_id}\r\n"
@@ -44,11 +50,11 @@
 
 
 class Client:
-    """One client with at most one connection.
+    """One client, with at most one connection.
 
     Args:
-        relay_address: Returns where the relay listens now, which changes when it is restarted.
-        statistics: Where outcomes are counted.
+        relay_address: Returns the address (host, port) of the relay, which changes when it is restarted.
+        statistics: Where results are counted.
     """
 
     def __init__(self, relay_address: Callable[[], tuple[str, int]], statistics: ClientStatistics) -> None:
@@ -63,7 +69,7 @@
             self.connection = None
 
     async def submit(self, message: Message) -> None:
-        """Submits a message until it is admitted, or has reached its final status."""
+        """Submits a message until it is admitted or gets a status that is not retried."""
         while True:
             try:
                 status = await self._exchange(message.request)
@@ -81,7 +87,12 @@
             await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _exchange(self, request: bytes) -> int:
-        """Returns the status of the response."""
+        """Sends a request and returns the status of the response.
+
+        Raises:
+            OSError: The connection fails.
+            asyncio.IncompleteReadError: The connection ends before the end of the response.
+        """
         if self.connection is None:
             self.connection = await asyncio.open_connection(*self.relay_address())
         reader, writer = self.connection
--- a/loftrelay/demo/peers.py
+++ b/loftrelay/demo/peers.py
@@ -1,4 +1,4 @@
-"""The relay's peers in the platform's protocol: discovery and destinations, enough for one relay to work."""
+"""The relay's peers: discovery and destinations, as far as one relay needs the platform's protocol."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 # Response time of a destination, in seconds.
 MIN_RESPONSE_S = 0.002
 MAX_RESPONSE_S = 0.01
-# Fractions of the calls to a destination. Rejections are rare enough to be no sign of overload.
+# Fractions of the calls to a destination. Rejections are too rare to count as overload.
 RATE_LIMITED_FRACTION = 0.004  # 429 with a Retry-After
 UNAVAILABLE_FRACTION = 0.002  # 503
 ERROR_FRACTION = 0.006  # 500
@@ -49,7 +49,7 @@
 
 
 def format_response(status: int, body: bytes = b"", **headers: str) -> bytes:
-    """Returns a response; underscores in names of headers stand for hyphens."""
+    """Returns a response; underscores in header names are replaced by hyphens."""
     lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
     return f"HTTP/1.1 {status} Demo\r\nContent-Length: {len(body)}\r\n{lines}\r\n".encode() + body
 
@@ -93,14 +93,14 @@
                 writer.write(await self.respond(request))
                 await writer.drain()
         except (ValueError, ConnectionError, asyncio.CancelledError):
-            pass  # a malformed request closes the connection; the task is cancelled only at the end
+            pass  # a malformed request closes the connection; the task is cancelled only by __aexit__
         finally:
             self.tasks.discard(task)
             writer.transport.abort()
 
 
 class DiscoveryPeer:
-    """Discovery with an endpoint list that never changes; it keeps the final statuses reported to it."""
+    """Discovery with a fixed endpoint list; records the final statuses reported to it."""
 
     def __init__(self) -> None:
         self.endpoints: list[dict[str, Any]] = []
@@ -108,11 +108,11 @@
 
     @property
     def full_list(self) -> dict[str, Any]:
-        """The list in the form of discovery's answers."""
+        """The list in the format of discovery's responses."""
         return {"revision": 1, "complete": True, "members": self.endpoints}
 
     def add_endpoint(self, destination: int, address: str) -> None:
-        """Lists the one endpoint of a destination."""
+        """Adds the only endpoint of a destination to the list."""
         self.endpoints.append(
             {
                 "id": f"host-{destination}",
@@ -142,7 +142,7 @@
 
 
 class DestinationPeer:
-    """A destination that executes what it receives, and rarely rejects or fails, by one seed.
+    """A destination that executes messages and rarely rejects or fails one, chosen by a seed.
 
     Attributes:
         executions: How often each message was executed.
@@ -155,12 +155,12 @@
     async def respond(self, request: Request) -> bytes:
         """Executes, rejects or fails a message."""
         await asyncio.sleep(self.random.uniform(MIN_RESPONSE_S, MAX_RESPONSE_S))
-        chance = self.random.random()
-        if chance < RATE_LIMITED_FRACTION:
+        draw = self.random.random()
+        if draw < RATE_LIMITED_FRACTION:
             return format_response(429, X_Come_Back_Ms=str(RETRY_AFTER_MS))
-        if chance < RATE_LIMITED_FRACTION + UNAVAILABLE_FRACTION:
+        if draw < RATE_LIMITED_FRACTION + UNAVAILABLE_FRACTION:
             return format_response(503)
-        if chance < RATE_LIMITED_FRACTION + UNAVAILABLE_FRACTION + ERROR_FRACTION:
-            return format_response(500)  # not executed, which the relay can't know
+        if draw < RATE_LIMITED_FRACTION + UNAVAILABLE_FRACTION + ERROR_FRACTION:
+            return format_response(500)  # not executed, but the relay can't know that
         self.executions[request.headers["request-id"]] += 1
         return format_response(200)
--- a/loftrelay/demo/relay_process.py
+++ b/loftrelay/demo/relay_process.py
@@ -1,4 +1,4 @@
-"""A relay as a process of its own, with its files in one directory."""
+"""The relay as a separate process, with all its files in one directory."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DemoError(Exception):
-    """The demo can't be run. The message is one line for the user."""
+    """The demo can't be run; the message is one line for the user."""
 
 
 class RelayProcess:
@@ -25,10 +25,10 @@
 
     Args:
         folder: The directory of all its files.
-        config: The platform's file.
+        config: Contents of the platform's configuration file.
 
     Attributes:
-        address: Where it listens for clients.
+        address: Host and port where it listens for clients.
         store_warnings: Log lines which say that the store was slow or unavailable.
     """
 
@@ -39,25 +39,25 @@
         self._process: asyncio.subprocess.Process | None = None
         self._log_task: asyncio.Task[None] | None = None
         (folder / "config.json").write_text(json.dumps(config))
-        # Only the process is killed, never the machine: commits outlast it without a sync, whatever the disk.
+        # Only the process is killed, not the machine: commits survive that without a disk sync.
         store = json.dumps(str(folder / "record.sqlite"))
         (folder / "record.toml").write_text(f'file = {store}\nsynchronous = "NORMAL"\n')
 
     @property
     def store_path(self) -> Path:
-        """The store of record."""
+        """Path of the store of record."""
         return self.folder / "record.sqlite"
 
     @property
     def log_path(self) -> Path:
-        """The copy of its log."""
+        """Path of the copy of its log."""
         return self.folder / "relay.log"
 
     async def start(self) -> None:
         """Starts it and waits until it listens.
 
         Raises:
-            DemoError: It does not listen in time.
+            DemoError: It does not listen in time, or exits before.
         """
         listening: asyncio.Future[tuple[str, int]] = asyncio.get_running_loop().create_future()
         arguments = ("-m", "loftrelay", "--record", str(self.folder / "record.toml"))
@@ -78,16 +78,18 @@
                 self.address = await listening
         except TimeoutError:
             await self.kill()
-            raise DemoError(f"the relay did not start: see {self.log_path}") from None
+            raise DemoError(
+                f"the relay did not listen within {START_TIMEOUT_S:g} s: see {self.log_path}"
+            ) from None
 
     async def kill(self) -> None:
-        """Ends it by SIGKILL, whatever it is doing."""
+        """Kills the relay (SIGKILL)."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
             await self._wait()
 
     async def stop(self) -> None:
-        """Ends it by SIGTERM, or by SIGKILL where it does not end in time."""
+        """Stops the relay by SIGTERM, or by SIGKILL if it does not exit in time."""
         assert self._process is not None
         self._process.terminate()
         try:
@@ -106,7 +108,7 @@
                 log.flush()
                 self._parse_log_line(line, listening)
         if not listening.done():
-            listening.set_exception(DemoError(f"the relay ended at its start: see {self.log_path}"))
+            listening.set_exception(DemoError(f"the relay exited before it listened: see {self.log_path}"))
 
     def _parse_log_line(self, line: bytes, listening: asyncio.Future[tuple[str, int]]) -> None:
         if any(warning in line for warning in STORE_WARNINGS):
--- a/loftrelay/demo/result.py
+++ b/loftrelay/demo/result.py
@@ -1,4 +1,4 @@
-"""What a run of the demo shows, and whether its witnesses agree."""
+"""Result of a demo run, and the comparison of what its components recorded."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass
 class DemoResult:
-    """The accounts of the store, the clients, the destinations and discovery.
+    """What the store, the clients, the destinations and discovery recorded.
 
     Attributes:
         entries: All records of the store.
-        admitted: Ids that clients were told are admitted.
+        admitted: Ids of messages whose admission was confirmed to a client.
         executions: How often destinations executed each message.
         final_statuses: What was reported to discovery, by message id.
-        store_faults: What the store's own check found.
+        store_faults: Faults found by the store's own check.
         store_warnings: Log lines which say that the store was slow or unavailable.
         rejections: How often a client was rejected and retried.
     """
@@ -41,7 +41,7 @@
         return sum(count - 1 for name, count in self.executions.items() if name in names)
 
     def disagreements(self) -> list[str]:
-        """Returns one line for each contradiction between the accounts."""
+        """Returns one line for each contradiction between these records."""
         recorded = {entry.message_id for entry in self.entries}
         lines = list(self.store_faults)
         lines += [f"{name}: admitted, and not in the store" for name in sorted(self.admitted - recorded)]
@@ -58,7 +58,7 @@
                 yield f"{name}: its final status is not reported"
                 continue
             if entry.final_status is StoredFinalStatus.FAILED:
-                continue  # it may have been executed, after a kill
+                continue  # after a kill it may have been executed
             if (entry.final_status is StoredFinalStatus.DELIVERED) != (self.executions[name] > 0):
                 answer = entry.final_status.value if entry.final_status is not None else "no answer"
                 yield f"{name}: {answer}, executed {self.executions[name]} times"
--- a/loftrelay/demo/run.py
+++ b/loftrelay/demo/run.py
@@ -1,4 +1,4 @@
-"""Runs the demo: starts the peers and the relay, submits the messages and collects the accounts."""
+"""Runs the demo: starts the peers and the relay, submits the messages and collects the results."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 POLL_INTERVAL_S = 0.02
 PROGRESS_INTERVAL_S = 0.5
 STORE_POLL_INTERVAL_S = 0.1
-# The last messages have this long, beyond their time, to reach a final status.
+# Time after their deadline within which the last messages have to reach a final status.
 COMPLETION_MARGIN_S = 2
 
 
@@ -33,7 +33,7 @@
         folder: An empty directory for the relay's files.
         message_count: How many messages to submit.
         seed: Seed of all random choices.
-        should_kill: Whether to kill the relay half-way and start it again.
+        should_kill: Whether to kill the relay after half of the admissions and restart it.
         out: Where progress is printed.
     """
 
@@ -120,7 +120,7 @@
         await relay.start()
 
     async def _wait_until_complete(self, relay: RelayProcess) -> None:
-        """Waits until every admitted message has its final status recorded, or its time is up."""
+        """Waits until the final status of every admitted message is recorded, or a time limit is reached."""
         deadline = time.monotonic() + MESSAGE_TIMEOUT_S + COMPLETION_MARGIN_S
         while True:
             entries, _ = await asyncio.to_thread(read_store, relay.store_path)
@@ -146,7 +146,7 @@
 
 
 def read_store(path: Path) -> tuple[list[MessageRecord], list[str]]:
-    """Returns all records, and the faults that the store's own check finds.
+    """Returns all records, and the faults found by the store's own check.
 
     Raises:
         StoreError: The store can't be read.
--- a/loftrelay/demo/scenario.py
+++ b/loftrelay/demo/scenario.py
@@ -1,4 +1,4 @@
-"""What the demo configures and submits: two classes of messages for two destinations."""
+"""Configuration and messages of the demo: two message classes and two destinations."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 KEYS_PER_CLIENT = 4
 DESTINATIONS = (1, 2)
 LIMITS: dict[str, Any] = {"sockets": 256, "disk_mb": 50, "memory_mb": 128}
-# In the form of the platform's file.
+# In the format of the platform's configuration file.
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "status", "effect": "idempotent", "deadline": 24_000_000, "on_time": 3_000_000, "worth": 1},
@@ -43,14 +43,14 @@
 
 
 def create_messages(count: int, seed: int) -> list[list[Message]]:
-    """Returns each client's messages; an ordering key belongs to one client, which submits in turn."""
-    chance = random.Random(seed)
+    """Returns each client's messages; only one client uses an ordering key, and it submits one at a time."""
+    rng = random.Random(seed)
     by_client: list[list[Message]] = [[] for _ in range(CLIENT_COUNT)]
     for number in range(count):
         client = number % CLIENT_COUNT
-        class_name = "order" if chance.random() < ORDERED_FRACTION else "status"
-        destination = chance.choice(DESTINATIONS)
-        ordering_key = f"turbine-{client}-{chance.randrange(KEYS_PER_CLIENT)}"
+        class_name = "order" if rng.random() < ORDERED_FRACTION else "status"
+        destination = rng.choice(DESTINATIONS)
+        ordering_key = f"turbine-{client}-{rng.randrange(KEYS_PER_CLIENT)}"
         message_id = f"{class_name}-{number:06}"
         by_client[client].append(Message(message_id, class_name, destination, ordering_key, b'{"demo":true}'))
     return by_client
