--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Where the tests keep their files: in memory where the machine has such a folder, and no disk is waited for.
+"""Places the tests' temporary files in memory if the machine has such a directory: no test waits for a disk.
 
-What is tested is what outlasts a process, and that needs no disk: nothing here can cut the power. Which tests
-are known to fail stands in `KNOWN-RED.txt` (`tests/known_red.py`).
+The tests check what survives the end of a process, which needs no disk: no test cuts the power. Tests that
+are known to fail are listed in `KNOWN-RED.txt` (`tests/known_red.py`).
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 from tests.known_red import KnownRed
 
-MEMORY = "/dev/shm"
+MEMORY_DIRECTORY = "/dev/shm"
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    if os.path.isdir(MEMORY) and os.access(MEMORY, os.W_OK):
-        os.environ.setdefault("PYTEST_DEBUG_TEMPROOT", MEMORY)
+    if os.path.isdir(MEMORY_DIRECTORY) and os.access(MEMORY_DIRECTORY, os.W_OK):
+        os.environ.setdefault("PYTEST_DEBUG_TEMPROOT", MEMORY_DIRECTORY)
     config.pluginmanager.register(KnownRed(config), "known-red")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,12 +1,12 @@
-"""Tests that fail for a real fault which is not mended yet: `KNOWN-RED.txt` at the repository's root.
+"""Tests that fail because of a real fault that is not fixed yet, listed in `KNOWN-RED.txt` at the root.
 
-One line each, three at most: the test's id as pytest prints it (with its parameters), the cause, and the
-issue that tells more, parted by ` | `:
+One line for each test, three at most: the test's id as pytest prints it (with its parameters), the cause and
+the issue, separated by ` | `:
 
-    tests/program/test_stalls.py::test_it[2] | a start does not watch its loop | docs/ROADMAP.md, Stalls
+    tests/program/test_stalls.py::test_it[2] | event loop blocked at start | docs/ROADMAP.md, Stalls
 
-Such a test runs like all others, and its failure alone doesn't fail the run. Each is printed at the end of
-the run with what became of it. No file means that nothing is listed.
+Such a test runs like all others, but its failure doesn't fail the run. Each listed test is printed with its
+outcome at the end of the run. Without the file nothing is listed.
 """
 
 from __future__ import annotations
@@ -16,26 +16,38 @@
 
 import pytest
 
-FILE = "KNOWN-RED.txt"
-MOST = 3
+LIST_FILE = "KNOWN-RED.txt"
+MAX_LISTED = 3
 SEPARATOR = " | "
-# Options that leave a part of the suite out, by their names in pytest: `-k`, `-m`, `--lf` and so on.
-NARROWING = ("keyword", "markexpr", "deselect", "ignore", "ignore_glob", "lf", "stepwise")
+# pytest's names of the options that select a part of the suite: `-k`, `-m`, `--lf` and so on.
+SELECTING_OPTIONS = ("keyword", "markexpr", "deselect", "ignore", "ignore_glob", "lf", "stepwise")
 
 FAILED, PASSED, SKIPPED, NOT_RUN = "failed as known", "PASSED", "skipped", "not run"
-BROKE = "FAILED, and not by its own doing"  # its worker died, say: that fails the run all the same
-ADVICE = {PASSED: ": if its cause is mended, take its line out"}
+FAILED_OUTSIDE = "FAILED outside the test"  # its worker died, for example: this fails the run
+ADVICE = {PASSED: ": if its cause is fixed, remove its line"}
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
+    """One line of the list.
+
+    Attributes:
+        test: Id of the test.
+        cause: Why it fails.
+        issue: Where the fault is described.
+    """
+
     test: str
     cause: str
     issue: str
 
 
 def read_known_red(text: str) -> list[KnownFailure]:
-    """What the file's text lists. Blank lines count for nothing. Raises ValueError."""
+    """Parses the file's text; blank lines are ignored.
+
+    Raises:
+        ValueError: A line is malformed, a test is listed twice, or more than `MAX_LISTED` tests are listed.
+    """
     known: list[KnownFailure] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
@@ -44,32 +56,38 @@
         if len(parts) != 3 or not all(parts):
             raise ValueError(f"line {number} is not 'test{SEPARATOR}cause{SEPARATOR}issue': {line!r}")
         if parts[0] in {failure.test for failure in known}:
-            raise ValueError(f"line {number} lists {parts[0]} again")
+            raise ValueError(f"line {number} lists {parts[0]} a second time")
         known.append(KnownFailure(*parts))
-    if len(known) > MOST:
-        raise ValueError(f"{len(known)} tests are listed: {MOST} at most may be")
+    if len(known) > MAX_LISTED:
+        raise ValueError(f"{len(known)} tests are listed: at most {MAX_LISTED} are allowed")
     return known
 
 
 class KnownRed:
-    """The plugin that heeds the list. Under xdist the workers collect and mark the tests, and the process
-    that leads them prints what became of them."""
+    """The pytest plugin that applies the list.
+
+    Under xdist the workers collect and mark the tests, and the controller prints the outcomes.
+    """
 
     def __init__(self, config: pytest.Config) -> None:
-        """Raises UsageError, which ends the run, where the list can't be read."""
-        path = config.rootpath / FILE
+        """Reads the list.
+
+        Raises:
+            pytest.UsageError: The list is invalid; this ends the run.
+        """
+        path = config.rootpath / LIST_FILE
         try:
             listed = read_known_red(path.read_text(encoding="utf-8")) if path.exists() else []
         except ValueError as error:
-            raise pytest.UsageError(f"{FILE}: {error}") from error
+            raise pytest.UsageError(f"{LIST_FILE}: {error}") from error
         self.config = config
         self.known = {failure.test: failure for failure in listed}
-        self.fate = dict.fromkeys(self.known, NOT_RUN)
+        self.outcomes = dict.fromkeys(self.known, NOT_RUN)
         self.collected: set[str] | None = None
 
     @property
     def unknown(self) -> list[str]:
-        """Listed, and no test of the suite. Empty where only a part of it was collected."""
+        """Listed ids that are no test of the suite; empty if only a part of the suite was collected."""
         if self.collected is None or not collects_all(self.config):
             return []
         return [test for test in self.known if test not in self.collected]
@@ -77,8 +95,8 @@
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
         for item in items:
             if (failure := self.known.get(item.nodeid)) is not None:
-                reason = f"{FILE}: {failure.cause} ({failure.issue})"
-                # Not strict: a fault that shows by chance would fail the run by staying away. It is printed.
+                reason = f"{LIST_FILE}: {failure.cause} ({failure.issue})"
+                # Not strict: with an intermittent fault a pass would fail the run. It is printed instead.
                 item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
@@ -89,16 +107,16 @@
         self.collected = (self.collected or set()) | set(ids)
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        if report.nodeid not in self.known or self.fate[report.nodeid] in (FAILED, BROKE):
+        if report.nodeid not in self.known or self.outcomes[report.nodeid] in (FAILED, FAILED_OUTSIDE):
             return
         if report.failed:
-            self.fate[report.nodeid] = BROKE
+            self.outcomes[report.nodeid] = FAILED_OUTSIDE
         elif report.skipped and hasattr(report, "wasxfail"):
-            self.fate[report.nodeid] = FAILED
+            self.outcomes[report.nodeid] = FAILED
         elif report.skipped:
-            self.fate[report.nodeid] = SKIPPED
+            self.outcomes[report.nodeid] = SKIPPED
         elif report.when == "call":
-            self.fate[report.nodeid] = PASSED
+            self.outcomes[report.nodeid] = PASSED
 
     def pytest_sessionfinish(self, session: pytest.Session, exitstatus: int) -> None:
         if exitstatus in (pytest.ExitCode.OK, pytest.ExitCode.NO_TESTS_COLLECTED) and self.unknown:
@@ -107,18 +125,22 @@
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
         if not self.known:
             return
-        terminalreporter.section(f"tests that are known to fail ({FILE})")
+        terminalreporter.section(f"tests that are known to fail ({LIST_FILE})")
         for test, failure in self.known.items():
-            fate = self.fate[test]
-            terminalreporter.line(f"{fate}{ADVICE.get(fate, '')}: {test}: {failure.cause} ({failure.issue})")
+            outcome = self.outcomes[test]
+            terminalreporter.line(
+                f"{outcome}{ADVICE.get(outcome, '')}: {test}: {failure.cause} ({failure.issue})"
+            )
         for test in self.unknown:
-            terminalreporter.line(f"ERROR: {FILE} lists {test}, and no such test was collected", red=True)
+            terminalreporter.line(
+                f"ERROR: {LIST_FILE} lists {test}, and no such test was collected", red=True
+            )
 
 
 def collects_all(config: pytest.Config) -> bool:
-    """Whether a run collects the whole suite: all of `testpaths`, and no option leaves something out."""
-    here = config.invocation_params.dir
-    asked = {(here / argument).resolve() for argument in config.args}
+    """Returns whether a run collects the whole suite: all of `testpaths`, without a selecting option."""
+    directory = config.invocation_params.dir
+    requested = {(directory / argument).resolve() for argument in config.args}
     suite = [Path(config.rootpath, path).resolve() for path in config.getini("testpaths")]
-    covered = all(asked & {path, *path.parents} for path in suite)
-    return covered and not any(config.getoption(option, None) for option in NARROWING)
+    covered = all(requested & {path, *path.parents} for path in suite)
+    return covered and not any(config.getoption(option, None) for option in SELECTING_OPTIONS)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Imports run one way: each package knows those below it, and fronts and deliveries never each other."""
+"""Import rules and size limits: imports run one way, and server and delivery never import each other."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     "upgrade": {"relay", "net", "journal"},
     "gossip": {"net", "config"},
     "simulation": {"gossip", "net"},
-}  # besides themselves; `service` assembles all of them
+}  # besides the package itself; `service` may import all
 PURE_MODULES = {
     "journal/records.py",
     "journal/index.py",
@@ -110,8 +110,8 @@
     files = list((ROOT / package).rglob("*.py"))
     assert files
     for path in files:
-        parts = {name.split(".")[1] for name in imported_modules(path) if name.startswith("loftrelay.")}
-        assert parts <= ALLOWED_IMPORTS[package] | {package}, path
+        packages = {name.split(".")[1] for name in imported_modules(path) if name.startswith("loftrelay.")}
+        assert packages <= ALLOWED_IMPORTS[package] | {package}, path
 
 
 def test_module_has_docstring() -> None:
@@ -126,7 +126,7 @@
             assert not imported_modules(path) & IO_MODULES, path
 
 
-MAX_DECISION_LINES = 400  # not blank
+MAX_DECISION_LINES = 400  # without blank lines
 MAX_METHODS = 25
 
 
@@ -142,10 +142,10 @@
 
 def test_deploy_file_lists_every_decision_module() -> None:
     deploy = tomllib.loads((ROOT.parent / "deploy" / "balancer.toml").read_text())
-    rules = {path.relative_to(ROOT.parent).as_posix() for path in ROOT.glob("decisions/*.py")}
-    snapshots = ("snapshot", "snapshot_format", "snapshot_state_records", "snapshot_event_records")
-    not_rules = {f"loftrelay/decisions/{name}.py" for name in ("__init__", "simulator", *snapshots)}
-    assert set(deploy["policy"]) == rules - not_rules
+    decision_modules = {path.relative_to(ROOT.parent).as_posix() for path in ROOT.glob("decisions/*.py")}
+    snapshot_modules = ("snapshot", "snapshot_format", "snapshot_state_records", "snapshot_event_records")
+    unlisted = {f"loftrelay/decisions/{name}.py" for name in ("__init__", "simulator", *snapshot_modules)}
+    assert set(deploy["policy"]) == decision_modules - unlisted
 
 
 MAX_MODULE_LINES = 500
