--- a/tests/program/test_handover_from_baseline.py
+++ b/tests/program/test_handover_from_baseline.py
@@ -1,7 +1,7 @@
-"""A relay takes over from one of commit 32c0038, whose snapshot of the decisions has another shape.
+"""A relay takes over from one of commit 32c0038 (the baseline), whose scheduler snapshot has another format.
 
-Its messages on the channel and the journal that it left were recorded (README.md of the fixtures);
-what is expected is what a successor of 32c0038 did that could not read the snapshot either.
+The predecessor's handover messages and journal were recorded (README.md of the fixtures). The expected
+result is that of a successor of 32c0038 that could not read the snapshot either.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
     assert set(result["calls"].values()) == {1}
     at_most_once = {id_ for id_ in in_flight if STORED_JOURNAL["messages"][id_]["class_name"] == "order"}
     assert at_most_once
-    assert at_most_once <= reported  # it may have run at the predecessor
+    assert at_most_once <= reported  # the predecessor's call may have been executed
 
 
 def test_read_state_rejects_baseline_snapshot() -> None:
--- a/tests/program/test_metrics.py
+++ b/tests/program/test_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of a relay that runs, against the script's own count of every kind of end."""
+"""Metrics of a running relay, compared with the test's own count of every kind of result."""
 
 from __future__ import annotations
 
@@ -19,103 +19,109 @@
 )
 
 
-async def read_metrics(w: RelayHarness) -> dict[str, int]:
-    lines = (await w.call_admin("show-stat")).splitlines()
+async def read_metrics(harness: RelayHarness) -> dict[str, int]:
+    """Returns the relay's metrics, without the prefix `app.`."""
+    lines = (await harness.call_admin("show-stat")).splitlines()
     assert lines[-1] == "END"
     return {name.removeprefix("app."): int(value) for name, value in (line.split("=") for line in lines[:-1])}
 
 
-async def wait_for_metrics(w: RelayHarness, **wanted: int) -> None:
-    """Until the figures are what the script counts; a wrong one never comes to be right."""
+async def wait_for_metrics(harness: RelayHarness, **expected: int) -> None:
+    """Waits until the metrics have the expected values; a wrong count never becomes right and times out."""
     async with asyncio.timeout(30):
         while True:
-            told = await read_metrics(w)
-            if all(told[name.replace("__", ".")] == value for name, value in wanted.items()):
+            metrics = await read_metrics(harness)
+            if all(metrics[name.replace("__", ".")] == value for name, value in expected.items()):
                 return
             await asyncio.sleep(0.02)
 
 
 def test_metrics_count_each_kind_of_result_once(tmp_path: Path) -> None:
-    async def scenario(w: RelayHarness) -> None:
-        counted = Counter[str]()
-        w.admin_address = f"127.0.0.1:{free_port()}"
-        host = await w.start_host(respond_ok)
-        bulk = await w.start_host(respond_ok, destination=2, flavor="bulk")
-        broken = await w.start_host(never_respond, destination=3)
-
-        async def batch(request: Request) -> bytes:
-            rows = [{"id": row["id"], "state": "delivered"} for row in json.loads(request.body)]
-            return format_response(200, json.dumps(rows).encode())
-
-        bulk.handler = batch
-        await w.start()
-        for n in range(10):  # delivered, singly and in bundles
-            assert await w.submit(f"s{n}") == 202
-            assert await w.submit(f"b{n}", "order", destination=2) == 202
-        counted.update({"succeeded.status": 10, "succeeded.order": 10})
-        for n in range(3):  # refused at once: no list names such a destination
-            assert await w.submit(f"r{n}", destination=9) == 503
-        counted["declined.status"] = 3
-        for bad in (
+    async def scenario(harness: RelayHarness) -> None:
+        expected = Counter[str]()
+        harness.admin_address = f"127.0.0.1:{free_port()}"
+        host = await harness.start_host(respond_ok)
+        batch_host = await harness.start_host(respond_ok, destination=2, flavor="bulk")
+        broken = await harness.start_host(never_respond, destination=3)
+
+        async def respond_to_batch(request: Request) -> bytes:
+            results = [{"id": row["id"], "state": "delivered"} for row in json.loads(request.body)]
+            return format_response(200, json.dumps(results).encode())
+
+        batch_host.handler = respond_to_batch
+        await harness.start()
+        for n in range(10):  # delivered, in single calls and in batches
+            assert await harness.submit(f"s{n}") == 202
+            assert await harness.submit(f"b{n}", "order", destination=2) == 202
+        expected.update({"succeeded.status": 10, "succeeded.order": 10})
+        for n in range(3):  # rejected at once: no list names this destination
+            assert await harness.submit(f"r{n}", destination=9) == 503
+        expected["declined.status"] = 3
+        for invalid in (
             format_submission("x", Tenant="nobody"),
             format_submission("x", Request_Id=""),
             format_submission("x", path="/none"),
         ):
-            assert (await w.send(bad))[0] >= 400  # no messages at all
-
-        async def gone(request: Request) -> bytes | None:
-            return None  # the connection ends with no answer: it may have run
-
-        broken.handler = gone
-        assert await w.submit("doubt", "order", destination=3) == 202
-        await w.wait_until(lambda: {"id": "doubt", "status": "undeliverable"} in w.status_reports)
-        counted["aborted.order"] = 1
-        assert await w.submit("s1") == 202  # an id that comes again is a message of its own, once it is over
-        counted["succeeded.status"] += 1
-        assert (
-            await w.submit("b1", "order", destination=2) == 200
-        )  # an unsafe one is remembered, and not counted
-        await wait_for_metrics(w, outstanding=0, **{k.replace(".", "__"): v for k, v in counted.items()})
-        assert (await read_metrics(w))["forwards"] == len(host.request_ids) + 10 + len(broken.request_ids)
-        # One whose client goes before its answer counts nowhere; one that waits is outstanding.
-        w.add_unavailable_destination(destination=4)
-        await w.submit_once_listed("waits", destination=4)
-        _, writer = await asyncio.open_connection(*w.address)
+            assert (await harness.send(invalid))[0] >= 400  # invalid requests, not counted as messages
+
+        async def close_without_response(request: Request) -> bytes | None:
+            return None  # closed without a response: it may have been executed
+
+        broken.handler = close_without_response
+        assert await harness.submit("doubt", "order", destination=3) == 202
+        await harness.wait_until(lambda: {"id": "doubt", "status": "undeliverable"} in harness.status_reports)
+        expected["aborted.order"] = 1
+        assert await harness.submit("s1") == 202  # after completion a reused id is a new message
+        expected["succeeded.status"] += 1
+        # The result of an at-most-once message is kept, and not counted again.
+        assert await harness.submit("b1", "order", destination=2) == 200
+        await wait_for_metrics(
+            harness, outstanding=0, **{k.replace(".", "__"): v for k, v in expected.items()}
+        )
+        assert (await read_metrics(harness))["forwards"] == len(host.request_ids) + 10 + len(
+            broken.request_ids
+        )
+        # A client that disconnects before its response isn't counted; a waiting message is outstanding.
+        harness.add_unavailable_destination(destination=4)
+        await harness.submit_once_listed("waits", destination=4)
+        _, writer = await asyncio.open_connection(*harness.address)
         writer.write(format_submission("half")[:-2])
         writer.close()
-        told = await read_metrics(w)
-        assert told["outstanding"] == 1
-        assert told["discovered"] == 4
-        refused = told["declined.status"]  # until the list named the destination
-        await w.restart()
-        await wait_for_metrics(w, outstanding=1, succeeded__status=0, declined__status=0, forwards=0)
-        w.add_endpoint(4, "plain", "Ready", host.address)
-        await wait_for_metrics(w, outstanding=0, succeeded__status=1, forwards=1)
-        assert refused >= 3
+        metrics = await read_metrics(harness)
+        assert metrics["outstanding"] == 1
+        assert metrics["discovered"] == 4
+        rejected_count = metrics["declined.status"]  # until the list named the destination
+        await harness.restart()
+        await wait_for_metrics(harness, outstanding=1, succeeded__status=0, declined__status=0, forwards=0)
+        harness.add_endpoint(4, "plain", "Ready", host.address)
+        await wait_for_metrics(harness, outstanding=0, succeeded__status=1, forwards=1)
+        assert rejected_count >= 3
 
     run_scenario(scenario, tmp_path)
 
 
 def test_metrics_count_repeated_status_report_once(tmp_path: Path) -> None:
-    async def scenario(w: RelayHarness) -> None:
-        w.admin_address = f"127.0.0.1:{free_port()}"
-        asked = 0
+    async def scenario(harness: RelayHarness) -> None:
+        harness.admin_address = f"127.0.0.1:{free_port()}"
+        report_count = 0
 
-        async def deaf(request: Request) -> bytes | None:
-            nonlocal asked
-            asked += 1
-            return format_response(503) if asked < 4 else b""
+        async def reject_reports(request: Request) -> bytes | None:
+            nonlocal report_count
+            report_count += 1
+            return format_response(503) if report_count < 4 else b""
 
-        async def gone(request: Request) -> bytes | None:
+        async def close_without_response(request: Request) -> bytes | None:
             return None
 
-        w.report_handler = deaf
-        await w.start_host(gone)
-        await w.start()
-        assert await w.submit("m", "order") == 202
-        await w.wait_until(lambda: asked >= 2)
-        assert (await read_metrics(w))["outstanding"] == 1  # the platform has not heard
-        await wait_for_metrics(w, aborted__order=1, outstanding=0)
-        assert asked == 4
+        harness.report_handler = reject_reports
+        await harness.start_host(close_without_response)
+        await harness.start()
+        assert await harness.submit("m", "order") == 202
+        await harness.wait_until(lambda: report_count >= 2)
+        assert (await read_metrics(harness))[
+            "outstanding"
+        ] == 1  # the platform has not acknowledged the report
+        await wait_for_metrics(harness, aborted__order=1, outstanding=0)
+        assert report_count == 4
 
     run_scenario(scenario, tmp_path)
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -1,4 +1,4 @@
-"""A relay with its record in PostgreSQL (the stand-in), through real sockets: cut, slow, away and back."""
+"""A relay with its store in a fake PostgreSQL server: connections cut, commits slow, server down and back."""
 
 from __future__ import annotations
 
@@ -39,12 +39,14 @@
         yield server
 
 
-def configure_store(w: RelayHarness, server: FakePostgresServer) -> None:
-    (w.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\ncall_s = 20.0\n')
-    w.arguments = ["--record", str(w.folder / "record.toml")]
+def configure_store(harness: RelayHarness, server: FakePostgresServer) -> None:
+    """Configures the fake PostgreSQL server as store of record."""
+    (harness.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\ncall_s = 20.0\n')
+    harness.arguments = ["--record", str(harness.folder / "record.toml")]
 
 
 def read_records(server: FakePostgresServer) -> dict[str, MessageRecord]:
+    """Returns all records by message id, after the store's own check."""
     store = PostgresStore(server.dsn)
     try:
         assert not store.verify()
@@ -53,64 +55,69 @@
         store.close()
 
 
-async def wait_until_reported(server: FakePostgresServer, names: set[str]) -> dict[str, MessageRecord]:
+async def wait_until_reported(server: FakePostgresServer, message_ids: set[str]) -> dict[str, MessageRecord]:
+    """Waits until the final status of all these messages is recorded as reported."""
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
             found = await asyncio.to_thread(read_records, server)
-            if all(name in found and found[name].state is RecordState.REPORTED for name in names):
+            if all(name in found and found[name].state is RecordState.REPORTED for name in message_ids):
                 return found
             await asyncio.sleep(0.05)
 
 
-async def submit_until_admitted(client: Client, order: Submission) -> None:
-    while await client.submit(order) == 503:
+async def submit_until_admitted(client: Client, submission: Submission) -> None:
+    """Repeats a submission until it is not rejected."""
+    while await client.submit(submission) == 503:
         await asyncio.sleep(0.02)
 
 
 def test_store_connection_cut_at_random_loses_and_repeats_no_order(
     tmp_path: Path, server: FakePostgresServer
 ) -> None:
-    """Store and partner agree on every one; nothing ran twice, nothing is claimed that was not recorded."""
-    chance, guard = random.Random(3), threading.Lock()
+    """Store and host agree on every order; none is executed twice, none reported that was not recorded."""
+    rng, lock = random.Random(3), threading.Lock()
 
     def draw() -> Faults:
-        with guard:
-            side = chance.choice(("received", "sent"))
-            return cut_connection(side, chance.randrange(50_000, 2_000_000))
-
-    async def scenario(w: RelayHarness) -> None:
-        w.limits["disk_mb"] = 50
-        configure_store(w, server)
-        async with FakeHost() as partner:
-            w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
+        with lock:
+            side = rng.choice(("received", "sent"))
+            return cut_connection(side, rng.randrange(50_000, 2_000_000))
+
+    async def scenario(harness: RelayHarness) -> None:
+        harness.limits["disk_mb"] = 50
+        configure_store(harness, server)
+        async with FakeHost() as host:
+            harness.add_endpoint(1, "plain", "Ready", "{}:{}".format(*host.address))
             server.draw_faults = draw
-            await w.start()
-            account = SubmissionLog()
+            await harness.start()
+            log = SubmissionLog()
 
-            async def client(n: int) -> None:
-                own = Client(w, account)
+            async def submit_share(n: int) -> None:
+                client = Client(harness, log)
                 for i in range(n, MESSAGE_COUNT, CLIENT_COUNT):
-                    await submit_until_admitted(own, Submission(f"o{i}", "order", 1, f"k{i}", 20.0))
-                own.close()
+                    await submit_until_admitted(client, Submission(f"o{i}", "order", 1, f"k{i}", 20.0))
+                client.close()
 
-            await asyncio.gather(*(client(n) for n in range(CLIENT_COUNT)))
+            await asyncio.gather(*(submit_share(n) for n in range(CLIENT_COUNT)))
             server.draw_faults = None
             server.close_connections()
-            found = await wait_until_reported(server, set(account.admitted))
+            found = await wait_until_reported(server, set(log.admitted))
             assert server.cut_count >= 10
             assert len(found) == MESSAGE_COUNT
-            assert max(partner.executions.values()) == 1
-            told = {notice["id"]: notice["status"] for notice in w.status_reports}
-            ends = {StoredFinalStatus.FAILED: "undeliverable", StoredFinalStatus.REJECTED: "deferred"}
+            assert max(host.executions.values()) == 1
+            reported = {report["id"]: report["status"] for report in harness.status_reports}
+            expected_reports = {
+                StoredFinalStatus.FAILED: "undeliverable",
+                StoredFinalStatus.REJECTED: "deferred",
+            }
             for name, entry in found.items():
-                assert (entry.final_status is StoredFinalStatus.DELIVERED) == (
-                    partner.executions[name] == 1
-                ), name
-                if entry.final_status is not StoredFinalStatus.DELIVERED and name in account.admitted:
+                assert (entry.final_status is StoredFinalStatus.DELIVERED) == (host.executions[name] == 1), (
+                    name
+                )
+                if entry.final_status is not StoredFinalStatus.DELIVERED and name in log.admitted:
                     assert entry.final_status is not None
-                    assert told[name] == ends[entry.final_status]
-            assert set(partner.executions) <= set(found)
-            assert len(partner.executions) > 0.99 * MESSAGE_COUNT
+                    assert reported[name] == expected_reports[entry.final_status]
+            assert set(host.executions) <= set(found)
+            assert len(host.executions) > 0.99 * MESSAGE_COUNT
 
     run_scenario(
         scenario, tmp_path, policy_limits=POLICY_LIMITS, extra={**SETTINGS["extra"], "call_slots": 64}
@@ -118,7 +125,7 @@
 
 
 def resident_bytes(pid: int) -> int:
-    """Bytes of memory (proc(5), VmRSS)."""
+    """Returns the resident memory of a process in bytes (VmRSS, proc(5))."""
     text = Path(f"/proc/{pid}/status").read_text()
     return int(text.partition("VmRSS:")[2].split()[0]) * 1024
 
@@ -126,57 +133,62 @@
 def test_overload_during_store_outage_rejects_orders_and_recovers(
     tmp_path: Path, server: FakePostgresServer
 ) -> None:
-    """130% of what may be held: orders are refused at once with when to come back, status updates go on,
-    memory is bounded, and each that comes again when the store is back runs once."""
-    names = [f"o{i}" for i in range(int(1.3 * MAX_OPEN_MESSAGES))]
-
-    async def scenario(w: RelayHarness) -> None:
-        configure_store(w, server)
-        host = await w.start_host(respond_ok)
-        await w.start()
-        await w.warm_up(host)
-        assert w.process is not None
-
-        async def refused(rounds: int) -> None:
+    """With 130% of the message limit orders are rejected at once with a Retry-After, status updates continue,
+    memory is bounded, and each order resubmitted after the outage is executed once."""
+    message_ids = [f"o{i}" for i in range(int(1.3 * MAX_OPEN_MESSAGES))]
+
+    async def scenario(harness: RelayHarness) -> None:
+        configure_store(harness, server)
+        host = await harness.start_host(respond_ok)
+        await harness.start()
+        await harness.warm_up(host)
+        assert harness.process is not None
+
+        async def submit_all_rejected(rounds: int) -> None:
             for _ in range(rounds):
-                answers = await asyncio.gather(
-                    *(w.send(format_submission(name, "order", path=f"/order/{name}")) for name in names)
+                responses = await asyncio.gather(
+                    *(
+                        harness.send(format_submission(name, "order", path=f"/order/{name}"))
+                        for name in message_ids
+                    )
                 )
-                assert {status for status, *_ in answers} == {503}
-                assert all(float(headers["retry-after"]) > 0 for _, headers, _ in answers)
+                assert {status for status, *_ in responses} == {503}
+                assert all(float(headers["retry-after"]) > 0 for _, headers, _ in responses)
 
         server.may_commit.clear()
-        await refused(1)
-        before = resident_bytes(w.process.pid)
-        await refused(3)
-        assert await w.submit("during") == 202  # the journal answers for it
-        await w.wait_until(lambda: "during" in host.request_ids)
+        await submit_all_rejected(1)
+        bytes_before = resident_bytes(harness.process.pid)
+        await submit_all_rejected(3)
+        assert await harness.submit("during") == 202  # the journal alone is enough for its class
+        await harness.wait_until(lambda: "during" in host.request_ids)
         server.faults.startup_error = "57P03"  # the database system is starting up
         server.close_connections()
         server.may_commit.set()
-        await w.wait_until(lambda: any("store of record is unavailable" in line for line in w.log))
-        await refused(20)
-        assert not any(name in host.request_ids for name in names)
-        assert resident_bytes(w.process.pid) - before < 16 << 20
+        await harness.wait_until(
+            lambda: any("store of record is unavailable" in line for line in harness.log)
+        )
+        await submit_all_rejected(20)
+        assert not any(name in host.request_ids for name in message_ids)
+        assert resident_bytes(harness.process.pid) - bytes_before < 16 << 20
         server.faults.startup_error = None
 
-        async def again(name: str) -> None:
-            while await w.submit(name, "order", path=f"/order/{name}") == 503:
+        async def resubmit(name: str) -> None:
+            while await harness.submit(name, "order", path=f"/order/{name}") == 503:
                 await asyncio.sleep(0.02)
 
-        await asyncio.gather(*(again(name) for name in names))
-        found = await wait_until_reported(server, {*names, "during"})
-        assert sorted(i for i in host.request_ids if i in names) == sorted(names)
-        assert all(found[name].final_status is StoredFinalStatus.DELIVERED for name in names)
+        await asyncio.gather(*(resubmit(name) for name in message_ids))
+        found = await wait_until_reported(server, {*message_ids, "during"})
+        assert sorted(i for i in host.request_ids if i in message_ids) == sorted(message_ids)
+        assert all(found[name].final_status is StoredFinalStatus.DELIVERED for name in message_ids)
 
     run_scenario(scenario, tmp_path)
 
 
 def test_two_relays_sharing_server_deliver_each_id_once(tmp_path: Path, server: FakePostgresServer) -> None:
-    async def scenario(w: RelayHarness) -> None:
-        configure_store(w, server)
-        host = await w.start_host(respond_ok)
-        names = await submit_to_two_relays(w, tmp_path)
-        assert sorted(host.request_ids) == sorted(names) == sorted(read_records(server))
+    async def scenario(harness: RelayHarness) -> None:
+        configure_store(harness, server)
+        host = await harness.start_host(respond_ok)
+        message_ids = await submit_to_two_relays(harness, tmp_path)
+        assert sorted(host.request_ids) == sorted(message_ids) == sorted(read_records(server))
 
     run_scenario(scenario, tmp_path)
--- a/tests/program/test_recovered.py
+++ b/tests/program/test_recovered.py
@@ -1,4 +1,4 @@
-"""What a restart finds: tried where it was not, failed where it may have run, in time for those who wait."""
+"""Messages found at a restart: untried ones are tried, uncertain ones fail, and the start is fast enough."""
 
 from __future__ import annotations
 
@@ -36,163 +36,180 @@
     "worth": 2,
 }
 CLASSES = [*SETTINGS["classes"], ALARM_CLASS]
-MAX_START_S = 10.0  # seconds within which nine in ten restarted processes are ready
-
-
-@pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
-def test_restart_tries_untried_messages_with_little_time_left(tmp_path: Path, number: signal.Signals) -> None:
-    """With half, a tenth and nearly none of their time left, of each class, beside each other in one call."""
-
-    async def scenario(w: RelayHarness) -> None:
-        w.add_unavailable_destination(flavor="bulk")
-        await w.start()
-        assert w.process is not None
-        down = 3.6 if number is signal.SIGTERM else 0.0
-        for of in ("status", "order", "alarm"):
-            for left in (0.8, 2.0, 9.0):
-                timeout = str(int((down + left + 1.5) * 1000))
-                path = f"/{of}/{of}-{left}"
-                name = f"{of}-{left}"
-                assert await w.submit(name, of, path=path, Request_Timeout_Ms=timeout) == 202
-        await w.stop(number)
-        w.endpoints.clear()
-        host = await w.start_host(respond_ok, flavor="bulk")
-        await w.start()
-        wanted = {f"{of}-{left}" for of in ("status", "order", "alarm") for left in (0.8, 2.0, 9.0)}
-
-        def tried() -> set[str]:
+MAX_START_S = 10.0  # nine in ten restarted processes are to be ready within this time
+
+
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGTERM])
+def test_restart_tries_untried_messages_with_little_time_left(
+    tmp_path: Path, signal_number: signal.Signals
+) -> None:
+    """Messages of each class with half, a tenth and nearly none of their time left, batched in one call."""
+
+    async def scenario(harness: RelayHarness) -> None:
+        harness.add_unavailable_destination(flavor="bulk")
+        await harness.start()
+        assert harness.process is not None
+        shutdown_s = 3.6 if signal_number is signal.SIGTERM else 0.0
+        for class_name in ("status", "order", "alarm"):
+            for time_left_s in (0.8, 2.0, 9.0):
+                timeout = str(int((shutdown_s + time_left_s + 1.5) * 1000))
+                path = f"/{class_name}/{class_name}-{time_left_s}"
+                name = f"{class_name}-{time_left_s}"
+                assert await harness.submit(name, class_name, path=path, Request_Timeout_Ms=timeout) == 202
+        await harness.stop(signal_number)
+        harness.endpoints.clear()
+        host = await harness.start_host(respond_ok, flavor="bulk")
+        await harness.start()
+        expected = {
+            f"{class_name}-{time_left_s}"
+            for class_name in ("status", "order", "alarm")
+            for time_left_s in (0.8, 2.0, 9.0)
+        }
+
+        def tried_messages() -> set[str]:
             return {row["id"] for request in host.requests for row in json.loads(request.body)}
 
-        await w.wait_until(lambda: wanted <= tried() | {notice["id"] for notice in w.status_reports})
-        # On a machine so busy that the start takes longer than the least of them has, that one may be late.
-        assert {name for name in wanted if not name.endswith("0.8")} <= tried()
+        await harness.wait_until(
+            lambda: expected <= tried_messages() | {report["id"] for report in harness.status_reports}
+        )
+        # On a busy machine the start may outlast the shortest of these times: that message may be late.
+        assert {name for name in expected if not name.endswith("0.8")} <= tried_messages()
 
     run_scenario(scenario, tmp_path, classes=CLASSES)
 
 
 @pytest.mark.parametrize(
-    ("of", "window", "goes"),
+    ("class_name", "dedup_window_s", "is_repeated"),
     [("status", 1, True), ("order", 1, False), ("alarm", 60, True), ("alarm", 1, False)],
 )
 def test_restart_repeats_uncertain_message_only_where_its_class_allows(
-    tmp_path: Path, of: str, window: int, goes: bool
+    tmp_path: Path, class_name: str, dedup_window_s: int, is_repeated: bool
 ) -> None:
-    """Of each effect, inside its window and after one of 1 s."""
-
-    async def scenario(w: RelayHarness) -> None:
-        host = await w.start_host(never_respond)
-        await w.start()
-        assert await w.submit("m", of) == 202
-        await w.wait_until(lambda: host.request_ids == ["m"])
-        await w.kill()
+    """Each delivery semantics, within its deduplication window and after one of 1 s."""
+
+    async def scenario(harness: RelayHarness) -> None:
+        host = await harness.start_host(never_respond)
+        await harness.start()
+        assert await harness.submit("m", class_name) == 202
+        await harness.wait_until(lambda: host.request_ids == ["m"])
+        await harness.kill()
         host.handler = respond_ok
         await asyncio.sleep(1.0)
-        await w.start()
-        if goes:
-            await w.wait_until(lambda: host.request_ids == ["m", "m"])
+        await harness.start()
+        if is_repeated:
+            await harness.wait_until(lambda: host.request_ids == ["m", "m"])
         else:
-            await w.wait_until(lambda: w.status_reports == [undeliverable_report("m")])
+            await harness.wait_until(lambda: harness.status_reports == [undeliverable_report("m")])
             assert host.request_ids == ["m"]
 
-    alarm = {**ALARM_CLASS, "window": window * 1_000_000}
+    alarm = {**ALARM_CLASS, "window": dedup_window_s * 1_000_000}
     run_scenario(scenario, tmp_path, classes=[*SETTINGS["classes"], alarm])
 
 
-@pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGTERM])
 def test_restart_with_batches_in_flight_ends_each_message_once(
-    tmp_path: Path, number: signal.Signals
+    tmp_path: Path, signal_number: signal.Signals
 ) -> None:
-    """Each message has one end, and what must not run twice runs once."""
+    """Every second host hangs: each message gets one final status, and no order is executed twice."""
 
-    async def scenario(w: RelayHarness) -> None:
-        runs: list[str] = []
+    async def scenario(harness: RelayHarness) -> None:
+        executed: list[str] = []
 
-        async def works(request: Request) -> bytes | None:
+        async def respond_to_batch(request: Request) -> bytes | None:
             ids = [row["id"] for row in json.loads(request.body)]
-            runs.extend(ids)
-            w.notify_changed()
+            executed.extend(ids)
+            harness.notify_changed()
             await asyncio.sleep(0.02)
             return format_response(
                 200, json.dumps([{"id": name, "state": "delivered"} for name in ids]).encode()
             )
 
-        async def hangs(request: Request) -> bytes | None:
-            runs.extend(row["id"] for row in json.loads(request.body))
-            w.notify_changed()
+        async def hang(request: Request) -> bytes | None:
+            executed.extend(row["id"] for row in json.loads(request.body))
+            harness.notify_changed()
             return await never_respond(request)
 
         for i in range(4):
-            await w.start_host(hangs if i % 2 else works, destination=1 + i // 2, flavor="bulk")
-        await w.start()
-        assert w.process is not None
-        taken = []
+            await harness.start_host(
+                hang if i % 2 else respond_to_batch, destination=1 + i // 2, flavor="bulk"
+            )
+        await harness.start()
+        assert harness.process is not None
+        admitted = []
         for i in range(40):
-            of = ("order", "status")[i % 2]
-            if await w.submit(f"{of}{i}", of, 1 + i // 2 % 2, path=f"/{of}/{of}{i}") == 202:
-                taken.append(f"{of}{i}")
-        await w.wait_until(lambda: len(runs) >= 4)
-        await w.stop(number)
-        for host in w.servers:
-            if host.handler is hangs:
-                host.handler = works
-        await w.start()
-        await w.wait_until(lambda: set(taken) <= set(runs) | {notice["id"] for notice in w.status_reports})
-        orders = [name for name in taken if name.startswith("order")]
-        assert all(runs.count(name) <= 1 for name in orders)
-        assert all(notice["status"] == "undeliverable" for notice in w.status_reports)
+            class_name = ("order", "status")[i % 2]
+            if (
+                await harness.submit(
+                    f"{class_name}{i}", class_name, 1 + i // 2 % 2, path=f"/{class_name}/{class_name}{i}"
+                )
+                == 202
+            ):
+                admitted.append(f"{class_name}{i}")
+        await harness.wait_until(lambda: len(executed) >= 4)
+        await harness.stop(signal_number)
+        for host in harness.servers:
+            if host.handler is hang:
+                host.handler = respond_to_batch
+        await harness.start()
+        await harness.wait_until(
+            lambda: set(admitted) <= set(executed) | {report["id"] for report in harness.status_reports}
+        )
+        orders = [name for name in admitted if name.startswith("order")]
+        assert all(executed.count(name) <= 1 for name in orders)
+        assert all(report["status"] == "undeliverable" for report in harness.status_reports)
 
     run_scenario(scenario, tmp_path)
 
 
 def test_resubmission_after_restart_is_admitted_once_at_each_relay(tmp_path: Path) -> None:
-    """An id that one relay has is taken on there once, over its restart too; another knows nothing of it."""
-
-    async def scenario(w: RelayHarness) -> None:
-        w.add_unavailable_destination()
-        await w.start()
-        assert await w.submit("m", "order") == 202
-        await w.kill()
-        await w.start()
-        assert await w.submit("m", "order") == 202
+    """A relay admits an id once, also across its restart; another relay doesn't know the id."""
+
+    async def scenario(harness: RelayHarness) -> None:
+        harness.add_unavailable_destination()
+        await harness.start()
+        assert await harness.submit("m", "order") == 202
+        await harness.kill()
+        await harness.start()
+        assert await harness.submit("m", "order") == 202
         (tmp_path / "other").mkdir()
         async with RelayHarness(tmp_path / "other") as other:
-            there = await other.start_host(respond_ok)
+            other_host = await other.start_host(respond_ok)
             await other.start()
             assert await other.submit("m", "order", Client_Retry="again") == 202
-            await other.wait_until(lambda: there.request_ids == ["m"])
-        w.endpoints.clear()
-        host = await w.start_host(respond_ok)
-        await w.wait_until(lambda: host.request_ids == ["m"])
-        assert await w.submit("after", "order") == 202
-        await w.wait_until(lambda: host.request_ids == ["m", "after"])
+            await other.wait_until(lambda: other_host.request_ids == ["m"])
+        harness.endpoints.clear()
+        host = await harness.start_host(respond_ok)
+        await harness.wait_until(lambda: host.request_ids == ["m"])
+        assert await harness.submit("after", "order") == 202
+        await harness.wait_until(lambda: host.request_ids == ["m", "after"])
 
     run_scenario(scenario, tmp_path)
 
 
 def test_start_with_sixty_thousand_records_and_full_disk_is_ready_in_time(tmp_path: Path) -> None:
-    async def scenario(w: RelayHarness) -> None:
-        w.limits["disk_mb"] = 40
-        about = MessageClass(
+    async def scenario(harness: RelayHarness) -> None:
+        harness.limits["disk_mb"] = 40
+        message_class = MessageClass(
             "order", DeliverySemantics.AT_MOST_ONCE, None, None, 3_000_000, 600_000_000, 3.0, 0.5, True
         )
         (tmp_path / "state").mkdir()
         journal = Journal(tmp_path / "state", 36_000_000)
         now = wall_clock()
         for i in range(60_000):
-            held = Message(
+            message = Message(
                 f"old{i}", 0, "order", "acme", 1, f"key{i % 50}", now, now + 600_000_000, b"x" * 99
             )
-            held.packed_terms = pack(about, 12)
-            journal.admit(held)
-            journal.complete(held.id, 200)
+            message.packed_terms = pack(message_class, 12)
+            journal.admit(message)
+            journal.complete(message.id, 200)
         journal.close()
-        full = tmp_path / "state" / "other"
-        full.write_bytes(b"\0" * (w.limits["disk_mb"] * 1_000_000 - journal.disk_usage()))
-        host = await w.start_host(respond_ok)
-        began = time.monotonic()
-        await w.start()
-        assert await w.submit("old59999", "order") == 200  # it is known
-        assert time.monotonic() - began < MAX_START_S
+        filler = tmp_path / "state" / "other"
+        filler.write_bytes(b"\0" * (harness.limits["disk_mb"] * 1_000_000 - journal.disk_usage()))
+        host = await harness.start_host(respond_ok)
+        started_at = time.monotonic()
+        await harness.start()
+        assert await harness.submit("old59999", "order") == 200  # its result is known
+        assert time.monotonic() - started_at < MAX_START_S
         assert not host.requests
 
     run_scenario(scenario, tmp_path)
--- a/tests/program/test_retry_after.py
+++ b/tests/program/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Told waits while hosts are drained, gone, listed again or moved, at SIGHUP, SIGSTOP and a handover."""
+"""Retry-After of a host that is drained, removed, listed again or moved, at SIGHUP, SIGSTOP and handover."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     run_scenario,
 )
 
-RETRY_AFTER_S = 1.5  # seconds
+RETRY_AFTER_S = 1.5
 SINGLE_CALLS: dict[str, Any] = {"extra": {"bundle_max": [1, 1], "call_slots": 6, "own_limits": [False, True]}}
 
 
 class RateLimitedHost:
-    """A host that turns its first call away and tells the wait, and notes when each later one came."""
+    """A host that rejects its first call with a Retry-After and records when each later call arrived."""
 
     def __init__(self) -> None:
         self.rejected_at: float | None = None
@@ -42,105 +42,111 @@
         return format_response(200)
 
 
-async def wait_until_retry_after_applies(w: RelayHarness, full: RateLimitedHost, host: StubServer) -> None:
-    """The relay has read the wait: it gives a call for the destination back at once."""
-    full.release.set()
-    await w.wait_until(lambda: host.response_count == 1)
+async def wait_until_retry_after_applies(
+    harness: RelayHarness, host_state: RateLimitedHost, host: StubServer
+) -> None:
+    """Waits until the relay applies the Retry-After: it rejects a message with a shorter timeout at once."""
+    host_state.release.set()
+    await harness.wait_until(lambda: host.response_count == 1)
     async with asyncio.timeout(TEST_TIMEOUT_S):
-        while await w.submit("short", Request_Timeout_Ms="300") != 503:
+        while await harness.submit("short", Request_Timeout_Ms="300") != 503:
             pass
 
 
-@pytest.mark.parametrize("kind", ["plain", "bulk"])
-@pytest.mark.parametrize("event", ["none", "drained", "gone", "moved", "SIGHUP", "SIGSTOP", "told stopped"])
-def test_retry_after_outlasts_endpoint_and_process_events(tmp_path: Path, event: str, kind: str) -> None:
-    async def scenario(w: RelayHarness) -> None:
-        full = RateLimitedHost()
-        host = await w.start_host(full.respond, flavor=kind)
-        await w.start()
-        assert w.process is not None
-        assert await w.submit("first") == 202
-        await w.wait_until(lambda: host.request_ids == ["first"])
-        if event == "told stopped":  # across its start
-            w.process.send_signal(signal.SIGSTOP)
-            full.release.set()
-            await w.wait_until(lambda: host.response_count == 1)
+@pytest.mark.parametrize("flavor", ["plain", "bulk"])
+@pytest.mark.parametrize(
+    "event", ["none", "drained", "gone", "moved", "SIGHUP", "SIGSTOP", "received while suspended"]
+)
+def test_retry_after_outlasts_endpoint_and_process_events(tmp_path: Path, event: str, flavor: str) -> None:
+    async def scenario(harness: RelayHarness) -> None:
+        host_state = RateLimitedHost()
+        host = await harness.start_host(host_state.respond, flavor=flavor)
+        await harness.start()
+        assert harness.process is not None
+        assert await harness.submit("first") == 202
+        await harness.wait_until(lambda: host.request_ids == ["first"])
+        if event == "received while suspended":  # when the Retry-After begins
+            harness.process.send_signal(signal.SIGSTOP)
+            host_state.release.set()
+            await harness.wait_until(lambda: host.response_count == 1)
             await asyncio.sleep(RETRY_AFTER_S / 3)
-            w.process.send_signal(signal.SIGCONT)
-        await wait_until_retry_after_applies(w, full, host)
-        row = w.endpoints[0]
+            harness.process.send_signal(signal.SIGCONT)
+        await wait_until_retry_after_applies(harness, host_state, host)
+        endpoint = harness.endpoints[0]
         match event:
             case "drained" | "gone":
-                w.endpoints[0] = {**row, "phase": {"drained": "Terminating", "gone": "Gone"}[event]}
-                w.revision += 1
-                w.notify_changed()
-                heard = f"index={w.revision}&"
-                await w.wait_until(lambda: heard in w.discovery.requests[-1].target)
-                w.endpoints[0] = row
+                harness.endpoints[0] = {
+                    **endpoint,
+                    "phase": {"drained": "Terminating", "gone": "Gone"}[event],
+                }
+                harness.revision += 1
+                harness.notify_changed()
+                acknowledged = f"index={harness.revision}&"
+                await harness.wait_until(lambda: acknowledged in harness.discovery.requests[-1].target)
+                harness.endpoints[0] = endpoint
             case "moved":
-                other = await w.start_server(full.respond)
-                w.endpoints[0] = {**row, "host_port": other.address}
+                other = await harness.start_server(host_state.respond)
+                harness.endpoints[0] = {**endpoint, "host_port": other.address}
             case "SIGHUP":
-                w.settings = {**w.settings, "tick": 6000}
-                w.write_config(w.discovery.address)
-                w.reload()
-            case "SIGSTOP":  # across its end
-                w.process.send_signal(signal.SIGSTOP)
+                harness.settings = {**harness.settings, "tick": 6000}
+                harness.write_config(harness.discovery.address)
+                harness.reload()
+            case "SIGSTOP":  # when the Retry-After ends
+                harness.process.send_signal(signal.SIGSTOP)
                 await asyncio.sleep(RETRY_AFTER_S)
-                w.process.send_signal(signal.SIGCONT)
-        w.revision += 1
-        w.notify_changed()
-        assert await w.submit("second") in (202, 503)
-        await w.wait_until(lambda: "first" in full.arrived_at)
-        assert full.rejected_at is not None
-        assert min(full.arrived_at.values()) >= full.rejected_at + RETRY_AFTER_S
+                harness.process.send_signal(signal.SIGCONT)
+        harness.revision += 1
+        harness.notify_changed()
+        assert await harness.submit("second") in (202, 503)
+        await harness.wait_until(lambda: "first" in host_state.arrived_at)
+        assert host_state.rejected_at is not None
+        assert min(host_state.arrived_at.values()) >= host_state.rejected_at + RETRY_AFTER_S
 
     run_scenario(scenario, tmp_path, **SINGLE_CALLS)
 
 
-@pytest.mark.parametrize("rest", ["whole", "never ends"])
-def test_retry_after_received_by_predecessor_binds_successor(tmp_path: Path, rest: str) -> None:
-    """Its call came back after another process had taken over, which is bound."""
-
-    async def scenario(w: RelayHarness) -> None:
-        let = asyncio.Event()
-
-        async def full(_: Request) -> bytes:
-            await let.wait()
-            answer = format_response(429, b"" if rest == "whole" else b"x", X_Come_Back_Ms="3600000")
-            return answer if rest == "whole" else answer[:-1]
-
-        host = await w.start_host(full)
-        await w.start()
-        assert await w.submit("first") == 202
-        await w.wait_until(lambda: host.request_ids == ["first"])
-        await w.start_successor()
-        await w.wait_until_ready()
-        let.set()
-        await w.wait_until(lambda: host.response_count == 1)
-        await w.wait_until(
-            lambda: [n["id"] for n in w.status_reports] == ["first"]
-        )  # at once: the wait outlasts it
-        assert await w.submit("second") == 503
+@pytest.mark.parametrize("body", ["whole", "never ends"])
+def test_retry_after_received_by_predecessor_binds_successor(tmp_path: Path, body: str) -> None:
+    """The predecessor's call ends after the successor took over, which has to respect the Retry-After."""
+
+    async def scenario(harness: RelayHarness) -> None:
+        release = asyncio.Event()
+
+        async def reject_when_released(_: Request) -> bytes:
+            await release.wait()
+            response = format_response(429, b"" if body == "whole" else b"x", X_Come_Back_Ms="3600000")
+            return response if body == "whole" else response[:-1]
+
+        host = await harness.start_host(reject_when_released)
+        await harness.start()
+        assert await harness.submit("first") == 202
+        await harness.wait_until(lambda: host.request_ids == ["first"])
+        await harness.start_successor()
+        await harness.wait_until_ready()
+        release.set()
+        await harness.wait_until(lambda: host.response_count == 1)
+        # At once: the Retry-After exceeds its timeout.
+        await harness.wait_until(lambda: [n["id"] for n in harness.status_reports] == ["first"])
+        assert await harness.submit("second") == 503
         assert host.request_ids == ["first"]
 
     run_with_shared_listener(scenario, tmp_path)
 
 
 def test_retry_after_keeps_order_of_key(tmp_path: Path) -> None:
-    """All go once it is over, in the order in which they were handed in."""
-
-    async def scenario(w: RelayHarness) -> None:
-        full = RateLimitedHost()
-        host = await w.start_host(full.respond)
-        await w.start()
-        assert await w.submit("first") == 202
-        await w.wait_until(lambda: host.request_ids == ["first"])
-        await wait_until_retry_after_applies(w, full, host)
-        assert [await w.submit(f"m{n}", "order") for n in range(4)] == [202] * 4
-        await w.wait_until(lambda: len(full.arrived_at) == 5)
-        assert full.rejected_at is not None
-        assert min(full.arrived_at.values()) >= full.rejected_at + RETRY_AFTER_S
-        assert [name for name in full.arrived_at if name != "first"] == [f"m{n}" for n in range(4)]
+    """After it has passed, all are sent in order of submission."""
+
+    async def scenario(harness: RelayHarness) -> None:
+        host_state = RateLimitedHost()
+        host = await harness.start_host(host_state.respond)
+        await harness.start()
+        assert await harness.submit("first") == 202
+        await harness.wait_until(lambda: host.request_ids == ["first"])
+        await wait_until_retry_after_applies(harness, host_state, host)
+        assert [await harness.submit(f"m{n}", "order") for n in range(4)] == [202] * 4
+        await harness.wait_until(lambda: len(host_state.arrived_at) == 5)
+        assert host_state.rejected_at is not None
+        assert min(host_state.arrived_at.values()) >= host_state.rejected_at + RETRY_AFTER_S
+        assert [name for name in host_state.arrived_at if name != "first"] == [f"m{n}" for n in range(4)]
 
     run_scenario(scenario, tmp_path)
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -1,6 +1,6 @@
-"""Stored state written by the program of commit 32c0038 is read, and what it holds is delivered.
+"""State stored by the program of commit 32c0038 (the baseline) is read, and its messages are delivered.
 
-The files and what that program itself did with them stand in tests/fixtures/state_32c0038 (README.md there).
+The files, and what that program itself did with them, are in tests/fixtures/state_32c0038 (README.md there).
 """
 
 from __future__ import annotations
@@ -45,11 +45,13 @@
 
 
 def expected_message(stored: dict[str, Any]) -> dict[str, Any]:
+    """Returns a recorded message under the field names of Message."""
     fields = {FIELD_NAMES.get(name, name): value for name, value in stored.items()}
     return {**fields, "body": bytes.fromhex(fields["body"])}
 
 
 def actual_message(message: Message) -> dict[str, Any]:
+    """Returns the fields of a message in the form of the recorded ones."""
     fields = asdict(message)
     packed = fields["packed_terms"]
     return {**fields, "packed_terms": None if packed is None else list(packed)}
@@ -78,7 +80,7 @@
 
 @pytest.mark.parametrize("name", JOURNALS)
 def test_journal_rewritten_from_baseline_holds_same_messages(tmp_path: Path, name: str) -> None:
-    """The start of an owner drops the old segments: what they hold is written anew."""
+    """Opening a journal for writing replaces the old segments: their contents are written to new ones."""
     shutil.copytree(FIXTURES / name, tmp_path / "state")
     old = {path.name for path in (tmp_path / "state").iterdir()}
     Journal(tmp_path / "state", DISK_BYTES).close()
--- a/tests/program/test_upgrade.py
+++ b/tests/program/test_upgrade.py
@@ -1,4 +1,4 @@
-"""One process replaced by another: real processes, clients that keep their connections, and kills."""
+"""Handover from one relay process to the next, with persistent client connections and kills."""
 
 from __future__ import annotations
 
@@ -27,23 +27,27 @@
 
 
 class Client:
-    """Keeps one connection for all it hands in, as clients do."""
+    """Submits all its messages over one persistent connection, as clients do."""
 
-    def __init__(self, world: RelayHarness, name: str) -> None:
-        self.harness, self.name = world, name
+    def __init__(self, harness: RelayHarness, name: str) -> None:
+        self.harness, self.name = harness, name
         self.submitted_count = 0
         self.statuses: Counter[int] = Counter()
-        self.admitted: list[str] = []  # in the order in which they were handed in
+        self.admitted: list[str] = []  # message ids, in order of submission
 
     async def connect(self) -> None:
         self.reader, self.writer = await asyncio.open_connection(*self.harness.address)
 
-    async def submit(self, of: str = "order") -> int:
-        """Raises an error where the connection ends, which a handover must never do."""
+    async def submit(self, class_name: str = "order") -> int:
+        """Returns the status. Fails if the connection ends, which a handover must not cause."""
         self.submitted_count += 1
         name = f"{self.name}-{self.submitted_count}"
         self.writer.write(
-            format_submission(name, of, path=f"/{of}/{self.name}" if of == "order" else f"/{of}")
+            format_submission(
+                name,
+                class_name,
+                path=f"/{class_name}/{self.name}" if class_name == "order" else f"/{class_name}",
+            )
         )
         async with asyncio.timeout(TEST_TIMEOUT_S):
             start, headers, _ = await read_response(self.reader)
@@ -61,11 +65,13 @@
 def run_with_shared_listener(
     scenario: Callable[[RelayHarness], Awaitable[None]], folder: Path, most_held: int = 400, **limits: int
 ) -> None:
-    async def with_listener(w: RelayHarness) -> None:
-        w.share_listener()
-        w.admin_address = f"127.0.0.1:{free_port()}"
-        w.limits |= limits
-        await scenario(w)
+    """Runs a scenario whose relay processes share the clients' socket."""
+
+    async def with_listener(harness: RelayHarness) -> None:
+        harness.share_listener()
+        harness.admin_address = f"127.0.0.1:{free_port()}"
+        harness.limits |= limits
+        await scenario(harness)
 
     settings = {
         "policy_limits": {
@@ -80,48 +86,50 @@
 
 
 def test_upgrades_under_load_lose_repeat_and_reorder_nothing(tmp_path: Path) -> None:
-    """Three in a row, with orders of many keys under way on connections that stay open throughout."""
+    """Three handovers in a row, with orders of many keys in progress on connections that stay open."""
 
-    async def scenario(w: RelayHarness) -> None:
-        busy = 0
+    async def scenario(harness: RelayHarness) -> None:
+        in_progress = 0
 
-        async def slowly(request: Request) -> bytes:
-            nonlocal busy
-            busy += 1
+        async def respond_slowly(request: Request) -> bytes:
+            nonlocal in_progress
+            in_progress += 1
             await asyncio.sleep(0.01)
-            busy -= 1
+            in_progress -= 1
             return format_response(200)
 
-        host = await w.start_host(slowly)
-        await w.start()
-        clients = [Client(w, f"c{i}") for i in range(8)]
+        host = await harness.start_host(respond_slowly)
+        await harness.start()
+        clients = [Client(harness, f"c{i}") for i in range(8)]
         for client in clients:
             await client.connect()
         done = asyncio.Event()
 
-        async def keep_on(client: Client) -> None:
+        async def submit_until_done(client: Client) -> None:
             while not done.is_set():
                 await client.submit("order" if client.name != "c0" else "status")
 
-        tasks = [asyncio.create_task(keep_on(client)) for client in clients]
+        tasks = [asyncio.create_task(submit_until_done(client)) for client in clients]
         for _ in range(3):
-            handed_in = sum(client.submitted_count for client in clients)
-            await w.upgrade()
-            await w.wait_until(lambda n=handed_in: sum(c.submitted_count for c in clients) > n + 40)  # type: ignore[misc]
+            submitted = sum(client.submitted_count for client in clients)
+            await harness.upgrade()
+            await harness.wait_until(lambda n=submitted: sum(c.submitted_count for c in clients) > n + 40)  # type: ignore[misc]
         done.set()
         await asyncio.gather(*tasks)
         for client in clients:
             assert set(client.statuses) <= {202, 503}
-        taken = [name for client in clients for name in client.admitted]
-        assert len(taken) > 120
-        await w.wait_until(lambda: set(taken) <= {*host.request_ids, *(n["id"] for n in w.status_reports)})
-        runs = Counter(host.request_ids)
-        assert {name: n for name, n in runs.items() if n > 1} == {}
+        admitted = [name for client in clients for name in client.admitted]
+        assert len(admitted) > 120
+        await harness.wait_until(
+            lambda: set(admitted) <= {*host.request_ids, *(n["id"] for n in harness.status_reports)}
+        )
+        call_counts = Counter(host.request_ids)
+        assert {name: n for name, n in call_counts.items() if n > 1} == {}
         for client in clients[1:]:
-            mine = [name for name in host.request_ids if name.startswith(f"{client.name}-")]
-            assert mine == [name for name in client.admitted if name in runs]
-        assert len(w.status_reports) == len({notice["id"] for notice in w.status_reports})
-        assert not set(runs) & {notice["id"] for notice in w.status_reports}
+            own = [name for name in host.request_ids if name.startswith(f"{client.name}-")]
+            assert own == [name for name in client.admitted if name in call_counts]
+        assert len(harness.status_reports) == len({report["id"] for report in harness.status_reports})
+        assert not set(call_counts) & {report["id"] for report in harness.status_reports}
         for client in clients:
             client.close()
 
@@ -129,51 +137,51 @@
 
 
 def test_call_in_flight_during_handover_ends_in_predecessor(tmp_path: Path) -> None:
-    """Its outcome reaches the one that took over: an order that was delivered is not told as failed, and one
-    behind it for the same key goes only then."""
+    """Its result reaches the successor: a delivered order is not reported as failed, and the next order of
+    the same key is sent only then."""
 
-    async def scenario(w: RelayHarness) -> None:
-        go = asyncio.Event()
+    async def scenario(harness: RelayHarness) -> None:
+        release = asyncio.Event()
 
-        async def wait(request: Request) -> bytes:
-            await go.wait()
+        async def respond_when_released(request: Request) -> bytes:
+            await release.wait()
             return format_response(200)
 
-        host = await w.start_host(wait)
-        await w.start()
-        assert await w.submit("first", "order") == 202
-        assert await w.submit("second", "order") == 202
-        await w.wait_until(lambda: host.request_ids == ["first"])
-        await w.start_successor()
-        await w.wait_until_ready()
-        assert "app.outstanding=2" in await w.call_admin("show-stat")
+        host = await harness.start_host(respond_when_released)
+        await harness.start()
+        assert await harness.submit("first", "order") == 202
+        assert await harness.submit("second", "order") == 202
+        await harness.wait_until(lambda: host.request_ids == ["first"])
+        await harness.start_successor()
+        await harness.wait_until_ready()
+        assert "app.outstanding=2" in await harness.call_admin("show-stat")
         assert host.request_ids == ["first"]
-        go.set()
-        await w.wait_until(lambda: host.request_ids == ["first", "second"])
-        while "app.succeeded.order=2" not in (told := await w.call_admin("show-stat")):
+        release.set()
+        await harness.wait_until(lambda: host.request_ids == ["first", "second"])
+        while "app.succeeded.order=2" not in (metrics := await harness.call_admin("show-stat")):
             pass
-        assert "app.forwards=1" in told  # the first was written by the process before
-        assert w.predecessor is not None
-        w.predecessor.send_signal(signal.SIGTERM)
-        assert await w.predecessor.wait() == 0
-        assert w.status_reports == []
+        assert "app.forwards=1" in metrics  # the predecessor made the first call
+        assert harness.predecessor is not None
+        harness.predecessor.send_signal(signal.SIGTERM)
+        assert await harness.predecessor.wait() == 0
+        assert harness.status_reports == []
 
     run_with_shared_listener(scenario, tmp_path)
 
 
 def test_partial_request_during_handover_is_completed_by_successor(tmp_path: Path) -> None:
-    async def scenario(w: RelayHarness) -> None:
-        host = await w.start_host(respond_ok)
-        await w.start()
-        reader, writer = await asyncio.open_connection(*w.address)
+    async def scenario(harness: RelayHarness) -> None:
+        host = await harness.start_host(respond_ok)
+        await harness.start()
+        reader, writer = await asyncio.open_connection(*harness.address)
         raw = format_submission("half", body=b"a body in two parts")
         writer.write(raw[:-10])
-        await w.call_admin("ready")  # the loop has been round since
-        await w.upgrade()
+        await harness.call_admin("ready")  # the event loop has read the first part by now
+        await harness.upgrade()
         writer.write(raw[-10:])
         start, _, _ = await read_response(reader)
         assert start.split()[1] == "202"
-        await w.wait_until(lambda: host.response_count == 1)
+        await harness.wait_until(lambda: host.response_count == 1)
         assert host.requests[0].body == b"a body in two parts"
         writer.close()
 
@@ -181,17 +189,17 @@
 
 
 def test_hundreds_of_idle_connections_survive_handover(tmp_path: Path) -> None:
-    """More than the channel takes at once: the process before must not end while some are on their way."""
+    """More than fit in the channel at once: the predecessor must not exit while some are in transit."""
 
-    async def scenario(w: RelayHarness) -> None:
-        w.add_unavailable_destination(destination=3)
-        await w.start()
-        clients = [Client(w, f"c{n}") for n in range(300)]
+    async def scenario(harness: RelayHarness) -> None:
+        harness.add_unavailable_destination(destination=3)
+        await harness.start()
+        clients = [Client(harness, f"c{n}") for n in range(300)]
         for client in clients:
             await client.connect()
             client.writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             await read_response(client.reader)
-        await w.upgrade()
+        await harness.upgrade()
         for client in clients:
             client.writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         for client in clients:
@@ -203,113 +211,118 @@
 
 
 def test_handover_keeps_disabled_host_and_retry_after(tmp_path: Path) -> None:
-    async def scenario(w: RelayHarness) -> None:
-        first, second = await w.start_host(respond_ok), await w.start_host(respond_ok)
-        await w.start()
-        assert await w.call_admin("disable-server h0") == "YES\n"
-        await w.upgrade()
-        assert await w.submit("m1") == 202
-        await w.wait_until(lambda: second.request_ids == ["m1"])
+    async def scenario(harness: RelayHarness) -> None:
+        first, second = await harness.start_host(respond_ok), await harness.start_host(respond_ok)
+        await harness.start()
+        assert await harness.call_admin("disable-server h0") == "YES\n"
+        await harness.upgrade()
+        assert await harness.submit("m1") == 202
+        await harness.wait_until(lambda: second.request_ids == ["m1"])
         assert first.request_ids == []
-        assert "app.ejected=1" in await w.call_admin("show-stat")
+        assert "app.ejected=1" in await harness.call_admin("show-stat")
 
-        async def full(_: Request) -> bytes:
+        async def reject_with_retry_after(_: Request) -> bytes:
             return format_response(429, X_Come_Back_Ms="3600000")
 
-        second.handler = full
-        assert await w.submit("m2") == 202
-        await w.wait_until(lambda: second.request_ids == ["m1", "m2"])
-        while "app.ejected" not in await w.call_admin("show-stat"):
+        second.handler = reject_with_retry_after
+        assert await harness.submit("m2") == 202
+        await harness.wait_until(lambda: second.request_ids == ["m1", "m2"])
+        while "app.ejected" not in await harness.call_admin("show-stat"):
             pass
-        await w.upgrade()
-        assert await w.submit("m3", Request_Timeout_Ms="1500") == 503  # at once: the wait outlasts it
+        await harness.upgrade()
+        # At once: the Retry-After exceeds its timeout.
+        assert await harness.submit("m3", Request_Timeout_Ms="1500") == 503
         assert second.request_ids == ["m1", "m2"]
 
     run_with_shared_listener(scenario, tmp_path)
 
 
-@pytest.mark.parametrize("step", PREDECESSOR_POINTS)
-def test_predecessor_killed_at_fault_point_is_replaced_by_successor(tmp_path: Path, step: str) -> None:
-    """The other one goes on: what may have run and must not run twice fails, the rest is delivered."""
-
-    async def scenario(w: RelayHarness) -> None:
-        host = await w.start_host(respond_ok)
-        silent = await w.start_host(never_respond, destination=2)
-        w.program = ["-m", "tests.standins.killed", step]
-        await w.start()
-        assert await w.submit("out", "order", destination=2) == 202
-        await w.wait_until(lambda: silent.request_ids == ["out"])
-        w.add_unavailable_destination(destination=3)
-        await w.submit_once_listed("waits", destination=3)
-        await w.start_successor(["-m", "loftrelay"])
-        await w.wait_until_ready()
-        assert w.predecessor is not None
-        assert await w.predecessor.wait() == -signal.SIGKILL
-        await w.wait_until(lambda: undeliverable_report("out") in w.status_reports)
-        assert await w.submit("later", "order") == 202
-        w.add_endpoint(3, "plain", "Ready", host.address)
-        await w.wait_until(lambda: {"waits", "later"} <= set(host.request_ids))
+@pytest.mark.parametrize("fault_point", PREDECESSOR_POINTS)
+def test_predecessor_killed_at_fault_point_is_replaced_by_successor(tmp_path: Path, fault_point: str) -> None:
+    """The successor continues: uncertain at-most-once messages fail, the rest is delivered."""
+
+    async def scenario(harness: RelayHarness) -> None:
+        host = await harness.start_host(respond_ok)
+        silent = await harness.start_host(never_respond, destination=2)
+        harness.program = ["-m", "tests.standins.killed", fault_point]
+        await harness.start()
+        assert await harness.submit("out", "order", destination=2) == 202
+        await harness.wait_until(lambda: silent.request_ids == ["out"])
+        harness.add_unavailable_destination(destination=3)
+        await harness.submit_once_listed("waits", destination=3)
+        await harness.start_successor(["-m", "loftrelay"])
+        await harness.wait_until_ready()
+        assert harness.predecessor is not None
+        assert await harness.predecessor.wait() == -signal.SIGKILL
+        await harness.wait_until(lambda: undeliverable_report("out") in harness.status_reports)
+        assert await harness.submit("later", "order") == 202
+        harness.add_endpoint(3, "plain", "Ready", host.address)
+        await harness.wait_until(lambda: {"waits", "later"} <= set(host.request_ids))
         assert silent.request_ids == ["out"]
         assert Counter(host.request_ids) == {"waits": 1, "later": 1}
 
     run_with_shared_listener(scenario, tmp_path)
 
 
-@pytest.mark.parametrize("step", SUCCESSOR_POINTS)
-def test_successor_killed_at_fault_point_leaves_predecessor_serving(tmp_path: Path, step: str) -> None:
-    """The one before it serves, as it did or anew from the journal, and a third can take over from it."""
-
-    async def scenario(w: RelayHarness) -> None:
-        host = await w.start_host(respond_ok)
-        await w.start()
-        w.add_unavailable_destination(destination=3)
-        await w.submit_once_listed("waits", destination=3)
-        door = w.admin_address
-        await w.start_successor(["-m", "tests.standins.killed", step])
-        assert w.process is not None
-        assert w.predecessor is not None
-        assert await w.process.wait() == -signal.SIGKILL
-        w.admin_address, w.process, w.predecessor = door, w.predecessor, None
-        await w.wait_until_ready()
-        assert w.process.returncode is None
-        assert await w.submit("after", "order") == 202
-        w.add_endpoint(3, "plain", "Ready", host.address)
-        await w.wait_until(lambda: {"waits", "after"} <= set(host.request_ids))
-        await w.upgrade()
-        assert await w.submit("last", "order") == 202
-        await w.wait_until(lambda: "last" in host.request_ids)
+@pytest.mark.parametrize("fault_point", SUCCESSOR_POINTS)
+def test_successor_killed_at_fault_point_leaves_predecessor_serving(tmp_path: Path, fault_point: str) -> None:
+    """The predecessor continues, with its state or from the journal, and a third process can take over."""
+
+    async def scenario(harness: RelayHarness) -> None:
+        host = await harness.start_host(respond_ok)
+        await harness.start()
+        harness.add_unavailable_destination(destination=3)
+        await harness.submit_once_listed("waits", destination=3)
+        predecessor_address = harness.admin_address
+        await harness.start_successor(["-m", "tests.standins.killed", fault_point])
+        assert harness.process is not None
+        assert harness.predecessor is not None
+        assert await harness.process.wait() == -signal.SIGKILL
+        harness.admin_address, harness.process, harness.predecessor = (
+            predecessor_address,
+            harness.predecessor,
+            None,
+        )
+        await harness.wait_until_ready()
+        assert harness.process.returncode is None
+        assert await harness.submit("after", "order") == 202
+        harness.add_endpoint(3, "plain", "Ready", host.address)
+        await harness.wait_until(lambda: {"waits", "after"} <= set(host.request_ids))
+        await harness.upgrade()
+        assert await harness.submit("last", "order") == 202
+        await harness.wait_until(lambda: "last" in host.request_ids)
         assert Counter(host.request_ids) == {"waits": 1, "after": 1, "last": 1}
-        assert w.status_reports == []
+        assert harness.status_reports == []
 
     run_with_shared_listener(scenario, tmp_path)
 
 
 def test_start_with_leftover_state_files_succeeds(tmp_path: Path) -> None:
-    async def scenario(w: RelayHarness) -> None:
-        host = await w.start_host(respond_ok)
+    async def scenario(harness: RelayHarness) -> None:
+        host = await harness.start_host(respond_ok)
         state = tmp_path / "state"
         state.mkdir()
         (state / "owner.lock").write_text("4711")
         (state / "upgrade.sock").write_text("no socket")
         (state / "hosts-out.json").write_text("{")
-        await w.start()
-        await w.wait_until_ready()
-        assert await w.submit("m") == 202
-        await w.wait_until(lambda: host.request_ids == ["m"])
-        await w.upgrade()
+        await harness.start()
+        await harness.wait_until_ready()
+        assert await harness.submit("m") == 202
+        await harness.wait_until(lambda: host.request_ids == ["m"])
+        await harness.upgrade()
 
     run_with_shared_listener(scenario, tmp_path)
 
 
 def test_second_process_without_shared_listener_ends_with_one_line(tmp_path: Path) -> None:
-    async def scenario(w: RelayHarness) -> None:
-        host = await w.start_host(respond_ok)
-        await w.start()
-        other = await w.spawn()
+    async def scenario(harness: RelayHarness) -> None:
+        host = await harness.start_host(respond_ok)
+        await harness.start()
+        other = await harness.spawn()
         assert await other.wait() == 1
-        assert any("another process of this relay holds" in line for line in w.log)
-        assert await w.submit("m") == 202
-        await w.wait_until(lambda: host.request_ids == ["m"])
+        assert any("another process of this relay holds" in line for line in harness.log)
+        assert await harness.submit("m") == 202
+        await harness.wait_until(lambda: host.request_ids == ["m"])
 
     run_scenario(scenario, tmp_path)
 
@@ -339,24 +352,26 @@
 
 
 def test_settings_changed_during_handover_are_applied(tmp_path: Path) -> None:
-    """SIGHUP goes to the process that serves, when the one that follows has read the file already: whether
-    all stand still by then, or it has taken over."""
-
-    async def scenario(w: RelayHarness) -> None:
-        host = await w.start_host(respond_ok)
-        await w.start()
-        await w.wait_until_ready()
-        await w.start_successor()
-        await w.wait_until(lambda: sum("accepts admin commands on" in line for line in w.log) == 2)
-        classes = list(w.settings["classes"])
-        w.settings["classes"] = [*classes, {**classes[0], "name": "second"}]
-        assert w.predecessor is not None
-        w.write_config(w.discovery.address)
-        w.predecessor.send_signal(signal.SIGHUP)
-        await w.wait_until_ready()
+    """The predecessor gets SIGHUP after the successor has read the file, whether the predecessor is frozen by
+    then or the successor has taken over."""
+
+    async def scenario(harness: RelayHarness) -> None:
+        host = await harness.start_host(respond_ok)
+        await harness.start()
+        await harness.wait_until_ready()
+        await harness.start_successor()
+        await harness.wait_until(
+            lambda: sum("accepts admin commands on" in line for line in harness.log) == 2
+        )
+        classes = list(harness.settings["classes"])
+        harness.settings["classes"] = [*classes, {**classes[0], "name": "second"}]
+        assert harness.predecessor is not None
+        harness.write_config(harness.discovery.address)
+        harness.predecessor.send_signal(signal.SIGHUP)
+        await harness.wait_until_ready()
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while await w.submit("m", "second") != 202:
+            while await harness.submit("m", "second") != 202:
                 pass
-        await w.wait_until(lambda: host.request_ids == ["m"])
+        await harness.wait_until(lambda: host.request_ids == ["m"])
 
     run_with_shared_listener(scenario, tmp_path)
--- a/tests/program/test_wire.py
+++ b/tests/program/test_wire.py
@@ -1,4 +1,4 @@
-"""What a relay and a registry write is, byte for byte, what the program of commit 32c0038 wrote."""
+"""Relay and registry write the same bytes as the program of commit 32c0038 (the baseline)."""
 
 from __future__ import annotations
 
--- a/tests/standins/fake_discovery.py
+++ b/tests/standins/fake_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that holds a watch and answers it with changes only, for tests of the registry."""
+"""Fake discovery service for tests of the registry: holds watches open and answers them with changes only."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 
 
 def make_endpoint(endpoint_id: str, destination: int, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
+    """Returns an entry of discovery's list."""
     return {
         "id": endpoint_id,
         "host_port": "127.0.0.1:9",
@@ -25,18 +26,23 @@
 
 
 class FakeDiscovery:
-    """Use as an async context. `indent`: of its answers; `silent`: calls are taken and never answered."""
+    """Fake discovery on a loopback port, used as an async context manager.
+
+    Attributes:
+        indent: Indentation of its JSON responses.
+        is_silent: Whether requests are read and not answered.
+    """
 
     def __init__(self, endpoints: Iterable[dict[str, Any]] = (), revision: int = 1) -> None:
         self.revision = revision
-        self.endpoints = {told["id"]: told for told in endpoints}
-        self.changes: list[tuple[int, dict[str, Any]]] = []  # what changed, by revision
+        self.endpoints = {endpoint["id"]: endpoint for endpoint in endpoints}
+        self.changes: list[tuple[int, dict[str, Any]]] = []  # (revision, changed endpoint)
         self.indent: int | None = None
         self.is_silent = False
         self.requests: list[str] = []  # targets
         self.answered_count = 0
         self.port = 0
-        self._since = revision  # what was before is told whole
+        self._since = revision  # older watches get the full list
         self._down = False
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
@@ -55,12 +61,13 @@
         return f"127.0.0.1:{self.port}"
 
     async def start(self) -> None:
-        """At the same port again, after `stop`."""
+        """Listens on a free port; after `stop` on the same port again."""
         self._down = False
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
+        """Closes the port and all connections."""
         assert self._server is not None
         self._server.close()
         self._down = True
@@ -70,7 +77,7 @@
         await asyncio.gather(*self._tasks)
 
     def change(self, *endpoints: dict[str, Any]) -> None:
-        """All under one new revision; with the phase Gone a host is listed no longer."""
+        """Applies changes under one new revision; the phase Gone removes an endpoint from the list."""
         self.revision += 1
         for endpoint in endpoints:
             if endpoint["phase"] == "Gone":
@@ -81,8 +88,9 @@
         self.notify()
 
     def restart_revisions(self, revision: int, endpoints: Iterable[dict[str, Any]]) -> None:
+        """Starts a new history: the list is replaced, and older watches get it in full."""
         self.revision, self.changes, self._since = revision, [], revision
-        self.endpoints = {told["id"]: told for told in endpoints}
+        self.endpoints = {endpoint["id"]: endpoint for endpoint in endpoints}
         self.notify()
 
     def notify(self) -> None:
@@ -135,8 +143,8 @@
             await self._wait()
         if not self._since <= index <= self.revision:
             return self._full_list()
-        last = {told["id"]: told for revision, told in self.changes if revision > index}
-        return self._encode(False, list(last.values()))
+        latest = {endpoint["id"]: endpoint for revision, endpoint in self.changes if revision > index}
+        return self._encode(False, list(latest.values()))
 
     async def _wait(self) -> None:
         await self._changed.wait()
@@ -147,5 +155,5 @@
         return self._encode(True, list(self.endpoints.values()))
 
     def _encode(self, complete: bool, members: list[dict[str, Any]]) -> bytes:
-        told = {"revision": self.revision, "complete": complete, "members": members}
-        return json.dumps(told, indent=self.indent).encode()
+        content = {"revision": self.revision, "complete": complete, "members": members}
+        return json.dumps(content, indent=self.indent).encode()
--- a/tests/standins/fake_postgres.py
+++ b/tests/standins/fake_postgres.py
@@ -1,9 +1,8 @@
-"""A stand-in for a PostgreSQL server: the frontend/backend protocol 3.0 as its manual tells it (chapter
-"Frontend/Backend Protocol"), its SQL run on an embedded SQLite file. It can fail at any byte.
+"""A fake PostgreSQL server: the frontend/backend protocol 3.0 (manual, chapter "Frontend/Backend Protocol"),
+with SQL executed on a SQLite file. Connections can fail at any byte.
 
-It knows start-up, SSLRequest (declined), SCRAM-SHA-256 (RFC 5802, RFC 7677), the simple and the extended
-query, errors with SQLSTATE, Terminate and CancelRequest. It is no PostgreSQL: locking, isolation and types
-are SQLite's.
+It supports start-up, SSLRequest (declined), SCRAM-SHA-256 (RFC 5802, RFC 7677), the simple and the extended
+query, errors with SQLSTATE, Terminate and CancelRequest. Locking, isolation and types are those of SQLite.
 """
 
 from __future__ import annotations
@@ -29,45 +28,43 @@
 
 @dataclass
 class Faults:
-    """What goes wrong. Bytes are counted in each connection."""
+    """Injected faults. Bytes are counted for each connection."""
 
-    cut_after_received: int | None = None  # after so many bytes from the client, the connection ends
-    cut_after_sent: int | None = None  # after so many bytes to the client
-    silent_after_sent: int | None = (
-        None  # from so many bytes on nothing more is said, and the connection stays
-    )
-    commit_errors: list[str] = field(
-        default_factory=list
-    )  # SQLSTATEs, each answers one COMMIT in place of doing it
-    startup_error: str | None = None  # SQLSTATE in place of a start-up
+    cut_after_received: int | None = None  # closes after so many bytes from the client
+    cut_after_sent: int | None = None  # closes after so many bytes to the client
+    silent_after_sent: int | None = None  # sends nothing after so many bytes; the connection stays open
+    # SQLSTATEs, each the response to one COMMIT, which is rolled back.
+    commit_errors: list[str] = field(default_factory=list)
+    startup_error: str | None = None  # SQLSTATE instead of a start-up
 
 
 def cut_connection(side: str, byte_count: int) -> Faults:
-    """The end of a connection once so many bytes were heard, or said."""
+    """Returns faults that close a connection once so many bytes were received, or sent (`side`)."""
     return Faults(cut_after_received=byte_count) if side == "received" else Faults(cut_after_sent=byte_count)
 
 
 class ConnectionCutError(Exception):
-    pass
+    """The connection was closed, by an injected fault or by the client."""
 
 
 class FaultyConnection:
-    """One connection's sockets, with their faults."""
+    """One connection's socket, with its faults."""
 
     def __init__(self, sock: socket.socket, faults: Faults) -> None:
         self.sock, self.faults = sock, faults
         self.received = self.sent = 0
         self.read_buffer, self.write_buffer = bytearray(), bytearray()
-        self.is_cut = False  # by its faults
+        self.is_cut = False  # by an injected fault
 
     def read(self, size: int) -> bytes:
+        """Reads exactly `size` bytes. Raises ConnectionCutError at a fault or at the end of the stream."""
         allowed = (
             size
             if self.faults.cut_after_received is None
             else min(size, self.faults.cut_after_received - self.received)
         )
         while len(self.read_buffer) < allowed:
-            self.flush()  # as the server does before it waits
+            self.flush()  # as the server does before it waits for data
             part = self.sock.recv(1 << 16)
             if not part:
                 raise ConnectionCutError
@@ -81,16 +78,18 @@
         return data
 
     def write(self, data: bytes) -> None:
+        """Buffers data until the next flush."""
         self.write_buffer += data
 
     def flush(self) -> None:
+        """Sends the buffered data as far as the faults allow."""
         data, self.write_buffer = bytes(self.write_buffer), bytearray()
         allowed = len(data)
         for limit in (self.faults.cut_after_sent, self.faults.silent_after_sent):
             if limit is not None:
                 allowed = min(allowed, max(0, limit - self.sent))
         if allowed:
-            self.sent += allowed  # before its client can act on it, and read this from another thread
+            self.sent += allowed  # counted first: the client may read it from another thread
             self.sock.sendall(data[:allowed])
         if allowed < len(data) and self.faults.cut_after_sent is not None:
             self.is_cut = True
@@ -98,16 +97,15 @@
 
 
 class FakePostgresServer:
-    """Use as a context; `dsn` is where it listens. All its threads end with it."""
+    """A server on a loopback port, used as a context manager; leaving it ends all its threads."""
 
     def __init__(self, path: Path, password: str | None = None) -> None:
         self.path, self.password = path, password
-        self.faults = Faults()  # of every connection, also of those that stand already
-        self.draw_faults: Callable[[], Faults] | None = (
-            None  # in its place, faults of each new connection's own
-        )
+        self.faults = Faults()  # of all connections, also of open ones
+        # Returns the faults of each new connection, instead of `faults`.
+        self.draw_faults: Callable[[], Faults] | None = None
         self.cut_count = 0
-        self.may_commit = threading.Event()  # while it is not set, each COMMIT waits before it is done
+        self.may_commit = threading.Event()  # each COMMIT waits until it is set
         self.may_commit.set()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.threads: list[threading.Thread] = []
@@ -119,10 +117,11 @@
 
     @property
     def dsn(self) -> str:
-        secret = f" password={self.password}" if self.password else ""
+        """Connection string for this server."""
+        password = f" password={self.password}" if self.password else ""
         port = self.listener.getsockname()[1]
-        about = "user=relay dbname=record sslmode=prefer gssencmode=disable"
-        return f"host=127.0.0.1 port={port} {about}{secret}"
+        options = "user=relay dbname=record sslmode=prefer gssencmode=disable"
+        return f"host=127.0.0.1 port={port} {options}{password}"
 
     def __enter__(self) -> FakePostgresServer:
         self._start_thread(self._accept)
@@ -139,12 +138,13 @@
             thread.join()
 
     def close_connections(self) -> None:
+        """Closes all open connections."""
         for sock in list(self.sockets):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
 
-    def _start_thread(self, target: object, *given: object) -> None:
-        thread = threading.Thread(target=target, args=given, daemon=True)  # type: ignore[arg-type]
+    def _start_thread(self, target: object, *arguments: object) -> None:
+        thread = threading.Thread(target=target, args=arguments, daemon=True)  # type: ignore[arg-type]
         self.threads.append(thread)
         thread.start()
 
@@ -154,40 +154,47 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # else 40 ms an answer
+            # Otherwise each response is delayed by 40 ms.
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.sockets.add(sock)
             self._start_thread(self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
-        line = FaultyConnection(sock, self.draw_faults() if self.draw_faults is not None else self.faults)
-        self.connections.append(line)
+        connection = FaultyConnection(
+            sock, self.draw_faults() if self.draw_faults is not None else self.faults
+        )
+        self.connections.append(connection)
         try:
-            Session(self, line).run()
+            Session(self, connection).run()
         except (ConnectionCutError, OSError) as error:
-            self.cut_count += isinstance(error, ConnectionCutError) and line.is_cut
+            self.cut_count += isinstance(error, ConnectionCutError) and connection.is_cut
         finally:
             with contextlib.suppress(ConnectionCutError, OSError):
-                line.flush()  # an error that ends the session
+                connection.flush()  # an error that ends the session
             self.sockets.discard(sock)
             sock.close()
 
 
 class Session:
-    def __init__(self, server: FakePostgresServer, line: FaultyConnection) -> None:
-        self.server, self.connection = server, line
+    """One session: start-up, authentication and queries of one connection."""
+
+    def __init__(self, server: FakePostgresServer, connection: FaultyConnection) -> None:
+        self.server, self.connection = server, connection
         self.database: sqlite3.Connection | None = None
         self.statement = ""
         self.parameters: list[object] = []
         self.rows: list[tuple[object, ...]] = []
         self.columns: list[str] = []
         self.command_tag = ""
-        self.is_failed = False  # the transaction, until ROLLBACK
-        self.is_skipping = False  # until Sync
+        self.is_failed = False  # the transaction is aborted, until ROLLBACK
+        self.is_skipping = False  # ignores messages until Sync, after an error
 
     def send(self, kind: bytes, body: bytes = b"") -> None:
+        """Sends one protocol message."""
         self.connection.write(kind + struct.pack(">i", len(body) + 4) + body)
 
     def run(self) -> None:
+        """Serves the connection until the client terminates it."""
         if not self._start_up():
             return
         self.database = sqlite3.connect(self.server.path, isolation_level=None, timeout=5)
@@ -203,7 +210,7 @@
                     return
                 self._handle_message(kind, body)
         finally:
-            self.database.close()  # what was not committed is rolled back
+            self.database.close()  # rolls back what was not committed
 
     # Start-up
 
@@ -241,18 +248,18 @@
 
     def _scram(self, password: str) -> bool:
         self.send(b"R", struct.pack(">i", 10) + b"SCRAM-SHA-256\0\0")
-        first = self._read_password().partition(b"\0")[2][4:].decode()
-        bare = first.partition(",")[2].partition(",")[2]
-        nonce = re.search(r"r=([^,]+)", bare)
+        client_first = self._read_password().partition(b"\0")[2][4:].decode()
+        client_first_bare = client_first.partition(",")[2].partition(",")[2]
+        nonce = re.search(r"r=([^,]+)", client_first_bare)
         assert nonce is not None
-        salt, rounds = os.urandom(16), 4096
-        answer = f"r={nonce[1]}{os.urandom(9).hex()},s={base64.b64encode(salt).decode()},i={rounds}"
-        self.send(b"R", struct.pack(">i", 11) + answer.encode())
-        final = self._read_password().decode()
-        unproved, _, proof = final.rpartition(",p=")
-        salted = hashlib.pbkdf2_hmac("sha256", password.encode(), salt, rounds)
+        salt, iterations = os.urandom(16), 4096
+        server_first = f"r={nonce[1]}{os.urandom(9).hex()},s={base64.b64encode(salt).decode()},i={iterations}"
+        self.send(b"R", struct.pack(">i", 11) + server_first.encode())
+        client_final = self._read_password().decode()
+        without_proof, _, proof = client_final.rpartition(",p=")
+        salted = hashlib.pbkdf2_hmac("sha256", password.encode(), salt, iterations)
         key = hmac.digest(salted, b"Client Key", "sha256")
-        signed = f"{bare},{answer},{unproved}".encode()
+        signed = f"{client_first_bare},{server_first},{without_proof}".encode()
         signature = hmac.digest(hashlib.sha256(key).digest(), signed, "sha256")
         if bytes(a ^ b for a, b in zip(key, signature, strict=True)) != base64.b64decode(proof):
             self._send_error("28P01", "password authentication failed")
@@ -302,52 +309,52 @@
             self._send_error("08P01", f"message {kind!r}")
 
     def _parse_types(self, body: bytes) -> list[int]:
-        at = body.index(b"\0", body.index(b"\0") + 1) + 1
-        (count,) = struct.unpack_from(">h", body, at)
-        return list(struct.unpack_from(f">{count}i", body, at + 2))
+        offset = body.index(b"\0", body.index(b"\0") + 1) + 1
+        (count,) = struct.unpack_from(">h", body, offset)
+        return list(struct.unpack_from(f">{count}i", body, offset + 2))
 
     def _parse_parameters(self, body: bytes) -> list[object]:
-        at = body.index(b"\0", body.index(b"\0") + 1) + 1
-        (count,) = struct.unpack_from(">h", body, at)
-        formats = struct.unpack_from(f">{count}h", body, at + 2)
-        at += 2 + 2 * count
-        (count,) = struct.unpack_from(">h", body, at)
-        at += 2
-        given: list[object] = []
+        offset = body.index(b"\0", body.index(b"\0") + 1) + 1
+        (count,) = struct.unpack_from(">h", body, offset)
+        formats = struct.unpack_from(f">{count}h", body, offset + 2)
+        offset += 2 + 2 * count
+        (count,) = struct.unpack_from(">h", body, offset)
+        offset += 2
+        parameters: list[object] = []
         for i in range(count):
-            (size,) = struct.unpack_from(">i", body, at)
-            at += 4
+            (size,) = struct.unpack_from(">i", body, offset)
+            offset += 4
             if size < 0:
-                given.append(None)
+                parameters.append(None)
                 continue
-            data, at = body[at : at + size], at + size
-            form = formats[i] if len(formats) > 1 else formats[0] if formats else 0
+            data, offset = body[offset : offset + size], offset + size
+            format_code = formats[i] if len(formats) > 1 else formats[0] if formats else 0
             kind = self.types[i] if i < len(self.types) else 0
-            if form:
-                given.append(struct.unpack(INTEGER_FORMATS[kind], data)[0])
+            if format_code:
+                parameters.append(struct.unpack(INTEGER_FORMATS[kind], data)[0])
             else:
-                given.append(int(data) if kind in INTEGER_FORMATS else data.decode())
-        return given
+                parameters.append(int(data) if kind in INTEGER_FORMATS else data.decode())
+        return parameters
 
     def _execute(self) -> bool:
-        """Runs the statement; its error is said, and ends the transaction as PostgreSQL does."""
+        """Executes the statement; an error is sent, and aborts the transaction as in PostgreSQL."""
         assert self.database is not None
-        word = (self.statement.split() or [""])[0].upper()
-        if word == "COMMIT":
+        command = (self.statement.split() or [""])[0].upper()
+        if command == "COMMIT":
             self.server.may_commit.wait()
-        if self.is_failed and word not in ("ROLLBACK", "COMMIT"):
+        if self.is_failed and command not in ("ROLLBACK", "COMMIT"):
             self._send_error("25P02", "current transaction is aborted")
             return False
-        if word == "COMMIT" and self.server.faults.commit_errors:
-            state = self.server.faults.commit_errors.pop(0)
+        if command == "COMMIT" and self.server.faults.commit_errors:
+            sqlstate = self.server.faults.commit_errors.pop(0)
             self.database.execute("ROLLBACK")
-            self._send_error(state, "by the script")
+            self._send_error(sqlstate, "by the script")
             self.is_failed = False
             return False
-        if word == "COMMIT" and self.is_failed:
+        if command == "COMMIT" and self.is_failed:
             self.statement = "ROLLBACK"
         try:
-            text = "BEGIN IMMEDIATE" if word == "BEGIN" else re.sub(r"\$(\d+)", r"?\1", self.statement)
+            text = "BEGIN IMMEDIATE" if command == "BEGIN" else re.sub(r"\$(\d+)", r"?\1", self.statement)
             cursor = self.database.execute(text, self.parameters)
             self.columns = [column[0] for column in cursor.description or ()]
             self.rows = cursor.fetchall()
@@ -356,12 +363,12 @@
             self.is_failed = self.database.in_transaction
             self._send_error("55P03" if busy else "42601", str(error))
             return False
-        self.is_failed = self.is_failed and word not in ("ROLLBACK", "COMMIT")
-        self.server.commit_count += word == "COMMIT"
+        self.is_failed = self.is_failed and command not in ("ROLLBACK", "COMMIT")
+        self.server.commit_count += command == "COMMIT"
         count = len(self.rows) if self.columns else max(0, cursor.rowcount)
-        self.command_tag = {"SELECT": f"SELECT {count}", "INSERT": f"INSERT 0 {count}"}.get(word, word)
-        if word in ("UPDATE", "DELETE"):
-            self.command_tag = f"{word} {count}"
+        self.command_tag = {"SELECT": f"SELECT {count}", "INSERT": f"INSERT 0 {count}"}.get(command, command)
+        if command in ("UPDATE", "DELETE"):
+            self.command_tag = f"{command} {count}"
         return True
 
     def _send_description(self) -> None:
@@ -391,6 +398,6 @@
         inside = self.database is not None and self.database.in_transaction
         self.send(b"Z", b"E" if self.is_failed else b"T" if inside else b"I")
 
-    def _send_error(self, state: str, text: str) -> None:
+    def _send_error(self, sqlstate: str, text: str) -> None:
         self.is_skipping = True
-        self.send(b"E", f"SERROR\0VERROR\0C{state}\0M{text}\0\0".encode())
+        self.send(b"E", f"SERROR\0VERROR\0C{sqlstate}\0M{text}\0\0".encode())
--- a/tests/standins/faulty_hosts.py
+++ b/tests/standins/faulty_hosts.py
@@ -1,4 +1,4 @@
-"""The partners on which scripted runs and the benchmark of connections are played: all faults at once."""
+"""Faulty hosts for tests and the benchmark of connections: one host for each kind of fault."""
 
 from __future__ import annotations
 
@@ -9,30 +9,34 @@
 
 
 def duplicate_responses(delays_s: tuple[float, ...], seed: int) -> Callable[[Call], ResponsePlan]:
-    """Now and then an answer comes twice; every fifth call is refused."""
-    chance = random.Random(seed)
+    """Sends a fifth of the responses twice, after one of these delays, and rejects every fifth call."""
+    rng = random.Random(seed)
 
-    def script(call: Call) -> ResponsePlan:
-        again = (chance.choice(delays_s),) if chance.random() < 0.2 else ()
+    def plan_response(call: Call) -> ResponsePlan:
+        duplicate_delays_s = (rng.choice(delays_s),) if rng.random() < 0.2 else ()
         status = 503 if call.request_index % 5 == 4 else 200
         return ResponsePlan(
-            status, delay_s=0.004, duplicate_delays_s=again, duplicate_segments=chance.choice((1, 2))
+            status,
+            delay_s=0.004,
+            duplicate_delays_s=duplicate_delays_s,
+            duplicate_segments=rng.choice((1, 2)),
         )
 
-    return script
+    return plan_response
 
 
 def with_probability(probability: float, plan: ResponsePlan, seed: int) -> Callable[[Call], ResponsePlan]:
-    drawn = random.Random(seed)
+    """Applies `plan` with this probability, otherwise a normal response."""
+    rng = random.Random(seed)
 
-    def script(call: Call) -> ResponsePlan:
-        return plan if drawn.random() < probability else ResponsePlan(delay_s=0.004)
+    def plan_response(call: Call) -> ResponsePlan:
+        return plan if rng.random() < probability else ResponsePlan(delay_s=0.004)
 
-    return script
+    return plan_response
 
 
 def faulty_behaviours() -> list[Behaviour]:
-    """One for each server; seeds are fixed. Ages are short, so that a run of seconds meets them."""
+    """Returns one behaviour for each host; seeds are fixed, idle limits short enough for runs of seconds."""
     return [
         Behaviour(lambda call: ResponsePlan(delay_s=0.004)),
         Behaviour(lambda call: ResponsePlan(delay_s=0.004), silent_after_s=(0.15, 1.0)),
--- a/tests/standins/harness.py
+++ b/tests/standins/harness.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets for tests of the program: hosts, discovery, and a relay as a process."""
+"""A test harness with stub hosts and a stub discovery on loopback sockets, and the relay as a process."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from typing import Any
 
 ROOT = Path(__file__).parents[2]
-TEST_TIMEOUT_S = 60  # seconds after which a test that waits has failed
+TEST_TIMEOUT_S = 60  # limit of each wait in a test
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "status", "effect": "idempotent", "deadline": 24_000_000, "on_time": 3_000_000, "worth": 1},
@@ -46,6 +46,8 @@
 
 @dataclass
 class Request:
+    """One HTTP request; header names are in lower case."""
+
     method: str
     target: str
     headers: dict[str, str]
@@ -61,33 +63,37 @@
 
 
 def format_response(status: int, body: bytes = b"", **headers: str) -> bytes:
+    """Returns a response; underscores in header names are replaced by hyphens."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
 class StubServer:
-    """Answers each request with what its script gives: raw bytes, or None to close with no answer."""
+    """Answers each request with the bytes that its handler returns; None closes the connection."""
 
     def __init__(self, harness: RelayHarness, handler: RequestHandler) -> None:
         self.harness, self.handler = harness, handler
         self.requests: list[Request] = []
         self.connections: list[StubServerConnection] = []
         self.response_count = 0
-        self.closed_connections: list[int] = []  # connections, by number
+        self.closed_connections: list[int] = []  # by number
         self.server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> None:
+        """Listens on the given port, or on a free one."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: StubServerConnection(self), "127.0.0.1", port)
 
     @property
     def address(self) -> str:
+        """Where it listens, as HOST:PORT."""
         assert self.server is not None
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     @property
     def request_ids(self) -> list[str]:
+        """The Request-Id of each received request, in order."""
         return [request.id for request in self.requests]
 
     def close_connections(self) -> None:
@@ -96,6 +102,8 @@
 
 
 class StubServerConnection(asyncio.Protocol):
+    """One connection of a stub server; parses requests and calls the handler."""
+
     transport: asyncio.Transport
 
     def __init__(self, peer: StubServer) -> None:
@@ -141,7 +149,10 @@
 
 
 class RelayHarness:
-    """Discovery and hosts in this process, the relay in one of its own. Use as an async context."""
+    """Runs discovery and hosts in this process and the relay in its own; an async context manager.
+
+    Leaving the context fails if the relay logged an internal error.
+    """
 
     def __init__(self, folder: Path, **settings: Any) -> None:
         self.folder = folder
@@ -152,20 +163,23 @@
         self.endpoints: list[dict[str, Any]] = []
         self.revision = 1
         self.status_reports: list[dict[str, Any]] = []
-        self.report_handler: RequestHandler | None = None  # in place of the 204 to a notice
+        # Answers reports; where it returns b"", the harness records the report and sends 204.
+        self.report_handler: RequestHandler | None = None
+        # Answers polls and watches; where it returns b"", the harness sends the list.
         self.list_handler: RequestHandler | None = None
         self.log: list[str] = []
-        self.root = ROOT  # where the program is that is started, and what it is told on its command line
+        # Directory and command line of the program that is started.
+        self.root = ROOT
         self.program = ["-m", "loftrelay"]
         self.arguments: list[str] = []
         self.relay_name = "n1"
-        self.keeps_config_file = False  # the file of the platform stands as it is
-        self.internal_errors: list[str] = []  # of the program itself, as its log tells
-        self.admin_address = ""  # where operators call; empty: nowhere
-        self.reported_at: dict[str, float] = {}  # message -> when its notice came (Unix time)
-        self.process: asyncio.subprocess.Process | None = None  # the one that was started last
-        self.predecessor: asyncio.subprocess.Process | None = None  # the one beside which it was started
-        self.listener: socket.socket | None = None  # the clients' socket, where all processes share it
+        self.keeps_config_file = False  # leaves the configuration file as it is
+        self.internal_errors: list[str] = []  # of the program, from its log
+        self.admin_address = ""  # empty: no admin endpoint
+        self.reported_at: dict[str, float] = {}  # message id -> time of its first report (Unix time)
+        self.process: asyncio.subprocess.Process | None = None  # the latest one
+        self.predecessor: asyncio.subprocess.Process | None = None  # the one that `process` replaces
+        self.listener: socket.socket | None = None  # the clients' socket, if all processes share it
         self.address = ("", 0)
         self._changed = asyncio.Event()
 
@@ -190,6 +204,7 @@
         assert not self.internal_errors
 
     async def start_server(self, handler: RequestHandler) -> StubServer:
+        """Starts a stub server that is closed with the harness."""
         peer = StubServer(self, handler)
         await peer.start()
         self.servers.append(peer)
@@ -198,12 +213,13 @@
     async def start_host(
         self, handler: RequestHandler, destination: int = 1, flavor: str = "plain"
     ) -> StubServer:
-        """A host that the next known list and discovery's answers name."""
+        """Starts a host and lists it in the known list of the configuration and in discovery's responses."""
         peer = await self.start_server(handler)
         self.add_endpoint(destination, flavor, "Ready", peer.address)
         return peer
 
     def add_endpoint(self, destination: int, flavor: str, phase: str, address: str) -> None:
+        """Adds an endpoint to the list, under a new revision."""
         self.endpoints.append(
             {
                 "id": f"h{len(self.endpoints)}",
@@ -220,20 +236,22 @@
         self.notify_changed()
 
     def add_unavailable_destination(self, destination: int = 1, flavor: str = "plain") -> None:
-        """Makes a destination known by a host that takes nothing, so that its messages wait."""
+        """Lists a destination whose only host is terminating, so that its messages wait."""
         self.add_endpoint(destination, flavor, "Terminating", "127.0.0.1:9")
 
     def full_list(self) -> dict[str, Any]:
+        """Returns the full list in the format of discovery's responses."""
         return {"revision": self.revision, "complete": True, "members": self.endpoints}
 
     async def handle_discovery_request(self, request: Request) -> bytes | None:
+        """Answers a status report, a watch or a poll of the endpoint list."""
         if request.target == "/reports":
             if self.report_handler is not None and (answer := await self.report_handler(request)) != b"":
                 return answer
-            heard = [json.loads(line) for line in request.body.splitlines()]
-            self.status_reports += heard
-            for notice in heard:
-                self.reported_at.setdefault(notice["id"], time.time())
+            reports = [json.loads(line) for line in request.body.splitlines()]
+            self.status_reports += reports
+            for report in reports:
+                self.reported_at.setdefault(report["id"], time.time())
             self.notify_changed()
             return format_response(204)
         if self.list_handler is not None and (answer := await self.list_handler(request)) != b"":
@@ -248,10 +266,12 @@
     # Waiting
 
     def notify_changed(self) -> None:
+        """Wakes all waiters to check their conditions."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Waits until a condition holds; it is checked after every change."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while not condition():
                 await self._changed.wait()
@@ -259,6 +279,7 @@
     # The relay
 
     def write_config(self, discovery: str) -> Path:
+        """Writes the platform's configuration file; returns its path."""
         config = {
             "name": self.relay_name,
             "listen": "127.0.0.1:0",
@@ -274,41 +295,48 @@
         return path
 
     def reload(self) -> None:
+        """Sends SIGHUP."""
         assert self.process is not None
         self.process.send_signal(signal.SIGHUP)
 
     async def spawn(self, program: list[str] | None = None) -> asyncio.subprocess.Process:
-        """A process of the relay; does not wait for anything of it."""
+        """Starts a relay process without waiting for it."""
         path = self.write_config(self.discovery.address)
-        more = {"RELAY_CONTROL": self.admin_address} if self.admin_address else {}
-        files: tuple[int, ...] = ()
+        extra_environment = {"RELAY_CONTROL": self.admin_address} if self.admin_address else {}
+        descriptors: tuple[int, ...] = ()
         if self.listener is not None:
-            more["RELAY_ACCEPT_FD"], files = str(self.listener.fileno()), (self.listener.fileno(),)
+            descriptors = (self.listener.fileno(),)
+            extra_environment["RELAY_ACCEPT_FD"] = str(self.listener.fileno())
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             *(program or self.program),
             *self.arguments,
             cwd=self.root,
             stderr=asyncio.subprocess.PIPE,
-            pass_fds=files,
-            env={**os.environ, "RELAY_CONFIG": str(path), "RELAY_STATE": str(self.folder / "state"), **more},
+            pass_fds=descriptors,
+            env={
+                **os.environ,
+                "RELAY_CONFIG": str(path),
+                "RELAY_STATE": str(self.folder / "state"),
+                **extra_environment,
+            },
         )
         self.tasks.append(asyncio.create_task(self._read_log(process)))
         return process
 
     def share_listener(self) -> None:
-        """From now on the platform holds the clients' socket, and every process inherits it."""
+        """Opens the clients' socket here; every process started from now on inherits it."""
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.listen(128)
         self.address = self.listener.getsockname()
 
     async def start_successor(self, program: list[str] | None = None) -> None:
-        """Starts the process that is to take over, at a door of its own; does not wait for it."""
+        """Starts the successor with an admin address of its own, without waiting for it."""
         self.predecessor, self.admin_address = self.process, f"127.0.0.1:{free_port()}"
         self.process = await self.spawn(program)
 
     async def wait_until_ready(self) -> None:
-        """Until the process that was started last says so at its door."""
+        """Waits until the latest process reports at its admin address that it is ready."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while True:
                 with contextlib.suppress(OSError):
@@ -317,7 +345,7 @@
                 await asyncio.sleep(0.01)
 
     async def upgrade(self) -> None:
-        """Replaces the process, as the platform does."""
+        """Replaces the process by a successor, as the platform does."""
         await self.start_successor()
         await self.wait_until_ready()
         assert self.predecessor is not None
@@ -326,6 +354,7 @@
             assert await self.predecessor.wait() == 0
 
     async def start(self) -> None:
+        """Starts the relay and waits until it listens."""
         self.log.clear()
         process = self.process = await self.spawn()
         await self.wait_until(
@@ -345,6 +374,7 @@
         self.notify_changed()
 
     async def stop(self, signal_number: signal.Signals) -> int:
+        """Sends a signal, waits for the exit and returns the exit code."""
         assert self.process is not None
         self.process.send_signal(signal_number)
         async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -358,7 +388,7 @@
         await self.start()
 
     async def warm_up(self, host: StubServer) -> None:
-        """Gives the module a demand to go by: where it sees next to none, it is wary for minutes."""
+        """Delivers 20 messages as demand: with almost none the scheduler limits traffic for minutes."""
         script, host.handler = host.handler, respond_ok
         for i in range(20):
             assert await self.submit(f"warm{i}") == 202
@@ -367,7 +397,7 @@
         host.handler = script
 
     async def send(self, request: bytes) -> tuple[int, dict[str, str], bytes]:
-        """One request as it stands, on a connection of its own."""
+        """Sends raw bytes on a new connection; returns status, headers and body of the response."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*self.address)
             try:
@@ -378,7 +408,7 @@
         return int(start.split()[1]), headers, body
 
     async def call_admin(self, line: str) -> str:
-        """One call at the operators' door."""
+        """Sends one admin command; returns the reply."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             host, _, port = self.admin_address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -396,10 +426,11 @@
         body: bytes = b"hello",
         **headers: str,
     ) -> int:
+        """Submits a message; returns the status of the response."""
         return (await self.send(format_submission(message_id, class_name, destination, body, **headers)))[0]
 
     async def submit_once_listed(self, message_id: str, destination: int) -> None:
-        """A destination is turned away until the relay's list names it."""
+        """Submits a message until it is admitted: the relay rejects it until the destination is listed."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while (status := await self.submit(message_id, destination=destination)) == 503:
                 pass
@@ -407,17 +438,21 @@
 
 
 def free_port() -> int:
-    """Below those that the system gives to connections: one of another test would take it meanwhile."""
+    """Returns a port that is free for TCP and UDP.
+
+    It is below the ephemeral range, where a connection of another test could take it.
+    """
     while True:
-        place = ("127.0.0.1", 10_000 + secrets.randbelow(22_000))
+        address = ("127.0.0.1", 10_000 + secrets.randbelow(22_000))
         datagrams = socket.socket(type=socket.SOCK_DGRAM)
         with socket.socket() as tcp, datagrams as udp, contextlib.suppress(OSError):
-            tcp.bind(place)
-            udp.bind(place)
-            return place[1]
+            tcp.bind(address)
+            udp.bind(address)
+            return address[1]
 
 
 async def read_response(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+    """Reads one response; returns its start line, headers (names in lower case) and body."""
     start, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
     headers = {k.strip().lower(): v.strip() for k, _, v in (line.partition(":") for line in lines)}
     return start, headers, await reader.readexactly(int(headers.get("content-length", 0)))
@@ -426,7 +461,10 @@
 def format_submission(
     message_id: str, class_name: str = "status", destination: int = 1, body: bytes = b"hello", **changes: str
 ) -> bytes:
-    """A request that hands a message in; `path` and headers (with _ for -) may be changed, '' drops one."""
+    """Returns the request that submits a message.
+
+    `headers` overrides `path`, `method` and headers (with _ for -); an empty value removes a header.
+    """
     path = changes.pop("path", f"/{class_name}/turbine-7" if class_name == "order" else f"/{class_name}")
     method = changes.pop("method", "POST")
     headers = {
@@ -444,10 +482,12 @@
 
 
 async def respond_ok(request: Request) -> bytes:
+    """Handler that answers 200."""
     return format_response(200)
 
 
 async def never_respond(request: Request) -> bytes:
+    """Handler that never answers."""
     await asyncio.Event().wait()
     return b""
 
@@ -455,6 +495,8 @@
 def run_scenario(
     scenario: Callable[[RelayHarness], Awaitable[None]], folder: Path, **settings: object
 ) -> None:
+    """Runs a scenario in a new event loop, with a harness in `folder`."""
+
     async def main() -> None:
         async with RelayHarness(folder, **settings) as world:
             await scenario(world)
@@ -463,4 +505,5 @@
 
 
 def undeliverable_report(message_id: str) -> dict[str, str]:
+    """Returns the status report of an undeliverable message."""
     return {"id": message_id, "status": "undeliverable"}
--- a/tests/standins/journal_script.py
+++ b/tests/standins/journal_script.py
@@ -1,4 +1,4 @@
-"""Random operations on a journal by fixed seeds, and a hash of all that it wrote, to compare two programs."""
+"""Random journal operations with fixed seeds, and a hash of all bytes written, to compare two programs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Adapter(Protocol):
-    """The journal of one program under names that both understand."""
+    """The journal of one program, under method names common to both programs."""
 
     def open(self, folder: Path, disk_bytes: int, clock: Callable[[], int]) -> None: ...
     def close(self) -> None: ...
@@ -33,10 +33,10 @@
 
 
 def play(journal: Adapter, folder: Path, seed: int) -> str:
-    """The hash of the files and of the answers.
+    """Returns the hash of the files and of the journal's answers.
 
-    With even seeds nothing that is completed is answered: answers are copied in the order of a set of texts,
-    which differs from process to process. With odd seeds the budget is so large that nothing is copied.
+    With even seeds no answers are stored: compaction copies answers in the order of a set of strings, which
+    differs between processes. With odd seeds the disk budget is too large for compaction.
     """
     draw = random.Random(seed)
     ticks = itertools.count(START_US, 997)
--- a/tests/standins/killed.py
+++ b/tests/standins/killed.py
@@ -1,5 +1,5 @@
-"""python -m tests.standins.killed STEP ARGUMENTS...: a relay that ends by SIGKILL where it first reaches the
-named step (loftrelay.relay.fault_points)."""
+"""python -m tests.standins.killed POINT ARGUMENTS...: a relay that kills itself by SIGKILL when it first
+reaches the named fault point (loftrelay.relay.fault_points)."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from loftrelay.relay import fault_points
 
 
-def kill_at_fault_point(step: str) -> None:
-    """Raises SystemExit for a step that isn't there: nothing would ever be killed."""
-    if step not in fault_points.ALL_POINTS:
-        raise SystemExit(f"there is no step {step!r}")
+def kill_at_fault_point(fault_point: str) -> None:
+    """Installs the kill. Raises SystemExit for an unknown fault point, which would never be reached."""
+    if fault_point not in fault_points.ALL_POINTS:
+        raise SystemExit(f"unknown fault point {fault_point!r}: see loftrelay.relay.fault_points")
 
-    def listen(reached: str) -> None:
-        if reached == step:
+    def on_fault_point(reached: str) -> None:
+        if reached == fault_point:
             os.kill(os.getpid(), signal.SIGKILL)
 
-    fault_points.listener = listen
+    fault_points.listener = on_fault_point
 
 
 if __name__ == "__main__":
--- a/tests/standins/predecessor.py
+++ b/tests/standins/predecessor.py
@@ -1,4 +1,4 @@
-"""The handover of a relay to the next process: recorded from one program, and played to a successor.
+"""The handover of a relay to its successor: recorded from one program, and replayed to another.
 
 `python -m tests.standins.predecessor record ROOT FIXTURES` writes handover.json and journal_handover/ in
 FIXTURES with the program in ROOT; `... play ROOT FIXTURES` prints what the program in ROOT does as successor.
@@ -33,13 +33,13 @@
 )
 from tests.standins.recovered import CLASSES
 
-FRAME = struct.Struct(">II")  # bytes of the JSON object, descriptors that come with it
-HALF_REQUEST = format_submission("half", body=b"a body in two parts")
-HALF = len(HALF_REQUEST) - 10
+FRAME = struct.Struct(">II")  # length of the JSON object in bytes, number of descriptors sent with it
+PARTIAL_REQUEST = format_submission("half", body=b"a body in two parts")
+FIRST_HALF_BYTES = len(PARTIAL_REQUEST) - 10
 
 
-class Line:
-    """One end of a channel between two processes. Its calls block: they are made in a thread."""
+class ChannelEnd:
+    """One end of the handover channel. Socket calls block, so they run in a thread."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -47,64 +47,69 @@
         self.data = b""
         self.files: list[int] = []
 
-    async def send(self, told: dict[str, Any], files: list[int] | None = None) -> None:
-        body = json.dumps(told, separators=(",", ":")).encode()
-        frame = FRAME.pack(len(body), len(files or [])) + body
-        rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", files))] if files else []
+    async def send(self, message: dict[str, Any], descriptors: list[int] | None = None) -> None:
+        """Sends one message with file descriptors."""
+        body = json.dumps(message, separators=(",", ":")).encode()
+        frame = FRAME.pack(len(body), len(descriptors or [])) + body
+        rights = (
+            [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", descriptors))] if descriptors else []
+        )
         sent = await asyncio.to_thread(self.sock.sendmsg, [frame], rights)
         await asyncio.to_thread(self.sock.sendall, frame[sent:])
 
     async def receive(self) -> tuple[dict[str, Any], list[int]]:
+        """Receives one message and its file descriptors."""
         while len(self.data) < FRAME.size or len(self.data) < FRAME.size + FRAME.unpack_from(self.data)[0]:
-            data, files, *_ = await asyncio.to_thread(socket.recv_fds, self.sock, 1 << 18, 200)
+            data, descriptors, *_ = await asyncio.to_thread(socket.recv_fds, self.sock, 1 << 18, 200)
             assert data, "the other process has closed the channel"
             self.data += data
-            self.files += files
+            self.files += descriptors
         size, count = FRAME.unpack_from(self.data)
         body, self.data = self.data[FRAME.size : FRAME.size + size], self.data[FRAME.size + size :]
-        files, self.files = self.files[:count], self.files[count:]
-        return json.loads(body), files
+        descriptors, self.files = self.files[:count], self.files[count:]
+        return json.loads(body), descriptors
 
 
-def prepare(world: RelayHarness, state: Path) -> None:
-    world.admin_address = f"127.0.0.1:{free_port()}"
-    shutil.copytree(state, world.folder / "state")
-    world.share_listener()
+def prepare_state(harness: RelayHarness, state: Path) -> None:
+    """Copies the stored state and opens the shared listener."""
+    harness.admin_address = f"127.0.0.1:{free_port()}"
+    shutil.copytree(state, harness.folder / "state")
+    harness.share_listener()
 
 
 async def record(folder: Path, root: Path, fixtures: Path) -> list[dict[str, Any]]:
-    """All that a relay sends to one that takes over and goes by the journal alone."""
-    async with RelayHarness(folder, classes=CLASSES) as world:
-        world.root = root
-        prepare(world, fixtures / "journal")
-        host = await world.start_host(never_respond)
-        await world.start_host(never_respond, destination=2)
-        await world.start()
-        await world.wait_until(lambda: bool(host.request_ids))  # calls are out
-        reader, writer = await asyncio.open_connection(*world.address)
+    """Returns all messages that a relay sends to a successor that uses only the journal."""
+    async with RelayHarness(folder, classes=CLASSES) as harness:
+        harness.root = root
+        prepare_state(harness, fixtures / "journal")
+        host = await harness.start_host(never_respond)
+        await harness.start_host(never_respond, destination=2)
+        await harness.start()
+        await harness.wait_until(lambda: bool(host.request_ids))  # calls are in flight
+        reader, writer = await asyncio.open_connection(*harness.address)
         writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         await read_response(reader)
-        writer.write(HALF_REQUEST[:HALF])
+        writer.write(PARTIAL_REQUEST[:FIRST_HALF_BYTES])
         await asyncio.sleep(0.2)
         sock = socket.socket(socket.AF_UNIX)
         sock.connect(str(folder / "state" / "upgrade.sock"))
-        line, received = Line(sock), []
-        await line.send({"is": "ask", "pid": os.getpid()})
-        received.append((await line.receive())[0])
-        await line.send({"is": "loaded", "plain": True})
+        channel, received = ChannelEnd(sock), []
+        await channel.send({"is": "ask", "pid": os.getpid()})
+        received.append((await channel.receive())[0])
+        await channel.send({"is": "loaded", "plain": True})
         while received[-1]["is"] != "client":
-            received.append((await line.receive())[0])
+            received.append((await channel.receive())[0])
         shutil.rmtree(fixtures / "journal_handover", ignore_errors=True)
         (fixtures / "journal_handover").mkdir()
         for path in sorted((folder / "state").glob("*.log")):
             shutil.copy(path, fixtures / "journal_handover")
-        operator = asyncio.create_task(world.call_admin("disable-server h1"))
-        received.append((await line.receive())[0])
-        await line.send({"is": "changed", "n": received[-1]["n"], "why": None})
+        operator = asyncio.create_task(harness.call_admin("disable-server h1"))
+        received.append((await channel.receive())[0])
+        await channel.send({"is": "changed", "n": received[-1]["n"], "why": None})
         assert await operator == "YES\n"
-        assert world.process is not None
-        world.process.send_signal(signal.SIGHUP)
-        received.append((await line.receive())[0])
+        assert harness.process is not None
+        harness.process.send_signal(signal.SIGHUP)
+        received.append((await channel.receive())[0])
         writer.close()
         return received
 
@@ -112,57 +117,59 @@
 async def play(
     folder: Path, fixtures: Path, unfinished: set[str], root: Path = ROOT, is_refused: bool = False
 ) -> dict[str, Any]:
-    """Starts the program of `root` beside this process, which owns the state and hands it over as recorded.
+    """Starts the program of `root` as successor of this process, which replays the recorded handover.
 
-    `is_refused`: the state is spoilt, so that the program of `root` has to go by the journal alone.
+    With `is_refused` the snapshot is replaced by an invalid one, so that the successor uses only the journal.
     """
-    told = json.loads((fixtures / "handover.json").read_text())
+    messages = json.loads((fixtures / "handover.json").read_text())
     if is_refused:
-        told[0]["module"] = "{}"
-    async with RelayHarness(folder, classes=CLASSES) as world:
-        world.root = root
-        prepare(world, fixtures / "journal_handover")
+        messages[0]["module"] = "{}"
+    async with RelayHarness(folder, classes=CLASSES) as harness:
+        harness.root = root
+        prepare_state(harness, fixtures / "journal_handover")
         lock = os.open(folder / "state" / "owner.lock", os.O_RDWR | os.O_CREAT)
         fcntl.flock(lock, fcntl.LOCK_EX)
         listener = socket.socket(socket.AF_UNIX)
         listener.bind(str(folder / "state" / "upgrade.sock"))
         listener.listen(1)
         listener.settimeout(TEST_TIMEOUT_S)
-        host = await world.start_host(respond_ok)
-        await world.start_host(respond_ok, destination=2)  # the one that an operator disables meanwhile
-        world.process = await world.spawn()
-        line = Line((await asyncio.to_thread(listener.accept))[0])
+        host = await harness.start_host(respond_ok)
+        await harness.start_host(
+            respond_ok, destination=2
+        )  # the host that an operator disables during the handover
+        harness.process = await harness.spawn()
+        channel = ChannelEnd((await asyncio.to_thread(listener.accept))[0])
         listener.close()
-        asked, _ = await line.receive()
-        assert asked == {"is": "ask", "pid": world.process.pid}
-        await line.send(told[0])
-        loaded, _ = await line.receive()
-        assert not host.requests  # the predecessor owns all until it has said otherwise
+        request, _ = await channel.receive()
+        assert request == {"is": "ask", "pid": harness.process.pid}
+        await channel.send(messages[0])
+        loaded, _ = await channel.receive()
+        assert not host.requests  # the predecessor owns all messages until it hands them over
         client: socket.socket | None = None
         changed = None
-        for row in told[1:]:
-            files = []
-            if row["is"] == "yours":
-                files = [lock]
-            elif row["is"] == "client":
-                client, theirs = socket.socketpair()
-                files = [theirs.detach()]
-            await line.send(row, files)
-            for file in files:
-                os.close(file)
-            if row["is"] == "change":
-                changed, _ = await line.receive()
+        for message in messages[1:]:
+            descriptors = []
+            if message["is"] == "yours":
+                descriptors = [lock]
+            elif message["is"] == "client":
+                client, client_end = socket.socketpair()
+                descriptors = [client_end.detach()]
+            await channel.send(message, descriptors)
+            for descriptor in descriptors:
+                os.close(descriptor)
+            if message["is"] == "change":
+                changed, _ = await channel.receive()
         assert client is not None
         client.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=client)
-        writer.write(HALF_REQUEST[HALF:])
+        writer.write(PARTIAL_REQUEST[FIRST_HALF_BYTES:])
         start, _, _ = await read_response(reader)
         writer.close()
-        await world.wait_until_ready()
-        await world.wait_until(
-            lambda: unfinished <= {*host.request_ids, *(notice["id"] for notice in world.status_reports)}
+        await harness.wait_until_ready()
+        await harness.wait_until(
+            lambda: unfinished <= {*host.request_ids, *(report["id"] for report in harness.status_reports)}
         )
-        await asyncio.sleep(0.5)  # for a message that runs twice
+        await asyncio.sleep(0.5)  # time for a duplicate call
         disabled = json.loads((folder / "state" / "hosts-out.json").read_text())
         return {
             "loaded": loaded,
@@ -170,19 +177,19 @@
             "half_request": start,
             "disabled": disabled,
             "calls": dict(sorted(Counter(host.request_ids).items())),
-            "reports": sorted(world.status_reports, key=lambda report: str(report["id"])),
+            "reports": sorted(harness.status_reports, key=lambda report: str(report["id"])),
         }
 
 
-def main(what: str, root: Path, fixtures: Path) -> None:
-    with tempfile.TemporaryDirectory() as name:
-        if what == "record":
-            received = asyncio.run(record(Path(name), root, fixtures))
+def main(command: str, root: Path, fixtures: Path) -> None:
+    with tempfile.TemporaryDirectory() as folder:
+        if command == "record":
+            received = asyncio.run(record(Path(folder), root, fixtures))
             (fixtures / "handover.json").write_text(json.dumps(received) + "\n")
             return
         contents = json.loads((fixtures / "journal_contents.json").read_text())
         unfinished = set(contents["journal_handover"]["messages"])
-        print(json.dumps(asyncio.run(play(Path(name), fixtures, unfinished, root, True)), indent=1))
+        print(json.dumps(asyncio.run(play(Path(folder), fixtures, unfinished, root, True)), indent=1))
 
 
 if __name__ == "__main__":
--- a/tests/standins/recovered.py
+++ b/tests/standins/recovered.py
@@ -1,4 +1,4 @@
-"""A relay started on stored state of another program: what it delivers, reports and answers.
+"""Starts a relay on state stored by another program: what it delivers, reports and answers.
 
 `python -m tests.standins.recovered ROOT STATE` prints this for the program in ROOT, for fixtures.
 """
@@ -43,33 +43,33 @@
 async def recover(
     folder: Path, state: Path, unfinished: set[str], root: Path = ROOT, record: Path | None = None
 ) -> dict[str, Any]:
-    """Starts the program of `root` on a copy of `state` until all of `unfinished` have ended."""
-    async with RelayHarness(folder, classes=CLASSES) as world:
-        world.root = root
-        world.admin_address = f"127.0.0.1:{free_port()}"
+    """Runs the program of `root` on a copy of `state` until all of `unfinished` are complete."""
+    async with RelayHarness(folder, classes=CLASSES) as harness:
+        harness.root = root
+        harness.admin_address = f"127.0.0.1:{free_port()}"
         shutil.copytree(state, folder / "state")
         if record is not None:
             shutil.copy(record, folder / "record.sqlite")
             (folder / "record.toml").write_text(f'file = "{folder / "record.sqlite"}"\n')
-            world.arguments = ["--record", str(folder / "record.toml")]
-        host = await world.start_host(respond_ok)
-        await world.start()
-        await world.wait_until(
-            lambda: unfinished <= {*host.request_ids, *(notice["id"] for notice in world.status_reports)}
+            harness.arguments = ["--record", str(folder / "record.toml")]
+        host = await harness.start_host(respond_ok)
+        await harness.start()
+        await harness.wait_until(
+            lambda: unfinished <= {*host.request_ids, *(report["id"] for report in harness.status_reports)}
         )
         resubmitted = {}
         if record is None:
             for name in RESUBMITTED:
-                of = name.rpartition("-")[2]
-                resubmitted[name] = await world.submit(name, of, path=f"/{of}/{name}")
+                class_name = name.rpartition("-")[2]
+                resubmitted[name] = await harness.submit(name, class_name, path=f"/{class_name}/{name}")
         else:
             for name in ("store-told-delivered", "store-told-failed", "store-told-refused"):
-                resubmitted[name] = await world.submit(name, "order", path=f"/order/{name}")
+                resubmitted[name] = await harness.submit(name, "order", path=f"/order/{name}")
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while "app.outstanding=0" not in await world.call_admin("show-stat"):
+            while "app.outstanding=0" not in await harness.call_admin("show-stat"):
                 await asyncio.sleep(0.02)
-        rows = await finished_rows(folder / "record.sqlite") if record is not None else []
-        await world.kill()
+        rows = await read_reported_rows(folder / "record.sqlite") if record is not None else []
+        await harness.kill()
         return {
             "calls": dict(sorted(Counter(host.request_ids).items())),
             "bodies": {request.id: request.body for request in host.requests},
@@ -78,14 +78,14 @@
                 for request in host.requests
                 if "idempotency-key" in request.headers
             },
-            "reports": sorted(world.status_reports, key=lambda report: str(report["id"])),
+            "reports": sorted(harness.status_reports, key=lambda report: str(report["id"])),
             "resubmitted": resubmitted,
             "rows": rows,
         }
 
 
-async def finished_rows(store: Path) -> list[list[object]]:
-    """Id, state, answer and attempts of each message, once the end of every message was reported."""
+async def read_reported_rows(store: Path) -> list[list[object]]:
+    """Returns id, run, state, answer, attempts and result of each message, once all are reported."""
     database = sqlite3.connect(f"file:{store}?mode=ro", uri=True)
     try:
         async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -111,7 +111,7 @@
             unfinished |= {"store-lost", "store-lost-out"}
         with tempfile.TemporaryDirectory() as folder:
             result = asyncio.run(recover(Path(folder), fixtures / name, unfinished, root, record))
-        del result["bodies"]  # they stand in journal_contents.json
+        del result["bodies"]  # they are in journal_contents.json
         results[name] = result
     print(json.dumps(results, indent=1))
 
--- a/tests/standins/registries.py
+++ b/tests/standins/registries.py
@@ -1,4 +1,4 @@
-"""Registries as processes of the program, between a World's discovery and its relay."""
+"""Registry processes between the discovery of a RelayHarness and its relay."""
 
 from __future__ import annotations
 
@@ -16,8 +16,10 @@
 
 
 class Registries:
-    """So many for one World, whose relay is then to be started with them. Use as an async context within
-    that of the world."""
+    """Registries of one RelayHarness, whose relay has to be started after them.
+
+    Used as an async context manager within that of the harness.
+    """
 
     def __init__(self, harness: RelayHarness, count: int = 2, **subscription: Any) -> None:
         self.harness = harness
@@ -26,9 +28,13 @@
         self.logs: dict[str, list[str]] = {address: [] for address in self.addresses}
         self.tasks: list[asyncio.Task[None]] = []
         harness.admin_address = harness.admin_address or f"127.0.0.1:{free_port()}"
-        told = {"fleet": f'"{FLEET}"', "registries": str(self.addresses).replace("'", '"'), **subscription}
+        settings = {
+            "fleet": f'"{FLEET}"',
+            "registries": str(self.addresses).replace("'", '"'),
+            **subscription,
+        }
         path = harness.folder / "subscription.toml"
-        path.write_text("[subscription]\n" + "".join(f"{key} = {value}\n" for key, value in told.items()))
+        path.write_text("[subscription]\n" + "".join(f"{key} = {value}\n" for key, value in settings.items()))
         harness.arguments = ["--subscription", str(path)]
 
     async def __aenter__(self) -> Registries:
@@ -41,16 +47,21 @@
         await asyncio.gather(*self.tasks)
 
     def preferred_addresses(self) -> list[str]:
-        """As the relay prefers them."""
-        places = preference_order(
+        """Returns the addresses in the relay's order of preference."""
+        addresses = preference_order(
             self.harness.relay_name, [parse_address(address) for address in self.addresses]
         )
-        return [f"{host}:{port}" for host, port in places]
+        return [f"{host}:{port}" for host, port in addresses]
 
     async def start(self, address: str, discovery: str = "") -> None:
+        """Starts one registry and waits until it listens."""
         path = self.harness.folder / f"registry-{address.rpartition(':')[2]}.toml"
-        told = {"fleet": FLEET, "listen": address, "discovery": discovery or self.harness.discovery.address}
-        path.write_text("[registry]\n" + "".join(f'{key} = "{value}"\n' for key, value in told.items()))
+        settings = {
+            "fleet": FLEET,
+            "listen": address,
+            "discovery": discovery or self.harness.discovery.address,
+        }
+        path.write_text("[registry]\n" + "".join(f'{key} = "{value}"\n' for key, value in settings.items()))
         process = self.processes[address] = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -77,13 +88,14 @@
         self.harness.notify_changed()
 
     async def kill(self, address: str) -> None:
+        """Kills one registry (SIGKILL)."""
         process = self.processes.pop(address)
         process.kill()
         async with asyncio.timeout(TEST_TIMEOUT_S):
             await process.wait()
 
     async def suspend(self, address: str) -> None:
-        """Stands still, with its connections up."""
+        """Suspends a registry by SIGSTOP; its connections stay open."""
         process = self.processes[address]
         process.send_signal(signal.SIGSTOP)
         stat = Path(f"/proc/{process.pid}/stat")
@@ -92,17 +104,20 @@
                 await asyncio.sleep(0.002)
 
     def resume(self, address: str) -> None:
+        """Resumes a suspended registry."""
         self.processes[address].send_signal(signal.SIGCONT)
 
-    # What the relay shows at its door
+    # Metrics of the relay
 
     async def metric(self, name: str) -> int:
+        """Reads one metric of the relay."""
         lines = dict(
             line.split("=") for line in (await self.harness.call_admin("show-stat")).split() if "=" in line
         )
         return int(lines[f"app.{name}"])
 
     async def wait_for_metric(self, name: str, minimum: int) -> None:
+        """Waits until a metric of the relay reaches a minimum."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while await self.metric(name) < minimum:
                 await asyncio.sleep(0.01)
--- a/tests/standins/registry.py
+++ b/tests/standins/registry.py
@@ -1,4 +1,4 @@
-"""A registry as a process, and calls to it over loopback."""
+"""A registry process, and requests to it over loopback connections."""
 
 from __future__ import annotations
 
@@ -30,9 +30,11 @@
         self.reader, self.writer = reader, writer
 
     def send(self, target: str, method: str = "GET") -> None:
+        """Sends a request without a body."""
         self.writer.write(f"{method} {target} HTTP/1.1\r\nHost: registry\r\n\r\n".encode())
 
     async def read(self) -> tuple[int, dict[str, str], bytes]:
+        """Reads a response; returns status, headers and body."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
             headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:])}
@@ -40,22 +42,24 @@
         return int(head[0].split()[1]), headers, body
 
     async def request(self, target: str) -> tuple[int, Any]:
-        """Status, and the body: as JSON where it is that."""
+        """Returns the status and the body, decoded if it is JSON."""
         self.send(target)
         status, headers, body = await self.read()
         return status, json.loads(body) if headers["content-type"] == "application/json" else body.decode()
 
     async def call(self, call: SubscriptionChange | SubscriptionWatch) -> SubscriptionResponse:
+        """Sends a subscription request; returns the response."""
         self.send(encode_request(call))
         return await self.response()
 
     async def response(self) -> SubscriptionResponse:
+        """Reads a subscription response."""
         status, _, body = await self.read()
         assert status == 200, body
         return decode_response(body)
 
     async def read_until_closed(self) -> bytes:
-        """What comes until the registry ends the connection."""
+        """Returns all data until the registry closes the connection."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
                 return await self.reader.read()
@@ -66,7 +70,13 @@
 
 
 class RegistryProcess:
-    """Use as an async context: a process of its own. `keys`: of its file, as TOML values."""
+    """A registry process, used as an async context manager.
+
+    Args:
+        folder: Where its settings file is written.
+        discovery: Address of discovery.
+        keys: Keys of the settings file, as TOML values.
+    """
 
     def __init__(self, folder: Path, discovery: str, /, **keys: str) -> None:
         self.file = folder / "registry.toml"
@@ -79,6 +89,7 @@
         self._logged = asyncio.Event()
 
     def write(self) -> None:
+        """Writes the settings file."""
         lines = ["[registry]", *(f"{name} = {value}" for name, value in self.keys.items())]
         self.file.write_text("\n".join(lines))
 
@@ -98,6 +109,7 @@
         assert not any("a fault of the program" in line or "Traceback" in line for line in self.log), self.log
 
     async def start(self, listens: bool = True) -> None:
+        """Starts the process; waits until it listens, unless told not to."""
         self.write()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -112,8 +124,8 @@
         )
         self._reading = asyncio.create_task(self._read(self.process))
         if listens:
-            said = await self.wait_for_log(r"listens on .*:(\d+)$")
-            self.address = ("127.0.0.1", int(said[1]))
+            match = await self.wait_for_log(r"listens on .*:(\d+)$")
+            self.address = ("127.0.0.1", int(match[1]))
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
@@ -122,16 +134,17 @@
             self._logged.set()
 
     async def wait_for_log(self, pattern: str, since: int = 0) -> re.Match[str]:
-        """The first line from number `since` on in which that is found."""
+        """Returns the first match in the log, from line `since` on."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while True:
                 self._logged.clear()
                 for line in self.log[since:]:
-                    if (found := re.search(pattern, line)) is not None:
-                        return found
+                    if (match := re.search(pattern, line)) is not None:
+                        return match
                 await self._logged.wait()
 
     async def terminate(self, number: signal.Signals = signal.SIGTERM) -> int:
+        """Sends a signal; returns the exit code."""
         assert self.process is not None
         self.process.send_signal(number)
         return await self.wait_for_exit()
@@ -147,6 +160,7 @@
         return line
 
     async def metrics(self) -> dict[str, float]:
+        """Reads all metrics."""
         line = await self.connect()
         status, body = await line.request("/figures")
         line.close()
@@ -154,12 +168,14 @@
         return {name: float(value) for name, value in (told.split() for told in body.splitlines())}
 
     async def wait_for_metrics(self, condition: Callable[[dict[str, float]], bool]) -> dict[str, float]:
+        """Waits until the metrics fulfil a condition; returns them."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while not condition(metrics := await self.metrics()):
                 await asyncio.sleep(0.01)
         return metrics
 
     async def wait_until_ready(self) -> None:
+        """Waits until it has an endpoint list."""
         await self.wait_for_metrics(lambda figures: figures["revision"] > 0)
 
 
--- a/tests/standins/slowed.py
+++ b/tests/standins/slowed.py
@@ -1,5 +1,5 @@
 """python -m tests.standins.slowed SEED ARGUMENTS...: a relay whose store takes 0.1 to 5 s for some commits,
-drawn by SEED, and says on standard error how long each of them took."""
+chosen by SEED, and prints each of these delays on standard error."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from loftrelay.__main__ import main
 from loftrelay.relay import fault_points
 
-LONG, SHORT = (0.8, 2.0, 5.0), (0.1, 0.3)  # seconds: of each long one there is one
-ONE_IN = 12
+LONG_DELAYS_S, SHORT_DELAYS_S = (0.8, 2.0, 5.0), (0.1, 0.3)  # each long delay occurs once
+COMMITS_PER_DELAY = 12  # on average
 
 
 def delay_commits(seed: int) -> None:
-    chance = random.Random(seed)
-    times = [*LONG, *SHORT, *SHORT]
-    chance.shuffle(times)
-
-    def listen(reached: str) -> None:
-        # In the thread of the store: its loop goes on.
-        if reached.startswith("commit ") and chance.random() < 1 / ONE_IN:
-            seconds = times.pop() if times else chance.choice(SHORT)
-            print(f"a commit takes {seconds} s", file=sys.stderr, flush=True)
-            time.sleep(seconds)
-
-    fault_points.listener = listen
+    rng = random.Random(seed)
+    delays_s = [*LONG_DELAYS_S, *SHORT_DELAYS_S, *SHORT_DELAYS_S]
+    rng.shuffle(delays_s)
+
+    def on_fault_point(fault_point: str) -> None:
+        # Runs in the store's thread: the event loop is not blocked.
+        if fault_point.startswith("commit ") and rng.random() < 1 / COMMITS_PER_DELAY:
+            delay_s = delays_s.pop() if delays_s else rng.choice(SHORT_DELAYS_S)
+            print(f"a commit takes {delay_s} s", file=sys.stderr, flush=True)
+            time.sleep(delay_s)
+
+    fault_points.listener = on_fault_point
 
 
 if __name__ == "__main__":
--- a/tests/standins/stalled.py
+++ b/tests/standins/stalled.py
@@ -1,5 +1,6 @@
-"""python -m tests.standins.stalled STEP SECONDS ARGUMENTS...: a relay that stops by SIGSTOP where it first
-reaches the named step (loftrelay.relay.fault_points). Its wall clock stands SECONDS off from then on."""
+"""python -m tests.standins.stalled POINT SECONDS ARGUMENTS...: a relay that suspends itself by SIGSTOP when
+it first reaches the named fault point (loftrelay.relay.fault_points). From then on its wall clock is shifted
+by SECONDS."""
 
 from __future__ import annotations
 
@@ -12,20 +13,20 @@
 from loftrelay.relay import fault_points
 
 
-def stop_at_fault_point(step: str, shift: float) -> None:
-    """Raises SystemExit for a step that isn't there: nothing would ever stop."""
-    if step not in fault_points.ALL_POINTS:
-        raise SystemExit(f"there is no step {step!r}")
-    true = time.time_ns
+def stop_at_fault_point(fault_point: str, shift_s: float) -> None:
+    """Installs the suspension. Raises SystemExit for an unknown fault point, which would never be reached."""
+    if fault_point not in fault_points.ALL_POINTS:
+        raise SystemExit(f"unknown fault point {fault_point!r}: see loftrelay.relay.fault_points")
+    real_time_ns = time.time_ns
 
-    def listen(reached: str) -> None:
-        if reached == step:
+    def on_fault_point(reached: str) -> None:
+        if reached == fault_point:
             fault_points.listener = None
-            if shift:
-                time.time_ns = lambda: true() + int(shift * 1e9)
+            if shift_s:
+                time.time_ns = lambda: real_time_ns() + int(shift_s * 1e9)
             os.kill(os.getpid(), signal.SIGSTOP)
 
-    fault_points.listener = listen
+    fault_points.listener = on_fault_point
 
 
 if __name__ == "__main__":
--- a/tests/standins/submissions.py
+++ b/tests/standins/submissions.py
@@ -1,6 +1,6 @@
-"""Clients that hand messages in over kept connections, and the account of what became of each message.
+"""Clients that submit messages over persistent connections, and an evaluation of what became of each message.
 
-The account is made from outside: what clients were answered, what partners ran, what the platform was told.
+It uses external observations only: responses to clients, executions by hosts, reports to the platform.
 """
 
 from __future__ import annotations
@@ -15,12 +15,9 @@
 from tests.standins.fake_host import FakeHost
 from tests.standins.harness import SETTINGS, TEST_TIMEOUT_S, RelayHarness, format_submission, read_response
 
-REPORT_GRACE_S = (
-    0.35  # seconds after a message's time in which its notice is in time: 300 ms, and 50 on sockets
-)
-
-
-DEDUP_WINDOW_S = 1.0  # seconds for which partners drop repeats of an alarm
+# A status report is in time until so long after the deadline: 300 ms, and 50 ms for the sockets.
+REPORT_GRACE_S = 0.35
+DEDUP_WINDOW_S = 1.0  # hosts drop repeats of an alarm for so long
 CLASSES = [
     *SETTINGS["classes"],
     {
@@ -37,12 +34,11 @@
 
 @dataclass
 class Submission:
-    """One message to hand in."""
+    """One message to submit."""
 
     message_id: str
-    class_name: (
-        str  # class: "status" may run again, "alarm" too for a while (repeats are dropped), "order" must not
-    )
+    # "status" may be executed again, "alarm" only within its deduplication window, "order" never.
+    class_name: str
     destination: int
     ordering_key: str | None = None
     timeout_s: float = 5.0
@@ -50,7 +46,13 @@
 
 @dataclass
 class SubmissionLog:
-    """What clients heard: 202s with the times by which those messages are to be over (Unix time)."""
+    """What clients observed.
+
+    Attributes:
+        admitted: Deadline (Unix time in seconds) of each message answered with 202.
+        rejected: Ids of messages answered with another status.
+        submissions: All messages by id, in order of submission.
+    """
 
     admitted: dict[str, float] = field(default_factory=dict)
     rejected: set[str] = field(default_factory=set)
@@ -59,43 +61,57 @@
 
 @dataclass
 class Findings:
+    """Counts of one run.
+
+    Attributes:
+        messages: Admitted messages.
+        effects: Executions at all hosts.
+        duplicates: Executions beyond the first of orders, and of alarms after their deduplication window.
+        misattributed: Messages held to be executed that were not, or declared not executed that were.
+        late: Messages called, or reported, after their deadline and the grace.
+        begun_late: Messages called after their deadline and the grace.
+        order_breaks: Pairs of messages of one ordering key that were executed in the wrong order.
+        notices: Messages reported to the platform.
+    """
+
     messages: int
     effects: int
-    duplicates: int  # effects beyond the first of messages that must not run twice, or not so late
-    misattributed: int  # held to have run and did not, or promised not to have run and did
-    late: int  # begun, or ended by a notice, after their time
+    duplicates: int
+    misattributed: int
+    late: int
     begun_late: int
     order_breaks: int
     notices: int
 
 
 class Client:
-    """One kept connection, one request at a time."""
+    """A client with one persistent connection and one request at a time."""
 
     def __init__(self, harness: RelayHarness, log: SubmissionLog) -> None:
         self.harness, self.log = harness, log
         self.stream: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def submit(self, submission: Submission, body: bytes = b"hello") -> int:
-        changes = {"Request_Timeout_Ms": str(int(submission.timeout_s * 1000))}
+        """Submits a message and logs the result; returns the status."""
+        overrides = {"Request_Timeout_Ms": str(int(submission.timeout_s * 1000))}
         if submission.ordering_key is not None:
-            changes["path"] = f"/{submission.class_name}/{submission.ordering_key}"
-        raw = format_submission(
-            submission.message_id, submission.class_name, submission.destination, body, **changes
+            overrides["path"] = f"/{submission.class_name}/{submission.ordering_key}"
+        request = format_submission(
+            submission.message_id, submission.class_name, submission.destination, body, **overrides
         )
-        for last in (False, True):
-            kept = self.stream is not None
+        for is_last_try in (False, True):
+            is_reused = self.stream is not None
             try:
                 async with asyncio.timeout(TEST_TIMEOUT_S):
                     reader, writer = self.stream or await asyncio.open_connection(*self.harness.address)
                     self.stream = reader, writer
                     sent = time.time()
-                    writer.write(raw)
+                    writer.write(request)
                     start, headers, _ = await read_response(reader)
                 break
             except (ConnectionError, asyncio.IncompleteReadError):
-                self.close()  # the relay may close a kept connection just then: once more on a new one
-                if last or not kept:
+                self.close()  # the relay may just have closed the idle connection: one retry on a new one
+                if is_last_try or not is_reused:
                     raise
         status = int(start.split()[1])
         if headers.get("connection") == "close":
@@ -108,6 +124,7 @@
         return status
 
     def close(self) -> None:
+        """Closes the connection."""
         if self.stream is not None:
             self.stream[1].close()
             self.stream = None
@@ -116,9 +133,9 @@
 async def submit_all(
     harness: RelayHarness, sequences: Sequence[Iterable[Submission]], log: SubmissionLog, pause_s: float = 0.0
 ) -> None:
-    """Each line of messages by a client of its own, one after another, `pause` seconds between two."""
+    """Submits each sequence by its own client, one message after another, `pause_s` seconds apart."""
 
-    async def go(sequence: Iterable[Submission]) -> None:
+    async def submit_sequence(sequence: Iterable[Submission]) -> None:
         client = Client(harness, log)
         for submission in sequence:
             await client.submit(submission)
@@ -126,72 +143,83 @@
                 await asyncio.sleep(pause_s)
         client.close()
 
-    await asyncio.gather(*(go(sequence) for sequence in sequences))
+    await asyncio.gather(*(submit_sequence(sequence) for sequence in sequences))
 
 
 async def wait_until_final(harness: RelayHarness, hosts: Sequence[FakeHost], log: SubmissionLog) -> None:
-    """Until each message taken on has run or was told of, or its time and the grace are over."""
+    """Waits until each admitted message was answered or reported, or is past its deadline and grace."""
     while True:
         now = time.time()
-        open_ = [
-            ends + REPORT_GRACE_S
-            for name, ends in log.admitted.items()
-            if name not in harness.reported_at and not any(p.responses[name] for p in hosts)
+        deadlines = [
+            deadline + REPORT_GRACE_S
+            for name, deadline in log.admitted.items()
+            if name not in harness.reported_at and not any(host.responses[name] for host in hosts)
         ]
-        left = [ends for ends in open_ if ends > now]
-        if not left:
+        pending = [deadline for deadline in deadlines if deadline > now]
+        if not pending:
             return
-        heard = len(harness.status_reports)
+        report_count = len(harness.status_reports)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(harness.wait_until(lambda n=heard: len(harness.status_reports) > n), 0.1)  # type: ignore[misc]
+            await asyncio.wait_for(
+                harness.wait_until(lambda n=report_count: len(harness.status_reports) > n),  # type: ignore[misc]
+                0.1,
+            )
 
 
 def evaluate(
     harness: RelayHarness, hosts: Sequence[FakeHost], log: SubmissionLog, tolerance_s: float = 0.0
 ) -> Findings:
-    """To be called when all is over. `slack`: seconds by which this process may have read calls late."""
-    effects: dict[str, int] = {}
-    began: dict[str, float] = {}
-    offset = time.time() - asyncio.get_running_loop().time()
-    sequence: list[tuple[float, str]] = []
-    for partner in hosts:
-        for name, count in partner.executions.items():
-            effects[name] = effects.get(name, 0) + count
-        sequence += [(at, name) for name, at in partner.first_executed_at.items()]
-        for call in partner.calls:
+    """Evaluates a finished run. This process may have read calls late by up to `tolerance_s` seconds."""
+    executions: dict[str, int] = {}
+    called_at: dict[str, float] = {}
+    clock_offset_s = time.time() - asyncio.get_running_loop().time()
+    execution_order: list[tuple[float, str]] = []
+    for host in hosts:
+        for name, count in host.executions.items():
+            executions[name] = executions.get(name, 0) + count
+        execution_order += [(at, name) for name, at in host.first_executed_at.items()]
+        for call in host.calls:
             for name in call.message_ids:
-                began[name] = max(began.get(name, 0.0), call.received_at + offset)
-    deferred = {notice["id"] for notice in harness.status_reports if notice["status"] == "deferred"}
+                called_at[name] = max(called_at.get(name, 0.0), call.received_at + clock_offset_s)
+    deferred = {report["id"] for report in harness.status_reports if report["status"] == "deferred"}
     duplicates = misattributed = late = begun_late = 0
-    for name, ends in log.admitted.items():
-        of, ran = log.submissions[name].class_name, effects.get(name, 0)
-        if of == "alarm":
-            times = sorted(at for partner in hosts for at in partner.executed_at.get(name, ()))
-            duplicates += sum(at > times[0] + DEDUP_WINDOW_S for at in times)
-        if of == "order":
-            duplicates += max(0, ran - 1)
-            misattributed += ran > 0 and name in deferred
-        misattributed += ran == 0 and name not in harness.reported_at
-        begun_late += began.get(name, 0.0) > ends + REPORT_GRACE_S + tolerance_s
+    for name, deadline in log.admitted.items():
+        class_name, execution_count = log.submissions[name].class_name, executions.get(name, 0)
+        if class_name == "alarm":
+            execution_times = sorted(at for host in hosts for at in host.executed_at.get(name, ()))
+            duplicates += sum(at > execution_times[0] + DEDUP_WINDOW_S for at in execution_times)
+        if class_name == "order":
+            duplicates += max(0, execution_count - 1)
+            misattributed += execution_count > 0 and name in deferred
+        misattributed += execution_count == 0 and name not in harness.reported_at
+        begun_late += called_at.get(name, 0.0) > deadline + REPORT_GRACE_S + tolerance_s
         late += (
-            began.get(name, 0.0) > ends + REPORT_GRACE_S
-            or harness.reported_at.get(name, 0.0) > ends + REPORT_GRACE_S
+            called_at.get(name, 0.0) > deadline + REPORT_GRACE_S
+            or harness.reported_at.get(name, 0.0) > deadline + REPORT_GRACE_S
         )
-    misattributed += sum(effects.get(name, 0) > 0 for name in log.rejected)
-    keys: dict[str, list[str]] = {}
-    for _, name in sorted(sequence):
-        order = log.submissions.get(name)
-        if order is not None and order.class_name == "order" and order.ordering_key is not None:
-            keys.setdefault(order.ordering_key, []).append(name)
-    places = {name: place for place, name in enumerate(log.submissions)}
-    breaks = sum(places[a] > places[b] for names in keys.values() for a, b in itertools.pairwise(names))
+    misattributed += sum(executions.get(name, 0) > 0 for name in log.rejected)
+    executed_by_key: dict[str, list[str]] = {}
+    for _, name in sorted(execution_order):
+        submission = log.submissions.get(name)
+        if (
+            submission is not None
+            and submission.class_name == "order"
+            and submission.ordering_key is not None
+        ):
+            executed_by_key.setdefault(submission.ordering_key, []).append(name)
+    positions = {name: position for position, name in enumerate(log.submissions)}
+    order_breaks = sum(
+        positions[a] > positions[b]
+        for names in executed_by_key.values()
+        for a, b in itertools.pairwise(names)
+    )
     return Findings(
         len(log.admitted),
-        sum(effects.values()),
+        sum(executions.values()),
         duplicates,
         misattributed,
         late,
         begun_late,
-        breaks,
+        order_breaks,
         len(harness.reported_at),
     )
--- a/tests/standins/wire.py
+++ b/tests/standins/wire.py
@@ -1,7 +1,7 @@
-"""The bytes that a relay and a registry write in set scenes, for a comparison of two programs.
+"""The bytes that a relay and a registry write in fixed scenes, for a comparison of two programs.
 
 `python -m tests.standins.wire ROOT FOLDER` writes a file for each scene with the program in ROOT. What
-differs from run to run (ports, clock readings, incarnations) is replaced by a word in angle brackets.
+differs between runs (ports, clock readings, incarnations) is replaced by a word in angle brackets.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 from tests.standins.registries import Registries
 
 JOURNAL = Path(__file__).parents[1] / "fixtures" / "state_32c0038" / "journal"
-VARYING = (
+VARYING_PATTERNS = (
     (rb"127\.0\.0\.1:\d+", b"<address>"),
     (rb"\r\nRequest-Timeout-Ms: \d+", b"\r\nRequest-Timeout-Ms: <ms>"),
     (rb"subscriber=n1\.\w+", b"subscriber=n1.<incarnation>"),
     (rb'"age_ms":\d+', b'"age_ms":<ms>'),
-    (rb'(?<=Content-Length: )\d+(?=\r\n\r\n\{"fleet")', b"<bytes>"),  # by the digits of age_ms
+    (rb'(?<=Content-Length: )\d+(?=\r\n\r\n\{"fleet")', b"<bytes>"),  # varies with the digits of age_ms
     (rb"(?<=text/plain\r\nContent-Length: )[1-9]\d*", b"<bytes>"),
     (rb"(?m)^([a-z0-9_]+) [\d.e+-]+$", rb"\1 <number>"),
     (rb"(?m)^(app\.\w+(?:\.[\w-]+)*)=.*$", rb"\1=<number>"),
@@ -44,35 +44,38 @@
 
 
 def normalized(data: bytes) -> str:
-    for pattern, word in VARYING:
-        data = re.sub(pattern, word, data)
+    """Replaces what differs between runs; returns the bytes as Latin-1 text."""
+    for pattern, placeholder in VARYING_PATTERNS:
+        data = re.sub(pattern, placeholder, data)
     return data.decode("latin-1")
 
 
 class RecordingConnection(StubServerConnection):
+    """A connection that records the bytes of each request."""
+
     def data_received(self, data: bytes) -> None:
         assert isinstance(self.server, RecordingServer)
-        before = len(self.server.requests)
+        count_before = len(self.server.requests)
         self.unfinished = getattr(self, "unfinished", b"") + data
         super().data_received(data)
-        if len(self.server.requests) > before:
-            self.server.raw.append(self.unfinished)
+        if len(self.server.requests) > count_before:
+            self.server.recorded.append(self.unfinished)
             self.unfinished = b""
 
 
 class RecordingServer(StubServer):
-    """A peer that keeps the bytes of each request."""
+    """A stub server that records the bytes of each request."""
 
-    raw: list[bytes]
+    recorded: list[bytes]
 
     async def start(self, port: int = 0) -> None:
-        self.raw = []
+        self.recorded = []
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: RecordingConnection(self), "127.0.0.1", port)
 
 
 class RecordingHarness(RelayHarness):
-    """A world whose peers keep the bytes of each request."""
+    """A harness whose servers record the bytes of each request."""
 
     async def start_server(self, handler: Callable[[Request], Awaitable[bytes | None]]) -> RecordingServer:
         peer = RecordingServer(self, handler)
@@ -81,38 +84,39 @@
         return peer
 
 
-def recorded_requests(peer: StubServer) -> list[str]:
-    assert isinstance(peer, RecordingServer)
-    return [normalized(raw) for raw in peer.raw]
+def recorded_requests(server: StubServer) -> list[str]:
+    """Returns the normalized requests of a recording server."""
+    assert isinstance(server, RecordingServer)
+    return [normalized(request) for request in server.recorded]
 
 
-async def response(address: tuple[str, int], raw: bytes) -> str:
-    """All that is answered to these bytes on a connection of its own, `<end>` where the server closes it."""
+async def exchange(address: tuple[str, int], request: bytes) -> str:
+    """Sends bytes on a new connection; returns the normalized response, with `<end>` if the server closes."""
     reader, writer = await asyncio.open_connection(*address)
-    answer = b""
-    before, end, body = raw.partition(b"\r\n\r\n")
-    waits = b"100-continue" in before
+    response_bytes = b""
+    request_head, end, body = request.partition(b"\r\n\r\n")
+    expects_continue = b"100-continue" in request_head
     async with asyncio.timeout(TEST_TIMEOUT_S):
-        writer.write(before + end if waits else raw)
+        writer.write(request_head + end if expects_continue else request)
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
-            answer += head
-            if waits and head.startswith(b"HTTP/1.1 100"):
+            response_bytes += head
+            if expects_continue and head.startswith(b"HTTP/1.1 100"):
                 writer.write(body)
                 continue
             length = re.search(rb"(?i)content-length: (\d+)", head)
-            if length is not None and not raw.startswith(b"HEAD"):
-                answer += await reader.readexactly(int(length[1]))
+            if length is not None and not request.startswith(b"HEAD"):
+                response_bytes += await reader.readexactly(int(length[1]))
             if b"connection: close" in head.lower():
                 with contextlib.suppress(ConnectionError):
-                    answer += await reader.read()
-                answer += b"<end>"
+                    response_bytes += await reader.read()
+                response_bytes += b"<end>"
             break
     writer.close()
-    return normalized(answer)
+    return normalized(response_bytes)
 
 
-SUBMISSIONS = {  # in their order: later ones meet the ids of earlier ones
+SUBMISSIONS = {  # in order: later ones reuse ids of earlier ones
     "accepted": format_submission("m1", "order"),
     "accepted, idempotent": format_submission("m2"),
     "accepted, chunked body": format_submission(
@@ -157,116 +161,130 @@
 }
 
 
-async def client_responses(world: RecordingHarness) -> list[str]:
-    async def script(request: Request) -> bytes:
+async def client_responses(harness: RecordingHarness) -> list[str]:
+    async def handler(request: Request) -> bytes:
         return format_response(500 if request.id == "bad" else 200)
 
-    host = await world.start_host(script)
-    await world.start()
-    answers = [f"# {name}\n{await response(world.address, raw)}" for name, raw in SUBMISSIONS.items()]
-    await world.wait_until(lambda: {"m1", "bad"} <= set(host.request_ids) and bool(world.status_reports))
+    host = await harness.start_host(handler)
+    await harness.start()
+    responses = [
+        f"# {name}\n{await exchange(harness.address, request)}" for name, request in SUBMISSIONS.items()
+    ]
+    await harness.wait_until(lambda: {"m1", "bad"} <= set(host.request_ids) and bool(harness.status_reports))
     async with asyncio.timeout(TEST_TIMEOUT_S):
-        while "app.outstanding=0" not in await world.call_admin("show-stat"):
+        while "app.outstanding=0" not in await harness.call_admin("show-stat"):
             await asyncio.sleep(0.02)
-    return answers + [
-        f"# {name}\n{await response(world.address, raw)}" for name, raw in RESUBMISSIONS.items()
+    return responses + [
+        f"# {name}\n{await exchange(harness.address, request)}" for name, request in RESUBMISSIONS.items()
     ]
 
 
-async def overload_responses(world: RecordingHarness) -> list[str]:
-    """With room for two messages, neither of which can be delivered."""
-    world.add_unavailable_destination()
-    await world.start()
-    answers = [await response(world.address, format_submission(f"m{n}", path="/status")) for n in range(4)]
-    return [*answers, await response(world.address, format_submission("order", "order"))]
+async def overload_responses(harness: RecordingHarness) -> list[str]:
+    """With a limit of two open messages, neither of which can be delivered."""
+    harness.add_unavailable_destination()
+    await harness.start()
+    responses = [
+        await exchange(harness.address, format_submission(f"m{n}", path="/status")) for n in range(4)
+    ]
+    return [*responses, await exchange(harness.address, format_submission("order", "order"))]
 
 
-async def host_calls(world: RecordingHarness) -> list[str]:
-    single, batch = await world.start_host(respond_ok), await world.start_server(respond_ok)
+async def host_calls(harness: RecordingHarness) -> list[str]:
+    single, batch = await harness.start_host(respond_ok), await harness.start_server(respond_ok)
 
     async def batch_script(request: Request) -> bytes:
         return format_response(200)
 
     batch.handler = batch_script
-    await world.start()
-    await world.submit("first", "order", body=bytes(range(256)))
-    await world.wait_until(lambda: single.response_count == 1)
-    await world.submit("second", "alarm", Idempotency_Key="client 7")
-    await world.wait_until(lambda: single.response_count == 2)
-    await world.submit("third", "status", body=b"", Client_Retry="1")
-    await world.wait_until(lambda: single.response_count == 3)
-    world.add_unavailable_destination(2, "bulk")
-    for number, of in enumerate(("order", "status", "alarm")):
+    await harness.start()
+    await harness.submit("first", "order", body=bytes(range(256)))
+    await harness.wait_until(lambda: single.response_count == 1)
+    await harness.submit("second", "alarm", Idempotency_Key="client 7")
+    await harness.wait_until(lambda: single.response_count == 2)
+    await harness.submit("third", "status", body=b"", Client_Retry="1")
+    await harness.wait_until(lambda: single.response_count == 3)
+    harness.add_unavailable_destination(2, "bulk")
+    for number, class_name in enumerate(("order", "status", "alarm")):
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while await world.submit(f"batch{number}", of, 2) == 503:
+            while await harness.submit(f"batch{number}", class_name, 2) == 503:
                 await asyncio.sleep(0.02)
-    world.add_endpoint(2, "bulk", "Ready", batch.address)
-    await world.wait_until(lambda: batch.response_count >= 1)
+    harness.add_endpoint(2, "bulk", "Ready", batch.address)
+    await harness.wait_until(lambda: batch.response_count >= 1)
     return [*recorded_requests(single), *recorded_requests(batch)]
 
 
-async def status_reports(world: RecordingHarness) -> list[str]:
+async def status_reports(harness: RecordingHarness) -> list[str]:
     async def fail(request: Request) -> bytes:
         return format_response(500)
 
-    await world.start_host(fail)
-    world.add_unavailable_destination(2)
-    await world.start()
-    for name, of, dest, timeout in (
+    await harness.start_host(fail)
+    harness.add_unavailable_destination(2)
+    await harness.start()
+    for name, class_name, destination, timeout in (
         ("failed", "order", 1, "20000"),
         ("expired", "status", 2, "300"),
         ('q"uote', "order", 1, "20000"),
     ):
-        before = len(world.status_reports)
-        await world.submit(name, of, dest, path=f"/{of}/{name}", Request_Timeout_Ms=timeout)
-        await world.wait_until(lambda n=before: len(world.status_reports) > n)  # type: ignore[misc]
-    return [raw for raw in recorded_requests(world.discovery) if "/reports" in raw.partition("\r\n")[0]]
+        count_before = len(harness.status_reports)
+        await harness.submit(
+            name, class_name, destination, path=f"/{class_name}/{name}", Request_Timeout_Ms=timeout
+        )
+        await harness.wait_until(lambda n=count_before: len(harness.status_reports) > n)  # type: ignore[misc]
+    return [
+        request
+        for request in recorded_requests(harness.discovery)
+        if "/reports" in request.partition("\r\n")[0]
+    ]
 
 
-async def recovered_status_reports(world: RecordingHarness) -> list[str]:
-    """Reports of the final statuses that a journal of 32c0038 holds, one of them deferred."""
-    shutil.copytree(JOURNAL, world.folder / "state")
-    world.add_unavailable_destination()
-    await world.start()
-    await world.wait_until(lambda: any(notice["id"] == "deferred" for notice in world.status_reports))
-    reports = [raw for raw in recorded_requests(world.discovery) if "/reports" in raw.partition("\r\n")[0]]
-    return [raw for raw in reports if '"deferred"' in raw]
+async def recovered_status_reports(harness: RecordingHarness) -> list[str]:
+    """Reports of the final statuses in a journal of 32c0038, one of them deferred."""
+    shutil.copytree(JOURNAL, harness.folder / "state")
+    harness.add_unavailable_destination()
+    await harness.start()
+    await harness.wait_until(lambda: any(report["id"] == "deferred" for report in harness.status_reports))
+    reports = [
+        request
+        for request in recorded_requests(harness.discovery)
+        if "/reports" in request.partition("\r\n")[0]
+    ]
+    return [request for request in reports if '"deferred"' in request]
 
 
-async def retry_after_responses(world: RecordingHarness) -> list[str]:
-    """The only host has asked to wait for longer than the next message may take."""
+async def retry_after_responses(harness: RecordingHarness) -> list[str]:
+    """The only host has sent a Retry-After longer than the timeout of the next messages."""
 
     async def reject(request: Request) -> bytes:
         return format_response(429, X_Come_Back_Ms="3600000")
 
-    host = await world.start_host(reject)
-    await world.start()
-    await world.submit("m1")
-    await world.wait_until(lambda: host.response_count == 1)
+    host = await harness.start_host(reject)
+    await harness.start()
+    await harness.submit("m1")
+    await harness.wait_until(lambda: host.response_count == 1)
     async with asyncio.timeout(TEST_TIMEOUT_S):
-        while await world.submit("first", Request_Timeout_Ms="1500") != 503:
+        while await harness.submit("first", Request_Timeout_Ms="1500") != 503:
             await asyncio.sleep(0.02)
-    answers = [
-        await response(world.address, format_submission(f"m{n}", Request_Timeout_Ms="1500")) for n in (2, 3)
+    responses = [
+        await exchange(harness.address, format_submission(f"m{n}", Request_Timeout_Ms="1500")) for n in (2, 3)
     ]
     return [
-        *answers,
-        await response(world.address, format_submission("m4", "order", Request_Timeout_Ms="1500")),
+        *responses,
+        await exchange(harness.address, format_submission("m4", "order", Request_Timeout_Ms="1500")),
     ]
 
 
-async def discovery_calls(world: RecordingHarness) -> list[str]:
-    await world.start_host(respond_ok)
-    await world.start()
-    await world.wait_until(lambda: len(world.discovery.requests) >= 2)
-    world.add_unavailable_destination(2)
-    await world.wait_until(lambda: len(world.discovery.requests) >= 3)
-    return recorded_requests(world.discovery)[:3]
+async def discovery_calls(harness: RecordingHarness) -> list[str]:
+    await harness.start_host(respond_ok)
+    await harness.start()
+    await harness.wait_until(lambda: len(harness.discovery.requests) >= 2)
+    harness.add_unavailable_destination(2)
+    await harness.wait_until(lambda: len(harness.discovery.requests) >= 3)
+    return recorded_requests(harness.discovery)[:3]
 
 
-async def admin_replies(world: RecordingHarness) -> list[str]:
-    await world.start_host(respond_ok)
-    await world.start()
+async def admin_replies(harness: RecordingHarness) -> list[str]:
+    await harness.start_host(respond_ok)
+    await harness.start()
     lines = (
         "ready",
         "show-stat",
@@ -283,11 +301,11 @@
         "",
         "x" * 600,
     )
-    return [f"# {line[:40]}\n{normalized((await world.call_admin(line)).encode())}" for line in lines]
+    return [f"# {line[:40]}\n{normalized((await harness.call_admin(line)).encode())}" for line in lines]
 
 
 class RecordingProxy:
-    """Passes bytes on between a relay and a registry, and keeps them."""
+    """Forwards bytes between a relay and a registry, and records them."""
 
     def __init__(self, address: str) -> None:
         self.host, _, port = address.rpartition(":")
@@ -296,6 +314,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> str:
+        """Starts to listen; returns its address."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=1 << 24)
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
@@ -305,51 +324,59 @@
             task.cancel()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        there_reader, there_writer = await asyncio.open_connection(self.host, self.port, limit=1 << 24)
-        for way, source, target in (("call", reader, there_writer), ("answer", there_reader, writer)):
-            task = asyncio.create_task(self._pass_on(way, source, target))
+        registry_reader, registry_writer = await asyncio.open_connection(self.host, self.port, limit=1 << 24)
+        for direction, source, target in (
+            ("call", reader, registry_writer),
+            ("answer", registry_reader, writer),
+        ):
+            task = asyncio.create_task(self._pass_on(direction, source, target))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _pass_on(self, way: str, source: asyncio.StreamReader, target: asyncio.StreamWriter) -> None:
+    async def _pass_on(
+        self, direction: str, source: asyncio.StreamReader, target: asyncio.StreamWriter
+    ) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 data = await source.readuntil(b"\r\n\r\n")
                 if (length := re.search(rb"(?i)content-length: (\d+)", data)) is not None:
                     data += await source.readexactly(int(length[1]))
-                self.exchanged.append((way, data))
+                self.exchanged.append((direction, data))
                 target.write(data)
         target.close()
 
-    def seen(self, way: str, text: bytes) -> list[str]:
-        return [normalized(data) for direction, data in self.exchanged if direction == way and text in data]
+    def seen(self, direction: str, text: bytes) -> list[str]:
+        """Returns the normalized messages of one direction that contain `text`."""
+        return [
+            normalized(data) for direction, data in self.exchanged if direction == direction and text in data
+        ]
 
 
-async def registry_calls(world: RecordingHarness) -> list[str]:
-    """A relay that subscribes at a registry: its calls, the registry's answers, and the registry's calls."""
-    async with Registries(world, 1, wait_ms=10_000) as registries:
+async def registry_calls(harness: RecordingHarness) -> list[str]:
+    """A relay subscribing at a registry: requests and responses of both, and the relay's metrics."""
+    async with Registries(harness, 1, wait_ms=10_000) as registries:
         proxy = RecordingProxy(registries.addresses[0])
-        path = world.folder / "subscription.toml"
+        path = harness.folder / "subscription.toml"
         path.write_text(path.read_text().replace(registries.addresses[0], await proxy.start()))
         try:
-            host = await world.start_host(respond_ok)
-            await world.start()
-            await world.submit_once_listed("m1", 1)
-            await world.wait_until(lambda: host.request_ids == ["m1"])
-            world.add_endpoint(1, "plain", "Terminating", "127.0.0.1:9")
+            host = await harness.start_host(respond_ok)
+            await harness.start()
+            await harness.submit_once_listed("m1", 1)
+            await harness.wait_until(lambda: host.request_ids == ["m1"])
+            harness.add_endpoint(1, "plain", "Terminating", "127.0.0.1:9")
             async with asyncio.timeout(TEST_TIMEOUT_S):
                 while not proxy.seen("answer", b'"Terminating"'):
                     await asyncio.sleep(0.02)
             changes, watches = proxy.seen("call", b"add="), proxy.seen("call", b"wait=")
-            told = proxy.seen("answer", b'"Ready"'), proxy.seen("answer", b'"Terminating"')
-            figures = normalized((await world.call_admin("show-stat")).encode())
+            changes_seen = proxy.seen("answer", b'"Ready"'), proxy.seen("answer", b'"Terminating"')
+            figures = normalized((await harness.call_admin("show-stat")).encode())
             return [
                 figures,
                 changes[0],
                 watches[0],
-                told[0][0],
-                told[1][0],
-                *recorded_requests(world.discovery)[:1],
+                changes_seen[0][0],
+                changes_seen[1][0],
+                *recorded_requests(harness.discovery)[:1],
             ]
         finally:
             proxy.close()
@@ -377,33 +404,33 @@
 )
 
 
-async def registry_answers(world: RecordingHarness) -> list[str]:
-    await world.start_host(respond_ok)
-    async with Registries(world, 1) as registries:
+async def registry_answers(harness: RecordingHarness) -> list[str]:
+    await harness.start_host(respond_ok)
+    async with Registries(harness, 1) as registries:
         host, _, port = registries.addresses[0].rpartition(":")
         ready = b"GET /health/ready HTTP/1.1\r\nHost: registry\r\n\r\n"
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while not (await response((host, int(port)), ready)).startswith("HTTP/1.1 200"):
+            while not (await exchange((host, int(port)), ready)).startswith("HTTP/1.1 200"):
                 await asyncio.sleep(0.02)
         calls = [f"{line} HTTP/1.1\r\nHost: registry\r\n\r\n".encode() for line in REGISTRY_CALLS]
         return [
-            f"# {line}\n{await response((host, int(port)), call)}"
+            f"# {line}\n{await exchange((host, int(port)), call)}"
             for line, call in zip(REGISTRY_CALLS, calls, strict=True)
         ]
 
 
-async def admin_figures_with_fleet_and_store(world: RecordingHarness) -> list[str]:
-    (world.folder / "record.toml").write_text(f'file = "{world.folder / "record.sqlite"}"\n')
-    (world.folder / "fleet.toml").write_text(f'[fleet]\nlisten = "127.0.0.1:{free_port()}"\n')
-    world.arguments = [
+async def admin_figures_with_fleet_and_store(harness: RecordingHarness) -> list[str]:
+    (harness.folder / "record.toml").write_text(f'file = "{harness.folder / "record.sqlite"}"\n')
+    (harness.folder / "fleet.toml").write_text(f'[fleet]\nlisten = "127.0.0.1:{free_port()}"\n')
+    harness.arguments = [
         "--record",
-        str(world.folder / "record.toml"),
+        str(harness.folder / "record.toml"),
         "--fleet",
-        str(world.folder / "fleet.toml"),
+        str(harness.folder / "fleet.toml"),
     ]
-    await world.start_host(respond_ok)
-    await world.start()
-    return [normalized((await world.call_admin("show-stat")).encode())]
+    await harness.start_host(respond_ok)
+    await harness.start()
+    return [normalized((await harness.call_admin("show-stat")).encode())]
 
 
 SCENES: dict[str, Callable[[RecordingHarness], Awaitable[list[str]]]] = {
@@ -425,13 +452,13 @@
 
 
 async def play(name: str, folder: Path, root: Path = ROOT) -> str:
-    """The bytes of one scene as text: lines end at each LF, other control characters are escaped."""
+    """Returns the bytes of one scene as text: lines end at each LF, other control characters are escaped."""
     settings = {"policy_limits": {**LIMITS, "most_held": 2 if name == "overload_responses" else 100}}
-    world = RecordingHarness(folder, classes=CLASSES, **settings)
-    async with world:
-        world.root = root
-        world.admin_address = f"127.0.0.1:{free_port()}"
-        pieces = await SCENES[name](world)
+    harness = RecordingHarness(folder, classes=CLASSES, **settings)
+    async with harness:
+        harness.root = root
+        harness.admin_address = f"127.0.0.1:{free_port()}"
+        pieces = await SCENES[name](harness)
     lines = "\n\n".join(pieces).split("\n")
     return "".join(f"{line.encode('unicode_escape').decode()}\n" for line in lines)
 
--- a/tests/standins/work_counters.py
+++ b/tests/standins/work_counters.py
@@ -1,4 +1,4 @@
-"""Counts what code does, in place of the time that it takes."""
+"""Counts the work that code does, instead of measuring its time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def count_instructions(run: Callable[[], object]) -> int:
-    """Instructions of the interpreter that a call takes, in all that it calls."""
+    """Returns how many bytecode instructions a call executes, including those of its callees."""
     count = 0
 
     def trace(frame: FrameType, event: str, _: Any) -> Any:
@@ -31,7 +31,7 @@
 
 
 class IterationCountingDict(dict[K, V]):
-    """Counts the entries that are walked by its views and iterators: no instructions of their own."""
+    """Counts the entries that its views and iterators cover, which executes no bytecode of its own."""
 
     iterated_entries = 0
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -96,6 +96,7 @@
 
 
 def imported_modules(path: Path) -> set[str]:
+    """Returns the names of all modules that a file imports."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
