--- a/tests/delivery/test_truncated_responses.py
+++ b/tests/delivery/test_truncated_responses.py
@@ -10,8 +10,8 @@
 
 from loftrelay.decisions.events import AttemptStatus
 from tests.delivery.host_client_fixture import ClientHarness
-from tests.standins.partner import ABORT
-from tests.standins.platform import reply
+from tests.standins.fake_host import LINGER_RESET
+from tests.standins.harness import format_response
 
 NOT_RUN_STATUSES = (AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT)
 BATCH_ROWS = json.dumps([{"id": "m", "state": "refused"}, {"id": "n", "state": "delivered"}]).encode()
@@ -21,10 +21,10 @@
 @pytest.mark.parametrize(
     ("response", "is_batch"),
     [
-        (reply(200, b"fine"), False),
-        (reply(503, b"full", X_Come_Back_Ms="1"), False),
-        (reply(200, BATCH_ROWS), True),
-        (reply(503, X_Come_Back_Ms="1"), True),
+        (format_response(200, b"fine"), False),
+        (format_response(503, b"full", X_Come_Back_Ms="1"), False),
+        (format_response(200, BATCH_ROWS), True),
+        (format_response(503, X_Come_Back_Ms="1"), True),
     ],
     ids=["delivered", "full", "batch", "batch full"],
 )
@@ -45,7 +45,7 @@
             if end == "reset":
                 await asyncio.sleep(0.002)  # the data is read before the reset arrives
                 sock = writer.get_extra_info("socket")
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             writer.transport.abort() if end == "reset" else writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
--- a/tests/standins/registry.py
+++ b/tests/standins/registry.py
@@ -1,4 +1,4 @@
-"""A registry as a process, and calls to it over loopback."""
+"""A registry process, and requests to it over loopback connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     decode_response,
     encode_request,
 )
-from tests.standins.platform import HANG, ROOT
+from tests.standins.harness import ROOT, TEST_TIMEOUT_S
 
 
 class RegistryConnection:
@@ -29,34 +29,38 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def send(self, what: str, method: str = "GET") -> None:
-        self.writer.write(f"{method} {what} HTTP/1.1\r\nHost: registry\r\n\r\n".encode())
+    def send(self, target: str, method: str = "GET") -> None:
+        """Sends a request without a body."""
+        self.writer.write(f"{method} {target} HTTP/1.1\r\nHost: registry\r\n\r\n".encode())
 
     async def read(self) -> tuple[int, dict[str, str], bytes]:
-        async with asyncio.timeout(HANG):
+        """Reads a response; returns status, headers and body."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
             headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:])}
             body = await self.reader.readexactly(int(headers["content-length"]))
         return int(head[0].split()[1]), headers, body
 
-    async def request(self, what: str) -> tuple[int, Any]:
-        """Status, and the body: as JSON where it is that."""
-        self.send(what)
+    async def request(self, target: str) -> tuple[int, Any]:
+        """Returns the status and the body, decoded if it is JSON."""
+        self.send(target)
         status, headers, body = await self.read()
         return status, json.loads(body) if headers["content-type"] == "application/json" else body.decode()
 
     async def call(self, call: SubscriptionChange | SubscriptionWatch) -> SubscriptionResponse:
+        """Sends a subscription request; returns the response."""
         self.send(encode_request(call))
         return await self.response()
 
     async def response(self) -> SubscriptionResponse:
+        """Reads a subscription response."""
         status, _, body = await self.read()
         assert status == 200, body
         return decode_response(body)
 
     async def read_until_closed(self) -> bytes:
-        """What comes until the registry ends the connection."""
-        async with asyncio.timeout(HANG):
+        """Returns all data until the registry closes the connection."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             with contextlib.suppress(ConnectionError):
                 return await self.reader.read()
             return b""
@@ -66,7 +70,13 @@
 
 
 class RegistryProcess:
-    """Use as an async context: a process of its own. `keys`: of its file, as TOML values."""
+    """A registry process, used as an async context manager.
+
+    Args:
+        folder: Where its settings file is written.
+        discovery: Address of discovery.
+        keys: Keys of the settings file, as TOML values.
+    """
 
     def __init__(self, folder: Path, discovery: str, /, **keys: str) -> None:
         self.file = folder / "registry.toml"
@@ -79,6 +89,7 @@
         self._logged = asyncio.Event()
 
     def write(self) -> None:
+        """Writes the settings file."""
         lines = ["[registry]", *(f"{name} = {value}" for name, value in self.keys.items())]
         self.file.write_text("\n".join(lines))
 
@@ -98,6 +109,7 @@
         assert not any("a fault of the program" in line or "Traceback" in line for line in self.log), self.log
 
     async def start(self, listens: bool = True) -> None:
+        """Starts the process; waits until it listens, unless told not to."""
         self.write()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -112,8 +124,8 @@
         )
         self._reading = asyncio.create_task(self._read(self.process))
         if listens:
-            said = await self.wait_for_log(r"listens on .*:(\d+)$")
-            self.address = ("127.0.0.1", int(said[1]))
+            match = await self.wait_for_log(r"listens on .*:(\d+)$")
+            self.address = ("127.0.0.1", int(match[1]))
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
@@ -122,23 +134,24 @@
             self._logged.set()
 
     async def wait_for_log(self, pattern: str, since: int = 0) -> re.Match[str]:
-        """The first line from number `since` on in which that is found."""
-        async with asyncio.timeout(HANG):
+        """Returns the first match in the log, from line `since` on."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while True:
                 self._logged.clear()
                 for line in self.log[since:]:
-                    if (found := re.search(pattern, line)) is not None:
-                        return found
+                    if (match := re.search(pattern, line)) is not None:
+                        return match
                 await self._logged.wait()
 
     async def terminate(self, number: signal.Signals = signal.SIGTERM) -> int:
+        """Sends a signal; returns the exit code."""
         assert self.process is not None
         self.process.send_signal(number)
-        return await self.wait()
+        return await self.wait_for_exit()
 
-    async def wait(self) -> int:
+    async def wait_for_exit(self) -> int:
         assert self.process is not None
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self.process.wait()
 
     async def connect(self) -> RegistryConnection:
@@ -147,23 +160,26 @@
         return line
 
     async def metrics(self) -> dict[str, float]:
+        """Reads all metrics."""
         line = await self.connect()
         status, body = await line.request("/figures")
         line.close()
         assert status == 200
         return {name: float(value) for name, value in (told.split() for told in body.splitlines())}
 
-    async def until(self, holds: Callable[[dict[str, float]], bool]) -> dict[str, float]:
-        async with asyncio.timeout(HANG):
-            while not holds(figures := await self.metrics()):
+    async def wait_for_metrics(self, condition: Callable[[dict[str, float]], bool]) -> dict[str, float]:
+        """Waits until the metrics fulfil a condition; returns them."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while not condition(metrics := await self.metrics()):
                 await asyncio.sleep(0.01)
-        return figures
+        return metrics
 
-    async def ready(self) -> None:
-        await self.until(lambda figures: figures["revision"] > 0)
+    async def wait_until_ready(self) -> None:
+        """Waits until it has an endpoint list."""
+        await self.wait_for_metrics(lambda figures: figures["revision"] > 0)
 
 
-def run(scenario: Callable[[], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
     async def main() -> None:
         await scenario()
 
--- a/tests/standins/work.py
+++ b/tests/standins/work_counters.py
@@ -1,4 +1,4 @@
-"""Counts what code does, in place of the time that it takes."""
+"""Counts the work that code does, instead of measuring its time."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 V = TypeVar("V")
 
 
-def steps(run: Callable[[], object]) -> int:
-    """Instructions of the interpreter that a call takes, in all that it calls."""
+def count_instructions(run: Callable[[], object]) -> int:
+    """Returns how many bytecode instructions a call executes, including those of its callees."""
     count = 0
 
     def trace(frame: FrameType, event: str, _: Any) -> Any:
@@ -30,26 +30,26 @@
     return count
 
 
-class Walked(dict[K, V]):
-    """Counts the entries that are walked by its views and iterators: no instructions of their own."""
+class IterationCountingDict(dict[K, V]):
+    """Counts the entries that its views and iterators cover, which executes no bytecode of its own."""
 
-    walked = 0
+    iterated_entries = 0
 
-    def _walk(self) -> None:
-        self.walked += len(self)
+    def _count(self) -> None:
+        self.iterated_entries += len(self)
 
     def __iter__(self) -> Iterator[K]:
-        self._walk()
+        self._count()
         return super().__iter__()
 
     def keys(self) -> KeysView[K]:  # type: ignore[override]
-        self._walk()
+        self._count()
         return super().keys()
 
     def values(self) -> ValuesView[V]:  # type: ignore[override]
-        self._walk()
+        self._count()
         return super().values()
 
     def items(self) -> ItemsView[K, V]:  # type: ignore[override]
-        self._walk()
+        self._count()
         return super().items()
