--- a/tests/delivery/test_retry_after.py
+++ b/tests/delivery/test_retry_after.py
@@ -98,7 +98,7 @@
         scenario,
         lambda call: (
             ResponsePlan(429, retry_after_ms=RETRY_AFTER_MS, delay_s=0.1)
-            if call.ids == ["full"]
+            if call.message_ids == ["full"]
             else ResponsePlan()
         ),
     )
--- a/tests/program/test_record.py
+++ b/tests/program/test_record.py
@@ -69,7 +69,7 @@
         for name, class_name in (("order", "order"), ("status", "status"), ("bad", "order")):
             assert (
                 await harness.submit(
-                    name, class_name, store_path="/order/k1" if name == "bad" else f"/{class_name}"
+                    name, class_name, path="/order/k1" if name == "bad" else f"/{class_name}"
                 )
                 == 202
             )
