--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -26,32 +26,44 @@
 from loftrelay.delivery.connection_pool.actions import UseConnection
 from loftrelay.delivery.connection_pool.manager import PoolManager
 from loftrelay.delivery.connection_pool.settings import PoolSettings
-from tests.program.test_connections import LIMITS, STRICT, plan
-from tests.standins.partner import Behaviour, Call, Doing, Partner
-from tests.standins.platform import SETTINGS, World
-from tests.standins.traffic import CLASSES, GRACE, Account, Client, Order, all_over, find, hand_in_all
-from tests.standins.trouble import behaviours
+from tests.program.test_connections import POLICY_LIMITS, STRICT_SETTINGS, plan_submissions
+from tests.standins.fake_host import Behaviour, Call, FakeHost, ResponsePlan
+from tests.standins.faulty_hosts import faulty_behaviours
+from tests.standins.harness import SETTINGS, RelayHarness
+from tests.standins.submissions import (
+    CLASSES,
+    REPORT_GRACE_S,
+    Client,
+    Submission,
+    SubmissionLog,
+    evaluate,
+    submit_all,
+    wait_until_final,
+)
 
 
 async def storm(folder: Path, root: Path, count: int, text: str | None) -> dict[str, int]:
     """A run among all faults: what became of each message."""
-    async with World(folder, policy_limits=LIMITS, classes=CLASSES) as w, AsyncExitStack() as stack:
+    async with (
+        RelayHarness(folder, policy_limits=POLICY_LIMITS, classes=CLASSES) as w,
+        AsyncExitStack() as stack,
+    ):
         w.root = root
         w.limits["disk_mb"] = 20
         if text is not None:
             (folder / "connections.toml").write_text(text)
             w.arguments = ["--connections", str(folder / "connections.toml")]
         partners = []
-        for n, behaviour in enumerate(behaviours()):
-            partner = await stack.enter_async_context(Partner(behaviour, seed=500 + n))
+        for n, behaviour in enumerate(faulty_behaviours()):
+            partner = await stack.enter_async_context(FakeHost(behaviour, seed=500 + n))
             partners.append(partner)
             kind = "bulk" if n % 4 == 3 else "plain"
-            w.list_host(n + 1, kind, "Ready", "{}:{}".format(*partner.address))
+            w.add_endpoint(n + 1, kind, "Ready", "{}:{}".format(*partner.address))
         await w.start()
-        account = Account()
-        await hand_in_all(w, plan(count, len(partners), 9), account)
-        await all_over(w, partners, account)
-        return asdict(find(w, partners, account))
+        account = SubmissionLog()
+        await submit_all(w, plan_submissions(count, len(partners), 9), account)
+        await wait_until_final(w, partners, account)
+        return asdict(evaluate(w, partners, account))
 
 
 async def late_copies(folder: Path, root: Path, text: str | None, rounds: int) -> list[int]:
@@ -60,60 +72,67 @@
     held to be delivered, by round."""
     pairs = 20
 
-    def script(call: Call) -> Doing:
-        if call.ids[0].startswith("copied"):
-            return Doing(copies=(0.05,))
-        return Doing(503, delay=0.15) if call.ids[0].startswith("order") else Doing()
+    def script(call: Call) -> ResponsePlan:
+        if call.message_ids[0].startswith("copied"):
+            return ResponsePlan(duplicate_delays_s=(0.05,))
+        return ResponsePlan(503, delay_s=0.15) if call.message_ids[0].startswith("order") else ResponsePlan()
 
     settings = {**SETTINGS["extra"], "call_slots": 200}
-    async with World(folder, policy_limits=LIMITS, extra=settings) as w, AsyncExitStack() as stack:
+    async with (
+        RelayHarness(folder, policy_limits=POLICY_LIMITS, extra=settings) as w,
+        AsyncExitStack() as stack,
+    ):
         w.root = root
         if text is not None:
             (folder / "connections.toml").write_text(text)
             w.arguments = ["--connections", str(folder / "connections.toml")]
         partners = []
         for n in range(pairs):
-            partner = await stack.enter_async_context(Partner(Behaviour(script)))
+            partner = await stack.enter_async_context(FakeHost(Behaviour(script)))
             partners.append(partner)
-            w.list_host(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
+            w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
         await w.start()
-        account, misattributed = Account(), []
+        account, misattributed = SubmissionLog(), []
 
         async def pair(client: Client, number: int, dest: int) -> None:
             for i in range(4):
                 name = f"plain{number}-{dest}-{i}"
-                await client.hand_in(Order(name, "status", dest))
-                await partners[dest - 1].until(lambda name=name: partners[dest - 1].answered[name] > 0)  # type: ignore[misc]
-            await client.hand_in(Order(f"copied{number}-{dest}", "status", dest))
+                await client.submit(Submission(name, "status", dest))
+                await partners[dest - 1].wait_until(lambda name=name: partners[dest - 1].responses[name] > 0)  # type: ignore[misc]
+            await client.submit(Submission(f"copied{number}-{dest}", "status", dest))
             await asyncio.sleep(0.025)
-            await client.hand_in(Order(f"order{number}-{dest}", "order", dest, f"k{number}-{dest}", 1.0))
+            await client.submit(Submission(f"order{number}-{dest}", "order", dest, f"k{number}-{dest}", 1.0))
 
         clients = [Client(w, account) for _ in range(pairs)]
         for number in range(rounds):
             await asyncio.gather(*(pair(client, number, n + 1) for n, client in enumerate(clients)))
-            await asyncio.sleep(1.0 + GRACE)  # the orders' time is up: each is over, or held to be delivered
+            await asyncio.sleep(
+                1.0 + REPORT_GRACE_S
+            )  # the orders' time is up: each is over, or held to be delivered
             names = {f"order{number}-{n + 1}" for n in range(pairs)}
-            misattributed.append(len(names - set(w.noticed_at)))
+            misattributed.append(len(names - set(w.reported_at)))
         return misattributed
 
 
 async def sound(folder: Path, root: Path, seconds: float) -> float:
     """Handshakes for each message: 24 sound servers, a few of which get most of the traffic."""
-    async with World(folder, policy_limits=LIMITS) as w, AsyncExitStack() as stack:
+    async with RelayHarness(folder, policy_limits=POLICY_LIMITS) as w, AsyncExitStack() as stack:
         w.root = root
         partners = []
         for n in range(24):
-            partner = await stack.enter_async_context(Partner(Behaviour(lambda call: Doing(delay=0.01))))
+            partner = await stack.enter_async_context(
+                FakeHost(Behaviour(lambda call: ResponsePlan(delay_s=0.01)))
+            )
             partners.append(partner)
-            w.list_host(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
+            w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
         await w.start()
         chance, loop = random.Random(3), asyncio.get_running_loop()
         weights = [1 / (n + 1) ** 1.2 for n in range(24)]
-        account, number, due = Account(), 0, loop.time()
+        account, number, due = SubmissionLog(), 0, loop.time()
         idle, tasks = [Client(w, account) for _ in range(24)], set[asyncio.Task[None]]()
 
-        async def hand_in(client: Client, order: Order) -> None:
-            await client.hand_in(order)
+        async def hand_in(client: Client, order: Submission) -> None:
+            await client.submit(order)
             idle.append(client)
 
         ends = due + seconds
@@ -124,14 +143,16 @@
             (dest,) = chance.choices(range(1, 25), weights)
             of, key = ("order", f"k{number}") if number % 2 else ("status", None)
             client = idle.pop(0) if idle else Client(w, account)
-            task = asyncio.create_task(hand_in(client, Order(f"s{number}", of, dest, key)))
+            task = asyncio.create_task(hand_in(client, Submission(f"s{number}", of, dest, key)))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
         for client in idle:
             client.close()
-        await all_over(w, partners, account)
-        return sum(partner.accepted for partner in partners) / sum(len(partner.ids) for partner in partners)
+        await wait_until_final(w, partners, account)
+        return sum(partner.accepted_count for partner in partners) / sum(
+            len(partner.message_ids) for partner in partners
+        )
 
 
 async def costs(base: Path, blocks: int, size: int) -> dict[int, float]:
@@ -140,29 +161,29 @@
     does falls on both alike; the median of the blocks counts."""
     settings = {**SETTINGS["extra"], "call_slots": 1200}
     async with AsyncExitStack() as stack:
-        worlds: dict[int, tuple[World, list[Partner], Account]] = {}
+        worlds: dict[int, tuple[RelayHarness, list[FakeHost], SubmissionLog]] = {}
         for servers in (24, 2000):
             (base / str(servers)).mkdir()
             w = await stack.enter_async_context(
-                World(base / str(servers), policy_limits=LIMITS, extra=settings)
+                RelayHarness(base / str(servers), policy_limits=POLICY_LIMITS, extra=settings)
             )
             w.limits |= {"sockets": 12_000, "disk_mb": 50}
-            partners = [await stack.enter_async_context(Partner()) for _ in range(16)]
+            partners = [await stack.enter_async_context(FakeHost()) for _ in range(16)]
             for n in range(servers):
-                w.list_host(n + 1, "plain", "Ready", "{}:{}".format(*partners[n % 16].address))
+                w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partners[n % 16].address))
             await w.start()
-            worlds[servers] = w, partners, Account()
+            worlds[servers] = w, partners, SubmissionLog()
 
         async def send(servers: int, first: int, many: int) -> float:
             w, partners, account = worlds[servers]
             assert w.process is not None
             lines = [
-                [Order(f"c{first + i}", "status", (first + i) % servers + 1) for i in range(n, many, 32)]
+                [Submission(f"c{first + i}", "status", (first + i) % servers + 1) for i in range(n, many, 32)]
                 for n in range(32)
             ]
             began = cpu_seconds(w.process.pid)
-            await hand_in_all(w, lines, account)
-            await all_over(w, partners, account)
+            await submit_all(w, lines, account)
+            await wait_until_final(w, partners, account)
             return (cpu_seconds(w.process.pid) - began) / many * 1e6
 
         for servers in worlds:
@@ -210,13 +231,13 @@
 
         before = earlier_program(BEFORE_GROWTH, folder("before"))
         count = 1000 if quick else 6000
-        result |= await storm(folder("storm"), ROOT, count, STRICT)
+        result |= await storm(folder("storm"), ROOT, count, STRICT_SETTINGS)
         result["by_default"] = await storm(folder("default"), ROOT, count, None)
         case: dict[str, Any] = {"of": 20, "before": None}
         if before:
             case["before"] = await late_copies(folder("late-old"), before, None, 1)
         case["by_default"] = await late_copies(folder("late"), ROOT, None, 2)
-        case["strict"] = await late_copies(folder("late-strict"), ROOT, STRICT, 2)
+        case["strict"] = await late_copies(folder("late-strict"), ROOT, STRICT_SETTINGS, 2)
         result["measured_case"] = case
         seconds = 4.0 if quick else 60.0
         result["handshakes_per_message"] = round(await sound(folder("sound"), ROOT, seconds), 4)
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -30,9 +30,9 @@
 from loftrelay.net.address import Address
 from loftrelay.simulation.fleet import MS, SECOND, LinkFaults, SimulatedFleet
 from loftrelay.simulation.proxy import FaultProxy, PathFaults
-from tests.standins.partner import Behaviour, Doing, Partner
-from tests.standins.platform import Peer, World, deliver, free_port
-from tests.standins.traffic import Account, Order, hand_in_all
+from tests.standins.fake_host import Behaviour, FakeHost, ResponsePlan
+from tests.standins.harness import RelayHarness, StubServer, free_port, respond_ok
+from tests.standins.submissions import Submission, SubmissionLog, submit_all
 
 LARGE, SMALL = 200, 16
 TIMING = SwimConfig(200 * MS, 1000 * MS)  # the defaults
@@ -74,22 +74,24 @@
     """Relays of one fleet behind a proxy, with a discovery each, and hosts of their own: two, or one beside a
     partner of all. `told`: more lines of the fleet's file. The first seed never comes."""
 
-    def __init__(self, folder: Path, partner: Partner | None = None, told: str = "") -> None:
+    def __init__(self, folder: Path, partner: FakeHost | None = None, told: str = "") -> None:
         self.folder, self.partner, self.told = folder, partner, told
-        self.hosts: list[list[Peer]] = []
+        self.hosts: list[list[StubServer]] = []
         self.proxy = FaultProxy(seed=1)
-        self.worlds: list[World] = []
+        self.worlds: list[RelayHarness] = []
         self.seeds = ["127.0.0.1:9"]
 
-    async def start(self, name: str, joined: bool = True) -> World:
+    async def start(self, name: str, joined: bool = True) -> RelayHarness:
         folder = self.folder / name
         folder.mkdir(parents=True)
-        world = await World(folder).__aenter__()
+        world = await RelayHarness(folder).__aenter__()
         self.worlds.append(world)
-        world.name_, world.control = name, f"127.0.0.1:{free_port()}"
+        world.relay_name, world.admin_address = name, f"127.0.0.1:{free_port()}"
         if self.partner is not None:
-            world.list_host(1, "plain", "Ready", "{}:{}".format(*self.partner.address))
-        self.hosts.append([await world.host(deliver) for _ in range(2 if self.partner is None else 1)])
+            world.add_endpoint(1, "plain", "Ready", "{}:{}".format(*self.partner.address))
+        self.hosts.append(
+            [await world.start_host(respond_ok) for _ in range(2 if self.partner is None else 1)]
+        )
         if joined:
             listen = free_port()
             place = "{}:{}".format(*await self.proxy.add(name, ("127.0.0.1", listen)))
@@ -108,13 +110,13 @@
         for world in self.worlds:
             await world.__aexit__()
 
-    async def figure(self, world: World, name: str) -> int:
-        for line in (await world.call("show-stat")).split():
+    async def figure(self, world: RelayHarness, name: str) -> int:
+        for line in (await world.call_admin("show-stat")).split():
             if line.startswith(f"app.{name}="):
                 return int(line.partition("=")[2])
         raise KeyError(name)
 
-    async def until(self, name: str, value: int, worlds: list[World]) -> float:
+    async def until(self, name: str, value: int, worlds: list[RelayHarness]) -> float:
         """Seconds until each of these shows that figure; 60 where they don't."""
         began = time.monotonic()
         with contextlib.suppress(TimeoutError):
@@ -125,20 +127,20 @@
         return time.monotonic() - began
 
 
-async def converge(folder: Path, partner: Partner, loss: float) -> tuple[Processes, float, float]:
+async def converge(folder: Path, partner: FakeHost, loss: float) -> tuple[Processes, float, float]:
     """A fleet of processes, seconds until all know all, and until a call at one door holds at all."""
     fleet = Processes(folder, partner)
     fleet.proxy.default_faults = PathFaults(loss=loss)
     for n in range(SMALL):
         await fleet.start(f"r{n}")
     took = await fleet.until("fleet_alive", SMALL - 1, fleet.worlds)
-    host = fleet.worlds[0].members[-1]["id"]
-    assert await fleet.worlds[3].call(f"disable-server {host}") == "YES\n"
+    host = fleet.worlds[0].endpoints[-1]["id"]
+    assert await fleet.worlds[3].call_admin(f"disable-server {host}") == "YES\n"
     call = await fleet.until("ejected", 1, fleet.worlds)
     return fleet, took, call
 
 
-async def used(worlds: list[World], seconds: float) -> list[float]:
+async def used(worlds: list[RelayHarness], seconds: float) -> list[float]:
     """Processor time of each in so many seconds."""
     numbers = [world.process.pid for world in worlds if world.process is not None]
     before = [cpu_seconds(number) for number in numbers]
@@ -147,7 +149,7 @@
 
 
 async def processes(folder: Path) -> dict[str, Any]:
-    async with Partner(Behaviour(lambda call: Doing(200, delay=0.005))) as partner:
+    async with FakeHost(Behaviour(lambda call: ResponsePlan(200, delay_s=0.005))) as partner:
         lossy, lossy_s, lossy_call = await converge(folder / "lossy", partner, 0.1)
         await lossy.close()
         fleet, took, call = await converge(folder / "whole", partner, 0.0)
@@ -160,9 +162,11 @@
                 (await fleet.figure(world, "fleet_sent_bytes") - before) / SETTLED
                 for world, before in zip(members, sent, strict=True)
             ]
-            lines = [[Order(f"c{c}-{i}", "status", 1, None, 20.0) for i in range(400)] for c in range(12)]
+            lines = [
+                [Submission(f"c{c}-{i}", "status", 1, None, 20.0) for i in range(400)] for c in range(12)
+            ]
             began, loaded = time.monotonic(), cpu_seconds(alone.process.pid)  # type: ignore[union-attr]
-            await hand_in_all(alone, lines, Account())
+            await submit_all(alone, lines, SubmissionLog())
             at_load = (cpu_seconds(alone.process.pid) - loaded) / (time.monotonic() - began)  # type: ignore[union-attr]
             more = max(0.0, sum(idle[:-1]) / SMALL - idle[-1]) / SETTLED
         finally:
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -38,16 +38,16 @@
     MessageRecord,
     StoredFinalStatus,
 )
-from tests.program.test_connections import LIMITS
-from tests.standins.partner import Partner
-from tests.standins.platform import SETTINGS, World
-from tests.standins.traffic import Account, Client, Order
+from tests.program.test_connections import POLICY_LIMITS
+from tests.standins.fake_host import FakeHost
+from tests.standins.harness import SETTINGS, RelayHarness
+from tests.standins.submissions import Client, Submission, SubmissionLog
 
 DESTINATIONS, CLIENTS = 8, 48
 EXTRA = {**SETTINGS["extra"], "call_slots": 64}
 
 
-def use_store(w: World, mode: str) -> Path:
+def use_store(w: RelayHarness, mode: str) -> Path:
     path = w.folder / "record.sqlite"
     (w.folder / "record.toml").write_text(f'file = "{path}"\nunsafe = "{mode}"\n')
     w.arguments = ["--record", str(w.folder / "record.toml")]
@@ -57,29 +57,29 @@
 async def agree(folder: Path, count: int) -> dict[str, int]:
     """So many work orders while the relay is killed and started again; then each is looked up on both."""
     chance = random.Random(5)
-    async with World(folder, policy_limits=LIMITS, extra=EXTRA) as w, Partner() as partner:
+    async with RelayHarness(folder, policy_limits=POLICY_LIMITS, extra=EXTRA) as w, FakeHost() as partner:
         w.limits["disk_mb"] = 50
         path = use_store(w, "required")
-        w.list_host(1, "plain", "Ready", "{}:{}".format(*partner.address))
+        w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
         await w.start()
-        account, kills, number = Account(), 0, 0
-        while len(account.taken) < count:
+        account, kills, number = SubmissionLog(), 0, 0
+        while len(account.admitted) < count:
             stop = asyncio.Event()
 
             async def client(n: int, stop: asyncio.Event) -> None:
                 nonlocal number
                 own = Client(w, account)
-                while not stop.is_set() and len(account.taken) < count:
+                while not stop.is_set() and len(account.admitted) < count:
                     number += 1
                     with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                        await own.hand_in(Order(f"o{number}", "order", 1, f"k{n}-{number}", 20.0))
+                        await own.submit(Submission(f"o{number}", "order", 1, f"k{n}-{number}", 20.0))
                 own.close()
 
             clients = [asyncio.create_task(client(n, stop)) for n in range(16)]
-            wanted = len(account.taken) + chance.randrange(count // 8, count // 4)
-            while len(account.taken) < min(wanted, count) and not all(c.done() for c in clients):
+            wanted = len(account.admitted) + chance.randrange(count // 8, count // 4)
+            while len(account.admitted) < min(wanted, count) and not all(c.done() for c in clients):
                 await asyncio.sleep(0.005)
-            if len(account.taken) < count:
+            if len(account.admitted) < count:
                 await w.kill()
                 kills += 1
             stop.set()
@@ -92,25 +92,25 @@
                 found = {entry.message_id: entry for entry in store.select(RecordQuery())}
                 wrong = store.verify()
                 store.close()
-                if all(name in found and found[name].reported_at is not None for name in account.taken):
+                if all(name in found and found[name].reported_at is not None for name in account.admitted):
                     break
                 await asyncio.sleep(0.1)
         return {"kills": kills, **compare(found, wrong, partner, account)}
 
 
 def compare(
-    found: dict[str, MessageRecord], wrong: list[str], partner: Partner, account: Account
+    found: dict[str, MessageRecord], wrong: list[str], partner: FakeHost, account: SubmissionLog
 ) -> dict[str, int]:
     """Store against partner, message by message."""
-    disagreements = len(wrong) + len(set(partner.effects) - set(found))
+    disagreements = len(wrong) + len(set(partner.executions) - set(found))
     for name, entry in found.items():
-        ran = partner.effects[name] > 0
+        ran = partner.executions[name] > 0
         if (entry.final_status is StoredFinalStatus.DELIVERED and not ran) or (
             entry.final_status is StoredFinalStatus.REJECTED and ran
         ):
             disagreements += 1
-    duplicates = sum(ran - 1 for ran in partner.effects.values())
-    return {"messages": len(account.taken), "disagreements": disagreements, "duplicates": duplicates}
+    duplicates = sum(ran - 1 for ran in partner.executions.values())
+    return {"messages": len(account.admitted), "disagreements": disagreements, "duplicates": duplicates}
 
 
 async def agree_cut(folder: Path, count: int) -> dict[str, int | None]:
@@ -119,34 +119,34 @@
         from loftrelay.store.postgres import PostgresStore
     except ImportError:
         return {"messages": 0, "cuts": None, "disagreements": 0, "duplicates": 0}
-    from tests.standins.postgres import Faults, PostgresStandIn, cut
+    from tests.standins.fake_postgres import FakePostgresServer, Faults, cut_connection
 
     chance, guard = random.Random(5), threading.Lock()
 
     def draw() -> Faults:
         with guard:
-            return cut(chance.choice(("heard", "said")), chance.randrange(10_000, 250 * count))
+            return cut_connection(chance.choice(("received", "sent")), chance.randrange(10_000, 250 * count))
 
-    with PostgresStandIn(folder / "server.sqlite") as server:
-        server.drawn = draw
-        async with World(folder, policy_limits=LIMITS, extra=EXTRA) as w, Partner() as partner:
+    with FakePostgresServer(folder / "server.sqlite") as server:
+        server.draw_faults = draw
+        async with RelayHarness(folder, policy_limits=POLICY_LIMITS, extra=EXTRA) as w, FakeHost() as partner:
             w.limits["disk_mb"] = 50
             (w.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\n')
             w.arguments = ["--record", str(w.folder / "record.toml")]
-            w.list_host(1, "plain", "Ready", "{}:{}".format(*partner.address))
+            w.add_endpoint(1, "plain", "Ready", "{}:{}".format(*partner.address))
             await w.start()
-            account = Account()
+            account = SubmissionLog()
 
             async def client(n: int) -> None:
                 own = Client(w, account)
                 for i in range(n, count, 16):
-                    while await own.hand_in(Order(f"o{i}", "order", 1, f"k{i}", 20.0)) == 503:
+                    while await own.submit(Submission(f"o{i}", "order", 1, f"k{i}", 20.0)) == 503:
                         await asyncio.sleep(0.02)
                 own.close()
 
             await asyncio.gather(*(client(n) for n in range(16)))
-            server.drawn = None
-            server.cut_all()
+            server.draw_faults = None
+            server.close_connections()
             async with asyncio.timeout(60):
                 while True:
                     store = await asyncio.to_thread(PostgresStore, server.dsn)
@@ -154,29 +154,33 @@
                     found = {entry.message_id: entry for entry in entries}
                     wrong = await asyncio.to_thread(store.verify)
                     store.close()
-                    if all(name in found and found[name].reported_at is not None for name in account.taken):
+                    if all(
+                        name in found and found[name].reported_at is not None for name in account.admitted
+                    ):
                         break
                     await asyncio.sleep(0.1)
-            return {"cuts": server.cuts, **compare(found, wrong, partner, account)}
+            return {"cuts": server.cut_count, **compare(found, wrong, partner, account)}
 
 
 async def rates(base: Path, turns: int, size: int) -> dict[str, Any]:
     """The three ways take turns, so that what else the machine does falls on all alike. Each client waits
     until its message has run: a backlog would measure how the decision module ranks it, alike in all."""
     async with AsyncExitStack() as stack:
-        worlds: dict[str, tuple[World, list[Partner], Account]] = {}
+        worlds: dict[str, tuple[RelayHarness, list[FakeHost], SubmissionLog]] = {}
         store = Path()
         for mode in ("none", "follows", "required"):
             (base / mode).mkdir()
-            w = await stack.enter_async_context(World(base / mode, policy_limits=LIMITS, extra=EXTRA))
+            w = await stack.enter_async_context(
+                RelayHarness(base / mode, policy_limits=POLICY_LIMITS, extra=EXTRA)
+            )
             w.limits["disk_mb"] = 50
-            partners = [await stack.enter_async_context(Partner()) for _ in range(DESTINATIONS)]
+            partners = [await stack.enter_async_context(FakeHost()) for _ in range(DESTINATIONS)]
             for n, partner in enumerate(partners):
-                w.list_host(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
+                w.add_endpoint(n + 1, "plain", "Ready", "{}:{}".format(*partner.address))
             if mode != "none":
                 store = use_store(w, mode)
             await w.start()
-            worlds[mode] = w, partners, Account()
+            worlds[mode] = w, partners, SubmissionLog()
         times: list[float] = []
         cpu: dict[str, list[float]] = {mode: [] for mode in worlds}
 
@@ -188,12 +192,12 @@
                 own, partner = Client(w, account), partners[n % DESTINATIONS]
                 for i in range(n, size, CLIENTS):
                     began, name = time.perf_counter(), f"m{first + i}"
-                    order = Order(name, "order", n % DESTINATIONS + 1, f"k{first + i}", 20.0)
-                    while await own.hand_in(order) != 202:
+                    order = Submission(name, "order", n % DESTINATIONS + 1, f"k{first + i}", 20.0)
+                    while await own.submit(order) != 202:
                         await asyncio.sleep(0.001)
                     if mode == "required":
                         times.append(time.perf_counter() - began)
-                    await partner.until(lambda: partner.answered[name] > 0)  # noqa: B023
+                    await partner.wait_until(lambda: partner.responses[name] > 0)  # noqa: B023
                 own.close()
 
             began, used = time.perf_counter(), cpu_seconds(w.process.pid)
@@ -214,11 +218,11 @@
             result[f"{mode}_ratio"] = round(statistics.median(ratios), 3)
         result["take_p99_ms"] = round(sorted(times)[int(len(times) * 0.99)] * 1000, 1)
         for mode, (w, _, account) in worlds.items():
-            await w.end(signal.SIGTERM)
+            await w.stop(signal.SIGTERM)
             if mode == "required":
                 told = re.search(r"(\d+) changes were stored in (\d+) commits", "\n".join(w.log))
                 assert told is not None
-                result["commits_per_message"] = round(int(told[2]) / len(account.taken), 3)
+                result["commits_per_message"] = round(int(told[2]) / len(account.admitted), 3)
         opened = SQLiteStore(store)
         result["recorded"] = sum(1 for _ in opened.select(RecordQuery()))
         opened.close()
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -22,7 +22,7 @@
 from benchmarks.scale.links import Forwarder
 from benchmarks.scale.real import RealRelay
 from loftrelay.net.address import Address
-from tests.standins.platform import free_port
+from tests.standins.harness import free_port
 
 FLEET = "scale"
 MOST_PROCESSES = 300
@@ -263,7 +263,7 @@
         await relay.open_hosts()
         await self.discovery.ask("change", rows=relay.rows(change=False))
         await relay.start([registry.address for registry in self.registries], FLEET)
-        await relay.world.hand_in_once_listed(f"first{relay.number}", relay.destination)
+        await relay.world.submit_once_listed(f"first{relay.number}", relay.destination)
         relay.begin_traffic()
 
     async def change(self, destination: int = 0) -> tuple[int, float]:
--- a/tests/program/test_record_postgres.py
+++ b/tests/program/test_record_postgres.py
@@ -1,4 +1,4 @@
-"""A relay with its record in PostgreSQL (the stand-in), through real sockets: cut, slow, away and back."""
+"""A relay with its store in a fake PostgreSQL server: connections cut, commits slow, server down and back."""
 
 from __future__ import annotations
 
@@ -15,29 +15,38 @@
 from loftrelay.store.backend import RecordQuery  # noqa: E402
 from loftrelay.store.postgres import PostgresStore  # noqa: E402
 from loftrelay.store.state_machine import MessageRecord, RecordState, StoredFinalStatus  # noqa: E402
-from tests.program.test_connections import LIMITS  # noqa: E402
-from tests.program.test_record import given_to_two  # noqa: E402
-from tests.standins.partner import Partner  # noqa: E402
-from tests.standins.platform import HANG, SETTINGS, World, deliver, message, run  # noqa: E402
-from tests.standins.postgres import Faults, PostgresStandIn, cut  # noqa: E402
-from tests.standins.traffic import Account, Client, Order  # noqa: E402
-
-ORDERS, CLIENTS = 10_000, 32
-FULL = SETTINGS["policy_limits"]["most_held"]
+from tests.program.test_connections import POLICY_LIMITS  # noqa: E402
+from tests.program.test_record import submit_to_two_relays  # noqa: E402
+from tests.standins.fake_host import FakeHost  # noqa: E402
+from tests.standins.fake_postgres import FakePostgresServer, Faults, cut_connection  # noqa: E402
+from tests.standins.harness import (  # noqa: E402
+    SETTINGS,
+    TEST_TIMEOUT_S,
+    RelayHarness,
+    format_submission,
+    respond_ok,
+    run_scenario,
+)
+from tests.standins.submissions import Client, Submission, SubmissionLog  # noqa: E402
+
+MESSAGE_COUNT, CLIENT_COUNT = 10_000, 32
+MAX_OPEN_MESSAGES = SETTINGS["policy_limits"]["most_held"]
 
 
 @pytest.fixture
-def server(tmp_path: Path) -> Iterator[PostgresStandIn]:
-    with PostgresStandIn(tmp_path / "server.sqlite", password="harbour") as server:
+def server(tmp_path: Path) -> Iterator[FakePostgresServer]:
+    with FakePostgresServer(tmp_path / "server.sqlite", password="harbour") as server:
         yield server
 
 
-def with_server(w: World, server: PostgresStandIn) -> None:
-    (w.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\ncall_s = 20.0\n')
-    w.arguments = ["--record", str(w.folder / "record.toml")]
+def configure_store(harness: RelayHarness, server: FakePostgresServer) -> None:
+    """Configures the fake PostgreSQL server as store of record."""
+    (harness.folder / "record.toml").write_text(f'dsn = "{server.dsn}"\ncall_s = 20.0\n')
+    harness.arguments = ["--record", str(harness.folder / "record.toml")]
 
 
-def entries(server: PostgresStandIn) -> dict[str, MessageRecord]:
+def read_records(server: FakePostgresServer) -> dict[str, MessageRecord]:
+    """Returns all records by message id, after the store's own check."""
     store = PostgresStore(server.dsn)
     try:
         assert not store.verify()
@@ -46,128 +55,140 @@
         store.close()
 
 
-async def all_told(server: PostgresStandIn, names: set[str]) -> dict[str, MessageRecord]:
-    async with asyncio.timeout(HANG):
+async def wait_until_reported(server: FakePostgresServer, message_ids: set[str]) -> dict[str, MessageRecord]:
+    """Waits until the final status of all these messages is recorded as reported."""
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
-            found = await asyncio.to_thread(entries, server)
-            if all(name in found and found[name].state is RecordState.REPORTED for name in names):
+            found = await asyncio.to_thread(read_records, server)
+            if all(name in found and found[name].state is RecordState.REPORTED for name in message_ids):
                 return found
             await asyncio.sleep(0.05)
 
 
-async def until_taken(client: Client, order: Order) -> None:
-    while await client.hand_in(order) == 503:
+async def submit_until_admitted(client: Client, submission: Submission) -> None:
+    """Repeats a submission until it is not rejected."""
+    while await client.submit(submission) == 503:
         await asyncio.sleep(0.02)
 
 
-def test_ten_thousand_orders_while_the_connection_is_cut_at_random(
-    tmp_path: Path, server: PostgresStandIn
+def test_store_connection_cut_at_random_loses_and_repeats_no_order(
+    tmp_path: Path, server: FakePostgresServer
 ) -> None:
-    """Store and partner agree on every one; nothing ran twice, nothing is claimed that was not recorded."""
-    chance, guard = random.Random(3), threading.Lock()
+    """Store and host agree on every order; none is executed twice, none reported that was not recorded."""
+    rng, lock = random.Random(3), threading.Lock()
 
     def draw() -> Faults:
-        with guard:
-            side = chance.choice(("heard", "said"))
-            return cut(side, chance.randrange(50_000, 2_000_000))
-
-    async def scenario(w: World) -> None:
-        w.limits["disk_mb"] = 50
-        with_server(w, server)
-        async with Partner() as partner:
-            w.list_host(1, "plain", "Ready", "{}:{}".format(*partner.address))
-            server.drawn = draw
-            await w.start()
-            account = Account()
-
-            async def client(n: int) -> None:
-                own = Client(w, account)
-                for i in range(n, ORDERS, CLIENTS):
-                    await until_taken(own, Order(f"o{i}", "order", 1, f"k{i}", 20.0))
-                own.close()
-
-            await asyncio.gather(*(client(n) for n in range(CLIENTS)))
-            server.drawn = None
-            server.cut_all()
-            found = await all_told(server, set(account.taken))
-            assert server.cuts >= 10
-            assert len(found) == ORDERS
-            assert max(partner.effects.values()) == 1
-            told = {notice["id"]: notice["status"] for notice in w.notices}
-            ends = {StoredFinalStatus.FAILED: "undeliverable", StoredFinalStatus.REJECTED: "deferred"}
+        with lock:
+            side = rng.choice(("received", "sent"))
+            return cut_connection(side, rng.randrange(50_000, 2_000_000))
+
+    async def scenario(harness: RelayHarness) -> None:
+        harness.limits["disk_mb"] = 50
+        configure_store(harness, server)
+        async with FakeHost() as host:
+            harness.add_endpoint(1, "plain", "Ready", "{}:{}".format(*host.address))
+            server.draw_faults = draw
+            await harness.start()
+            log = SubmissionLog()
+
+            async def submit_share(n: int) -> None:
+                client = Client(harness, log)
+                for i in range(n, MESSAGE_COUNT, CLIENT_COUNT):
+                    await submit_until_admitted(client, Submission(f"o{i}", "order", 1, f"k{i}", 20.0))
+                client.close()
+
+            await asyncio.gather(*(submit_share(n) for n in range(CLIENT_COUNT)))
+            server.draw_faults = None
+            server.close_connections()
+            found = await wait_until_reported(server, set(log.admitted))
+            assert server.cut_count >= 10
+            assert len(found) == MESSAGE_COUNT
+            assert max(host.executions.values()) == 1
+            reported = {report["id"]: report["status"] for report in harness.status_reports}
+            expected_reports = {
+                StoredFinalStatus.FAILED: "undeliverable",
+                StoredFinalStatus.REJECTED: "deferred",
+            }
             for name, entry in found.items():
-                assert (entry.final_status is StoredFinalStatus.DELIVERED) == (partner.effects[name] == 1), (
+                assert (entry.final_status is StoredFinalStatus.DELIVERED) == (host.executions[name] == 1), (
                     name
                 )
-                if entry.final_status is not StoredFinalStatus.DELIVERED and name in account.taken:
+                if entry.final_status is not StoredFinalStatus.DELIVERED and name in log.admitted:
                     assert entry.final_status is not None
-                    assert told[name] == ends[entry.final_status]
-            assert set(partner.effects) <= set(found)
-            assert len(partner.effects) > 0.99 * ORDERS
+                    assert reported[name] == expected_reports[entry.final_status]
+            assert set(host.executions) <= set(found)
+            assert len(host.executions) > 0.99 * MESSAGE_COUNT
 
-    run(scenario, tmp_path, policy_limits=LIMITS, extra={**SETTINGS["extra"], "call_slots": 64})
+    run_scenario(
+        scenario, tmp_path, policy_limits=POLICY_LIMITS, extra={**SETTINGS["extra"], "call_slots": 64}
+    )
 
 
-def resident(pid: int) -> int:
-    """Bytes of memory (proc(5), VmRSS)."""
+def resident_bytes(pid: int) -> int:
+    """Returns the resident memory of a process in bytes (VmRSS, proc(5))."""
     text = Path(f"/proc/{pid}/status").read_text()
     return int(text.partition("VmRSS:")[2].split()[0]) * 1024
 
 
-def test_more_than_full_load_while_the_store_is_slow_then_away_then_back(
-    tmp_path: Path, server: PostgresStandIn
+def test_overload_during_store_outage_rejects_orders_and_recovers(
+    tmp_path: Path, server: FakePostgresServer
 ) -> None:
-    """130% of what may be held: orders are refused at once with when to come back, status updates go on,
-    memory is bounded, and each that comes again when the store is back runs once."""
-    names = [f"o{i}" for i in range(int(1.3 * FULL))]
-
-    async def scenario(w: World) -> None:
-        with_server(w, server)
-        host = await w.host(deliver)
-        await w.start()
-        await w.warm(host)
-        assert w.process is not None
-
-        async def refused(rounds: int) -> None:
+    """With 130% of the message limit orders are rejected at once with a Retry-After, status updates continue,
+    memory is bounded, and each order resubmitted after the outage is executed once."""
+    message_ids = [f"o{i}" for i in range(int(1.3 * MAX_OPEN_MESSAGES))]
+
+    async def scenario(harness: RelayHarness) -> None:
+        configure_store(harness, server)
+        host = await harness.start_host(respond_ok)
+        await harness.start()
+        await harness.warm_up(host)
+        assert harness.process is not None
+
+        async def submit_all_rejected(rounds: int) -> None:
             for _ in range(rounds):
-                answers = await asyncio.gather(
-                    *(w.ask(message(name, "order", path=f"/order/{name}")) for name in names)
+                responses = await asyncio.gather(
+                    *(
+                        harness.send(format_submission(name, "order", path=f"/order/{name}"))
+                        for name in message_ids
+                    )
                 )
-                assert {status for status, *_ in answers} == {503}
-                assert all(float(headers["retry-after"]) > 0 for _, headers, _ in answers)
-
-        server.gate.clear()
-        await refused(1)
-        before = resident(w.process.pid)
-        await refused(3)
-        assert await w.hand_in("during") == 202  # the journal answers for it
-        await w.until(lambda: "during" in host.ids)
-        server.faults.refuse = "57P03"  # the database system is starting up
-        server.cut_all()
-        server.gate.set()
-        await w.until(lambda: any("store of record is unavailable" in line for line in w.log))
-        await refused(20)
-        assert not any(name in host.ids for name in names)
-        assert resident(w.process.pid) - before < 16 << 20
-        server.faults.refuse = None
-
-        async def again(name: str) -> None:
-            while await w.hand_in(name, "order", path=f"/order/{name}") == 503:
+                assert {status for status, *_ in responses} == {503}
+                assert all(float(headers["retry-after"]) > 0 for _, headers, _ in responses)
+
+        server.may_commit.clear()
+        await submit_all_rejected(1)
+        bytes_before = resident_bytes(harness.process.pid)
+        await submit_all_rejected(3)
+        assert await harness.submit("during") == 202  # the journal alone is enough for its class
+        await harness.wait_until(lambda: "during" in host.request_ids)
+        server.faults.startup_error = "57P03"  # the database system is starting up
+        server.close_connections()
+        server.may_commit.set()
+        await harness.wait_until(
+            lambda: any("store of record is unavailable" in line for line in harness.log)
+        )
+        await submit_all_rejected(20)
+        assert not any(name in host.request_ids for name in message_ids)
+        assert resident_bytes(harness.process.pid) - bytes_before < 16 << 20
+        server.faults.startup_error = None
+
+        async def resubmit(name: str) -> None:
+            while await harness.submit(name, "order", path=f"/order/{name}") == 503:
                 await asyncio.sleep(0.02)
 
-        await asyncio.gather(*(again(name) for name in names))
-        found = await all_told(server, {*names, "during"})
-        assert sorted(i for i in host.ids if i in names) == sorted(names)
-        assert all(found[name].final_status is StoredFinalStatus.DELIVERED for name in names)
+        await asyncio.gather(*(resubmit(name) for name in message_ids))
+        found = await wait_until_reported(server, {*message_ids, "during"})
+        assert sorted(i for i in host.request_ids if i in message_ids) == sorted(message_ids)
+        assert all(found[name].final_status is StoredFinalStatus.DELIVERED for name in message_ids)
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_two_relays_share_a_server_and_one_id_runs_once(tmp_path: Path, server: PostgresStandIn) -> None:
-    async def scenario(w: World) -> None:
-        with_server(w, server)
-        host = await w.host(deliver)
-        names = await given_to_two(w, tmp_path)
-        assert sorted(host.ids) == sorted(names) == sorted(entries(server))
+def test_two_relays_sharing_server_deliver_each_id_once(tmp_path: Path, server: FakePostgresServer) -> None:
+    async def scenario(harness: RelayHarness) -> None:
+        configure_store(harness, server)
+        host = await harness.start_host(respond_ok)
+        message_ids = await submit_to_two_relays(harness, tmp_path)
+        assert sorted(host.request_ids) == sorted(message_ids) == sorted(read_records(server))
 
-    run(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -1,6 +1,6 @@
-"""Stored state written by the program of commit 32c0038 is read, and what it holds is delivered.
+"""State stored by the program of commit 32c0038 (the baseline) is read, and its messages are delivered.
 
-The files and what that program itself did with them stand in tests/fixtures/state_32c0038 (README.md there).
+The files, and what that program itself did with them, are in tests/fixtures/state_32c0038 (README.md there).
 """
 
 from __future__ import annotations
@@ -45,11 +45,13 @@
 
 
 def expected_message(stored: dict[str, Any]) -> dict[str, Any]:
+    """Returns a recorded message under the field names of Message."""
     fields = {FIELD_NAMES.get(name, name): value for name, value in stored.items()}
     return {**fields, "body": bytes.fromhex(fields["body"])}
 
 
 def actual_message(message: Message) -> dict[str, Any]:
+    """Returns the fields of a message in the form of the recorded ones."""
     fields = asdict(message)
     packed = fields["packed_terms"]
     return {**fields, "packed_terms": None if packed is None else list(packed)}
@@ -57,7 +59,7 @@
 
 @pytest.mark.parametrize("name", JOURNALS)
 @pytest.mark.parametrize("read_only", [True, False])
-def test_every_message_of_a_journal_is_read_as_it_was(tmp_path: Path, name: str, read_only: bool) -> None:
+def test_journal_reads_every_baseline_message(tmp_path: Path, name: str, read_only: bool) -> None:
     shutil.copytree(FIXTURES / name, tmp_path / "state")
     journal = Journal(tmp_path / "state", DISK_BYTES, read_only)
     expected = CONTENTS[name]
@@ -77,8 +79,8 @@
 
 
 @pytest.mark.parametrize("name", JOURNALS)
-def test_a_journal_that_was_read_and_rewritten_is_read_again(tmp_path: Path, name: str) -> None:
-    """The start of an owner drops the old segments: what they hold is written anew."""
+def test_journal_rewritten_from_baseline_holds_same_messages(tmp_path: Path, name: str) -> None:
+    """Opening a journal for writing replaces the old segments: their contents are written to new ones."""
     shutil.copytree(FIXTURES / name, tmp_path / "state")
     old = {path.name for path in (tmp_path / "state").iterdir()}
     Journal(tmp_path / "state", DISK_BYTES).close()
@@ -92,9 +94,7 @@
 
 
 @pytest.mark.parametrize("name", RECOVERY)
-def test_a_relay_started_on_old_state_delivers_reports_and_answers_as_the_old_one(
-    tmp_path: Path, name: str
-) -> None:
+def test_relay_started_on_baseline_state_acts_as_baseline(tmp_path: Path, name: str) -> None:
     record = FIXTURES / "record.sqlite" if name == "journal_of_store" else None
     expected = RECOVERY[name]
     unfinished = {*expected["calls"], *(report["id"] for report in expected["reports"])}
@@ -108,16 +108,16 @@
             assert bodies[id_] == bytes.fromhex(stored["body"])
 
 
-def test_disabled_hosts_are_read() -> None:
+def test_disabled_hosts_file_of_baseline_is_read() -> None:
     assert DisabledHostsFile(FIXTURES).load() == {"h1", "host with spaces", "höst"}
 
 
-def test_disabled_hosts_are_written_as_before(tmp_path: Path) -> None:
+def test_disabled_hosts_file_is_written_as_at_baseline(tmp_path: Path) -> None:
     DisabledHostsFile(tmp_path).save({"höst", "h1", "host with spaces"})
     assert (tmp_path / "hosts-out.json").read_bytes() == (FIXTURES / "hosts-out.json").read_bytes()
 
 
-def test_the_last_configuration_is_read_and_written_as_before(tmp_path: Path) -> None:
+def test_last_config_file_is_read_and_written_as_at_baseline(tmp_path: Path) -> None:
     config = LastConfigFile(FIXTURES).load()
     assert config == {
         "name": "n1",
@@ -130,7 +130,7 @@
     assert (tmp_path / "last-config.json").read_bytes() == (FIXTURES / "last-config.json").read_bytes()
 
 
-def test_operator_overrides_are_read_and_written_as_before(
+def test_override_file_is_read_and_written_as_at_baseline(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     shutil.copy(FIXTURES / "fleet-calls.json", tmp_path)
@@ -151,7 +151,7 @@
     assert (tmp_path / "fleet-calls.json").read_bytes() == (FIXTURES / "fleet-calls.json").read_bytes()
 
 
-def test_every_row_of_a_store_is_read(tmp_path: Path) -> None:
+def test_sqlite_store_reads_every_baseline_row(tmp_path: Path) -> None:
     shutil.copy(FIXTURES / "record.sqlite", tmp_path)
     store = SQLiteStore(tmp_path / "record.sqlite")
     assert store.verify() == []
--- a/tests/program/test_wire.py
+++ b/tests/program/test_wire.py
@@ -1,4 +1,4 @@
-"""What a relay and a registry write is, byte for byte, what the program of commit 32c0038 wrote."""
+"""Relay and registry write the same bytes as the program of commit 32c0038 (the baseline)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("scene", SCENES)
-def test_the_bytes_are_as_before(tmp_path: Path, scene: str) -> None:
+def test_scene_writes_same_bytes_as_baseline(tmp_path: Path, scene: str) -> None:
     actual = asyncio.run(play(scene, tmp_path))
     assert actual.splitlines() == (FIXTURES / f"{scene}.txt").read_text().splitlines()
 
--- a/tests/standins/discovery.py
+++ b/tests/standins/fake_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that holds a watch and answers it with changes only, for tests of the registry."""
+"""Fake discovery service for tests of the registry: holds watches open and answers them with changes only."""
 
 from __future__ import annotations
 
@@ -7,43 +7,49 @@
 from collections.abc import Iterable
 from typing import Any
 
-from tests.standins.platform import HANG
+from tests.standins.harness import TEST_TIMEOUT_S
 
 
-def row(host: str, cell: int, phase: str = "Ready", **more: Any) -> dict[str, Any]:
+def make_endpoint(endpoint_id: str, destination: int, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
+    """Returns an entry of discovery's list."""
     return {
-        "id": host,
+        "id": endpoint_id,
         "host_port": "127.0.0.1:9",
         "locality": "a",
         "flavor": "plain",
-        "cell": cell,
+        "cell": destination,
         "phase": phase,
         "size": 1.0,
         "up_since_ms": 0,
-        **more,
+        **fields,
     }
 
 
-class Discovery:
-    """Use as an async context. `indent`: of its answers; `silent`: calls are taken and never answered."""
+class FakeDiscovery:
+    """Fake discovery on a loopback port, used as an async context manager.
 
-    def __init__(self, rows: Iterable[dict[str, Any]] = (), revision: int = 1) -> None:
+    Attributes:
+        indent: Indentation of its JSON responses.
+        is_silent: Whether requests are read and not answered.
+    """
+
+    def __init__(self, endpoints: Iterable[dict[str, Any]] = (), revision: int = 1) -> None:
         self.revision = revision
-        self.rows = {told["id"]: told for told in rows}
-        self.log: list[tuple[int, dict[str, Any]]] = []  # what changed, by revision
+        self.endpoints = {endpoint["id"]: endpoint for endpoint in endpoints}
+        self.changes: list[tuple[int, dict[str, Any]]] = []  # (revision, changed endpoint)
         self.indent: int | None = None
         self.is_silent = False
         self.requests: list[str] = []  # targets
         self.answered_count = 0
         self.port = 0
-        self._since = revision  # what was before is told whole
+        self._since = revision  # older watches get the full list
         self._down = False
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._changed = asyncio.Event()
 
-    async def __aenter__(self) -> Discovery:
+    async def __aenter__(self) -> FakeDiscovery:
         await self.start()
         return self
 
@@ -55,12 +61,13 @@
         return f"127.0.0.1:{self.port}"
 
     async def start(self) -> None:
-        """At the same port again, after `stop`."""
+        """Listens on a free port; after `stop` on the same port again."""
         self._down = False
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
+        """Closes the port and all connections."""
         assert self._server is not None
         self._server.close()
         self._down = True
@@ -69,20 +76,21 @@
         self.notify()
         await asyncio.gather(*self._tasks)
 
-    def change(self, *rows: dict[str, Any]) -> None:
-        """All under one new revision; with the phase Gone a host is listed no longer."""
+    def change(self, *endpoints: dict[str, Any]) -> None:
+        """Applies changes under one new revision; the phase Gone removes an endpoint from the list."""
         self.revision += 1
-        for told in rows:
-            if told["phase"] == "Gone":
-                self.rows.pop(told["id"], None)
+        for endpoint in endpoints:
+            if endpoint["phase"] == "Gone":
+                self.endpoints.pop(endpoint["id"], None)
             else:
-                self.rows[told["id"]] = told
-            self.log.append((self.revision, told))
+                self.endpoints[endpoint["id"]] = endpoint
+            self.changes.append((self.revision, endpoint))
         self.notify()
 
-    def restart_revisions(self, revision: int, rows: Iterable[dict[str, Any]]) -> None:
-        self.revision, self.log, self._since = revision, [], revision
-        self.rows = {told["id"]: told for told in rows}
+    def restart_revisions(self, revision: int, endpoints: Iterable[dict[str, Any]]) -> None:
+        """Starts a new history: the list is replaced, and older watches get it in full."""
+        self.revision, self.changes, self._since = revision, [], revision
+        self.endpoints = {endpoint["id"]: endpoint for endpoint in endpoints}
         self.notify()
 
     def notify(self) -> None:
@@ -90,7 +98,7 @@
         self._changed = asyncio.Event()
 
     async def wait_for_requests(self, count: int) -> None:
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while len(self.requests) < count:
                 await self._changed.wait()
 
@@ -135,8 +143,8 @@
             await self._wait()
         if not self._since <= index <= self.revision:
             return self._full_list()
-        last = {told["id"]: told for revision, told in self.log if revision > index}
-        return self._encode(False, list(last.values()))
+        latest = {endpoint["id"]: endpoint for revision, endpoint in self.changes if revision > index}
+        return self._encode(False, list(latest.values()))
 
     async def _wait(self) -> None:
         await self._changed.wait()
@@ -144,8 +152,8 @@
             raise ConnectionError
 
     def _full_list(self) -> bytes:
-        return self._encode(True, list(self.rows.values()))
+        return self._encode(True, list(self.endpoints.values()))
 
     def _encode(self, complete: bool, members: list[dict[str, Any]]) -> bytes:
-        told = {"revision": self.revision, "complete": complete, "members": members}
-        return json.dumps(told, indent=self.indent).encode()
+        content = {"revision": self.revision, "complete": complete, "members": members}
+        return json.dumps(content, indent=self.indent).encode()
--- a/tests/standins/registries.py
+++ b/tests/standins/registries.py
@@ -1,4 +1,4 @@
-"""Registries as processes of the program, between a World's discovery and its relay."""
+"""Registry processes between the discovery of a RelayHarness and its relay."""
 
 from __future__ import annotations
 
@@ -10,26 +10,32 @@
 
 from loftrelay.discovery.registry_selection import preference_order
 from loftrelay.net.address import parse_address
-from tests.standins.platform import HANG, World, free_port
+from tests.standins.harness import TEST_TIMEOUT_S, RelayHarness, free_port
 
 FLEET = "windwacht"
 
 
 class Registries:
-    """So many for one World, whose relay is then to be started with them. Use as an async context within
-    that of the world."""
+    """Registries of one RelayHarness, whose relay has to be started after them.
 
-    def __init__(self, world: World, number: int = 2, **subscription: Any) -> None:
-        self.world = world
-        self.addresses = [f"127.0.0.1:{free_port()}" for _ in range(number)]
+    Used as an async context manager within that of the harness.
+    """
+
+    def __init__(self, harness: RelayHarness, count: int = 2, **subscription: Any) -> None:
+        self.harness = harness
+        self.addresses = [f"127.0.0.1:{free_port()}" for _ in range(count)]
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.logs: dict[str, list[str]] = {address: [] for address in self.addresses}
         self.tasks: list[asyncio.Task[None]] = []
-        world.control = world.control or f"127.0.0.1:{free_port()}"
-        told = {"fleet": f'"{FLEET}"', "registries": str(self.addresses).replace("'", '"'), **subscription}
-        path = world.folder / "subscription.toml"
-        path.write_text("[subscription]\n" + "".join(f"{key} = {value}\n" for key, value in told.items()))
-        world.arguments = ["--subscription", str(path)]
+        harness.admin_address = harness.admin_address or f"127.0.0.1:{free_port()}"
+        settings = {
+            "fleet": f'"{FLEET}"',
+            "registries": str(self.addresses).replace("'", '"'),
+            **subscription,
+        }
+        path = harness.folder / "subscription.toml"
+        path.write_text("[subscription]\n" + "".join(f"{key} = {value}\n" for key, value in settings.items()))
+        harness.arguments = ["--subscription", str(path)]
 
     async def __aenter__(self) -> Registries:
         await asyncio.gather(*(self.start(address) for address in self.addresses))
@@ -40,15 +46,22 @@
             await self.kill(address)
         await asyncio.gather(*self.tasks)
 
-    def order(self) -> list[str]:
-        """As the relay prefers them."""
-        places = preference_order(self.world.name_, [parse_address(address) for address in self.addresses])
-        return [f"{host}:{port}" for host, port in places]
+    def preferred_addresses(self) -> list[str]:
+        """Returns the addresses in the relay's order of preference."""
+        addresses = preference_order(
+            self.harness.relay_name, [parse_address(address) for address in self.addresses]
+        )
+        return [f"{host}:{port}" for host, port in addresses]
 
     async def start(self, address: str, discovery: str = "") -> None:
-        path = self.world.folder / f"registry-{address.rpartition(':')[2]}.toml"
-        told = {"fleet": FLEET, "listen": address, "discovery": discovery or self.world.discovery.address}
-        path.write_text("[registry]\n" + "".join(f'{key} = "{value}"\n' for key, value in told.items()))
+        """Starts one registry and waits until it listens."""
+        path = self.harness.folder / f"registry-{address.rpartition(':')[2]}.toml"
+        settings = {
+            "fleet": FLEET,
+            "listen": address,
+            "discovery": discovery or self.harness.discovery.address,
+        }
+        path.write_text("[registry]\n" + "".join(f'{key} = "{value}"\n' for key, value in settings.items()))
         process = self.processes[address] = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -56,12 +69,12 @@
             "registry",
             "--settings",
             str(path),
-            cwd=self.world.root,
+            cwd=self.harness.root,
             stderr=asyncio.subprocess.PIPE,
         )
         log = self.logs[address] = []
         self.tasks.append(asyncio.create_task(self._read_log(process, log)))
-        await self.world.until(
+        await self.harness.wait_until(
             lambda: any("listens on" in line for line in log) or process.returncode is not None
         )
         assert process.returncode is None, log
@@ -70,35 +83,41 @@
         assert process.stderr is not None
         while line := await process.stderr.readline():
             log.append(line.decode().strip())
-            self.world.bump()
+            self.harness.notify_changed()
         await process.wait()
-        self.world.bump()
+        self.harness.notify_changed()
 
     async def kill(self, address: str) -> None:
+        """Kills one registry (SIGKILL)."""
         process = self.processes.pop(address)
         process.kill()
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await process.wait()
 
     async def suspend(self, address: str) -> None:
-        """Stands still, with its connections up."""
+        """Suspends a registry by SIGSTOP; its connections stay open."""
         process = self.processes[address]
         process.send_signal(signal.SIGSTOP)
         stat = Path(f"/proc/{process.pid}/stat")
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while stat.read_text().rpartition(")")[2].split()[0] != "T":
                 await asyncio.sleep(0.002)
 
     def resume(self, address: str) -> None:
+        """Resumes a suspended registry."""
         self.processes[address].send_signal(signal.SIGCONT)
 
-    # What the relay shows at its door
+    # Metrics of the relay
 
     async def metric(self, name: str) -> int:
-        lines = dict(line.split("=") for line in (await self.world.call("show-stat")).split() if "=" in line)
+        """Reads one metric of the relay."""
+        lines = dict(
+            line.split("=") for line in (await self.harness.call_admin("show-stat")).split() if "=" in line
+        )
         return int(lines[f"app.{name}"])
 
-    async def wait_for_metric(self, name: str, least: int) -> None:
-        async with asyncio.timeout(HANG):
-            while await self.metric(name) < least:
+    async def wait_for_metric(self, name: str, minimum: int) -> None:
+        """Waits until a metric of the relay reaches a minimum."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while await self.metric(name) < minimum:
                 await asyncio.sleep(0.01)
