--- a/benchmarks/coldreturn.py
+++ b/benchmarks/coldreturn.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from benchmarks.earlier_decisions import load_earlier_decisions
-from benchmarks.fleetmodel import Case, Fleet, over_budget
+from benchmarks.fleetmodel import FleetCase, FleetModel, worst_budget_excess
 from benchmarks.manyrelays import Make
 from benchmarks.process import run
 from loftrelay.decisions.events import AttemptStatus
@@ -26,31 +26,31 @@
 
 BEFORE = "1dd4122"
 
-FLEETS = (2, 5, 20, 30, 230)
+FLEET_SIZES = (2, 5, 20, 30, 230)
 LOADS = (0.6, 0.9, 1.3)
-HINTS = (None, "nominal", "rough")
+LISTED_RATES = (None, "nominal", "rough")
 made: Make = Scheduler
 
 
-def case(relays: int, load: float, hints: str | None, seed: int) -> Case:
+def draw_cold_return(relays: int, load: float, hints: str | None, seed: int) -> FleetCase:
     """One return, all else drawn from the seed."""
     draw = random.Random(f"{relays} {load} {hints} {seed}")
     down = draw.uniform(4, 14)
     began = draw.uniform(6, 12)
-    return Case(
+    return FleetCase(
         relays=relays,
         limit=draw.choice((draw.uniform(6, 40), relays * draw.uniform(0.2, 1.0) + 4)),
         load=load,
         seconds=began + down + 14,
-        hints=hints,
+        listed_rates=hints,
         outage=(began, began + down),
         hangs=draw.random() < 0.5,
         cold=True,
         skew=draw.choice((0.0, 0.7, 1.4)),
-        killed=(began + down - draw.uniform(0, 2), 0.3) if draw.random() < 0.3 else None,
-        clumps=draw.choice((0.0, 0.2)),
-        counted=draw.random() < 0.5,
-        wait=draw.choice((0, 500_000)),
+        crash=(began + down - draw.uniform(0, 2), 0.3) if draw.random() < 0.3 else None,
+        burst_fraction=draw.choice((0.0, 0.2)),
+        rejected_calls_use_limit=draw.random() < 0.5,
+        retry_after_us=draw.choice((0, 500_000)),
         seed=seed,
     )
 
@@ -58,12 +58,12 @@
 def play(told: tuple[int, float, str | None, int]) -> tuple[float, float]:
     """How far the fullest span was over its budget, and what was delivered after the return over the limit
     then."""
-    this = case(*told)
-    seen = Fleet(this, made).run()
+    this = draw_cold_return(*told)
+    seen = FleetModel(this, made).run()
     assert this.outage is not None
     back = this.outage[1]
-    served = seen.count(AttemptStatus.OK, back, this.seconds) / (this.limit * (this.seconds - back))
-    return over_budget(seen, this), served
+    served = seen.count_calls(AttemptStatus.OK, back, this.seconds) / (this.limit * (this.seconds - back))
+    return worst_budget_excess(seen, this), served
 
 
 def prepare(commit: str | None) -> None:
@@ -79,7 +79,7 @@
 def figures(fleets: Sequence[int], seeds: int, commit: str | None = None) -> dict[str, Any]:
     """For each size of fleet: the share of returns that tip, how far over the ninth in ten is, what is
     served."""
-    grid = list(itertools.product(fleets, LOADS, HINTS, range(1, seeds + 1)))
+    grid = list(itertools.product(fleets, LOADS, LISTED_RATES, range(1, seeds + 1)))
     with multiprocessing.Pool(initializer=prepare, initargs=(commit,)) as pool:
         rows = pool.map(play, grid, chunksize=1)
     result: dict[str, Any] = {}
@@ -97,10 +97,10 @@
 
 async def measure(quick: bool) -> dict[str, Any]:
     seeds = 2 if quick else 20
-    result: dict[str, Any] = {"before_commit": BEFORE, "now": figures(FLEETS, seeds)}
+    result: dict[str, Any] = {"before_commit": BEFORE, "now": figures(FLEET_SIZES, seeds)}
     with tempfile.TemporaryDirectory() as folder:
         if load_earlier_decisions(Path(folder), BEFORE) is not None:
-            result["before"] = figures(FLEETS, seeds, BEFORE)
+            result["before"] = figures(FLEET_SIZES, seeds, BEFORE)
     return result
 
 
--- a/benchmarks/fleetmodel.py
+++ b/benchmarks/fleetmodel.py
@@ -46,52 +46,53 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
+class FleetCase:
     """One course of events. Spans are seconds from the start."""
 
     relays: int = 40
     limit: float = 55.0  # calls a second that the destination takes from all
     load: float = 0.85  # messages offered over that
     seconds: float = 30.0
-    depth: float = 0.5  # seconds of the limit that may come at once
-    counted: bool = True  # refused calls use the limit up, too
-    wait: int = 0  # told with a refusal; 0: none
-    lowered: tuple[float, float, float] | None = None  # from, to, and the part of the limit that is left
+    burst_seconds: float = 0.5  # seconds of the limit that may come at once
+    rejected_calls_use_limit: bool = True  # refused calls use the limit up, too
+    retry_after_us: int = 0  # told with a refusal; 0: none
+    # From, to, and the part of the limit that is left.
+    reduced_limit: tuple[float, float, float] | None = None
     outage: tuple[float, float] | None = None  # from, to: no connection comes up; cold after
     hangs: bool = False  # during the outage calls are taken and not answered
     cold: bool = False  # after it the limit is what a cold destination takes
-    hints: str | None = None  # listed rates of the destination: "nominal", "rough" or none
-    killed: tuple[float, float] | None = None  # when, and the part of the relays; they are back 2 s later
+    listed_rates: str | None = None  # listed rates of the destination: "nominal", "rough" or none
+    crash: tuple[float, float] | None = None  # when, and the part of the relays; they are back 2 s later
     endpoints: int = 2
     slots: int = 4
-    bundle: int = 1
-    held: int = 62
-    told_relays: bool = True
-    clumps: float = 0.1  # part of the messages that come five at a time
+    max_batch_size: int = 1
+    max_held: int = 62
+    is_relay_count_known: bool = True
+    burst_fraction: float = 0.1  # part of the messages that come five at a time
     skew: float = 0.7  # deviation of the logarithm of what relays are given
     seed: int = 1
 
 
 @dataclass(slots=True)
-class Told:
+class FleetResult:
     """What happened at the destination and to the messages."""
 
     calls: list[tuple[int, int, AttemptStatus]] = field(default_factory=list)  # when, relay, how it ended
     sends: list[tuple[int, int, int]] = field(default_factory=list)  # when, relay, messages in the call
     offered: int = 0  # first tries of clients
-    delivered: dict[str, int] = field(default_factory=dict)  # when
-    ended: dict[str, int] = field(default_factory=dict)  # when failed or refused
-    taken: dict[str, int] = field(default_factory=dict)  # when
-    relay_of: dict[str, int] = field(default_factory=dict)
+    delivered_at: dict[str, int] = field(default_factory=dict)  # when
+    failed_at: dict[str, int] = field(default_factory=dict)  # when failed or refused
+    accepted_at: dict[str, int] = field(default_factory=dict)  # when
+    relay_by_message: dict[str, int] = field(default_factory=dict)
 
-    def count(self, result: AttemptStatus, since: float = 0, until: float = 1e9) -> int:
+    def count_calls(self, result: AttemptStatus, since: float = 0, until: float = 1e9) -> int:
         """Calls that ended so, by when they came to the destination (seconds from the start)."""
         low, high = START + since * SECOND, START + until * SECOND
         return sum(1 for at, _, how in self.calls if how is result and low <= at < high)
 
-    def delays(self) -> list[int]:
+    def delivery_delays_us(self) -> list[int]:
         """From taken on to delivered, of all that were."""
-        return [at - self.taken[name] for name, at in self.delivered.items()]
+        return [at - self.accepted_at[name] for name, at in self.delivered_at.items()]
 
     def peak_over_mean(self, since: float, until: float, step: float = 0.1) -> float:
         """Of the sends in a span, by steps of so many seconds: the fullest over the mean."""
@@ -104,21 +105,21 @@
         return max(full) * steps / max(1, sum(full))
 
 
-class Fleet:
+class FleetModel:
     """Runs one case. `make` gives the scheduler of one relay, from its seed and settings."""
 
-    def __init__(self, case: Case, make: Callable[[int, RelaySettings], Decider] = Scheduler) -> None:
+    def __init__(self, case: FleetCase, make: Callable[[int, RelaySettings], Decider] = Scheduler) -> None:
         self.case = case
         self.make = make
         self.random = random.Random(case.seed)
         self.clients = [random.Random(case.seed * 1000 + number) for number in range(case.relays)]
-        self.told = Told()
+        self.told = FleetResult()
         self.due: list[tuple[int, int, Callable[[], None]]] = []
         self.order = 0
         self.now = START
         self.inbox: dict[int, list[Event]] = {}
         self.relays: list[Decider] = []
-        self.tokens, self.filled = max(2.0, case.limit * case.depth), START
+        self.tokens, self.filled = max(2.0, case.limit * case.burst_seconds), START
         self.tries: dict[str, int] = {}
         self.number = 0
         self.starts = 0
@@ -128,12 +129,12 @@
         given = [self.random.lognormvariate(0, case.skew) for _ in range(case.relays)]
         self.parts = [part / sum(given) for part in given]
 
-    def run(self) -> Told:
+    def run(self) -> FleetResult:
         for number in range(self.case.relays):
             self.relays.append(self._make(number))
             self._arrive(number)
-        if self.case.killed is not None:
-            self._at(START + int(self.case.killed[0] * SECOND), self._kill)
+        if self.case.crash is not None:
+            self._at(START + int(self.case.crash[0] * SECOND), self._kill)
         end = START + int(self.case.seconds * SECOND)
         while self.due and self.due[0][0] < end:
             self.now, _, act = heapq.heappop(self.due)
@@ -142,7 +143,7 @@
 
     def _make(self, relay: int) -> Decider:
         hosts = [f"host-{n}" for n in range(self.case.endpoints)]
-        rate = {"nominal": 1.0, "rough": self.rough}.get(self.case.hints or "")
+        rate = {"nominal": 1.0, "rough": self.rough}.get(self.case.listed_rates or "")
         told = rate and rate * self.case.limit
         entries = tuple(EndpointEntry(name, 1, EndpointState.ACTIVE, "here", "kind", told) for name in hosts)
         self._post(relay, EndpointListReceived(EndpointListKind.FULL, entries))
@@ -150,23 +151,25 @@
 
     def _kill(self) -> None:
         """Machines are lost with what they held; it is handed in again, within a second of their return."""
-        assert self.case.killed is not None
+        assert self.case.crash is not None
         self.starts += 1
-        for relay in range(round(self.case.relays * self.case.killed[1])):
+        for relay in range(round(self.case.relays * self.case.crash[1])):
             self.gone[relay] = self.now + 2 * SECOND
             self.lives[relay] = self.lives.get(relay, 0) + 1
             self.inbox.pop(relay, None)
-            held = [name for name, of in self.told.relay_of.items() if of == relay and self._open(name)]
+            held = [
+                name for name, of in self.told.relay_by_message.items() if of == relay and self._open(name)
+            ]
             for name in held:
-                self.told.ended[name] = self.now
+                self.told.failed_at[name] = self.now
                 again = self.gone[relay] + int(self.clients[relay].random() * SECOND)
-                left = 12 * SECOND - (again - self.told.taken[name])
+                left = 12 * SECOND - (again - self.told.accepted_at[name])
                 if left > 0:
                     self._at(again, lambda r=relay, n=f"{name}*", t=left: self._submit(r, n, 1, t))  # type: ignore[misc]
             self._at(self.gone[relay], lambda r=relay: self._return(r))  # type: ignore[misc]
 
     def _open(self, name: str) -> bool:
-        return name not in self.told.delivered and name not in self.told.ended
+        return name not in self.told.delivered_at and name not in self.told.failed_at
 
     def _return(self, relay: int) -> None:
         self.relays[relay] = self._make(relay)
@@ -185,8 +188,12 @@
                         "late_worth": 0.4,
                     },
                 ],
-                "extra": {"call_slots": self.case.slots, "bundle_max": [self.case.bundle]},
-                "policy_limits": {"most_tries": 12, "most_held": self.case.held, "conn_idle": 15 * SECOND},
+                "extra": {"call_slots": self.case.slots, "bundle_max": [self.case.max_batch_size]},
+                "policy_limits": {
+                    "most_tries": 12,
+                    "most_held": self.case.max_held,
+                    "conn_idle": 15 * SECOND,
+                },
                 "safety": {
                     "cold": COLD,
                     "cold_from": COLD_FROM,
@@ -194,8 +201,8 @@
                     "tip_after": TIP,
                     "settle_after_doubt": 300_000,
                 },
-                "peers_total": self.case.relays if self.case.told_relays else None,
-                "weight_kind": self.case.hints or "silent",
+                "peers_total": self.case.relays if self.case.is_relay_count_known else None,
+                "weight_kind": self.case.listed_rates or "silent",
                 "tick": 1000,
             }
         )
@@ -228,23 +235,25 @@
                 case SetTimer(delay, token):
                     self._at(self.now + delay, lambda t=token: self._post(relay, TimerFired(t)))  # type: ignore[misc]
                 case RejectMessage(message, _):
-                    self.told.ended[message] = self.now
+                    self.told.failed_at[message] = self.now
                     self._again(relay, message)
                 case FailMessage(message):
-                    self.told.ended[message] = self.now
+                    self.told.failed_at[message] = self.now
         for endpoint, names in calls.items():
-            for first in range(0, len(names), self.case.bundle):
-                self._call(relay, endpoint, names[first : first + self.case.bundle], timeouts[endpoint])
+            for first in range(0, len(names), self.case.max_batch_size):
+                self._call(
+                    relay, endpoint, names[first : first + self.case.max_batch_size], timeouts[endpoint]
+                )
 
     # Clients
 
     def _arrive(self, relay: int) -> None:
-        rate = self.case.limit * self.case.load * self.parts[relay] / (1 + 4 * self.case.clumps / 5)
+        rate = self.case.limit * self.case.load * self.parts[relay] / (1 + 4 * self.case.burst_fraction / 5)
         gap = int(self.clients[relay].expovariate(rate) * SECOND)
         self._at(self.now + gap, lambda: self._come(relay))
 
     def _come(self, relay: int) -> None:
-        for _ in range(5 if self.clients[relay].random() < self.case.clumps / 5 else 1):
+        for _ in range(5 if self.clients[relay].random() < self.case.burst_fraction / 5 else 1):
             self.told.offered += 1
             self.number += 1
             self._submit(relay, f"m{self.number}", 1)
@@ -255,7 +264,7 @@
             self._at(self.gone[relay], lambda: self._submit(relay, name, tries, left))
             return
         self.tries[name] = tries
-        self.told.taken[name], self.told.relay_of[name] = self.now, relay
+        self.told.accepted_at[name], self.told.relay_by_message[name] = self.now, relay
         self._post(relay, MessageSubmitted(name, 1, "update", None, left, None))
 
     def _again(self, relay: int, name: str) -> None:
@@ -267,8 +276,11 @@
 
     def _limit(self, now: int) -> float:
         since = (now - START) / SECOND
-        if self.case.lowered is not None and self.case.lowered[0] <= since < self.case.lowered[1]:
-            return self.case.limit * self.case.lowered[2]
+        if (
+            self.case.reduced_limit is not None
+            and self.case.reduced_limit[0] <= since < self.case.reduced_limit[1]
+        ):
+            return self.case.limit * self.case.reduced_limit[2]
         if self.case.cold and self.case.outage is not None and since >= self.case.outage[1]:
             return self.case.limit * warmth(since - self.case.outage[1])
         return self.case.limit
@@ -294,13 +306,13 @@
             self._at(self.now + took, lambda: finish(result))
 
         def finish(result: AttemptStatus) -> None:
-            wait = self.case.wait if result is AttemptStatus.REJECTED else 0
+            wait = self.case.retry_after_us if result is AttemptStatus.REJECTED else 0
             for name in names:
                 if self.lives.get(relay, 0) != life:
                     return  # nobody is left to hear it
-                over = result is AttemptStatus.OK or name in self.told.ended
-                if result is AttemptStatus.OK and name not in self.told.ended:
-                    self.told.delivered[name] = self.now
+                over = result is AttemptStatus.OK or name in self.told.failed_at
+                if result is AttemptStatus.OK and name not in self.told.failed_at:
+                    self.told.delivered_at[name] = self.now
                 self._post(
                     relay, AttemptEnded(name, 0, endpoint, result, self.now - sent, over, wait, None, None, 0)
                 )
@@ -309,13 +321,13 @@
 
     def _takes(self) -> bool:
         limit = self._limit(self.now)
-        most = max(2.0, limit * self.case.depth)
+        most = max(2.0, limit * self.case.burst_seconds)
         self.tokens = min(most, self.tokens + limit * (self.now - self.filled) / SECOND)
         self.filled = self.now
         if self.tokens >= 1:
             self.tokens -= 1
             return True
-        if self.case.counted:
+        if self.case.rejected_calls_use_limit:
             self.tokens = max(-most, self.tokens - 1)
         return False
 
@@ -325,7 +337,7 @@
     return COLD_FROM + (1 - COLD_FROM) * min(1.0, since * SECOND / COLD)
 
 
-def over_budget(told: Told, case: Case) -> float:
+def worst_budget_excess(told: FleetResult, case: FleetCase) -> float:
     """The fullest span of TIP after the return: its calls beyond the budget N, in units of 2 x root of N + 2,
     which are put down to chance. Over 1 a cold destination falls."""
     assert case.outage is not None
@@ -341,7 +353,7 @@
     return worst
 
 
-def over_capacity(told: Told, case: Case) -> float:
+def worst_capacity_ratio(told: FleetResult, case: FleetCase) -> float:
     """Of a destination that is back: the most calls in any span of TIP, over what it then takes."""
     assert case.outage is not None
     back = START + case.outage[1] * SECOND
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -70,27 +70,27 @@
     return fleet.false_deaths()
 
 
-class Processes:
+class RelayFleet:
     """Relays of one fleet behind a proxy, with a discovery each, and hosts of their own: two, or one beside a
     partner of all. `told`: more lines of the fleet's file. The first seed never comes."""
 
-    def __init__(self, folder: Path, partner: FakeHost | None = None, told: str = "") -> None:
-        self.folder, self.partner, self.told = folder, partner, told
+    def __init__(self, folder: Path, shared_host: FakeHost | None = None, extra_settings: str = "") -> None:
+        self.folder, self.shared_host, self.extra_settings = folder, shared_host, extra_settings
         self.hosts: list[list[StubServer]] = []
         self.proxy = FaultProxy(seed=1)
-        self.worlds: list[RelayHarness] = []
+        self.harnesses: list[RelayHarness] = []
         self.seeds = ["127.0.0.1:9"]
 
     async def start(self, name: str, joined: bool = True) -> RelayHarness:
         folder = self.folder / name
         folder.mkdir(parents=True)
         world = await RelayHarness(folder).__aenter__()
-        self.worlds.append(world)
+        self.harnesses.append(world)
         world.relay_name, world.admin_address = name, f"127.0.0.1:{free_port()}"
-        if self.partner is not None:
-            world.add_endpoint(1, "plain", "Ready", "{}:{}".format(*self.partner.address))
+        if self.shared_host is not None:
+            world.add_endpoint(1, "plain", "Ready", "{}:{}".format(*self.shared_host.address))
         self.hosts.append(
-            [await world.start_host(respond_ok) for _ in range(2 if self.partner is None else 1)]
+            [await world.start_host(respond_ok) for _ in range(2 if self.shared_host is None else 1)]
         )
         if joined:
             listen = free_port()
@@ -99,7 +99,7 @@
             told = ", ".join(f'"{seed}"' for seed in self.seeds[:3])
             (folder / "fleet.toml").write_text(
                 f'[fleet]\nlisten = "127.0.0.1:{listen}"\nadvertise = "{place}"\nseeds = [{told}]\n'
-                f"{self.told}"
+                f"{self.extra_settings}"
             )
             world.arguments = ["--fleet", str(folder / "fleet.toml")]
         await world.start()
@@ -107,36 +107,36 @@
 
     async def close(self) -> None:
         self.proxy.close()
-        for world in self.worlds:
+        for world in self.harnesses:
             await world.__aexit__()
 
-    async def figure(self, world: RelayHarness, name: str) -> int:
+    async def read_metric(self, world: RelayHarness, name: str) -> int:
         for line in (await world.call_admin("show-stat")).split():
             if line.startswith(f"app.{name}="):
                 return int(line.partition("=")[2])
         raise KeyError(name)
 
-    async def until(self, name: str, value: int, worlds: list[RelayHarness]) -> float:
+    async def seconds_until_metric(self, name: str, value: int, worlds: list[RelayHarness]) -> float:
         """Seconds until each of these shows that figure; 60 where they don't."""
         began = time.monotonic()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(60):
                 for world in worlds:
-                    while await self.figure(world, name) != value:
+                    while await self.read_metric(world, name) != value:
                         await asyncio.sleep(0.02)
         return time.monotonic() - began
 
 
-async def converge(folder: Path, partner: FakeHost, loss: float) -> tuple[Processes, float, float]:
+async def converge(folder: Path, partner: FakeHost, loss: float) -> tuple[RelayFleet, float, float]:
     """A fleet of processes, seconds until all know all, and until a call at one door holds at all."""
-    fleet = Processes(folder, partner)
+    fleet = RelayFleet(folder, partner)
     fleet.proxy.default_faults = PathFaults(loss=loss)
     for n in range(SMALL):
         await fleet.start(f"r{n}")
-    took = await fleet.until("fleet_alive", SMALL - 1, fleet.worlds)
-    host = fleet.worlds[0].endpoints[-1]["id"]
-    assert await fleet.worlds[3].call_admin(f"disable-server {host}") == "YES\n"
-    call = await fleet.until("ejected", 1, fleet.worlds)
+    took = await fleet.seconds_until_metric("fleet_alive", SMALL - 1, fleet.harnesses)
+    host = fleet.harnesses[0].endpoints[-1]["id"]
+    assert await fleet.harnesses[3].call_admin(f"disable-server {host}") == "YES\n"
+    call = await fleet.seconds_until_metric("ejected", 1, fleet.harnesses)
     return fleet, took, call
 
 
@@ -155,11 +155,11 @@
         fleet, took, call = await converge(folder / "whole", partner, 0.0)
         try:
             alone = await fleet.start("alone", joined=False)
-            members = fleet.worlds[:SMALL]
-            sent = [await fleet.figure(world, "fleet_sent_bytes") for world in members]
+            members = fleet.harnesses[:SMALL]
+            sent = [await fleet.read_metric(world, "fleet_sent_bytes") for world in members]
             idle = await used([*members, alone], SETTLED)
             rates = [
-                (await fleet.figure(world, "fleet_sent_bytes") - before) / SETTLED
+                (await fleet.read_metric(world, "fleet_sent_bytes") - before) / SETTLED
                 for world, before in zip(members, sent, strict=True)
             ]
             lines = [
--- a/tests/program/test_fleet.py
+++ b/tests/program/test_fleet.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from benchmarks.links import Processes
+from benchmarks.links import RelayFleet
 from loftrelay.simulation.proxy import PathFaults
 from tests.program.test_stalls import resume, suspend, wait_until_suspended
 from tests.standins.harness import TEST_TIMEOUT_S
@@ -19,12 +19,14 @@
 ALL_RELAYS = list(range(RELAY_COUNT))
 
 
-class Fleet(Processes):
+class Fleet(RelayFleet):
     """Relays r0 to r4, each with hosts h0 and h1 of destination 1."""
 
     async def wait_for_metric(self, name: str, value: int, relays: list[int]) -> None:
         """Waits until a metric has this value at all these relays."""
-        assert await self.until(name, value, [self.worlds[n] for n in relays]) < TEST_TIMEOUT_S
+        assert (
+            await self.seconds_until_metric(name, value, [self.harnesses[n] for n in relays]) < TEST_TIMEOUT_S
+        )
 
     async def wait_until_target_is_dead(self, relays: list[int]) -> None:
         """Waits until these relays hold exactly one other relay dead."""
@@ -33,11 +35,11 @@
 
     async def send_admin_command(self, n: int, line: str) -> None:
         """Sends an admin command that has to succeed."""
-        assert await self.worlds[n].call_admin(line) == "YES\n"
+        assert await self.harnesses[n].call_admin(line) == "YES\n"
 
     async def deliver_through(self, n: int, name: str) -> str:
         """Submits a message to relay `n`; returns the id of the host that received it."""
-        harness, hosts = self.worlds[n], self.hosts[n]
+        harness, hosts = self.harnesses[n], self.hosts[n]
         await harness.submit_once_listed(name, 1)
         await harness.wait_until(lambda: any(name in host.request_ids for host in hosts))
         return next(f"h{i}" for i, host in enumerate(hosts) if name in host.request_ids)
@@ -50,7 +52,7 @@
     """Runs a scenario with five relays that all know each other."""
 
     async def main() -> None:
-        fleet = Fleet(folder, told=GOSSIP_SETTINGS)
+        fleet = Fleet(folder, extra_settings=GOSSIP_SETTINGS)
         try:
             for n in ALL_RELAYS:
                 await fleet.start(f"r{n}")
@@ -71,7 +73,7 @@
         await fleet.wait_for_metric("ejected", 1, ALL_RELAYS)
         for n in ALL_RELAYS:
             assert [await fleet.deliver_through(n, f"out{n}-{i}") for i in range(4)] == ["h1"] * 4
-        restarted = fleet.worlds[4]
+        restarted = fleet.harnesses[4]
         await restarted.kill()
         for name in ("hosts-out.json", "fleet-calls.json"):
             (restarted.folder / "state" / name).unlink()
@@ -97,7 +99,7 @@
         await fleet.wait_for_metric("ejected", 1, [2, 3, 4])
         await fleet.send_admin_command(1, "enable-server h0")
         await fleet.wait_for_metric("ejected", 0, [0, 1])
-        assert await fleet.figure(fleet.worlds[3], "ejected") == 1
+        assert await fleet.read_metric(fleet.harnesses[3], "ejected") == 1
         fleet.proxy.heal()
         await fleet.wait_for_metric("fleet_alive", RELAY_COUNT - 1, ALL_RELAYS)
         await fleet.wait_for_metric("ejected", 1, ALL_RELAYS)
@@ -113,7 +115,7 @@
     async def scenario(fleet: Fleet) -> None:
         await fleet.send_admin_command(2, "disable-server h0")
         await fleet.wait_for_metric("ejected", 1, ALL_RELAYS)
-        suspended = fleet.worlds[2]
+        suspended = fleet.harnesses[2]
         suspend(suspended)
         await wait_until_suspended(suspended)
         others = [0, 1, 3, 4]
@@ -123,7 +125,7 @@
         resume(suspended)
         await fleet.wait_for_metric("ejected", 0, ALL_RELAYS)
         await fleet.wait_for_metric("fleet_alive", RELAY_COUNT - 1, ALL_RELAYS)
-        assert await fleet.figure(fleet.worlds[2], "fleet_stalls") >= 1
+        assert await fleet.read_metric(fleet.harnesses[2], "fleet_stalls") >= 1
 
     run_fleet(scenario, tmp_path)
 
@@ -142,7 +144,7 @@
         await fleet.wait_for_metric("ejected", 1, others)
         await fleet.wait_until_target_is_dead(others)
         if is_incoming_cut:
-            assert await fleet.figure(fleet.worlds[4], "ejected") == 0
+            assert await fleet.read_metric(fleet.harnesses[4], "ejected") == 0
         else:
             await fleet.wait_for_metric("ejected", 1, [4])  # it receives the override and applies it
         fleet.proxy.heal()
@@ -171,10 +173,10 @@
     async def scenario(fleet: Fleet) -> None:
         remaining = [2, 3, 4]
         for n in (0, 1):
-            await fleet.worlds[n].kill()
+            await fleet.harnesses[n].kill()
         await fleet.wait_for_metric("fleet_alive", 2, remaining)
         await fleet.send_admin_command(2, "disable-server h1")
-        await fleet.worlds[4].restart()
+        await fleet.harnesses[4].restart()
         await fleet.wait_for_metric("fleet_alive", 2, remaining)
         await fleet.wait_for_metric("ejected", 1, remaining)
 
@@ -185,7 +187,7 @@
     """The successor gets the socket once the predecessor has ended, and has its members and overrides."""
 
     async def scenario(fleet: Fleet) -> None:
-        harness = fleet.worlds[4]
+        harness = fleet.harnesses[4]
         await harness.stop(signal.SIGTERM)
         harness.share_listener()
         await harness.start()
@@ -205,12 +207,12 @@
     """Of two relays configured with the same name one stays out of the fleet, and logs it."""
 
     async def scenario(fleet: Fleet) -> None:
-        duplicate = fleet.worlds[4]
+        duplicate = fleet.harnesses[4]
         await duplicate.stop(signal.SIGKILL)
         duplicate.relay_name = "r3"
         await duplicate.start()
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while not any("also uses the name r3" in line for n in (3, 4) for line in fleet.worlds[n].log):
+            while not any("also uses the name r3" in line for n in (3, 4) for line in fleet.harnesses[n].log):
                 await asyncio.sleep(0.02)
         await fleet.wait_for_metric("fleet_alive", 3, [0, 1, 2])
         await fleet.send_admin_command(0, "disable-server h0")
