--- a/benchmarks/earlier_decisions.py
+++ b/benchmarks/earlier_decisions.py
@@ -14,7 +14,7 @@
 from types import ModuleType
 from typing import Any, Protocol
 
-from benchmarks.process import earlier_program
+from benchmarks.process import extract_program
 from loftrelay.decisions.actions import Action, FailMessage, RejectMessage, SendAttempt, SetTimer
 from loftrelay.decisions.events import (
     AttemptEnded,
@@ -183,7 +183,7 @@
         A factory that creates the scheduler of a relay from its seed and settings; None if the git history is
         not available.
     """
-    if earlier_program(commit, folder) is None:
+    if extract_program(commit, folder) is None:
         return None
     for name in [name for name in sys.modules if name.partition(".")[0] == PACKAGE]:
         del sys.modules[name]  # loaded from another commit
--- a/benchmarks/process.py
+++ b/benchmarks/process.py
@@ -24,7 +24,7 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def earlier_program(commit: str, folder: Path) -> Path | None:
+def extract_program(commit: str, folder: Path) -> Path | None:
     """The tree of a commit, laid out in a folder; None where the history is not at hand."""
     try:
         archive = subprocess.run(["git", "-C", str(ROOT), "archive", commit], capture_output=True, check=True)
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.process import ROOT, earlier_program, run
+from benchmarks.process import ROOT, extract_program, run
 from tests.standins.fake_host import Behaviour, Call, FakeHost, ResponsePlan
 from tests.standins.harness import SETTINGS, RelayHarness, format_submission, read_response
 
@@ -240,7 +240,7 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         roots = {"now": ROOT}
-        if (before := earlier_program(BEFORE, folder / "before")) is not None:
+        if (before := extract_program(BEFORE, folder / "before")) is not None:
             roots["before"] = before
         found = await stalls(folder / "stalls", roots, 16.0 if quick else 120.0)
         for which, root in roots.items():
