--- a/benchmarks/coldreturn.py
+++ b/benchmarks/coldreturn.py
@@ -1,9 +1,10 @@
-"""Fleets at one destination that comes back cold, in virtual time: how often the sum of their calls tips it.
+"""Measure how often a fleet overloads a destination that returns cold from an outage, in virtual time.
 
-A cold destination takes N calls in the span that the settings name; 2 x root of N + 2 more are put down to
-chance.
-Cases: few and many relays, thin and uneven traffic, demand under and over the limit, listed rates that are
-absent, right and wrong by half, outages that refuse and that hang, relays that have just started.
+A cold destination takes N calls in the overload window of the settings; 2 x sqrt(N) + 2 more are attributed
+to chance.
+Cases: few and many relays, sparse and uneven traffic, demand under and over the limit, listed rates that are
+absent, right and wrong by half, outages that refuse connections and that leave calls unanswered, relays that
+have just started.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 from benchmarks.earlier_decisions import load_earlier_decisions
 from benchmarks.fleetmodel import FleetCase, FleetModel, worst_budget_excess
-from benchmarks.manyrelays import Make
+from benchmarks.manyrelays import SchedulerFactory
 from benchmarks.process import run
 from loftrelay.decisions.events import AttemptStatus
 from loftrelay.decisions.scheduler import Scheduler
@@ -29,25 +30,25 @@
 FLEET_SIZES = (2, 5, 20, 30, 230)
 LOADS = (0.6, 0.9, 1.3)
 LISTED_RATES = (None, "nominal", "rough")
-made: Make = Scheduler
+make_scheduler: SchedulerFactory = Scheduler  # set in each process of the pool
 
 
-def draw_cold_return(relays: int, load: float, hints: str | None, seed: int) -> FleetCase:
-    """One return, all else drawn from the seed."""
-    draw = random.Random(f"{relays} {load} {hints} {seed}")
-    down = draw.uniform(4, 14)
-    began = draw.uniform(6, 12)
+def draw_cold_return(relays: int, load: float, listed_rates: str | None, seed: int) -> FleetCase:
+    """Returns a case with one outage; all that the parameters leave open is drawn from the seed."""
+    draw = random.Random(f"{relays} {load} {listed_rates} {seed}")
+    outage_s = draw.uniform(4, 14)
+    outage_start = draw.uniform(6, 12)
     return FleetCase(
         relays=relays,
         limit=draw.choice((draw.uniform(6, 40), relays * draw.uniform(0.2, 1.0) + 4)),
         load=load,
-        seconds=began + down + 14,
-        listed_rates=hints,
-        outage=(began, began + down),
+        seconds=outage_start + outage_s + 14,
+        listed_rates=listed_rates,
+        outage=(outage_start, outage_start + outage_s),
         hangs=draw.random() < 0.5,
         cold=True,
         skew=draw.choice((0.0, 0.7, 1.4)),
-        crash=(began + down - draw.uniform(0, 2), 0.3) if draw.random() < 0.3 else None,
+        crash=(outage_start + outage_s - draw.uniform(0, 2), 0.3) if draw.random() < 0.3 else None,
         burst_fraction=draw.choice((0.0, 0.2)),
         rejected_calls_use_limit=draw.random() < 0.5,
         retry_after_us=draw.choice((0, 500_000)),
@@ -55,52 +56,54 @@
     )
 
 
-def play(told: tuple[int, float, str | None, int]) -> tuple[float, float]:
-    """How far the fullest span was over its budget, and what was delivered after the return over the limit
-    then."""
-    this = draw_cold_return(*told)
-    seen = FleetModel(this, made).run()
-    assert this.outage is not None
-    back = this.outage[1]
-    served = seen.count_calls(AttemptStatus.OK, back, this.seconds) / (this.limit * (this.seconds - back))
-    return worst_budget_excess(seen, this), served
+def simulate_return(parameters: tuple[int, float, str | None, int]) -> tuple[float, float]:
+    """Returns the worst budget excess, and the calls delivered after the outage over the limit."""
+    case = draw_cold_return(*parameters)
+    result = FleetModel(case, make_scheduler).run()
+    assert case.outage is not None
+    outage_end = case.outage[1]
+    delivered = result.count_calls(AttemptStatus.OK, outage_end, case.seconds)
+    return worst_budget_excess(result, case), delivered / (case.limit * (case.seconds - outage_end))
 
 
-def prepare(commit: str | None) -> None:
-    """In each process of the pool."""
-    global made
+def load_scheduler(commit: str | None) -> None:
+    """Initializes a process of the pool; None: the present decision module."""
+    global make_scheduler
     if commit is not None:
         with tempfile.TemporaryDirectory() as folder:
             earlier = load_earlier_decisions(Path(folder), commit)
         assert earlier is not None
-        made = earlier
+        make_scheduler = earlier
 
 
-def figures(fleets: Sequence[int], seeds: int, commit: str | None = None) -> dict[str, Any]:
-    """For each size of fleet: the share of returns that tip, how far over the ninth in ten is, what is
-    served."""
-    grid = list(itertools.product(fleets, LOADS, LISTED_RATES, range(1, seeds + 1)))
-    with multiprocessing.Pool(initializer=prepare, initargs=(commit,)) as pool:
-        rows = pool.map(play, grid, chunksize=1)
+def measure_fleets(fleet_sizes: Sequence[int], seeds: int, commit: str | None = None) -> dict[str, Any]:
+    """Returns the figures of each fleet size.
+
+    These are the part of the returns that overload the destination, the ninth decile of the budget excess and
+    the mean part of the limit that is delivered.
+    """
+    grid = list(itertools.product(fleet_sizes, LOADS, LISTED_RATES, range(1, seeds + 1)))
+    with multiprocessing.Pool(initializer=load_scheduler, initargs=(commit,)) as pool:
+        rows = pool.map(simulate_return, grid, chunksize=1)
     result: dict[str, Any] = {}
-    for relays in fleets:
-        mine = [row for told, row in zip(grid, rows, strict=True) if told[0] == relays]
-        overs = sorted(over for over, _ in mine)
+    for relays in fleet_sizes:
+        size_rows = [row for parameters, row in zip(grid, rows, strict=True) if parameters[0] == relays]
+        excesses = sorted(excess for excess, _ in size_rows)
         result[str(relays)] = {
-            "returns": len(mine),
-            "tipped": round(sum(over > 1 for over in overs) / len(mine), 3),
-            "over_9th_decile": round(overs[len(overs) * 9 // 10], 2),
-            "served": round(statistics.mean(served for _, served in mine), 3),
+            "returns": len(size_rows),
+            "tipped": round(sum(excess > 1 for excess in excesses) / len(size_rows), 3),
+            "over_9th_decile": round(excesses[len(excesses) * 9 // 10], 2),
+            "served": round(statistics.mean(served for _, served in size_rows), 3),
         }
     return result
 
 
 async def measure(quick: bool) -> dict[str, Any]:
     seeds = 2 if quick else 20
-    result: dict[str, Any] = {"before_commit": BEFORE, "now": figures(FLEET_SIZES, seeds)}
+    result: dict[str, Any] = {"before_commit": BEFORE, "now": measure_fleets(FLEET_SIZES, seeds)}
     with tempfile.TemporaryDirectory() as folder:
         if load_earlier_decisions(Path(folder), BEFORE) is not None:
-            result["before"] = figures(FLEET_SIZES, seeds, BEFORE)
+            result["before"] = measure_fleets(FLEET_SIZES, seeds, BEFORE)
     return result
 
 
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.process import BEFORE_GROWTH, ROOT, cpu_seconds, extract_program, run
+from benchmarks.process import BEFORE_CONNECTION_POOL, ROOT, cpu_seconds, extract_program, run
 from loftrelay.delivery.connection_pool.actions import UseConnection
 from loftrelay.delivery.connection_pool.manager import PoolManager
 from loftrelay.delivery.connection_pool.settings import PoolSettings
@@ -229,7 +229,7 @@
             (base / what).mkdir()
             return base / what
 
-        before = extract_program(BEFORE_GROWTH, folder("before"))
+        before = extract_program(BEFORE_CONNECTION_POOL, folder("before"))
         count = 1000 if quick else 6000
         result |= await storm(folder("storm"), ROOT, count, STRICT_SETTINGS)
         result["by_default"] = await storm(folder("default"), ROOT, count, None)
--- a/benchmarks/fleet_peers.py
+++ b/benchmarks/fleet_peers.py
@@ -1,7 +1,8 @@
-"""Many relays' sockets and membership in one process, for one that is measured by itself in another.
+"""Run the sockets and membership of many relays in one process, as peers of a relay measured in another.
 
-python -m benchmarks.fleet_peers COUNT; the first line tells who they are (JSON: name, port, life, incarnation
-of each), the first line that it is told is the same of one more. Then all know all, until its input ends.
+python -m benchmarks.fleet_peers COUNT; the first line of output lists the relays (JSON: name, port,
+incarnation id, incarnation of each), the first line of input is the same of one more relay. Then all know
+each other, until the input ends.
 """
 
 from __future__ import annotations
@@ -21,48 +22,49 @@
 from loftrelay.simulation.fleet import MS, SECOND
 
 SETTINGS = GossipSettings("fleet", ("127.0.0.1", 0), None, (), SwimConfig(200 * MS, SECOND))
-Told = list[Any]
+PeerDescription = list[Any]  # name, port, incarnation id, incarnation
 
 
-async def opened(name: str) -> tuple[GossipTransport, Membership]:
+async def open_node(name: str) -> tuple[GossipTransport, Membership]:
+    """Opens the socket of a relay on loopback; returns its transport and membership."""
     node = GossipTransport(SETTINGS, name, Overrides(name, 1), lambda _: None)
     await node.open(1_000_000)
     assert node.membership is not None
     return node, node.membership
 
 
-def told(view: Membership) -> Told:
+def describe(membership: Membership) -> PeerDescription:
     return [
-        view.local.peer.name,
-        view.local.peer.address[1],
-        view.local.peer.incarnation_id,
-        view.local.peer.incarnation,
+        membership.local.peer.name,
+        membership.local.peer.address[1],
+        membership.local.peer.incarnation_id,
+        membership.local.peer.incarnation,
     ]
 
 
-def peer(told: Told) -> Peer:
-    name, port, life, incarnation = told
-    return Peer(name, ("127.0.0.1", port), life, incarnation)
+def parse_peer(description: PeerDescription) -> Peer:
+    name, port, incarnation_id, incarnation = description
+    return Peer(name, ("127.0.0.1", port), incarnation_id, incarnation)
 
 
-def acquaint(view: Membership, others: list[Peer]) -> None:
-    """It knows these, and nothing is news to it."""
-    view.table.entries = {
-        other.name: MemberEntry(other, 0) for other in others if other.name != view.local.peer.name
+def set_known_peers(membership: Membership, others: list[Peer]) -> None:
+    """Fills a member table with these peers and leaves no updates to spread."""
+    membership.table.entries = {
+        other.name: MemberEntry(other, 0) for other in others if other.name != membership.local.peer.name
     }
-    view.table.updates.clear()
+    membership.table.updates.clear()
 
 
 async def main(count: int) -> None:
-    made = [await opened(f"r{number}") for number in range(count)]
-    print(json.dumps([told(view) for _, view in made]), flush=True)
+    nodes = [await open_node(f"r{number}") for number in range(count)]
+    print(json.dumps([describe(membership) for _, membership in nodes]), flush=True)
     loop = asyncio.get_running_loop()
-    one = peer(json.loads(await loop.run_in_executor(None, sys.stdin.readline)))
-    everybody = [one, *(view.local.peer for _, view in made)]
-    for _, view in made:
-        acquaint(view, everybody)
+    measured = parse_peer(json.loads(await loop.run_in_executor(None, sys.stdin.readline)))
+    all_peers = [measured, *(membership.local.peer for _, membership in nodes)]
+    for _, membership in nodes:
+        set_known_peers(membership, all_peers)
     await loop.run_in_executor(None, sys.stdin.read)
-    for node, _ in made:
+    for node, _ in nodes:
         node.close()
 
 
--- a/benchmarks/manyrelays.py
+++ b/benchmarks/manyrelays.py
@@ -1,6 +1,7 @@
-"""Many relays at one limited destination, in virtual time: what is delivered and refused, and how soon.
+"""Measure deliveries, rejections and recovery of many relays at one limited destination, in virtual time.
 
-Each figure stands beside that of the module before the larger fleet was asked for, on the same cases.
+Each figure is printed beside that of an earlier decision module, from before larger fleets were supported, on
+the same cases.
 """
 
 from __future__ import annotations
@@ -19,40 +20,42 @@
 
 BEFORE = "86abfef"
 FLEET_SIZES = (1, 10, 40)
-RATE = 1.4  # calls a second of the limit for each relay
-BACK = 17.0  # seconds; the limit is a half for nine seconds until then
+LIMIT_PER_RELAY = 1.4  # calls a second
+LIMIT_RESTORED_S = 17.0  # the limit is halved for the nine seconds before
 
-Make = Callable[[int, RelaySettings], Decider]
+SchedulerFactory = Callable[[int, RelaySettings], Decider]
 
 
-def recovered(told: FleetResult, case: FleetCase) -> float:
-    """Seconds from the limit's return until a second's deliveries come up to eight tenths of it."""
-    second = int(BACK)
+def recovery_seconds(result: FleetResult, case: FleetCase) -> float:
+    """Returns the seconds from the limit's restoration until one second's deliveries reach 0.8 of it."""
+    second = int(LIMIT_RESTORED_S)
     while second + 1 < case.seconds:
-        if told.count_calls(AttemptStatus.OK, second, second + 1) >= 0.8 * case.limit:
-            return second + 1 - BACK
+        if result.count_calls(AttemptStatus.OK, second, second + 1) >= 0.8 * case.limit:
+            return second + 1 - LIMIT_RESTORED_S
         second += 1
-    return case.seconds - BACK
+    return case.seconds - LIMIT_RESTORED_S
 
 
-def figures(make: Make, relays: int, seeds: int) -> dict[str, float]:
-    """The mean over seeds."""
+def measure_fleet(make_scheduler: SchedulerFactory, relays: int, seeds: int) -> dict[str, float]:
+    """Returns each figure as the mean over seeds."""
     rows = []
     for seed in range(1, seeds + 1):
-        limit = RATE * relays
-        full = FleetCase(relays=relays, limit=limit, load=1.3, seed=seed)
-        told = FleetModel(full, make).run()
-        lowered = FleetCase(relays=relays, limit=limit, load=0.95, seed=seed, reduced_limit=(8.0, BACK, 0.5))
-        again = FleetModel(lowered, make).run()
-        killed = FleetCase(relays=relays, limit=limit, load=0.85, seed=seed, crash=(10.0, 0.7))
-        back = FleetModel(killed, make).run()
+        limit = LIMIT_PER_RELAY * relays
+        overload = FleetCase(relays=relays, limit=limit, load=1.3, seed=seed)
+        overload_result = FleetModel(overload, make_scheduler).run()
+        reduced = FleetCase(
+            relays=relays, limit=limit, load=0.95, seed=seed, reduced_limit=(8.0, LIMIT_RESTORED_S, 0.5)
+        )
+        reduced_result = FleetModel(reduced, make_scheduler).run()
+        crash = FleetCase(relays=relays, limit=limit, load=0.85, seed=seed, crash=(10.0, 0.7))
+        crash_result = FleetModel(crash, make_scheduler).run()
         rows.append(
             {
-                "goodput": told.count_calls(AttemptStatus.OK) / (limit * full.seconds),
-                "refused_per_delivered": told.count_calls(AttemptStatus.REJECTED)
-                / max(1, told.count_calls(AttemptStatus.OK)),
-                "peak_over_mean": back.peak_over_mean(12.0, 16.0, 0.5),
-                "recover_s": recovered(again, lowered),
+                "goodput": overload_result.count_calls(AttemptStatus.OK) / (limit * overload.seconds),
+                "refused_per_delivered": overload_result.count_calls(AttemptStatus.REJECTED)
+                / max(1, overload_result.count_calls(AttemptStatus.OK)),
+                "peak_over_mean": crash_result.peak_over_mean(12.0, 16.0, 0.5),
+                "recover_s": recovery_seconds(reduced_result, reduced),
             }
         )
     return {name: round(sum(row[name] for row in rows) / len(rows), 3) for name in rows[0]}
@@ -64,8 +67,8 @@
     with tempfile.TemporaryDirectory() as folder:
         before = load_earlier_decisions(Path(folder), BEFORE)
         for relays in FLEET_SIZES:
-            now = figures(Scheduler, relays, seeds)
-            was = figures(before, relays, seeds) if before is not None else {}
+            now = measure_fleet(Scheduler, relays, seeds)
+            was = measure_fleet(before, relays, seeds) if before is not None else {}
             print(f"{relays:3d} relays: {now}, before {was}")
             result[f"relays_{relays}"] = {"now": now, "before": was}
     return result
--- a/benchmarks/process.py
+++ b/benchmarks/process.py
@@ -1,4 +1,4 @@
-"""What benchmarks have in common: their command line, CPU time of a process, the program as it was before."""
+"""Helpers that benchmarks share: command line, CPU time of a process, checkout of an earlier program."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from typing import Any
 
 ROOT = Path(__file__).parents[1]
-BEFORE_GROWTH = "b46b8f0"  # the last commit before connections were pooled
+BEFORE_CONNECTION_POOL = "b46b8f0"  # the last commit before connections were pooled
 
 
 def cpu_seconds(pid: int) -> float:
-    """User and system time of a process so far (proc(5), fields 14 and 15 of stat)."""
+    """Returns the user and system time of a process so far (proc(5), fields 14 and 15 of stat)."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def extract_program(commit: str, folder: Path) -> Path | None:
-    """The tree of a commit, laid out in a folder; None where the history is not at hand."""
+    """Extracts the tree of a commit to a folder and returns it; None where the git history is missing."""
     try:
         archive = subprocess.run(["git", "-C", str(ROOT), "archive", commit], capture_output=True, check=True)
     except (OSError, subprocess.CalledProcessError):
@@ -35,18 +35,23 @@
     return folder
 
 
-def run(name: str, about: str | None, measure: Callable[[bool], Awaitable[dict[str, Any]]]) -> None:
-    """The command line of a benchmark. `measure` is told whether to be quick, and gives the fields; the last
-    line is JSON with them and the seconds that it took."""
+def run(name: str, description: str | None, measure: Callable[[bool], Awaitable[dict[str, Any]]]) -> None:
+    """Runs the command line of a benchmark and prints its result as JSON, with the seconds that it took.
+
+    Args:
+        name: The module name in the package benchmarks.
+        description: Its first line is shown by --help.
+        measure: Takes whether to run quickly, and returns the fields of the result.
+    """
     parser = argparse.ArgumentParser(
-        prog=f"python -m benchmarks.{name}", description=(about or "").split("\n")[0]
+        prog=f"python -m benchmarks.{name}", description=(description or "").split("\n")[0]
     )
     parser.add_argument("--quick", action="store_true", help="under 45 seconds")
-    asked = parser.parse_args()
-    began = time.monotonic()
+    arguments = parser.parse_args()
+    started = time.monotonic()
 
     async def main() -> dict[str, Any]:
-        return await measure(asked.quick)
+        return await measure(arguments.quick)
 
     result = asyncio.run(main())
-    print(json.dumps({**result, "seconds": round(time.monotonic() - began, 1)}))
+    print(json.dumps({**result, "seconds": round(time.monotonic() - started, 1)}))
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -156,9 +156,9 @@
 
     # The fleet
 
-    async def join(self) -> fleet_peers.Told:
-        self.node, view = await fleet_peers.opened(self.name)
-        return fleet_peers.told(view)
+    async def join(self) -> fleet_peers.PeerDescription:
+        self.node, view = await fleet_peers.open_node(self.name)
+        return fleet_peers.describe(view)
 
 
 class Relays:
@@ -258,15 +258,15 @@
             "datagram_bytes": sum(node.counters["sent_bytes"] for node in self._nodes()),
         }
 
-    async def join(self, numbers: list[int] | None) -> list[fleet_peers.Told]:
+    async def join(self, numbers: list[int] | None) -> list[fleet_peers.PeerDescription]:
         return [await relay.join() for relay in self._of(numbers)]
 
-    async def acquaint(self, members: list[fleet_peers.Told]) -> None:
+    async def acquaint(self, members: list[fleet_peers.PeerDescription]) -> None:
         """All who have joined know all of these, and nothing is news: what a fleet comes to."""
-        others = [fleet_peers.peer(told) for told in members]
+        others = [fleet_peers.parse_peer(told) for told in members]
         for node in self._nodes():
             assert node.membership is not None
-            fleet_peers.acquaint(node.membership, others)
+            fleet_peers.set_known_peers(node.membership, others)
 
     async def known(self) -> int:
         """How many others the one of them that knows the fewest holds to be alive."""
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -459,7 +459,7 @@
     fleet.events.clear()
     everybody = [node.membership.local.peer for node in fleet.relays.values()]
     for name, node in fleet.relays.items():
-        fleet_peers.acquaint(node.membership, everybody)
+        fleet_peers.set_known_peers(node.membership, everybody)
         node.membership.sequence_number = 0
         node.next_tick_us = -1
         fleet._schedule_tick(name)
@@ -574,11 +574,11 @@
     )
     assert process.stdin is not None
     assert process.stdout is not None
-    node, view = await fleet_peers.opened("me")
+    node, view = await fleet_peers.open_node("me")
     try:
         others = json.loads(await process.stdout.readline())
-        fleet_peers.acquaint(view, [fleet_peers.peer(other) for other in others])
-        process.stdin.write(json.dumps(fleet_peers.told(view)).encode() + b"\n")
+        fleet_peers.set_known_peers(view, [fleet_peers.parse_peer(other) for other in others])
+        process.stdin.write(json.dumps(fleet_peers.describe(view)).encode() + b"\n")
         await asyncio.sleep(1.0)
         sent, heard = node.counters["sent"], node.counters["received"]
         began, cpu = time.monotonic(), time.process_time()
