--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -1,7 +1,7 @@
-"""Fits of a cost against a size, and how far a prediction beyond the fitted sizes was off.
+"""Fit a cost against a size, and compute the error of a prediction beyond the fitted sizes.
 
-It does no input or output. All are ordinary least squares with two parameters. Sizes are counts (entries,
-relays, messages); values are in whatever unit the caller measures, and come back in it.
+The module does no input or output. All fits are ordinary least squares with two parameters. Sizes are counts
+(entries, relays, messages); values have the unit of the caller, and predictions have the same.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 Point = tuple[float, float]  # size, value
 
 
-class Kind(StrEnum):
-    """How the value goes with the size."""
+class Law(StrEnum):
+    """How the value depends on the size."""
 
     CONSTANT = "constant"
     LOG_N = "log n"  # constant + slope x log2(size)
@@ -24,27 +24,30 @@
     POWER = "power"  # constant x size ** slope
 
 
-GROWING = (Kind.LINEAR, Kind.N_LOG_N, Kind.POWER)  # of which one is chosen
+GROWING_LAWS = (Law.LINEAR, Law.N_LOG_N, Law.POWER)  # candidates of `choose_law`
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """`exponent`: of the power law through the same points; None where a size or value is not positive."""
+    """Parameters of a fitted law.
 
-    kind: Kind
+    `exponent` is that of the power law through the same points; None where a size or value is not positive.
+    """
+
+    law: Law
     constant: float
     slope: float
     exponent: float | None
 
     def predict(self, size: float) -> float:
-        if self.kind is Kind.POWER:
+        if self.law is Law.POWER:
             return float(self.constant * size**self.slope)
-        return self.constant + self.slope * _term(self.kind, size)
+        return self.constant + self.slope * _term(self.law, size)
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """A fit on all but the largest size, tried on that one."""
+class HoldOut:
+    """A fit on all but the largest size, with its prediction and the measured value of the largest."""
 
     fit: Fit
     size: float
@@ -53,64 +56,82 @@
 
     @property
     def error(self) -> float:
+        """Relative error; raises ValueError where the measured value is 0 and the predicted one is not."""
         return prediction_error(self.predicted, self.measured)
 
 
-def fit(points: Sequence[Point], kind: Kind = Kind.LINEAR) -> Fit:
-    """Least squares; a power law in the logarithms. Raises ValueError with fewer than two different sizes,
-    and where a logarithm is asked for and a size (for a power: or a value) is not positive."""
+def fit(points: Sequence[Point], law: Law = Law.LINEAR) -> Fit:
+    """Fits a law by least squares; a power law is fitted to the logarithms.
+
+    Raises:
+        ValueError: There are fewer than two different sizes, or a size (for a power law also a value) whose
+            logarithm is needed is not positive.
+    """
     if len({size for size, _ in points}) < 2:
-        raise ValueError("a fit needs two different sizes")
+        raise ValueError(f"a fit needs two different sizes, got {sorted({size for size, _ in points})}")
     exponent = None
     if all(size > 0 and value > 0 for size, value in points):
         logarithms = [(math.log(size), math.log(value)) for size, value in points]
-        height, exponent = _line(logarithms)
-        if kind is Kind.POWER:
-            return Fit(kind, math.exp(height), exponent, exponent)
-    elif kind is Kind.POWER:
+        log_constant, exponent = _line(logarithms)
+        if law is Law.POWER:
+            return Fit(law, math.exp(log_constant), exponent, exponent)
+    elif law is Law.POWER:
         raise ValueError("a power law needs positive sizes and values")
-    if kind is Kind.CONSTANT:
-        return Fit(kind, math.fsum(value for _, value in points) / len(points), 0.0, exponent)
-    if kind in (Kind.LOG_N, Kind.N_LOG_N) and any(size <= 0 for size, _ in points):
-        raise ValueError(f"{kind} needs positive sizes")
-    constant, slope = _line([(_term(kind, size), value) for size, value in points])
-    return Fit(kind, constant, slope, exponent)
+    if law is Law.CONSTANT:
+        return Fit(law, math.fsum(value for _, value in points) / len(points), 0.0, exponent)
+    if law in (Law.LOG_N, Law.N_LOG_N) and any(size <= 0 for size, _ in points):
+        raise ValueError(f"the law {law} needs positive sizes")
+    constant, slope = _line([(_term(law, size), value) for size, value in points])
+    return Fit(law, constant, slope, exponent)
+
 
+def choose_law(points: Sequence[Point]) -> Law:
+    """Returns the growing law that best predicts the largest of these sizes from the others.
 
-def choose(points: Sequence[Point]) -> Kind:
-    """The growing kind that predicts the largest of these sizes best from the others; linear where they can't
-    tell: with fewer than three sizes, or where all are equally good."""
+    Returns the linear law where the points don't tell: with fewer than three sizes, or where all predict
+    equally well.
+    """
     if len({size for size, _ in points}) < 3:
-        return Kind.LINEAR
-    kinds = GROWING if all(size > 0 and value > 0 for size, value in points) else (Kind.LINEAR,)
-    return min(kinds, key=lambda kind: hold_out(points, kind).error)
+        return Law.LINEAR
+    laws = GROWING_LAWS if all(size > 0 and value > 0 for size, value in points) else (Law.LINEAR,)
+    return min(laws, key=lambda law: hold_out(points, law).error)
 
 
-def hold_out(points: Sequence[Point], kind: Kind | None = None) -> Held:
-    """Fits on all but the largest size and predicts that. Without a kind it is chosen on the smaller sizes
-    alone. Raises ValueError as `fit` does, and where the value at the largest is 0."""
+def hold_out(points: Sequence[Point], law: Law | None = None) -> HoldOut:
+    """Fits all but the largest size and predicts the value there.
+
+    Without a law, it is chosen on the smaller sizes alone.
+
+    Raises:
+        ValueError: As of `fit`.
+    """
     *smaller, (size, measured) = sorted(points)
-    found = fit(smaller, choose(smaller) if kind is None else kind)
-    return Held(found, size, found.predict(size), measured)
+    smaller_fit = fit(smaller, choose_law(smaller) if law is None else law)
+    return HoldOut(smaller_fit, size, smaller_fit.predict(size), measured)
 
 
 def prediction_error(predicted: float, measured: float) -> float:
-    """|predicted - measured| / |measured|. Both 0: none. Raises ValueError where only the measured one is."""
+    """Returns |predicted - measured| / |measured|, and 0 where both are 0.
+
+    Raises:
+        ValueError: Only the measured value is 0.
+    """
     if measured == 0:
         if predicted == 0:
             return 0.0
-        raise ValueError("an error relative to nothing")
+        raise ValueError(f"no relative error of {predicted:g}: the measured value is 0")
     return abs(predicted - measured) / abs(measured)
 
 
-def _term(kind: Kind, size: float) -> float:
-    if kind is Kind.LOG_N:
+def _term(law: Law, size: float) -> float:
+    """Returns what the slope of this law is multiplied by."""
+    if law is Law.LOG_N:
         return math.log2(size)
-    return size * math.log2(size) if kind is Kind.N_LOG_N else size
+    return size * math.log2(size) if law is Law.N_LOG_N else size
 
 
 def _line(points: Sequence[Point]) -> tuple[float, float]:
-    """Constant and slope of the least-squares line."""
+    """Returns the constant and slope of the least-squares line."""
     count = len(points)
     mean_x = math.fsum(x for x, _ in points) / count
     mean_y = math.fsum(y for _, y in points) / count
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -19,7 +19,7 @@
 from statistics import median
 from typing import Any
 
-from benchmarks.fits import Kind
+from benchmarks.fits import Law
 from benchmarks.process import ROOT
 from benchmarks.scale import accounts
 from benchmarks.scale.accounts import (
@@ -235,7 +235,7 @@
             told = [await datagrams(plan, folder, size) for size in sizes]
         for size, (bytes_, known), task in zip(sizes, told, alone, strict=True):
             cpu, mb = task.result()
-            slopes.add("member_bytes_per_s", "members", RELAYS, size, bytes_, Kind.LOG_N)
+            slopes.add("member_bytes_per_s", "members", RELAYS, size, bytes_, Law.LOG_N)
             slopes.add("member_cpu", "members", RELAYS, size, cpu)
             slopes.add("member_mb", "members", RELAYS, size, mb)
             figures = rounded({"bytes_per_s": bytes_, "cpu": cpu, "mb": mb})
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from benchmarks.fits import Fit, Kind, fit, prediction_error
+from benchmarks.fits import Fit, Law, fit, prediction_error
 
 
 @dataclass
@@ -15,13 +15,13 @@
     name: str
     per: str
     target: float
-    kind: Kind = Kind.LINEAR
+    law: Law = Law.LINEAR
     points: list[tuple[float, float]] = field(default_factory=list)
     predicted: float | None = None
 
     def predict(self, size: float) -> float:
         """From the points so far; kept beside what is measured then."""
-        self.predicted = fit(self.points, self.kind).predict(size)
+        self.predicted = fit(self.points, self.law).predict(size)
         return self.predicted
 
     @property
@@ -31,7 +31,7 @@
 
     @property
     def line(self) -> Fit:
-        return fit(self.points, self.kind)
+        return fit(self.points, self.law)
 
     def at_target(self) -> float:
         return self.line.predict(self.target)
@@ -39,7 +39,7 @@
     def figures(self) -> dict[str, Any]:
         told = {
             "per": self.per,
-            "kind": self.kind,
+            "kind": self.law,
             "sizes": [int(size) for size, _ in self.points],
             "measured": [short(value) for _, value in self.points],
             "predicted": None if self.predicted is None else short(self.predicted),
@@ -66,9 +66,9 @@
     all: dict[str, Slope] = field(default_factory=dict)
 
     def add(
-        self, name: str, per: str, target: float, size: float, value: float, kind: Kind = Kind.LINEAR
+        self, name: str, per: str, target: float, size: float, value: float, law: Law = Law.LINEAR
     ) -> None:
-        slope = self.all.setdefault(name, Slope(name, per, target, kind))
+        slope = self.all.setdefault(name, Slope(name, per, target, law))
         slope.points.append((size, value))
 
     def predict(self, per: str, size: float) -> dict[str, float]:
--- a/benchmarks/slope_cases.py
+++ b/benchmarks/slope_cases.py
@@ -1,7 +1,7 @@
-"""What one size costs, each in a process of its own, which benchmarks.slopes starts.
+"""Measure a case at one size. benchmarks.slopes runs this module in a process of its own for each run.
 
-python -m benchmarks.slope_cases CASE SIZE SEED [quick]; the last line is JSON: figure -> value. Processor
-time is user and system time of the process, not time on the wall; memory is the unique set size (USS), bytes.
+python -m benchmarks.slope_cases CASE SIZE SEED [quick]; the last line is JSON: figure -> value. CPU time is
+user and system time of the process, not elapsed time; memory is the unique set size (USS) in bytes.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 from benchmarks import fleet_peers
 from benchmarks.process import ROOT, cpu_seconds
-from benchmarks.watch_server import row
+from benchmarks.watch_server import make_entry
 from loftrelay.config.platform import Config
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from loftrelay.decisions.scheduler import Scheduler
@@ -43,312 +43,336 @@
 from loftrelay.relay.engine import Engine
 from loftrelay.service.assembly import build_engine
 from loftrelay.simulation.fleet import MS, SECOND, SimulatedFleet, SimulatedRelay
-from tests.standins.harness import SETTINGS, RelayHarness, free_port, respond_ok
-from tests.standins.harness import StubServer as Host
+from tests.standins.harness import SETTINGS, RelayHarness, StubServer, free_port, respond_ok
 from tests.standins.submissions import Client, Submission, SubmissionLog
 
-NOBODY = ("127.0.0.1", 9)  # where connections are refused
+UNUSED_ADDRESS = ("127.0.0.1", 9)  # refuses connections
 Figures = dict[str, float]
 
 
-def uss(pid: int | None = None) -> int:
+def memory_bytes(pid: int | None = None) -> int:
     gc.collect()
     return int(psutil.Process(pid).memory_full_info().uss)
 
 
-def whole_list(size: int) -> bytes:
-    told = {"revision": 2, "complete": True, "members": [row(number) for number in range(size)]}
-    return json.dumps(told).encode()
+def encode_full_list(size: int) -> bytes:
+    endpoint_list = {
+        "revision": 2,
+        "complete": True,
+        "members": [make_entry(number) for number in range(size)],
+    }
+    return json.dumps(endpoint_list).encode()
 
 
-# The module
+# Decision module
 
 
 def listing_change(size: int, times: int = 40) -> Figures:
-    """Processor time of the module's whole turn in which one entry of so many changes: it drains, goes,
-    comes back, and is listed once more as it was."""
+    """Measures the CPU time of a decision module's batch in which one of `size` listed entries changes.
+
+    The entry becomes draining, is removed, comes back, and is listed once more unchanged.
+    """
     entries = [
         EndpointEntry(f"host-{number:06d}", number, EndpointState.ACTIVE, "a", "plain", None)
         for number in range(size)
     ]
-    before = uss()
+    before = memory_bytes()
     scheduler = Scheduler(1, read_settings(SETTINGS))
     scheduler.handle_batch(SECOND, [EndpointListReceived(EndpointListKind.FULL, tuple(entries))])
-    grown = uss() - before
-    spent = []
-    for time_ in range(times):
-        entry = entries[(time_ // 4 * 7919) % size]
+    memory_growth = memory_bytes() - before
+    durations = []
+    for repetition in range(times):
+        entry = entries[(repetition // 4 * 7919) % size]
         state = (EndpointState.DRAINING, EndpointState.REMOVED, EndpointState.ACTIVE, EndpointState.ACTIVE)[
-            time_ % 4
+            repetition % 4
         ]
         event = EndpointListReceived(EndpointListKind.DELTA, (replace(entry, state=state),))
-        began = time.process_time()
-        scheduler.handle_batch(2 * SECOND + time_ * SECOND, [event])
-        spent.append(time.process_time() - began)
-    return {"change_us": sorted(spent)[len(spent) // 2] * 1e6, "module_bytes": grown}
+        started = time.process_time()
+        scheduler.handle_batch(2 * SECOND + repetition * SECOND, [event])
+        durations.append(time.process_time() - started)
+    return {"change_us": sorted(durations)[len(durations) // 2] * 1e6, "module_bytes": memory_growth}
 
 
-# The list
+# Endpoint list
 
 
-class Passes(selectors.EpollSelector):
-    """Processor time of each pass of a loop, from one wait to the next."""
+class TimedSelector(selectors.EpollSelector):
+    """Selector that measures the CPU time of each event loop iteration, from one wait to the next."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.back = time.thread_time()
-        self.longest = 0.0
+        self.wait_ended_at = time.thread_time()
+        self.longest_iteration_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        self.longest = max(self.longest, time.thread_time() - self.back)
+        self.longest_iteration_s = max(self.longest_iteration_s, time.thread_time() - self.wait_ended_at)
         ready = super().select(timeout)
-        self.back = time.thread_time()
+        self.wait_ended_at = time.thread_time()
         return ready
 
 
-def looped(main: Callable[[Passes], Coroutine[Any, Any, Figures]]) -> Figures:
-    passes = Passes()
-    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(passes)) as runner:
-        return runner.run(main(passes))
+def run_with_timed_selector(main: Callable[[TimedSelector], Coroutine[Any, Any, Figures]]) -> Figures:
+    selector = TimedSelector()
+    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
+        return runner.run(main(selector))
 
 
-def made(folder: Path) -> Engine:
-    """A relay's engine, delivery, list and notices, with nobody at the other end."""
+def build_idle_engine(folder: Path) -> Engine:
+    """Builds an engine with delivery, discovery and status reports whose peers refuse connections."""
     settings = replace(read_settings(SETTINGS), polls_endpoint_list=True, awaits_final_status=True)
-    return build_engine(Config("n", NOBODY, NOBODY, folder, 1, 100, 100, 1_000_000, settings, {}))[0]
+    return build_engine(
+        Config("n", UNUSED_ADDRESS, UNUSED_ADDRESS, folder, 1, 100, 100, 1_000_000, settings, {})
+    )[0]
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
         await asyncio.sleep(0.01)
 
 
 def listed(size: int) -> Figures:
-    """A whole list taken, its bytes at hand: read as the watch reads it and told to the engine in one pass,
-    and the module's turn in the next. The socket and h11 are not in it, nor the cap on an answer's length
-    (net/http.py, MOST_BODY): over it a relay never comes so far. First ten entries, so that what is made once
-    is not counted; then the same list again, as after a failed watch."""
-    body = whole_list(size)
+    """Measures how a relay processes a full endpoint list whose bytes it has received.
+
+    The list is decoded as the watch decodes it and passed to the engine in one loop iteration; the decision
+    module's batch runs in the next. The socket, h11 and the limit on the length of a response body
+    (MAX_BODY_BYTES of net/http.py), beyond which a relay refuses the list, are left out. A list of ten
+    entries comes first, so that one-time allocations are not counted; at last the same list is processed
+    again, as after a failed watch.
+    """
+    body = encode_full_list(size)
 
-    async def main(passes: Passes) -> Figures:
+    async def main(selector: TimedSelector) -> Figures:
         with tempfile.TemporaryDirectory() as folder:
-            engine = made(Path(folder))
+            engine = build_idle_engine(Path(folder))
 
-            def take(told: bytes) -> None:
-                received = decode_list(json.loads(told))
-                form = EndpointListKind.FULL if received.is_complete else EndpointListKind.DELTA
-                listing = EndpointListReceived(form, tuple(entry for entry, _ in received.rows))
+            def deliver_list(data: bytes) -> None:
+                received = decode_list(json.loads(data))
+                kind = EndpointListKind.FULL if received.is_complete else EndpointListKind.DELTA
+                listing = EndpointListReceived(kind, tuple(entry for entry, _ in received.rows))
                 engine.endpoints.list_received(
-                    listing, {entry.endpoint: place for entry, place in received.rows}
+                    listing, {entry.endpoint: address for entry, address in received.rows}
                 )
 
-            async def taken(told: bytes, count: int) -> float:
-                began = time.process_time()
-                asyncio.get_running_loop().call_soon(take, told)
+            async def process_list(data: bytes, count: int) -> float:
+                started = time.process_time()
+                asyncio.get_running_loop().call_soon(deliver_list, data)
                 await asyncio.sleep(0)
-                await until(
+                await wait_until(
                     lambda: (
                         not engine.context.batch_loop.is_batch_due
                         and len(engine.context.scheduler.state.endpoints) == count
                     )
                 )
-                return time.process_time() - began
+                return time.process_time() - started
 
-            await taken(whole_list(10), 10)
+            await process_list(encode_full_list(10), 10)
             peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
-            before = uss()
-            passes.longest = 0.0
-            passes.back = time.thread_time()
-            first, longest = await taken(body, size), 0.0
-            longest = passes.longest
+            before = memory_bytes()
+            selector.longest_iteration_s = 0.0
+            selector.wait_ended_at = time.thread_time()
+            first_cpu_s = await process_list(body, size)
+            longest_s = selector.longest_iteration_s
             peak = max(0, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024 - peak)
-            grown = uss() - before
-            again = await taken(body, size)
+            memory_growth = memory_bytes() - before
+            again_cpu_s = await process_list(body, size)
             engine.context.status_reporter.close()
             engine.context.discovery.close()
             engine.context.delivery.close()
             return {
-                "list_bytes": grown,
+                "list_bytes": memory_growth,
                 "list_peak_bytes": peak,
-                "list_cpu_s": first,
-                "standstill_s": longest,
-                "again_cpu_s": again,
+                "list_cpu_s": first_cpu_s,
+                "standstill_s": longest_s,
+                "again_cpu_s": again_cpu_s,
                 "body_bytes": len(body),
             }
 
-    return looped(main)
+    return run_with_timed_selector(main)
 
 
-# What is held
+# Held messages
 
 
-CLIENTS, DOWN, LIVE, WINDOW = 32, 10, 2, 500
+CLIENTS, DOWN_DESTINATIONS, LIVE_DESTINATIONS, MEASURED_MESSAGES = 32, 10, 2, 500
 HOUR_MS = 3_600_000
-# Nothing ends while it is measured: long deadlines, many tries, more room than is used.
-HOLDING: dict[str, Any] = {
-    "classes": [{**about, "deadline": HOUR_MS * MS} for about in SETTINGS["classes"]],
+# No message ends during the measurement: long deadlines, many attempts, more capacity than is used.
+HOLDING_SETTINGS: dict[str, Any] = {
+    "classes": [{**message_class, "deadline": HOUR_MS * MS} for message_class in SETTINGS["classes"]],
     "policy_limits": {**SETTINGS["policy_limits"], "most_held": 1_000_000, "most_tries": 100_000},
 }
-ASK_READY = b"GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-RATE, DOWN_PART = 192, 0.046  # messages a second, of these to who is down
-DRAINED = 15.0  # seconds at the most
+READY_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+MESSAGES_PER_S, DOWN_FRACTION = 192, 0.046  # DOWN_FRACTION of the messages go to destinations that are down
+DRAIN_TIMEOUT_S = 15.0
 
 
-def written(folder: Path) -> int:
+def folder_bytes(folder: Path) -> int:
     return sum(path.stat().st_size for path in folder.rglob("*") if path.is_file())
 
 
-async def hand_in(client: Client, name: str, destination: int) -> None:
-    """Until it is taken on."""
-    order = Submission(name, "status", destination, timeout_s=HOUR_MS / 1000)
-    while (status := await client.submit(order)) != 202:
+async def submit_until_accepted(client: Client, name: str, destination: int) -> None:
+    """Submits a message again until the relay accepts it. Raises RuntimeError at a status other than 503."""
+    submission = Submission(name, "status", destination, timeout_s=HOUR_MS / 1000)
+    while (status := await client.submit(submission)) != 202:
         if status != 503:
-            raise RuntimeError(f"{name} is answered {status}")
+            raise RuntimeError(f"submission of {name} got status {status}, expected 202 or 503")
         await asyncio.sleep(0.01)
 
 
-async def take_on(world: RelayHarness, first: int, last: int, destinations: int) -> None:
-    """Messages first to last, by clients on kept connections, each as soon as its last one was answered."""
-    account, numbers = SubmissionLog(), iter(range(first, last))
+async def submit_messages(harness: RelayHarness, first: int, last: int, destinations: int) -> None:
+    """Submits messages `first` to `last` by clients that keep their connections and never pause."""
+    log, numbers = SubmissionLog(), iter(range(first, last))
 
-    async def go() -> None:
-        client = Client(world, account)
+    async def run_client() -> None:
+        client = Client(harness, log)
         for number in numbers:
-            await hand_in(client, f"m{number:07d}", 1 + number % destinations)
+            await submit_until_accepted(client, f"m{number:07d}", 1 + number % destinations)
         client.close()
 
-    await asyncio.gather(*(go() for _ in range(CLIENTS)))
+    await asyncio.gather(*(run_client() for _ in range(CLIENTS)))
 
 
-async def traffic(world: RelayHarness, of: str, seconds: float) -> int:
-    """What a relay is given at the target, evenly in time: to the live destinations, and a part to those that
-    are down. Gives how many messages."""
-    account, chance, count = SubmissionLog(), random.Random(1), int(RATE * seconds)
+async def run_target_traffic(harness: RelayHarness, prefix: str, seconds: float) -> int:
+    """Submits messages at the target rate, evenly in time, a fraction of them to destinations that are down.
+
+    Returns the number of messages.
+    """
+    log, rng, count = SubmissionLog(), random.Random(1), int(MESSAGES_PER_S * seconds)
     loop = asyncio.get_running_loop()
-    began, numbers = loop.time(), iter(range(count))
+    started, numbers = loop.time(), iter(range(count))
 
-    async def go() -> None:
-        client = Client(world, account)
+    async def run_client() -> None:
+        client = Client(harness, log)
         for number in numbers:
-            await asyncio.sleep(max(0.0, began + number / RATE - loop.time()))
-            down = chance.random() < DOWN_PART
-            await hand_in(client, f"{of}{number}", 1 + number % DOWN if down else DOWN + 1 + number % LIVE)
+            await asyncio.sleep(max(0.0, started + number / MESSAGES_PER_S - loop.time()))
+            is_down = rng.random() < DOWN_FRACTION
+            await submit_until_accepted(
+                client,
+                f"{prefix}{number}",
+                1 + number % DOWN_DESTINATIONS
+                if is_down
+                else DOWN_DESTINATIONS + 1 + number % LIVE_DESTINATIONS,
+            )
         client.close()
 
-    await asyncio.gather(*(go() for _ in range(CLIENTS)))
+    await asyncio.gather(*(run_client() for _ in range(CLIENTS)))
     return count
 
 
-async def outstanding(world: RelayHarness) -> int:
-    lines = (await world.call_admin("show-stat")).split()
+async def count_outstanding(harness: RelayHarness) -> int:
+    lines = (await harness.call_admin("show-stat")).split()
     return next(int(line.partition("=")[2]) for line in lines if line.startswith("app.outstanding="))
 
 
-async def ready(world: RelayHarness) -> int:
-    """Until a relay that has just been started says that it serves. Its number."""
+async def wait_until_ready(harness: RelayHarness) -> int:
+    """Waits until a relay that has just been started is ready; returns its process id."""
     while True:
         with contextlib.suppress(OSError):
-            if (await world.send(ASK_READY))[0] == 200:
-                assert world.process is not None
-                return world.process.pid
+            if (await harness.send(READY_REQUEST))[0] == 200:
+                assert harness.process is not None
+                return harness.process.pid
         await asyncio.sleep(0.005)
 
 
-def holder(folder: Path) -> RelayHarness:
-    world = RelayHarness(folder, **HOLDING)
-    world.limits = {"sockets": 512, "disk_mb": 400}
-    world.admin_address = f"127.0.0.1:{free_port()}"
-    return world
+def make_holding_relay(folder: Path) -> RelayHarness:
+    harness = RelayHarness(folder, **HOLDING_SETTINGS)
+    harness.limits = {"sockets": 512, "disk_mb": 400}
+    harness.admin_address = f"127.0.0.1:{free_port()}"
+    return harness
 
 
-async def _held(size: int, seconds: float, folder: Path) -> Figures:
-    async with holder(folder) as world:
-        for destination in range(1, DOWN + 1):
-            world.add_endpoint(destination, "plain", "Ready", "{}:{}".format(*NOBODY))
-        for destination in range(DOWN + 1, DOWN + LIVE + 1):
-            await world.start_host(respond_ok, destination)
-        await world.start()
-        pid, state = await ready(world), folder / "state"
-        memory, journal = uss(pid), written(state)
-        await take_on(world, 0, size - WINDOW, DOWN)
+async def _measure_held(size: int, seconds: float, folder: Path) -> Figures:
+    async with make_holding_relay(folder) as harness:
+        for destination in range(1, DOWN_DESTINATIONS + 1):
+            harness.add_endpoint(destination, "plain", "Ready", "{}:{}".format(*UNUSED_ADDRESS))
+        for destination in range(DOWN_DESTINATIONS + 1, DOWN_DESTINATIONS + LIVE_DESTINATIONS + 1):
+            await harness.start_host(respond_ok, destination)
+        await harness.start()
+        pid, state = await wait_until_ready(harness), folder / "state"
+        memory, journal = memory_bytes(pid), folder_bytes(state)
+        await submit_messages(harness, 0, size - MEASURED_MESSAGES, DOWN_DESTINATIONS)
         before = cpu_seconds(pid)
-        await take_on(world, size - WINDOW, size, DOWN)
-        taking = (cpu_seconds(pid) - before) / WINDOW
-        memory, journal = uss(pid) - memory, written(state) - journal
-        if (count := await outstanding(world)) != size:
-            raise RuntimeError(f"{count} are held, not {size}")
-        await world.kill()
-        began = time.monotonic()
-        await world.start()
-        pid = await ready(world)
-        started, cpu = time.monotonic() - began, cpu_seconds(pid)
-        if (count := await outstanding(world)) != size:
-            raise RuntimeError(f"{count} are held after the start, not {size}")
-        await traffic(world, "w", seconds / 2)
+        await submit_messages(harness, size - MEASURED_MESSAGES, size, DOWN_DESTINATIONS)
+        accept_s = (cpu_seconds(pid) - before) / MEASURED_MESSAGES
+        memory, journal = memory_bytes(pid) - memory, folder_bytes(state) - journal
+        if (count := await count_outstanding(harness)) != size:
+            raise RuntimeError(f"the relay holds {count} messages, expected {size}")
+        await harness.kill()
+        started = time.monotonic()
+        await harness.start()
+        pid = await wait_until_ready(harness)
+        start_s, start_cpu_s = time.monotonic() - started, cpu_seconds(pid)
+        if (count := await count_outstanding(harness)) != size:
+            raise RuntimeError(f"the relay holds {count} messages after its restart, expected {size}")
+        await run_target_traffic(harness, "w", seconds / 2)
         before = cpu_seconds(pid)
-        beside = await traffic(world, "b", seconds)
-        passing = (cpu_seconds(pid) - before) / beside
+        count = await run_target_traffic(harness, "b", seconds)
+        traffic_s = (cpu_seconds(pid) - before) / count
     return {
         "held_bytes": memory,
         "journal_bytes": journal,
-        "take_us": taking * 1e6,
-        "start_s": started,
-        "start_cpu_s": cpu,
-        "beside_us": passing * 1e6,
+        "take_us": accept_s * 1e6,
+        "start_s": start_s,
+        "start_cpu_s": start_cpu_s,
+        "beside_us": traffic_s * 1e6,
     }
 
 
 def held(size: int, seconds: float) -> Figures:
-    """A relay as a process holds so many messages for ten destinations that are down: they refuse
-    connections. Memory and journal with bodies of five bytes. Taking on one message more, by 32 clients as
-    fast as it goes, the last 500; then it is killed and started: until it says ready, on the wall, and the
-    processor time until then, the interpreter's start (size 0) in both; last a message of the target's
-    traffic, taken on and delivered, beside what is held. Processor time is counted by the system in
-    hundredths of a second."""
+    """Measures a relay process that holds `size` messages for ten destinations that refuse connections.
+
+    Memory and journal are for bodies of five bytes. The CPU time to accept a message is measured over the
+    last 500, submitted by 32 clients without pauses. Then the relay is killed and started again: elapsed and
+    CPU time until it is ready, both with the start of the interpreter (size 0). Last comes the CPU time to
+    accept and deliver a message of the target's traffic while the others are held. The system counts CPU time
+    in hundredths of a second.
+    """
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(_held(size, seconds, Path(folder)))
+        return asyncio.run(_measure_held(size, seconds, Path(folder)))
 
 
-async def _drain(size: int, folder: Path) -> Figures:
-    async with holder(folder) as world:
+async def _measure_drain(size: int, folder: Path) -> Figures:
+    async with make_holding_relay(folder) as harness:
         port = free_port()
-        world.add_endpoint(1, "plain", "Ready", f"127.0.0.1:{port}")
-        await world.start()
-        pid = await ready(world)
-        await take_on(world, 0, size, 1)
-        peer = Host(world, respond_ok)
-        await peer.start(port)
-        world.servers.append(peer)
-        await world.wait_until(lambda: peer.response_count >= 20)
-        began, before, first = time.monotonic(), cpu_seconds(pid), peer.response_count
+        harness.add_endpoint(1, "plain", "Ready", f"127.0.0.1:{port}")
+        await harness.start()
+        pid = await wait_until_ready(harness)
+        await submit_messages(harness, 0, size, 1)
+        host = StubServer(harness, respond_ok)
+        await host.start(port)
+        harness.servers.append(host)
+        await harness.wait_until(lambda: host.response_count >= 20)
+        started, before, first = time.monotonic(), cpu_seconds(pid), host.response_count
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(DRAINED):
-                await world.wait_until(lambda: peer.response_count >= first + size // 4)
-        count, took = peer.response_count - first, time.monotonic() - began
+            async with asyncio.timeout(DRAIN_TIMEOUT_S):
+                await harness.wait_until(lambda: host.response_count >= first + size // 4)
+        count, elapsed = host.response_count - first, time.monotonic() - started
         cpu = cpu_seconds(pid) - before
-    return {"drain_us": cpu / count * 1e6, "drained_per_s": count / took, "drained": count}
+    return {"drain_us": cpu / count * 1e6, "drained_per_s": count / elapsed, "drained": count}
 
 
 def drain(size: int) -> Figures:
-    """So many messages wait for one destination that comes up: processor time of the relay for each that is
-    delivered, and how many a second, from the twentieth on until a quarter is, or for 15 s."""
+    """Measures the delivery of `size` messages that wait for one destination once it comes up.
+
+    Returns the relay's CPU time for a delivered message, and messages a second, from the twentieth on until a
+    quarter is delivered, or for 15 s.
+    """
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(_drain(size, Path(folder)))
+        return asyncio.run(_measure_drain(size, Path(folder)))
 
 
-# A watch on the socket
+# Watch over a socket
 
 
-HELD_MS = 60  # a watch that is answered sooner is followed by a pause (discovery/client.py)
+HOLD_MS = 60  # the client pauses after a watch that is answered sooner (discovery/client.py)
 
 
-async def _watch(entries: int, watches: int) -> Figures:
+async def _measure_watch(entries: int, watches: int) -> Figures:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "benchmarks.watch_server",
         str(entries),
-        str(HELD_MS),
+        str(HOLD_MS),
         cwd=ROOT,
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
@@ -357,211 +381,228 @@
     assert process.stdout is not None
     try:
         address = "127.0.0.1", int(await process.stdout.readline())
-        seen, enough, wanted = 0, asyncio.Event(), watches // 5
+        count, reached, wanted = 0, asyncio.Event(), watches // 5
 
-        def tell(listing: EndpointListReceived, _: Any) -> None:
-            nonlocal seen
+        def on_listing(listing: EndpointListReceived, _: Any) -> None:
+            nonlocal count
             if listing.kind is not EndpointListKind.DELTA or len(listing.entries) != entries:
-                raise RuntimeError(f"the watch brought {listing.kind}, {len(listing.entries)} entries")
-            seen += 1
-            if seen >= wanted:
-                enough.set()
+                raise RuntimeError(
+                    f"the watch returned a list of kind {listing.kind} with {len(listing.entries)} entries, "
+                    f"expected {EndpointListKind.DELTA} with {entries}"
+                )
+            count += 1
+            if count >= wanted:
+                reached.set()
 
-        counter = DiscoveryHttpClient(address)
+        counts_client = DiscoveryHttpClient(address)
 
-        async def counts() -> dict[str, float]:
-            told: dict[str, float] = json.loads((await counter.request("GET", "/counts", 10)).body)
-            return told
+        async def get_counts() -> dict[str, float]:
+            counts: dict[str, float] = json.loads((await counts_client.request("GET", "/counts", 10)).body)
+            return counts
 
-        discovery = DiscoveryClient(address, None, tell)
+        discovery = DiscoveryClient(address, None, on_listing)
         discovery.resume(1)
         async with asyncio.timeout(60):
-            await enough.wait()
-        # Asked right after an answer, while the next watch is held: no request is on its way.
-        before, first, began = await counts(), seen, time.process_time()
-        wanted = seen + watches
-        enough.clear()
+            await reached.wait()
+        # Requested right after an answer, while the server holds the next watch: no watch is in transit.
+        before, first, started = await get_counts(), count, time.process_time()
+        wanted = count + watches
+        reached.clear()
         async with asyncio.timeout(120):
-            await enough.wait()
-        spent, number = time.process_time() - began, seen - first
-        after = await counts()
+            await reached.wait()
+        cpu_s, relay_watches = time.process_time() - started, count - first
+        after = await get_counts()
         discovery.close()
-        counter.close()
+        counts_client.close()
     finally:
         process.stdin.close()
         await process.wait()
-    answered = after["watches"] - before["watches"]
+    server_watches = after["watches"] - before["watches"]
     return {
-        "watch_us": spent / number * 1e6,
-        "server_us": (after["cpu"] - before["cpu"]) / answered * 1e6,
-        "to_relay": (after["sent"] - before["sent"]) / answered,
-        "from_relay": (after["heard"] - before["heard"]) / answered,
+        "watch_us": cpu_s / relay_watches * 1e6,
+        "server_us": (after["cpu"] - before["cpu"]) / server_watches * 1e6,
+        "to_relay": (after["sent"] - before["sent"]) / server_watches,
+        "from_relay": (after["heard"] - before["heard"]) / server_watches,
     }
 
 
 def watch(size: int, watches: int) -> Figures:
-    """A watch that ends with so many changed entries, answered and renewed on its kept connection: processor
-    time on the relay's side (request, h11, JSON, entries, without engine and module) and on that of a server
-    in asyncio and h11, which writes each answer anew; bytes of HTTP both ways, without TCP and IP."""
-    return asyncio.run(_watch(size, watches))
+    """Measures a watch that ends with `size` changed entries and is renewed on its open connection.
 
+    Returns the CPU time of the relay (request, h11, JSON, entries, without engine and decision module) and of
+    a server in asyncio and h11, which encodes each answer again, and the bytes of HTTP both ways, without TCP
+    and IP.
+    """
+    return asyncio.run(_measure_watch(size, watches))
 
-# The fleet's membership
 
+# Fleet membership
 
-SETTLED = 5  # beats that are watched in the steady state, at the least
-SETTLED_S = 2  # and seconds of virtual time, at the least
-LONGEST_NEWS = 120  # seconds of virtual time for a death or a start to be known
 
+STEADY_HEARTBEATS = 5  # minimum length of the measurement in the steady state
+STEADY_S = 2  # and its minimum in seconds of virtual time
+SPREAD_TIMEOUT_S = 120  # virtual time in which all must know of a death or a start
 
-class Weighed(SimulatedFleet):
-    """Counts what relays send and hear as bytes on the wire, and times what a relay does itself: membership
-    and the coding of datagrams. It has no sockets, and the model's queue is in it."""
 
-    def __init__(self, *told: Any, **more: Any) -> None:
+class MeasuredFleet(SimulatedFleet):
+    """Counts datagrams in bytes and measures the CPU time of membership and of the coding of datagrams.
+
+    There are no sockets; the simulation's own event queue is included.
+    """
+
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
         self.clear()
-        super().__init__(*told, **more)
+        super().__init__(*args, **kwargs)
 
     def clear(self) -> None:
-        self.sent = self.received = self.datagrams = 0
-        self.sent_by: Counter[str] = Counter()
-        self.received_by: Counter[str] = Counter()
-        self.spent = 0.0
+        self.sent_bytes = self.received_bytes = self.datagrams = 0
+        self.sent_bytes_by_relay: Counter[str] = Counter()
+        self.received_bytes_by_relay: Counter[str] = Counter()
+        self.cpu_s = 0.0
 
     def _tick(self, name: str, node: SimulatedRelay, due: int) -> None:
-        began = time.thread_time()
+        started = time.thread_time()
         super()._tick(name, node, due)
-        self.spent += time.thread_time() - began
+        self.cpu_s += time.thread_time() - started
 
     def _receive(self, address: Address, datagram: Datagram, source: Address) -> None:
-        # A dead relay's address takes what comes, and nobody reads it.
+        # Datagrams to a stopped relay are not read.
         name = self.key_by_address[address]
         if self.relays[name].is_running:
             data = encode("fleet", datagram, [])
-            self.received += len(data)
-            self.received_by[name] += len(data)
-            began = time.thread_time()
+            self.received_bytes += len(data)
+            self.received_bytes_by_relay[name] += len(data)
+            started = time.thread_time()
             _, datagram, _ = decode(data)
             super()._receive(address, datagram, source)
-            self.spent += time.thread_time() - began
+            self.cpu_s += time.thread_time() - started
 
     def _send(self, name: str, source: Address, address: Address, datagram: Datagram) -> None:
-        weight = len(encode("fleet", datagram, []))
-        self.sent += weight
-        self.sent_by[name] += weight
+        size = len(encode("fleet", datagram, []))
+        self.sent_bytes += size
+        self.sent_bytes_by_relay[name] += size
         self.datagrams += 1
         super()._send(name, source, address, datagram)
 
 
-def acquainted(count: int, timing: SwimConfig, seed: int) -> Weighed:
-    """All know all from the start, and nothing is news: what a fleet comes to when it has told everything."""
-    fleet = Weighed(count, seed, timing)
+def make_converged_fleet(count: int, timing: SwimConfig, seed: int) -> MeasuredFleet:
+    """Builds a fleet in its steady state: all relays know each other, and no updates are left to spread."""
+    fleet = MeasuredFleet(count, seed, timing)
     fleet.events.clear()
-    everybody = [node.membership.local.peer for node in fleet.relays.values()]
+    all_peers = [node.membership.local.peer for node in fleet.relays.values()]
     for name, node in fleet.relays.items():
-        fleet_peers.set_known_peers(node.membership, everybody)
+        fleet_peers.set_known_peers(node.membership, all_peers)
         node.membership.sequence_number = 0
         node.next_tick_us = -1
         fleet._schedule_tick(name)
     return fleet
 
 
-def known_by_all(fleet: SimulatedFleet, name: str, there: bool, stop: int) -> float:
-    """Seconds of virtual time until each relay that is up holds this one to be there, in the life it has, or
-    to be gone. NaN: not by then."""
-    life = fleet.relays[name].membership.local.peer.incarnation_id
+def seconds_until_known(fleet: SimulatedFleet, name: str, is_running: bool, timeout_s: int) -> float:
+    """Returns the virtual time until each running relay considers this one alive or dead.
+
+    Alive means in its current incarnation. Returns NaN after the timeout.
+    """
+    incarnation_id = fleet.relays[name].membership.local.peer.incarnation_id
 
-    def told() -> bool:
+    def all_know() -> bool:
         for other, node in fleet.relays.items():
             if other == name or not node.is_running:
                 continue
             known = node.membership.members.get(name)
-            gone = known is None or known.peer.state is MemberState.DEAD
-            if gone if there else not gone:
+            is_dead = known is None or known.peer.state is MemberState.DEAD
+            if is_dead if is_running else not is_dead:
                 return False
-            if there and known is not None and known.peer.incarnation_id != life:
+            if is_running and known is not None and known.peer.incarnation_id != incarnation_id:
                 return False
         return True
 
-    took = fleet.run_while(lambda: not told(), stop * SECOND, 100 * MS)
-    return took / SECOND if told() else float("nan")
+    elapsed_us = fleet.run_while(lambda: not all_know(), timeout_s * SECOND, 100 * MS)
+    return elapsed_us / SECOND if all_know() else float("nan")
 
 
-def membership(size: int, beat: int, seed: int) -> Figures:
-    """In virtual time over links without loss. Bytes are of datagrams, without 28 bytes of IP and UDP each.
+def membership(size: int, heartbeat_us: int, seed: int) -> Figures:
+    """Measures membership in virtual time over links without loss.
 
-    First the steady state: for 5 beats and 2 s at the least. Then one dies, and when all hold it to be gone
-    it starts again with nothing that it knew, under a new life. What all send beyond the steady state from
-    then on, for 30 beats, is `restart_bytes`, for each relay: what it learns later itself is `newcomer`."""
-    gc.disable()  # of millions of objects of thousands of relays: no relay of its own pays for that
-    timing = SwimConfig(beat, 5 * beat)
-    fleet = acquainted(size, timing, seed)
-    # Two rounds of probes, so that answers are on their way, then the watch.
-    fleet.run(fleet.now_us + 2 * beat)
+    Bytes are of datagrams, without the 28 bytes of IP and UDP each. First comes the steady state, for at
+    least 5 heartbeats and 2 s. Then one relay dies, and once all know this it starts again with an empty
+    member table and a new incarnation id. `restart_bytes` is what each relay sends beyond the steady state in
+    the 30 heartbeats from then on; what the restarted relay learns later itself is measured by `newcomer`.
+    """
+    gc.disable()  # collections of the objects of thousands of relays are a cost that no real relay has
+    timing = SwimConfig(heartbeat_us, 5 * heartbeat_us)
+    fleet = make_converged_fleet(size, timing, seed)
+    # Two rounds of probes come first, so that answers are in transit when the measurement starts.
+    fleet.run(fleet.now_us + 2 * heartbeat_us)
     fleet.clear()
-    span = max(SETTLED * beat, SETTLED_S * SECOND)
-    began = time.process_time()
-    fleet.run(fleet.now_us + span)
-    whole = time.process_time() - began
-    seconds = span / SECOND
-    steady = fleet.sent / size / seconds
+    duration_us = max(STEADY_HEARTBEATS * heartbeat_us, STEADY_S * SECOND)
+    started = time.process_time()
+    fleet.run(fleet.now_us + duration_us)
+    total_cpu_s = time.process_time() - started
+    seconds = duration_us / SECOND
+    steady_rate = fleet.sent_bytes / size / seconds
     figures = {
-        "sent_per_s": steady,
-        "received_per_s": fleet.received / size / seconds,
+        "sent_per_s": steady_rate,
+        "received_per_s": fleet.received_bytes / size / seconds,
         "datagrams_per_s": fleet.datagrams / size / seconds,
-        "cpu_ms_per_s": fleet.spent / size / seconds * 1e3,
-        "model_ms_per_s": whole / size / seconds * 1e3,
+        "cpu_ms_per_s": fleet.cpu_s / size / seconds * 1e3,
+        "model_ms_per_s": total_cpu_s / size / seconds * 1e3,
     }
     name = f"r{size // 2}"
     fleet.kill(name)
-    figures["death_s"] = known_by_all(fleet, name, False, LONGEST_NEWS)
-    fleet.run(fleet.now_us + 10 * beat)  # what was told of the death is told often enough
+    figures["death_s"] = seconds_until_known(fleet, name, False, SPREAD_TIMEOUT_S)
+    fleet.run(fleet.now_us + 10 * heartbeat_us)  # until no update about the death is sent any more
     fleet.clear()
-    began_at = fleet.now_us
+    restarted_at_us = fleet.now_us
     fleet.start(name, fleet.relays[name].address)
-    figures["start_known_s"] = known_by_all(fleet, name, True, LONGEST_NEWS)
-    fleet.run(max(fleet.now_us, began_at + 30 * beat))
-    more = fleet.sent / size - steady * (fleet.now_us - began_at) / SECOND
-    figures["restart_bytes"] = more
+    figures["start_known_s"] = seconds_until_known(fleet, name, True, SPREAD_TIMEOUT_S)
+    fleet.run(max(fleet.now_us, restarted_at_us + 30 * heartbeat_us))
+    additional_bytes = fleet.sent_bytes / size - steady_rate * (fleet.now_us - restarted_at_us) / SECOND
+    figures["restart_bytes"] = additional_bytes
     return figures
 
 
-def newcomer(size: int, beat: int, seed: int) -> Figures:
-    """One starts anew where all know all: virtual time until it knows all, and what it sends and hears
-    meanwhile."""
+def newcomer(size: int, heartbeat_us: int, seed: int) -> Figures:
+    """Measures a relay that restarts in a converged fleet.
+
+    Returns the virtual time until it knows all others, and the bytes that it sends and receives until then.
+    """
     gc.disable()
-    fleet = acquainted(size, SwimConfig(beat, 5 * beat), seed)
+    fleet = make_converged_fleet(size, SwimConfig(heartbeat_us, 5 * heartbeat_us), seed)
     name = f"r{size // 2}"
-    fleet.run(fleet.now_us + 2 * beat)
+    fleet.run(fleet.now_us + 2 * heartbeat_us)
     fleet.start(name, fleet.relays[name].address)
     fleet.clear()
-    view = fleet.relays[name].membership
-    took = fleet.run_while(lambda: len(view.members) < size - 1, 600 * SECOND, 100 * MS) / SECOND
+    membership = fleet.relays[name].membership
+    elapsed_us = fleet.run_while(lambda: len(membership.members) < size - 1, 600 * SECOND, 100 * MS)
     return {
-        "knows_all_s": took,
-        "newcomer_sent": fleet.sent_by[name],
-        "newcomer_received": fleet.received_by[name],
+        "knows_all_s": elapsed_us / SECOND,
+        "newcomer_sent": fleet.sent_bytes_by_relay[name],
+        "newcomer_received": fleet.received_bytes_by_relay[name],
     }
 
 
-def joining(size: int, beat: int, seed: int) -> Figures:
-    """All start at once and know two seeds: virtual time until all know all, and what that costs a relay."""
+def joining(size: int, heartbeat_us: int, seed: int) -> Figures:
+    """Measures the virtual time and the cost of a relay until a fleet that starts at once has converged.
+
+    All relays start with the addresses of two seeds.
+    """
     gc.disable()
-    fleet = Weighed(size, seed, SwimConfig(beat, 5 * beat))
+    fleet = MeasuredFleet(size, seed, SwimConfig(heartbeat_us, 5 * heartbeat_us))
 
-    def apart() -> bool:
-        short = any(len(node.membership.members) < size - 1 for node in fleet.relays.values())
-        return short or not fleet.is_converged()
+    def is_incomplete() -> bool:
+        any_missing = any(len(node.membership.members) < size - 1 for node in fleet.relays.values())
+        return any_missing or not fleet.is_converged()
 
-    took = fleet.run_while(apart, 600 * SECOND, 250 * MS)
+    elapsed_us = fleet.run_while(is_incomplete, 600 * SECOND, 250 * MS)
     return {
-        "all_know_all_s": took / SECOND,
-        "joining_cpu_s": fleet.spent / size,
-        "joining_bytes": fleet.sent / size,
+        "all_know_all_s": elapsed_us / SECOND,
+        "joining_cpu_s": fleet.cpu_s / size,
+        "joining_bytes": fleet.sent_bytes / size,
     }
 
 
-async def _sockets(size: int, seconds: float) -> Figures:
+async def _measure_sockets(size: int, seconds: float) -> Figures:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -574,38 +615,41 @@
     )
     assert process.stdin is not None
     assert process.stdout is not None
-    node, view = await fleet_peers.open_node("me")
+    node, membership = await fleet_peers.open_node("me")
     try:
         others = json.loads(await process.stdout.readline())
-        fleet_peers.set_known_peers(view, [fleet_peers.parse_peer(other) for other in others])
-        process.stdin.write(json.dumps(fleet_peers.describe(view)).encode() + b"\n")
+        fleet_peers.set_known_peers(membership, [fleet_peers.parse_peer(other) for other in others])
+        process.stdin.write(json.dumps(fleet_peers.describe(membership)).encode() + b"\n")
         await asyncio.sleep(1.0)
-        sent, heard = node.counters["sent"], node.counters["received"]
-        began, cpu = time.monotonic(), time.process_time()
+        sent, received = node.counters["sent"], node.counters["received"]
+        started, started_cpu = time.monotonic(), time.process_time()
         await asyncio.sleep(seconds)
-        took, spent = time.monotonic() - began, time.process_time() - cpu
-        sent, heard = node.counters["sent"] - sent, node.counters["received"] - heard
-        if len(view.live_peers()) != size - 1:
-            raise RuntimeError("one is held to be gone")
+        elapsed, cpu_s = time.monotonic() - started, time.process_time() - started_cpu
+        sent, received = node.counters["sent"] - sent, node.counters["received"] - received
+        if (live := len(membership.live_peers())) != size - 1:
+            raise RuntimeError(f"{live} peers are considered alive, expected {size - 1}")
     finally:
         node.close()
         process.stdin.close()
         await process.wait()
     return {
-        "relay_ms_per_s": spent / took * 1e3,
-        "sent_per_s": sent / took,
-        "heard_per_s": heard / took,
+        "relay_ms_per_s": cpu_s / elapsed * 1e3,
+        "sent_per_s": sent / elapsed,
+        "heard_per_s": received / elapsed,
     }
 
 
 def sockets(size: int, seconds: float) -> Figures:
-    """One relay's socket and membership in a process of its own, on loopback at a beat of 200 ms, all others
-    in another process, where all know all: what the model leaves out is in it."""
-    return asyncio.run(_sockets(size, seconds))
+    """Measures the socket and membership of one relay in its own process, with a heartbeat of 200 ms.
+
+    All other relays of the converged fleet run in another process, on loopback. This includes the costs that
+    the simulation leaves out.
+    """
+    return asyncio.run(_measure_sockets(size, seconds))
 
 
 def member_memory(size: int, views: int = 16) -> Figures:
-    """Memory of one relay's view of so many, as it has them from datagrams: none of it shared with others."""
+    """Measures the memory of one relay's member table, filled from datagrams that share no objects."""
     peers = [
         Peer(f"relay-{number:05d}", (f"10.0.{number >> 8}.{number & 255}", 7400), number + 1, 1)
         for number in range(size)
@@ -614,20 +658,21 @@
         encode("fleet", Ping(1, "", peers[first], tuple(peers[first : first + 20])), [])
         for first in range(0, size, 20)
     ]
-    before = uss()
-    made = []
+    before = memory_bytes()
+    memberships = []
     for number in range(views):
-        view = Membership(f"me{number}", NOBODY, 1, 1, [], SwimConfig(200 * MS, SECOND), number)
+        membership = Membership(f"me{number}", UNUSED_ADDRESS, 1, 1, [], SwimConfig(200 * MS, SECOND), number)
         for data in datagrams:
-            view.handle(SECOND, decode(data)[1], NOBODY)
-        made.append(view)
-    grown = uss() - before
-    if any(len(view.members) != size for view in made):
-        raise RuntimeError("not all are known")
-    return {"view_bytes": grown / views}
+            membership.handle(SECOND, decode(data)[1], UNUSED_ADDRESS)
+        memberships.append(membership)
+    memory_growth = memory_bytes() - before
+    counts = [len(membership.members) for membership in memberships]
+    if any(count != size for count in counts):
+        raise RuntimeError(f"{min(counts)} to {max(counts)} members are known, expected {size}")
+    return {"view_bytes": memory_growth / views}
 
 
-CASES: dict[str, Callable[[int, int, bool], Figures]] = {  # size, seed, whether to be quick -> figures
+CASES: dict[str, Callable[[int, int, bool], Figures]] = {  # size, seed, quick -> figures
     "listing_change": lambda size, _, quick: listing_change(size),
     "listed": lambda size, _, quick: listed(size),
     "held": lambda size, _, quick: held(size, 1.0 if quick else 5.0),
--- a/benchmarks/watch_server.py
+++ b/benchmarks/watch_server.py
@@ -1,7 +1,8 @@
-"""A stand-in for who answers watches: asyncio and h11, as a control role of the program would be written.
+"""Run a stub discovery server that answers watches, written with asyncio and h11.
 
-python -m benchmarks.watch_server ENTRIES HOLD_MS; tells its port on the first line. Each watch is held for so
-long and answered with so many changed entries; `/counts` gives what has come and gone so far.
+python -m benchmarks.watch_server ENTRIES HOLD_MS; prints its port on the first line. Each watch is answered
+after HOLD_MS with ENTRIES changed entries; `/counts` returns the watches, bytes and CPU time so far. The
+server is written as one of the program's own control services would be.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 import h11
 
 
-def row(number: int, phase: str = "Ready") -> dict[str, Any]:
-    """An entry as discovery writes it: each destination has one host."""
+def make_entry(number: int, phase: str = "Ready") -> dict[str, Any]:
+    """Returns an entry as discovery writes it; each destination has one host."""
     return {
         "id": f"host-{number:06d}",
         "host_port": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080",
@@ -29,81 +30,85 @@
     }
 
 
-class Server:
-    def __init__(self, entries: int, hold: float) -> None:
-        self.members = [row(number) for number in range(entries)]
-        self.hold = hold  # seconds
+class WatchServer:
+    """State that all connections share."""
+
+    def __init__(self, entries: int, hold_s: float) -> None:
+        self.members = [make_entry(number) for number in range(entries)]
+        self.hold_s = hold_s
         self.revision = 1
-        self.watches = self.heard = self.sent = 0  # the last two: bytes on the sockets, of watches alone
+        self.watches = self.received_bytes = self.sent_bytes = 0  # bytes on the sockets, of watches alone
 
     def counts(self) -> dict[str, float]:
         return {
             "watches": self.watches,
-            "heard": self.heard,
-            "sent": self.sent,
+            "heard": self.received_bytes,
+            "sent": self.sent_bytes,
             "cpu": time.process_time(),
         }
 
 
-class Client(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
+    """One connection of a client."""
+
     transport: asyncio.Transport
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: WatchServer) -> None:
         self.server = server
-        self.wire = h11.Connection(h11.SERVER)
-        self.size = 0  # of the request that comes
+        self.connection = h11.Connection(h11.SERVER)
+        self.request_bytes = 0  # of the request that is being received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.size += len(data)
-        self.wire.receive_data(data)
+        self.request_bytes += len(data)
+        self.connection.receive_data(data)
         target = b""
-        while (event := self.wire.next_event()) is not h11.NEED_DATA and event is not h11.PAUSED:
+        while (event := self.connection.next_event()) is not h11.NEED_DATA and event is not h11.PAUSED:
             if isinstance(event, h11.Request):
                 target = event.target
             elif isinstance(event, h11.EndOfMessage):
                 if target == b"/counts":
-                    self.answer(self.server.counts())
-                    self.size = 0
+                    self.send_response(self.server.counts())
+                    self.request_bytes = 0
                 else:
-                    asyncio.get_running_loop().call_later(self.server.hold, self.told)
+                    asyncio.get_running_loop().call_later(self.server.hold_s, self.answer_watch)
                 return
             elif isinstance(event, h11.ConnectionClosed):
                 return
 
-    def told(self) -> None:
+    def answer_watch(self) -> None:
         server = self.server
         server.revision += 1
         server.watches += 1
-        server.heard, self.size = server.heard + self.size, 0
-        server.sent += self.answer(
+        server.received_bytes, self.request_bytes = server.received_bytes + self.request_bytes, 0
+        server.sent_bytes += self.send_response(
             {"revision": server.revision, "complete": False, "members": server.members}
         )
 
-    def answer(self, told: dict[str, Any]) -> int:
-        """Gives its bytes."""
-        body = json.dumps(told).encode()
+    def send_response(self, content: dict[str, Any]) -> int:
+        """Sends a JSON response; returns its bytes."""
+        body = json.dumps(content).encode()
         head = h11.Response(
             status_code=200,
             headers=[("Content-Type", "application/json"), ("Content-Length", str(len(body)))],
         )
         data = b"".join(
-            self.wire.send(event) or b"" for event in (head, h11.Data(data=body), h11.EndOfMessage())
+            self.connection.send(event) or b"" for event in (head, h11.Data(data=body), h11.EndOfMessage())
         )
         if not self.transport.is_closing():
             self.transport.write(data)
-        self.wire.start_next_cycle()
+        self.connection.start_next_cycle()
         return len(data)
 
 
-async def main(entries: int, hold: float) -> None:
-    server = Server(entries, hold)
-    listening = await asyncio.get_running_loop().create_server(lambda: Client(server), "127.0.0.1", 0)
-    print(listening.sockets[0].getsockname()[1], flush=True)
-    # Until who has started it is done, or gone.
+async def main(entries: int, hold_s: float) -> None:
+    server = WatchServer(entries, hold_s)
+    listener = await asyncio.get_running_loop().create_server(lambda: WatchConnection(server), "127.0.0.1", 0)
+    print(listener.sockets[0].getsockname()[1], flush=True)
+    # Runs until the parent process closes the input or ends.
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
 
 
