--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -237,7 +237,7 @@
         for mode, (harness, _, log) in relays.items():
             await harness.stop(signal.SIGTERM)
             if mode == "required":
-                match = re.search(r"(\d+) changes were stored in (\d+) commits", "\n".join(harness.log))
+                match = re.search(r"(\d+) changes stored in (\d+) commits", "\n".join(harness.log))
                 assert match is not None
                 result["commits_per_message"] = round(int(match[2]) / len(log.admitted), 3)
         final_store = SQLiteStore(store_path)
