--- a/benchmarks/scale/accounts.py
+++ b/benchmarks/scale/accounts.py
@@ -1,6 +1,7 @@
-"""What a scale run reckons with: budgets, since when a change is in force, how far two figures are apart.
+"""Limits, slices and latencies of changes of the scale benchmark.
 
-It does no input or output. Times are seconds, bytes both ways together, memory MB of 10^6 bytes.
+The module does no input or output. Times are in seconds, bytes are of both directions together, and memory is
+in MB of 10^6 bytes.
 """
 
 from __future__ import annotations
@@ -12,22 +13,22 @@
 
 from hdrh.histogram import HdrHistogram
 
-# The target and what it may cost (issue 41, "The target, two years out").
-RELAYS, DESTINATIONS, EVENTS, REGISTRIES = 2_400, 870_000, 460_000, 8
-SLICE = -(-DESTINATIONS // RELAYS)  # destinations of a relay, if they are divided
-CHANGE_EVERY = 86_400 / 12_000  # seconds
+# Target sizes and limits (issue 41, "The target, two years out").
+RELAYS, DESTINATIONS, MESSAGES_PER_S, REGISTRIES = 2_400, 870_000, 460_000, 8
+SLICE_SIZE = -(-DESTINATIONS // RELAYS)  # destinations of a relay, if they are divided evenly
+CHANGE_INTERVAL_S = 86_400 / 12_000
 ZONES, REGIONS = 11, 5
 
-MICROSECONDS, MOST_SECONDS = 1_000_000, 3_600
+MICROSECONDS, MAX_LATENCY_S = 1_000_000, 3_600
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """`at`: where the figure stands in the result's line; the worst of what stands there counts."""
+    """Upper limit of a figure. `path` leads to the figure in the result."""
 
     name: str
-    most: float
-    at: tuple[str, ...]
+    maximum: float
+    path: tuple[str, ...]
 
 
 LIMITS = (
@@ -41,48 +42,54 @@
 )
 
 
-def figure(line: Mapping[str, Any], at: tuple[str, ...]) -> float | None:
-    """None where it was not measured."""
-    here: Any = line
-    for name in at:
-        here = here.get(name) if isinstance(here, Mapping) else None
-    return None if here is None else float(here)
+def get_figure(result: Mapping[str, Any], path: tuple[str, ...]) -> float | None:
+    """Returns the figure at this path, or None where it was not measured."""
+    value: Any = result
+    for name in path:
+        value = value.get(name) if isinstance(value, Mapping) else None
+    return None if value is None else float(value)
 
 
-def over_budget(line: Mapping[str, Any], limits: Iterable[Limit] = LIMITS) -> list[str]:
-    """Names of the figures over their limits, the furthest first; then those not measured, as `NAME?`."""
-    over, missing = [], []
+def find_exceeded_limits(result: Mapping[str, Any], limits: Iterable[Limit] = LIMITS) -> list[str]:
+    """Returns names of figures over their limits, largest excess first, then `NAME?` if not measured."""
+    exceeded, missing = [], []
     for limit in limits:
-        value = figure(line, limit.at)
+        value = get_figure(result, limit.path)
         if value is None:
             missing.append(f"{limit.name}?")
-        elif value > limit.most:
-            over.append((value / limit.most, limit.name))
-    return [name for _, name in sorted(over, reverse=True)] + missing
+        elif value > limit.maximum:
+            exceeded.append((value / limit.maximum, limit.name))
+    return [name for _, name in sorted(exceeded, reverse=True)] + missing
 
 
-def apart(hollow: float, real: float, resolution: float) -> float:
-    """How many times the one is the other, from 1 on; what is below the measure's resolution counts as it."""
+def disagreement_ratio(hollow: float, real: float, resolution: float) -> float:
+    """Returns the larger value over the smaller; values below the resolution count as the resolution."""
     one, other = max(hollow, resolution), max(real, resolution)
     return max(one / other, other / one)
 
 
-def moved(begun: float, old: Iterable[float], new: Iterable[float]) -> float | None:
-    """When calls had gone over from one host to another, told when calls began at both: at the first to the
-    new one after `begun`, or the last to the old one where that came later. None: none has yet."""
-    first = min((at for at in new if at >= begun), default=None)
-    return None if first is None else max([first, *(at for at in old if at >= begun)])
+def traffic_switched_at(changed_at: float, old: Iterable[float], new: Iterable[float]) -> float | None:
+    """Returns when traffic had moved from an old to a new host, from the start times of calls at both.
 
+    That is the first call to the new host after the change, or the last one to the old host where that came
+    later. Returns None before the first call to the new host.
+    """
+    first = min((at for at in new if at >= changed_at), default=None)
+    return None if first is None else max([first, *(at for at in old if at >= changed_at)])
 
-def slice_of(
-    number: int, relays: int, destinations: int, size: int, shared: int, few: int, seed: int
+
+def make_slice(
+    number: int, relays: int, destinations: int, size: int, shared: int, few_interval: int, seed: int
 ) -> list[int]:
-    """The destinations that a relay serves: the first `shared`, which all serve; the one after them, if the
-    number is a multiple of `few`; and others up to `size`: its share where they are dealt out without a
-    remainder, and beyond its share drawn anew."""
+    """Returns the destinations that a relay serves.
+
+    These are the first `shared`, which all relays serve; the next one, if the number is a multiple of
+    `few_interval`, so that only a few relays serve it (0: none); and others up to `size`: an exclusive share
+    of the rest divided among all relays, and beyond that share destinations drawn at random.
+    """
     size = min(size, destinations)
     own = list(range(min(shared, size)))
-    if few and number % few == 0 and len(own) < size:
+    if few_interval and number % few_interval == 0 and len(own) < size:
         own.append(shared)
     first, rest = shared + 1, destinations - shared - 1
     size = min(size, len(own) + max(0, rest))
@@ -90,29 +97,32 @@
     start = first + number * share
     own += range(start, start + min(size - len(own), share))
     if len(own) < size:
-        drawn, held = random.Random(seed * 1_000_003 + number), set(own)
-        while len(held) < size:
-            held.add(first + drawn.randrange(rest))
-        own = sorted(held)
+        rng, served = random.Random(seed * 1_000_003 + number), set(own)
+        while len(served) < size:
+            served.add(first + rng.randrange(rest))
+        own = sorted(served)
     return own
 
 
 @dataclass
-class InForce:
-    """How long changes took until relays went by them, each counted at each relay that lives."""
+class ChangeLatency:
+    """Times from a change until relays applied it, one for each change and running relay."""
 
     times: HdrHistogram = field(
-        default_factory=lambda: HdrHistogram(1, MOST_SECONDS * MICROSECONDS, 3)
+        default_factory=lambda: HdrHistogram(1, MAX_LATENCY_S * MICROSECONDS, 3)
     )  # microseconds
-    missing: int = 0  # relays that did not within the time set
-
-    def add(self, begun: float, seen: Iterable[float], missing: int = 0) -> None:
-        """`begun`: when discovery had the change, on the clock of the machine; so `seen`. Raises ValueError
-        where a relay has it before: then another change was taken for it."""
-        for at in seen:
-            if at < begun:
-                raise ValueError(f"in force {begun - at:.3f} s before it was there")
-            self.times.record_value(max(1, round((at - begun) * MICROSECONDS)))
+    missing: int = 0  # relays that did not apply a change before the timeout
+
+    def add(self, changed_at: float, applied_at: Iterable[float], missing: int = 0) -> None:
+        """Adds when relays applied a change that discovery had at `changed_at`, on the machine's clock.
+
+        Raises:
+            ValueError: A relay applied it before `changed_at`, so it was mistaken for another change.
+        """
+        for at in applied_at:
+            if at < changed_at:
+                raise ValueError(f"change was applied {changed_at - at:.3f} s before discovery had it")
+            self.times.record_value(max(1, round((at - changed_at) * MICROSECONDS)))
         self.missing += missing
 
     @property
@@ -120,19 +130,19 @@
         return int(self.times.get_total_count())
 
     def figures(self) -> dict[str, Any]:
-        """Median and worst in seconds, None where nobody saw any; `missing` where there are any."""
-        told: dict[str, Any] = {"median": None, "worst": None}
+        """Returns median and maximum in seconds (None without any), the count, and `missing` if not 0."""
+        figures: dict[str, Any] = {"median": None, "worst": None}
         if self.count:
-            told = {
+            figures = {
                 "median": round(self.times.get_value_at_percentile(50) / MICROSECONDS, 4),
                 "worst": round(self.times.get_max_value() / MICROSECONDS, 4),
             }
-        return told | {"counted": self.count} | ({"missing": self.missing} if self.missing else {})
+        return figures | {"counted": self.count} | ({"missing": self.missing} if self.missing else {})
 
 
-def merge(all_: Iterable[InForce]) -> InForce:
-    whole = InForce()
-    for one in all_:
-        whole.times.add(one.times)
-        whole.missing += one.missing
-    return whole
+def merge_latencies(latencies: Iterable[ChangeLatency]) -> ChangeLatency:
+    merged = ChangeLatency()
+    for latency in latencies:
+        merged.times.add(latency.times)
+        merged.missing += latency.missing
+    return merged
--- a/benchmarks/scale/children.py
+++ b/benchmarks/scale/children.py
@@ -1,7 +1,7 @@
-"""Processes of the scale run: questions and answers as lines of JSON over their standard streams.
+"""Child processes of the scale benchmark. Workers take commands as lines of JSON over their standard streams.
 
-A worker ends when its standard input does, so that none outlives who started it. Programs that don't read it
-(registries, real relays) are ended by `Program.end`.
+A worker ends when its standard input ends, so that none outlives its parent. Programs that don't read their
+input (registries, real relays) are ended by `ProgramProcess.end`.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 
 from benchmarks.process import ROOT
 
-LINE = 1 << 26  # bytes of one answer at the most
-END = 10.0  # seconds to end in order; then it is killed
+MAX_LINE_BYTES = 1 << 26  # of one reply
+EXIT_TIMEOUT_S = 10.0  # after this time a child is killed
 
 
 class ChildError(Exception):
-    """A child failed at what it was asked, or ended."""
+    """A child process failed at a command, or has ended."""
 
 
-class Child:
-    """A worker: `python -m MODULE`."""
+class Worker:
+    """A child process `python -m MODULE` that serves commands."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self.process = name, process
         self.numbers = itertools.count(1)
-        self.asked: dict[int, asyncio.Future[Any]] = {}
+        self.pending: dict[int, asyncio.Future[Any]] = {}
         self.reader = asyncio.create_task(self._read())
 
     @classmethod
-    async def start(cls, name: str, module: str) -> Child:
+    async def start(cls, name: str, module: str) -> Worker:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             module,
             cwd=ROOT,
-            limit=LINE,
+            limit=MAX_LINE_BYTES,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
@@ -52,58 +52,66 @@
     def pid(self) -> int:
         return self.process.pid
 
-    async def ask(self, do: str, **told: Any) -> Any:
-        """Raises ChildError."""
+    async def call(self, command: str, **arguments: Any) -> Any:
+        """Sends a command and returns its result.
+
+        Raises:
+            ChildError: The command failed, or the worker has ended.
+        """
         number = next(self.numbers)
-        answer = self.asked[number] = asyncio.get_running_loop().create_future()
+        result = self.pending[number] = asyncio.get_running_loop().create_future()
         assert self.process.stdin is not None
         try:
             if self.reader.done():
                 raise ChildError(f"{self.name} has ended")
-            self.process.stdin.write(json.dumps({"number": number, "do": do, **told}).encode() + b"\n")
+            self.process.stdin.write(
+                json.dumps({"number": number, "do": command, **arguments}).encode() + b"\n"
+            )
             await self.process.stdin.drain()
-            return await answer
+            return await result
         except ConnectionError as error:
             raise ChildError(f"{self.name} has ended") from error
         finally:
-            self.asked.pop(number, None)
+            self.pending.pop(number, None)
 
     async def _read(self) -> None:
         assert self.process.stdout is not None
         try:
             while line := await self.process.stdout.readline():
-                told = json.loads(line)
-                waiting = self.asked.get(told["number"])
-                if waiting is None or waiting.done():
+                reply = json.loads(line)
+                future = self.pending.get(reply["number"])
+                if future is None or future.done():
                     continue
-                if "error" in told:
-                    waiting.set_exception(ChildError(f"{self.name}: {told['error']}"))
+                if "error" in reply:
+                    future.set_exception(ChildError(f"{self.name}: {reply['error']}"))
                 else:
-                    waiting.set_result(told["answer"])
+                    future.set_result(reply["answer"])
         finally:
-            for waiting in self.asked.values():
-                if not waiting.done():
-                    waiting.set_exception(ChildError(f"{self.name} has ended"))
+            for future in self.pending.values():
+                if not future.done():
+                    future.set_exception(ChildError(f"{self.name} has ended"))
 
     async def end(self) -> None:
         assert self.process.stdin is not None
         self.process.stdin.close()
-        await _ended(self.process)
+        await _wait_or_kill(self.process)
         self.reader.cancel()
         await asyncio.gather(self.reader, return_exceptions=True)
 
 
-class Program:
-    """A command of the program as a process; its log, line by line."""
+class ProgramProcess:
+    """A child process that runs a command of loftrelay, with the lines of its log."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self.process = name, process
         self.log: list[str] = []
-        self.changed = asyncio.Event()
+        self.updated = asyncio.Event()
         self.reader = asyncio.create_task(self._read())
 
     @classmethod
-    async def start(cls, name: str, arguments: Sequence[str], more: Mapping[str, str]) -> Program:
+    async def start(
+        cls, name: str, arguments: Sequence[str], environment: Mapping[str, str]
+    ) -> ProgramProcess:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -112,7 +120,7 @@
             cwd=ROOT,
             stdin=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
-            env={**os.environ, **more},
+            env={**os.environ, **environment},
         )
         return cls(name, process)
 
@@ -124,12 +132,16 @@
         assert self.process.stderr is not None
         while line := await self.process.stderr.readline():
             self.log.append(line.decode(errors="replace").strip())
-            self.changed.set()
+            self.updated.set()
         await self.process.wait()
-        self.changed.set()
+        self.updated.set()
+
+    async def wait_for_line(self, part: str, timeout: float) -> str:
+        """Returns the first line of the log that contains `part`.
 
-    async def line(self, part: str, timeout: float) -> str:
-        """The first line of its log that has this in it. Raises ChildError."""
+        Raises:
+            ChildError: There is none within `timeout` seconds, or before the process ends.
+        """
         try:
             async with asyncio.timeout(timeout):
                 while True:
@@ -138,26 +150,26 @@
                             return line
                     if self.process.returncode is not None:
                         break
-                    self.changed.clear()
-                    await self.changed.wait()
+                    self.updated.clear()
+                    await self.updated.wait()
         except TimeoutError:
             pass
-        raise ChildError(f"{self.name} never said {part!r}: {self.log[-5:]}")
+        raise ChildError(f"{self.name} did not log {part!r}; its last lines are {self.log[-5:]}")
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
     async def end(self, number: signal.Signals = signal.SIGTERM) -> None:
-        self.send(signal.SIGCONT)  # one that is stopped hears of nothing
-        self.send(number)
-        await _ended(self.process)
+        self.send_signal(signal.SIGCONT)  # a stopped process does not handle other signals
+        self.send_signal(number)
+        await _wait_or_kill(self.process)
         await asyncio.gather(self.reader, return_exceptions=True)
 
 
-async def _ended(process: asyncio.subprocess.Process) -> None:
+async def _wait_or_kill(process: asyncio.subprocess.Process) -> None:
     try:
-        async with asyncio.timeout(END):
+        async with asyncio.timeout(EXIT_TIMEOUT_S):
             await process.wait()
     except TimeoutError:
         with contextlib.suppress(ProcessLookupError):
@@ -165,27 +177,27 @@
         await process.wait()
 
 
-Handle = Callable[..., Awaitable[Any]]
+CommandHandler = Callable[..., Awaitable[Any]]
 
 
-async def work(does: Mapping[str, Handle]) -> None:
-    """A worker's side: each line names what to do (`do`), with its arguments; ends with the input."""
+async def serve_commands(handlers: Mapping[str, CommandHandler]) -> None:
+    """Serves commands in a worker until the input ends; each line has a command (`do`) and its arguments."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     running: set[asyncio.Task[None]] = set()
 
-    async def answer(number: int, do: str, told: dict[str, Any]) -> None:
+    async def run_command(number: int, command: str, arguments: dict[str, Any]) -> None:
         try:
-            said = {"number": number, "answer": await does[do](**told)}
+            reply = {"number": number, "answer": await handlers[command](**arguments)}
         except Exception as error:
-            said = {"number": number, "error": f"{do}: {error!r}"}
-        sys.stdout.write(json.dumps(said) + "\n")
+            reply = {"number": number, "error": f"{command}: {error!r}"}
+        sys.stdout.write(json.dumps(reply) + "\n")
         sys.stdout.flush()
 
     while line := await reader.readline():
-        told = json.loads(line)
-        task = asyncio.create_task(answer(told.pop("number"), told.pop("do"), told))
+        request = json.loads(line)
+        task = asyncio.create_task(run_command(request.pop("number"), request.pop("do"), request))
         running.add(task)
         task.add_done_callback(running.discard)
     for task in running:
--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -1,8 +1,9 @@
-"""A stand-in for the platform's discovery, with any number of destinations, as a process of its own.
+"""Stub of the platform's discovery for any number of destinations, run as a process of its own.
 
-Destinations are numbers from 0 on with one host each; their rows are made on the way out and never held.
-What differs from that is held: hosts that changed, hosts added, and the log of changes. It serves the whole
-list, the watch with changes only, and takes notices. `Book` decides; `Discovery` serves it.
+Destinations are numbered from 0 and have one host each; their list entries are generated when they are sent
+and not stored. Only differences are stored: changed hosts, added hosts, and the log of changes. The stub
+serves the full list and watches with changes only, and accepts status reports. `EndpointCatalog` has the
+content, `StubDiscovery` serves it.
 """
 
 from __future__ import annotations
@@ -15,105 +16,110 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from benchmarks.scale.children import work
+from benchmarks.scale.children import serve_commands
 
-BLOCK = 2_000  # rows made at once
-PATH = "/registry/instances"
-END = b"]}"
+CHUNK_ENTRIES = 2_000  # entries that are generated at once
+LIST_PATH = "/registry/instances"
+LIST_END = b"]}"
 
 
-def host(destination: int) -> str:
+def host_id(destination: int) -> str:
     return f"h{destination}"
 
 
-def row(destination: int, phase: str = "Ready", address: str = "127.0.0.1:9", name: str = "") -> bytes:
-    told = (
-        f'{{"id":"{name or host(destination)}","host_port":"{address}","locality":"z{destination % 11}",'
+def encode_entry(
+    destination: int, phase: str = "Ready", address: str = "127.0.0.1:9", name: str = ""
+) -> bytes:
+    """Encodes a list entry of a host."""
+    entry = (
+        f'{{"id":"{name or host_id(destination)}","host_port":"{address}","locality":"z{destination % 11}",'
         f'"flavor":"plain","cell":{destination},"phase":"{phase}","size":1.0,"up_since_ms":0}}'
     )
-    return told.encode()
+    return entry.encode()
 
 
-class Book:
-    """The list by revision."""
+class EndpointCatalog:
+    """The list of hosts with its revisions."""
 
     def __init__(self, destinations: int) -> None:
         self.destinations = destinations
         self.revision = 1
-        self.rows: dict[str, bytes] = {}  # hosts whose row is not the generated one, or that were added
-        self.changed: dict[str, int] = {}  # the last revision at which they changed
-        # Bytes of the rows and the commas of the whole list. Kept: it stands in the head of each answer, and
-        # who asks waits for that head.
-        self._rows = sum(len(row(n)) + 1 for n in range(destinations)) - 1 if destinations else -1
+        self.entries: dict[str, bytes] = {}  # of hosts that were changed or added, by id
+        self.changed: dict[str, int] = {}  # host id -> revision of its last change, oldest first
+        # Bytes of the entries and commas of the full list. Stored, because clients wait for the head of the
+        # response, which contains the length.
+        self._entries_bytes = (
+            sum(len(encode_entry(n)) + 1 for n in range(destinations)) - 1 if destinations else -1
+        )
 
     def change(self, rows: list[dict[str, Any]]) -> int:
-        """`destination`, `phase`, `address`, `name` of each; one revision for all."""
+        """Applies changes as one revision and returns it; each has arguments of `encode_entry`."""
         self.revision += 1
-        for told in rows:
-            name, new = told.get("name") or host(told["destination"]), row(**told)
-            before = self.rows.get(name)
-            if before is None and self._generated(name):
-                before = row(told["destination"])
-            self._rows += len(new) - (len(before) if before is not None else -1)
-            self.rows[name] = new
-            self.changed.pop(name, None)  # the last to change stands last
+        for change in rows:
+            name, new = change.get("name") or host_id(change["destination"]), encode_entry(**change)
+            before = self.entries.get(name)
+            if before is None and self._is_generated(name):
+                before = encode_entry(change["destination"])
+            self._entries_bytes += len(new) - (len(before) if before is not None else -1)
+            self.entries[name] = new
+            self.changed.pop(name, None)  # keeps the order of changes
             self.changed[name] = self.revision
         return self.revision
 
-    def _generated(self, name: str) -> bool:
+    def _is_generated(self, name: str) -> bool:
         return name[:1] == "h" and name[1:].isdigit() and int(name[1:]) < self.destinations
 
-    def pieces(self) -> Iterator[bytes]:
-        """The whole list as it is now, whatever changes meanwhile, in pieces of BLOCK rows."""
-        return self._pieces(self._head(True), dict(self.rows))
+    def chunks(self) -> Iterator[bytes]:
+        """Returns the full list of this moment in chunks of CHUNK_ENTRIES, unaffected by later changes."""
+        return self._chunks(self._head(True), dict(self.entries))
 
     @property
     def length(self) -> int:
-        """Bytes of the whole list as it is now."""
-        return len(self._head(True)) + max(0, self._rows) + len(END)
+        """Bytes of the full list of this moment."""
+        return len(self._head(True)) + max(0, self._entries_bytes) + len(LIST_END)
 
-    def _pieces(self, head: bytes, rows: dict[str, bytes]) -> Iterator[bytes]:
+    def _chunks(self, head: bytes, entries: dict[str, bytes]) -> Iterator[bytes]:
         yield head
         first = True
-        for start in range(0, self.destinations, BLOCK):
-            numbers = range(start, min(start + BLOCK, self.destinations))
-            block = b",".join(rows.get(host(n)) or row(n) for n in numbers)
+        for start in range(0, self.destinations, CHUNK_ENTRIES):
+            numbers = range(start, min(start + CHUNK_ENTRIES, self.destinations))
+            block = b",".join(entries.get(host_id(n)) or encode_entry(n) for n in numbers)
             yield block if first else b"," + block
             first = False
-        for name, told in rows.items():
-            if not self._generated(name):
-                yield told if first else b"," + told
+        for name, entry in entries.items():
+            if not self._is_generated(name):
+                yield entry if first else b"," + entry
                 first = False
-        yield END
+        yield LIST_END
 
-    def since(self, index: int) -> bytes:
-        """What changed after that revision."""
+    def changes_since(self, index: int) -> bytes:
+        """Returns the list of changes after that revision."""
         names = []
         for name, revision in reversed(self.changed.items()):
             if revision <= index:
                 break
             names.append(name)
-        return self._head(False) + b",".join(self.rows[name] for name in names) + END
+        return self._head(False) + b",".join(self.entries[name] for name in names) + LIST_END
 
-    def _head(self, whole: bool) -> bytes:
-        head = json.dumps({"revision": self.revision, "complete": whole}, separators=(",", ":"))
+    def _head(self, is_full: bool) -> bytes:
+        head = json.dumps({"revision": self.revision, "complete": is_full}, separators=(",", ":"))
         return head[:-1].encode() + b',"members":['
 
 
-class Discovery:
-    """`told`, `heard`: bytes out and in; `calls`: by kind."""
+class StubDiscovery:
+    """Server of a catalog, with its counts of bytes and of calls by kind."""
 
-    def __init__(self, book: Book) -> None:
-        self.book = book
-        self.told = self.heard = 0
+    def __init__(self, catalog: EndpointCatalog) -> None:
+        self.catalog = catalog
+        self.sent_bytes = self.received_bytes = 0
         self.calls = {"whole": 0, "watch": 0, "notices": 0}
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
         self.server: asyncio.Server | None = None
         self.port = 0
-        self.open: set[asyncio.Task[None]] = set()
+        self.connections: set[asyncio.Task[None]] = set()
 
     async def start(self) -> int:
-        """Where it listened before, if it was stopped."""
+        """Starts listening and returns the port; after a stop it is the same port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, limit=1 << 24)
         self.port = int(self.server.sockets[0].getsockname()[1])
         return self.port
@@ -122,98 +128,98 @@
         if self.server is not None:
             self.server.close()
             self.server = None
-        for task in list(self.open):
+        for task in list(self.connections):
             task.cancel()
 
     async def change(self, rows: list[dict[str, Any]]) -> dict[str, Any]:
-        """When it has it, on the clock of the machine."""
-        revision = self.book.change(rows)
+        """Applies changes; returns their revision, and when they are in effect on the machine's clock."""
+        revision = self.catalog.change(rows)
         at = time.monotonic()
-        self.news.set()
-        self.news = asyncio.Event()
+        self.changed.set()
+        self.changed = asyncio.Event()
         return {"at": at, "revision": revision}
 
     async def counts(self) -> dict[str, Any]:
-        return {"told": self.told, "heard": self.heard, "calls": self.calls}
+        return {"told": self.sent_bytes, "heard": self.received_bytes, "calls": self.calls}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self.open.add(task)
+        self.connections.add(task)
         try:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 while True:
-                    await self._answer(reader, writer)
+                    await self._serve_request(reader, writer)
         except asyncio.CancelledError:
-            pass  # stopped: its connections go with it
+            pass  # the server was stopped
         finally:
-            self.open.discard(task)
+            self.connections.discard(task)
             writer.close()
 
-    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
-        start, *lines = head.decode().split("\r\n")
+        request_line, *lines = head.decode().split("\r\n")
         headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines)}
         body = await reader.readexactly(int(headers.get("content-length", 0)))
-        self.heard += len(head) + len(body)
-        url = urlsplit(start.split()[1])
-        if url.path != PATH:
+        self.received_bytes += len(head) + len(body)
+        url = urlsplit(request_line.split()[1])
+        if url.path != LIST_PATH:
             self.calls["notices"] += 1
             self._write(writer, b"HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n")
             return
         query = {name: int(values[0]) for name, values in parse_qs(url.query).items()}
         if "index" not in query:
             self.calls["whole"] += 1
-            self._head(writer, self.book.length)
-            for piece in self.book.pieces():
-                self._write(writer, piece)
+            self._write_head(writer, self.catalog.length)
+            for chunk in self.catalog.chunks():
+                self._write(writer, chunk)
                 await writer.drain()
             return
         self.calls["watch"] += 1
-        if self.book.revision <= query["index"]:
-            news = self.news
+        if self.catalog.revision <= query["index"]:
+            changed = self.changed
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(news.wait(), query.get("wait", 0) / 1000)
-        body = self.book.since(query["index"])
-        self._head(writer, len(body))
+                await asyncio.wait_for(changed.wait(), query.get("wait", 0) / 1000)
+        body = self.catalog.changes_since(query["index"])
+        self._write_head(writer, len(body))
         self._write(writer, body)
         await writer.drain()
 
-    def _head(self, writer: asyncio.StreamWriter, length: int) -> None:
+    def _write_head(self, writer: asyncio.StreamWriter, length: int) -> None:
         self._write(writer, f"HTTP/1.1 200 X\r\nContent-Length: {length}\r\n\r\n".encode())
 
     def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        self.told += len(data)
+        self.sent_bytes += len(data)
         writer.write(data)
 
 
 async def main() -> None:
-    discovery: Discovery | None = None
+    discovery: StubDiscovery | None = None
 
     async def begin(destinations: int) -> int:
         nonlocal discovery
         if discovery is not None:
             await discovery.stop()
-        discovery = Discovery(Book(destinations))
+        discovery = StubDiscovery(EndpointCatalog(destinations))
         return await discovery.start()
 
-    def now() -> Discovery:
-        assert discovery is not None, "it has not begun"
+    def running() -> StubDiscovery:
+        assert discovery is not None, "the command `begin` must come first"
         return discovery
 
     async def start() -> int:
-        return await now().start()
+        return await running().start()
 
     async def stop() -> None:
-        await now().stop()
+        await running().stop()
 
     async def change(rows: list[dict[str, Any]]) -> dict[str, Any]:
-        return await now().change(rows)
+        return await running().change(rows)
 
     async def counts() -> dict[str, Any]:
-        return await now().counts()
+        return await running().counts()
 
-    await work({"begin": begin, "start": start, "stop": stop, "change": change, "counts": counts})
+    await serve_commands({"begin": begin, "start": start, "stop": stop, "change": change, "counts": counts})
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,8 +1,10 @@
-"""Many hollow relays in one process: each with the program's own subscriber and module, and, where asked, its
-own socket in the fleet; with no clients and no deliveries. In place of the engine stands `Hollow`.
+"""Many hollow relays in one process.
 
-A change that is looked for is the port in the address of a host that all serve (`Book.change` of the
-stand-in discovery): a relay goes by it once its module has handled the listing that tells it.
+Each has the program's own subscriber and decision module and, on request, its own socket in the fleet, but no
+clients and no deliveries. `HollowRelay` stands in for the engine.
+
+A change is identified by the port in the address of a host that all relays serve (`EndpointCatalog.change` of
+the stub discovery). A relay has applied it once its decision module has handled the listing with that port.
 """
 
 from __future__ import annotations
@@ -22,10 +24,10 @@
 import psutil
 
 from benchmarks import fleet_peers
-from benchmarks.scale.accounts import slice_of
-from benchmarks.scale.children import work
-from benchmarks.scale.discovery import host
-from benchmarks.scale.links import CountingLoop, Links, whose
+from benchmarks.scale.accounts import make_slice
+from benchmarks.scale.children import serve_commands
+from benchmarks.scale.discovery import host_id
+from benchmarks.scale.links import CountingLoop, Links, current_links
 from loftrelay.decisions.actions import SetTimer, WatchEndpointList
 from loftrelay.decisions.events import DestinationsReleased, EndpointListReceived, TimerFired
 from loftrelay.decisions.scheduler import Scheduler
@@ -38,13 +40,13 @@
 from loftrelay.relay.ports import ResolutionStatus
 from tests.standins.harness import SETTINGS
 
-LOOK = 0.02  # seconds between looks at who has a change
-BACK = 1.0  # seconds after which a client that was refused comes again
-STEP = 0.1  # seconds between first messages that come together; one by one is beyond one machine
+POLL_INTERVAL_S = 0.02  # of the check which relays have applied a change
+RETRY_DELAY_S = 1.0  # after which a destination that was not resolved is requested again
+BATCH_INTERVAL_S = 0.1  # between batches of first messages; one machine can't send them one by one
 
 
-class Lines(logging.Handler):
-    """Counts the log's lines by the first words of their form; the hollow relays' log is not kept."""
+class LogLineCounter(logging.Handler):
+    """Counts log lines by level, logger and the start of their format; the lines are not kept."""
 
     def __init__(self) -> None:
         super().__init__(logging.INFO)
@@ -54,95 +56,104 @@
         self.counts[f"{record.levelname} {record.name}: {str(record.msg)[:60]}"] += 1
 
 
-class Hollow:
-    """One relay. `seen`: change -> when the module had it, on the clock of the machine."""
+class HollowRelay:
+    """A relay without clients and deliveries."""
 
     def __init__(
-        self, number: int, told: SubscriptionSettings, notices: Address, cells: list[int], shared: int
+        self,
+        number: int,
+        settings: SubscriptionSettings,
+        discovery: Address,
+        destinations: list[int],
+        shared: int,
     ) -> None:
-        self.number, self.told, self.notices, self.cells, self.shared = number, told, notices, cells, shared
+        self.number, self.settings, self.discovery = number, settings, discovery
+        self.destinations, self.shared = destinations, shared
         self.links = Links()
         self.name = f"hollow{number}"
-        self.refused = 0
+        self.unresolved = 0
         self.node: GossipTransport | None = None
-        self.alive = False
+        self.is_running = False
 
     def start(self, pace: float) -> None:
-        self.seen: dict[int, float] = {}
-        self.held: set[int] = set()
-        self.whole: asyncio.Future[float] = asyncio.get_running_loop().create_future()
-        self.began = time.monotonic()
+        """Starts the relay; `pace` as of `HollowRelays.start`."""
+        self.applied_at: dict[int, float] = {}  # change -> time on the machine's clock
+        self.resolved: set[int] = set()  # destinations
+        self.slice_resolved: asyncio.Future[float] = asyncio.get_running_loop().create_future()
+        self.started_at = time.monotonic()
         settings = replace(read_settings(dict(SETTINGS)), polls_endpoint_list=True, awaits_final_status=True)
         self.scheduler = Scheduler(self.number, settings)
         self.addresses: dict[str, Address] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.retries: set[asyncio.TimerHandle] = set()
-        self.alive = True
-        context = copy_context()  # its tasks take this along
+        self.timer_handles: set[asyncio.TimerHandle] = set()
+        self.is_running = True
+        context = copy_context()  # inherited by the tasks of the relay
         context.run(self._start, pace)
 
     def _start(self, pace: float) -> None:
-        whose.set(self.links)
-        told = self.told, self.name, self.notices
-        self.subscriber = Subscriber(*told, self.listed, self.sliced, self.let_go)
+        current_links.set(self.links)
+        self.subscriber = Subscriber(
+            self.settings, self.name, self.discovery, self.on_listing, self.on_resolution, self.on_release
+        )
         self.subscriber.load_cached({})
         self.subscriber.watch()
-        self._want(list(reversed(self.cells)), pace)
+        self._request(list(reversed(self.destinations)), pace)
 
-    def _want(self, left: list[int], pace: float) -> None:
-        for _ in range(max(1, round(pace * STEP)) if pace else len(left)):
-            if left:
-                self.subscriber.resolve(left.pop())
-        if left:
-            self._later(STEP, self._want, left, pace)
+    def _request(self, remaining: list[int], pace: float) -> None:
+        """Requests the next batch of destinations and schedules the following one."""
+        for _ in range(max(1, round(pace * BATCH_INTERVAL_S)) if pace else len(remaining)):
+            if remaining:
+                self.subscriber.resolve(remaining.pop())
+        if remaining:
+            self._call_later(BATCH_INTERVAL_S, self._request, remaining, pace)
 
-    def _later(self, delay: float, what: Callable[..., None], *told: Any) -> None:
-        """Unless it is stopped before."""
+    def _call_later(self, delay: float, function: Callable[..., None], *args: Any) -> None:
+        """Calls a function after a delay in seconds, unless the relay stops before."""
 
-        def now() -> None:
-            self.retries.discard(handle)
-            what(*told)
+        def run() -> None:
+            self.timer_handles.discard(handle)
+            function(*args)
 
-        handle = asyncio.get_running_loop().call_later(delay, now)
-        self.retries.add(handle)
+        handle = asyncio.get_running_loop().call_later(delay, run)
+        self.timer_handles.add(handle)
 
     def stop(self) -> None:
-        self.alive = False
+        self.is_running = False
         self.subscriber.close()
         if self.timer is not None:
             self.timer.cancel()
-        for retry in self.retries:
-            retry.cancel()
+        for handle in self.timer_handles:
+            handle.cancel()
 
-    # What the subscriber tells the engine
+    # Callbacks of the subscriber
 
-    def listed(self, listing: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
-        if not self.alive:
+    def on_listing(self, listing: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
+        if not self.is_running:
             return
         self.addresses.update(addresses)
         self._handle([listing])
         now = time.monotonic()
         for entry in listing.entries:
             if entry.destination <= self.shared and entry.endpoint in addresses:
-                self.seen.setdefault(addresses[entry.endpoint][1], now)
+                self.applied_at.setdefault(addresses[entry.endpoint][1], now)
 
-    def sliced(self, destination: int, what: ResolutionStatus) -> None:
-        if not self.alive:
+    def on_resolution(self, destination: int, status: ResolutionStatus) -> None:
+        if not self.is_running:
             return
-        if what is ResolutionStatus.RESOLVED:
-            self.held.add(destination)
-            if len(self.held) == len(self.cells) and not self.whole.done():
-                self.whole.set_result(time.monotonic())
+        if status is ResolutionStatus.RESOLVED:
+            self.resolved.add(destination)
+            if len(self.resolved) == len(self.destinations) and not self.slice_resolved.done():
+                self.slice_resolved.set_result(time.monotonic())
             return
-        self.refused += 1
-        self._later(BACK, self.subscriber.resolve, destination)
+        self.unresolved += 1
+        self._call_later(RETRY_DELAY_S, self.subscriber.resolve, destination)
 
-    def let_go(self, destinations: Iterable[int]) -> list[int]:
-        gone = list(destinations)
-        if self.alive:
-            self._handle([DestinationsReleased(tuple(gone))])
-            self.held.difference_update(gone)
-        return gone
+    def on_release(self, destinations: Iterable[int]) -> list[int]:
+        released = list(destinations)
+        if self.is_running:
+            self._handle([DestinationsReleased(tuple(released))])
+            self.resolved.difference_update(released)
+        return released
 
     def _handle(self, events: list[Any]) -> None:
         loop = asyncio.get_running_loop()
@@ -154,24 +165,24 @@
             elif isinstance(action, WatchEndpointList):
                 self.subscriber.watch()
 
-    # The fleet
+    # Fleet membership
 
     async def join(self) -> fleet_peers.PeerDescription:
-        self.node, view = await fleet_peers.open_node(self.name)
-        return fleet_peers.describe(view)
+        self.node, membership = await fleet_peers.open_node(self.name)
+        return fleet_peers.describe(membership)
 
 
-class Relays:
-    """Those of this process; what the driver asks for. Relays are named by their numbers, None: all."""
+class HollowRelays:
+    """Relays of this process and the commands of the driver. `numbers` selects relays; None: all."""
 
     def __init__(self) -> None:
-        self.all: dict[int, Hollow] = {}
-        self.lines = Lines()
-        logging.getLogger().addHandler(self.lines)
+        self.all: dict[int, HollowRelay] = {}
+        self.log_lines = LogLineCounter()
+        logging.getLogger().addHandler(self.log_lines)
         logging.getLogger().setLevel(logging.INFO)
         self.process = psutil.Process()
 
-    def _of(self, numbers: list[int] | None) -> list[Hollow]:
+    def _select(self, numbers: list[int] | None) -> list[HollowRelay]:
         return [relay for n, relay in self.all.items() if numbers is None or n in set(numbers)]
 
     async def begin(
@@ -186,59 +197,88 @@
         file: str,
         notices: Address,
     ) -> dict[str, Any]:
-        """`file`: the subscription's. Nothing is started."""
-        told = load_subscription(Path(file))
+        """Creates relays without starting them.
+
+        Args:
+            numbers: The numbers of the relays.
+            among: The number of relays that share the destinations.
+            destinations: The number of destinations.
+            size: The number of destinations of a relay.
+            shared: The number of destinations that all relays serve.
+            few: As `few_interval` of `make_slice`.
+            seed: The seed of `make_slice`.
+            file: The path of the subscription settings.
+            notices: The address of discovery, which accepts status reports.
+        """
+        settings = load_subscription(Path(file))
         for n in numbers:
-            cells = slice_of(n, among, destinations, size, shared, few, seed)
-            self.all[n] = Hollow(n, told, (notices[0], notices[1]), cells, shared)
+            served = make_slice(n, among, destinations, size, shared, few, seed)
+            self.all[n] = HollowRelay(n, settings, (notices[0], notices[1]), served, shared)
         return await self.counts()
 
     async def start(
         self, numbers: list[int] | None, within: float, pace: float, at_once: int
     ) -> dict[str, Any]:
-        """Seconds until each had its whole slice; `missing` had not `within` that time. `pace`: first
-        messages that each hears in a second; 0: all at its start. `at_once`: so many start, the next when
-        they have theirs; 0: all."""
-        relays = self._of(numbers)
+        """Starts relays and waits up to `within` seconds until each has resolved its slice.
+
+        Args:
+            numbers: The relays; None: all.
+            within: The timeout in seconds.
+            pace: First messages that each relay gets in a second; 0: all at its start.
+            at_once: Relays that start together; the next ones start when these have their slices. 0: all.
+
+        Returns:
+            `took`, the seconds of each relay, and `missing`, the number of relays without their slice.
+        """
+        relays = self._select(numbers)
         end = time.monotonic() + within
-        step = at_once or max(1, len(relays))
-        for first in range(0, len(relays), step):
-            part = relays[first : first + step]
-            for relay in part:
+        group_size = at_once or max(1, len(relays))
+        for first in range(0, len(relays), group_size):
+            group = relays[first : first + group_size]
+            for relay in group:
                 relay.start(pace)
-            await asyncio.wait([relay.whole for relay in part], timeout=max(0.0, end - time.monotonic()))
-        took = [relay.whole.result() - relay.began for relay in relays if relay.whole.done()]
+            await asyncio.wait(
+                [relay.slice_resolved for relay in group], timeout=max(0.0, end - time.monotonic())
+            )
+        took = [
+            relay.slice_resolved.result() - relay.started_at
+            for relay in relays
+            if relay.slice_resolved.done()
+        ]
         return {"took": took, "missing": len(relays) - len(took)}
 
     async def stop(self, numbers: list[int] | None) -> None:
-        for relay in self._of(numbers):
+        for relay in self._select(numbers):
             relay.stop()
 
-    async def seen(self, change: int, numbers: list[int] | None, within: float) -> dict[str, Any]:
-        """When each that lives had that change; waits until all have it."""
+    async def wait_for_change(self, change: int, numbers: list[int] | None, within: float) -> dict[str, Any]:
+        """Waits up to `within` seconds for all running relays to apply a change; returns when they did."""
         end = time.monotonic() + within
         while True:
-            relays = [relay for relay in self._of(numbers) if relay.alive]
-            seen = [relay.seen[change] for relay in relays if change in relay.seen]
-            if len(seen) == len(relays) or time.monotonic() >= end:
-                return {"seen": seen, "missing": len(relays) - len(seen)}
-            await asyncio.sleep(LOOK)
+            relays = [relay for relay in self._select(numbers) if relay.is_running]
+            applied_at = [relay.applied_at[change] for relay in relays if change in relay.applied_at]
+            if len(applied_at) == len(relays) or time.monotonic() >= end:
+                return {"seen": applied_at, "missing": len(relays) - len(applied_at)}
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def astray(self, change: int, destination: int, numbers: list[int] | None) -> int:
-        """How many of those that live go by something else than that change of the destination's host."""
-        relays = [relay for relay in self._of(numbers) if relay.alive]
-        return sum(relay.addresses.get(host(destination), ("", 0))[1] != change for relay in relays)
+    async def count_outdated(self, change: int, destination: int, numbers: list[int] | None) -> int:
+        """Counts running relays whose address of the destination's host is not the one of this change."""
+        relays = [relay for relay in self._select(numbers) if relay.is_running]
+        return sum(relay.addresses.get(host_id(destination), ("", 0))[1] != change for relay in relays)
 
     async def cut(self, places: list[Address], numbers: list[int] | None) -> None:
-        for relay in self._of(numbers):
+        for relay in self._select(numbers):
             relay.links.cut([(host, port) for host, port in places])
 
     async def heal(self, numbers: list[int] | None) -> None:
-        for relay in self._of(numbers):
+        for relay in self._select(numbers):
             relay.links.heal()
 
     async def counts(self, whole: bool = False) -> dict[str, Any]:
-        """`bytes`: of each relay, both ways; `mb`: of the process, its own pages alone."""
+        """Returns counts of this process; `sent` and `heard` are bytes of each relay.
+
+        `whole` adds `mb`, the memory of the process without shared pages, after a garbage collection.
+        """
         if whole:
             gc.collect()
         relays = list(self.all.values())
@@ -247,29 +287,29 @@
             "at": time.monotonic(),
             "cpu": time.process_time(),
             "mb": self.process.memory_full_info().uss / 1e6 if whole else math.nan,
-            "sent": [link.sent for link in links],
-            "heard": [link.heard for link in links],
-            "pieces": sum(link.pieces for link in links),
+            "sent": [link.sent_bytes for link in links],
+            "heard": [link.received_bytes for link in links],
+            "pieces": sum(link.io_operations for link in links),
             "opened": sum(link.opened for link in links),
             "moves": sum(link.moves for link in links),
-            "refused": sum(relay.refused for relay in relays),
-            "held": sum(len(relay.held) for relay in relays if relay.alive),
-            "lines": dict(self.lines.counts.most_common(12)),
+            "refused": sum(relay.unresolved for relay in relays),
+            "held": sum(len(relay.resolved) for relay in relays if relay.is_running),
+            "lines": dict(self.log_lines.counts.most_common(12)),
             "datagram_bytes": sum(node.counters["sent_bytes"] for node in self._nodes()),
         }
 
     async def join(self, numbers: list[int] | None) -> list[fleet_peers.PeerDescription]:
-        return [await relay.join() for relay in self._of(numbers)]
+        return [await relay.join() for relay in self._select(numbers)]
 
-    async def acquaint(self, members: list[fleet_peers.PeerDescription]) -> None:
-        """All who have joined know all of these, and nothing is news: what a fleet comes to."""
-        others = [fleet_peers.parse_peer(told) for told in members]
+    async def set_known_peers(self, members: list[fleet_peers.PeerDescription]) -> None:
+        """Lets all joined relays know these members, without updates to spread, as in the steady state."""
+        others = [fleet_peers.parse_peer(description) for description in members]
         for node in self._nodes():
             assert node.membership is not None
             fleet_peers.set_known_peers(node.membership, others)
 
-    async def known(self) -> int:
-        """How many others the one of them that knows the fewest holds to be alive."""
+    async def min_known_alive(self) -> int:
+        """Returns the number of live peers of the relay that knows the fewest."""
         return min(sum(p.state is MemberState.ALIVE for p in node.live_peers) for node in self._nodes())
 
     def _nodes(self) -> list[GossipTransport]:
@@ -277,27 +317,27 @@
 
 
 async def main() -> None:
-    relays = Relays()
-    does: dict[str, Callable[..., Any]] = {
+    relays = HollowRelays()
+    handlers: dict[str, Callable[..., Any]] = {
         "begin": relays.begin,
         "start": relays.start,
         "stop": relays.stop,
-        "seen": relays.seen,
-        "astray": relays.astray,
+        "seen": relays.wait_for_change,
+        "astray": relays.count_outdated,
         "cut": relays.cut,
         "heal": relays.heal,
         "counts": relays.counts,
         "join": relays.join,
-        "acquaint": relays.acquaint,
-        "known": relays.known,
+        "acquaint": relays.set_known_peers,
+        "known": relays.min_known_alive,
     }
     try:
-        await work(does)
+        await serve_commands(handlers)
     finally:
         for relay in relays.all.values():
-            if relay.alive:
+            if relay.is_running:
                 relay.stop()
-        await asyncio.sleep(0)  # its tasks end
+        await asyncio.sleep(0)  # lets their tasks end
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/links.py
+++ b/benchmarks/scale/links.py
@@ -1,7 +1,7 @@
-"""Connections that are counted and can be cut: `Forwarder` between processes, `Links` within one.
+"""Connections whose bytes are counted and that can be cut: `Forwarder` between processes, `Links` within one.
 
-A cut is silence, as where a switch is gone: nothing is refused or reset, what is written goes on after the
-heal. Counted are the bytes of the streams; headers of TCP and IP come to them.
+A cut is silent, as when a switch fails: no connection is refused or reset, and what is written meanwhile is
+sent after the heal. Counted are the bytes of the streams, without TCP and IP headers.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 
 
 class Forwarder:
-    """Listens for one address and hands all on to it."""
+    """Listens on a port and forwards all connections to one address."""
 
     def __init__(self, target: Address) -> None:
         self.target = target
-        self.up = self.down = 0  # bytes to the target, and from it
-        self.whole = asyncio.Event()  # not cut
-        self.whole.set()
+        self.bytes_to_target = self.bytes_from_target = 0
+        self.intact = asyncio.Event()  # not cut
+        self.intact.set()
         self.server: asyncio.Server | None = None
         self.running: set[asyncio.Task[None]] = set()
 
     async def start(self) -> Address:
-        self.server = await asyncio.start_server(self._join, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self._forward, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         return host, port
 
     @property
     def total(self) -> int:
-        return self.up + self.down
+        return self.bytes_to_target + self.bytes_from_target
 
     def cut(self) -> None:
-        self.whole.clear()
+        self.intact.clear()
 
     def heal(self) -> None:
-        self.whole.set()
+        self.intact.set()
 
     def close(self) -> None:
         if self.server is not None:
@@ -48,41 +48,43 @@
         for task in self.running:
             task.cancel()
 
-    async def _join(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self.running.add(task)
-        other: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
-            await self.whole.wait()
-            back, other = await asyncio.open_connection(*self.target)
-            ways = [
-                asyncio.ensure_future(self._carry(reader, other, True)),
-                asyncio.ensure_future(self._carry(back, writer, False)),
+            await self.intact.wait()
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            directions = [
+                asyncio.ensure_future(self._copy(reader, target_writer, True)),
+                asyncio.ensure_future(self._copy(target_reader, writer, False)),
             ]
             try:
-                await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
             finally:
-                for way in ways:
-                    way.cancel()
+                for direction in directions:
+                    direction.cancel()
         except OSError:
-            pass  # nobody listens there: its client sees the end
+            pass  # the target does not listen: the client's connection is closed
         except asyncio.CancelledError:
             pass
         finally:
             self.running.discard(task)
-            for end in (writer, other):
-                if end is not None:
-                    end.close()
+            for stream in (writer, target_writer):
+                if stream is not None:
+                    stream.close()
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, up: bool) -> None:
+    async def _copy(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, to_target: bool
+    ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(1 << 18):
-                await self.whole.wait()
-                if up:
-                    self.up += len(data)
+                await self.intact.wait()
+                if to_target:
+                    self.bytes_to_target += len(data)
                 else:
-                    self.down += len(data)
+                    self.bytes_from_target += len(data)
                 writer.write(data)
                 await writer.drain()
 
@@ -92,38 +94,38 @@
     """One connection of one relay."""
 
     transport: asyncio.Transport
-    held: list[bytes] | None = None  # written while it is cut
+    pending_writes: list[bytes] | None = None  # written while the connection is cut; None: not cut
 
     def cut(self) -> None:
-        if self.held is None and not self.transport.is_closing():
-            self.held = []
+        if self.pending_writes is None and not self.transport.is_closing():
+            self.pending_writes = []
             self.transport.pause_reading()
 
     def heal(self) -> None:
-        held, self.held = self.held, None
-        if held is not None and not self.transport.is_closing():
+        pending, self.pending_writes = self.pending_writes, None
+        if pending is not None and not self.transport.is_closing():
             self.transport.resume_reading()
-            for data in held:
+            for data in pending:
                 self.transport.write(data)
 
 
 @dataclass
 class Links:
-    """What one relay sends and hears in this process, and whom it can't reach."""
+    """Connections of one relay in this process, and addresses that it can't reach."""
 
-    sent: int = 0
-    heard: int = 0
-    pieces: int = 0  # writes and reads
+    sent_bytes: int = 0
+    received_bytes: int = 0
+    io_operations: int = 0  # writes and reads
     opened: int = 0
-    moves: int = 0  # connections to another place than the last
-    last: Address | None = None
+    moves: int = 0  # connections to another address than the previous one
+    last_address: Address | None = None
     blocked: set[Address] = field(default_factory=set)
     open: dict[asyncio.Transport, tuple[Address, Link]] = field(default_factory=dict)
 
-    def cut(self, places: Iterable[Address]) -> None:
-        self.blocked = set(places)
-        for place, link in self.open.values():
-            if place in self.blocked:
+    def cut(self, addresses: Iterable[Address]) -> None:
+        self.blocked = set(addresses)
+        for address, link in self.open.values():
+            if address in self.blocked:
                 link.cut()
 
     def heal(self) -> None:
@@ -131,53 +133,54 @@
         for _, link in self.open.values():
             link.heal()
 
-    def attach(self, place: Address, transport: asyncio.Transport, protocol: asyncio.Protocol) -> None:
+    def attach(self, address: Address, transport: asyncio.Transport, protocol: asyncio.Protocol) -> None:
         self.opened += 1
-        self.moves += self.last not in (None, place)
-        self.last = place
+        self.moves += self.last_address not in (None, address)
+        self.last_address = address
         link = Link(transport)
-        self.open[transport] = place, link
+        self.open[transport] = address, link
         write, received, lost = transport.write, protocol.data_received, protocol.connection_lost
 
         def counted_write(data: Any) -> None:
-            if link.held is not None:
-                link.held.append(bytes(data))
+            if link.pending_writes is not None:
+                link.pending_writes.append(bytes(data))
                 return
-            self.sent += len(data)
-            self.pieces += 1
+            self.sent_bytes += len(data)
+            self.io_operations += 1
             write(data)
 
         def counted_received(data: bytes) -> None:
-            self.heard += len(data)
-            self.pieces += 1
+            self.received_bytes += len(data)
+            self.io_operations += 1
             received(data)
 
-        def ended(error: Exception | None) -> None:
+        def counted_connection_lost(error: Exception | None) -> None:
             self.open.pop(transport, None)
             lost(error)
 
-        # By the instance: the classes stay as the program has them, for who is not counted.
-        for owner, name, new in (
+        # Set on the instances, so that the classes of the program stay as they are for other connections.
+        for owner, name, function in (
             (transport, "write", counted_write),
             (protocol, "data_received", counted_received),
-            (protocol, "connection_lost", ended),
+            (protocol, "connection_lost", counted_connection_lost),
         ):
-            setattr(owner, name, new)
+            setattr(owner, name, function)
 
 
-whose: ContextVar[Links | None] = ContextVar("whose", default=None)  # set before a relay's tasks are made
+# Links of the relay whose task is running; set before the tasks of a relay are created.
+current_links: ContextVar[Links | None] = ContextVar("current_links", default=None)
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
-    """Knows whose connection it opens by the context of the task that asks."""
+    """Event loop that attaches each new connection to the links of the task that opens it."""
 
     async def create_connection(  # type: ignore[override]
-        self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any
+        self, protocol_factory: Any, host: Any = None, port: Any = None, **kwargs: Any
     ) -> tuple[asyncio.Transport, asyncio.Protocol]:
-        links = whose.get()
+        links = current_links.get()
         if links is not None and (host, port) in links.blocked:
-            await asyncio.get_running_loop().create_future()  # until who asks has had enough
-        opened = await super().create_connection(protocol_factory, host, port, **more)
+            await asyncio.get_running_loop().create_future()  # until the caller's timeout
+        opened = await super().create_connection(protocol_factory, host, port, **kwargs)
         transport, protocol = cast(tuple[asyncio.Transport, asyncio.Protocol], opened)
         if links is not None:
             links.attach((host, port), transport, protocol)
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -1,8 +1,8 @@
-"""The run: slopes on the smaller sizes, the prediction, the largest, and faults there.
+"""Scale run: slopes on the smaller sizes, prediction, measurement at the largest size, and faults there.
 
-Processor time is what the kernel gave a process, so that other work on the machine counts little there; times
-until a change is in force are by the clock and count it in full. Few processes stand for the machines set
-aside for registries: figures of one registry at the target are the totals over as many as stand there.
+CPU time is what the kernel counted for a process, so other work on the machine affects it little; times until
+a change is applied are elapsed times and include it. Few processes stand in for the target's registries:
+figures of one registry at the target are the totals divided by the number of registries there.
 """
 
 from __future__ import annotations
@@ -26,45 +26,45 @@
     DESTINATIONS,
     REGISTRIES,
     RELAYS,
-    SLICE,
-    InForce,
-    apart,
-    merge,
+    SLICE_SIZE,
+    ChangeLatency,
+    disagreement_ratio,
+    merge_latencies,
 )
-from benchmarks.scale.faults import Faults, Spans
-from benchmarks.scale.fleet import Fleet, cpu_time
+from benchmarks.scale.faults import FaultDurations, FaultScenarios
+from benchmarks.scale.fleet import ScaleFleet, cpu_time
 from benchmarks.scale.real import RealRelay
-from benchmarks.scale.slopes import Slopes, plot, short
+from benchmarks.scale.slopes import Slopes, plot, round_digits
 from loftrelay.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from loftrelay.decisions.scheduler import Scheduler
 from loftrelay.decisions.simulator import read_settings
 from tests.standins.harness import SETTINGS
 
-SHARED = 8  # destinations that all hollow relays serve
+SHARED_DESTINATIONS = 8  # served by all hollow relays
 SEED = 41
-RESOLUTION = 0.1  # seconds: real ones are seen by messages 50 ms apart, beside other work
-AT_ONCE = 4  # hollow relays of a process that start together, as their number grows
-CLIENTS = 8  # that hand a real relay its first messages
-CHANGES = 500  # in a round, in the module
-WITHIN = 60.0  # seconds after which a relay counts as one that never went by a change
+RESOLUTION_S = 0.1  # real relays are observed by messages 50 ms apart, beside other work
+STARTS_AT_ONCE = 4  # hollow relays of a worker that start together
+CLIENTS = 8  # that submit the first messages for new destinations to a real relay
+CHANGES_PER_ROUND = 500  # of the decision module
+CHANGE_TIMEOUT_S = 60.0  # a relay that has not applied a change by then counts as missing
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Sizes, the largest of each last. `each`: hollow relays of a process. Seconds."""
+    """Sizes and durations (seconds) of a run; the last of the sizes is the largest."""
 
     destinations: tuple[int, ...]
     slices: tuple[int, ...]
-    relays: tuple[int, ...]
-    members: tuple[int, ...]
+    relays: tuple[int, ...]  # hollow relays
+    members: tuple[int, ...]  # of the gossip fleet
     registries: int
-    real: int
-    each: int
+    real_relays: int
+    relays_per_worker: int
     changes: int  # at each number of relays
-    steady: float  # for which processor time and bytes are counted; watches take 2 s
-    settle: float  # after a step, before anything is measured
-    spans: Spans | None  # of faults; None: none are played
-    together: bool  # slices and members are measured beside the faults
+    steady_s: float  # for which CPU time and bytes are counted; watches take 2 s
+    settle_s: float  # after a step, before the measurement
+    fault_durations: FaultDurations | None  # None: without faults
+    concurrent: bool  # slices and members are measured during the faults
 
 
 QUICK = Plan(
@@ -73,13 +73,13 @@
     relays=(60, 120, 240),
     members=(25, 50, 100),
     registries=2,
-    real=2,
-    each=60,
+    real_relays=2,
+    relays_per_worker=60,
     changes=8,
-    steady=2.0,
-    settle=0.2,
-    spans=Spans(stopped=4.5, cut=9.0, away=0.5, gone=0.3),
-    together=True,
+    steady_s=2.0,
+    settle_s=0.2,
+    fault_durations=FaultDurations(registry_stop=4.5, partition=9.0, registries_loss=0.5, zone_loss=0.3),
+    concurrent=True,
 )
 FULL = Plan(
     destinations=(10_000, 50_000, 100_000, 200_000, DESTINATIONS),
@@ -87,187 +87,203 @@
     relays=(100, 300, 600, 1_200, RELAYS),
     members=(50, 100, 200, 400),
     registries=3,
-    real=8,
-    each=300,
+    real_relays=8,
+    relays_per_worker=300,
     changes=10,
-    steady=10.0,
-    settle=2.0,
-    spans=Spans(stopped=10.0, cut=20.0, away=5.0, gone=5.0),
-    together=False,
+    steady_s=10.0,
+    settle_s=2.0,
+    fault_durations=FaultDurations(registry_stop=10.0, partition=20.0, registries_loss=5.0, zone_loss=5.0),
+    concurrent=False,
 )
 
 
-BEGAN = time.monotonic()
+STARTED_AT = time.monotonic()
 
 
-def say(text: str) -> None:
-    print(f"{time.monotonic() - BEGAN:6.1f} {text}", flush=True)
+def log_progress(text: str) -> None:
+    print(f"{time.monotonic() - STARTED_AT:6.1f} {text}", flush=True)
 
 
-async def destinations(plan: Plan, folder: Path, slopes: Slopes) -> None:
-    """What a registry costs by the destinations that it holds: its start alone, with no relay."""
+async def measure_destinations(plan: Plan, folder: Path, slopes: Slopes) -> None:
+    """Measures the start of a registry without relays, by the number of destinations."""
     for n, count in enumerate(plan.destinations):
         if n == len(plan.destinations) - 1:
-            say(f"predicted at {count} destinations: {slopes.predict('destinations', count)}")
-        async with Fleet(folder / f"list{n}", 1) as fleet:
+            log_progress(f"predicted at {count} destinations: {slopes.predict('destinations', count)}")
+        async with ScaleFleet(folder / f"list{n}", 1) as fleet:
             await fleet.begin(count)
-            began = time.monotonic()
+            started = time.monotonic()
             await fleet.add_registries(1)
-            took = time.monotonic() - began
+            elapsed = time.monotonic() - started
             registry = fleet.registries[0]
             use = registry.use
             figures = {
-                "registry_mb": registry.mb,
+                "registry_mb": registry.memory_mb,
                 "registry_start_cpu_s": use.cpu,
                 "registry_start_bytes": use.bytes,
             }
         for name, value in figures.items():
             slopes.add(name, "destinations", DESTINATIONS, count, value)
-        say(f"{count} destinations: {rounded(figures)}, listed after {took:.2f} s")
+        log_progress(f"{count} destinations: {round_figures(figures)}, list received after {elapsed:.2f} s")
 
 
-async def slices(plan: Plan, folder: Path, slopes: Slopes, relays: int = 20) -> None:
-    """What a hollow relay holds by the size of its slice."""
-    async with Fleet(folder / "slices", relays) as fleet:
+async def measure_slices(plan: Plan, folder: Path, slopes: Slopes, relays: int = 20) -> None:
+    """Measures the memory of a hollow relay by the size of its slice."""
+    async with ScaleFleet(folder / "slices", relays) as fleet:
         await fleet.begin(max(plan.slices) * 2)
         await fleet.add_registries(1)
         for n, size in enumerate(plan.slices):
             if n == len(plan.slices) - 1:
-                say(f"predicted at slices of {size}: {slopes.predict('slice', size)}")
-            one = Fleet(folder / f"slice{n}", relays)  # hollow relays of its own, at the same registry
-            one.registries, one.place, one.destinations = fleet.registries, fleet.place, fleet.destinations
-            one.folder.mkdir()
+                log_progress(f"predicted at slices of {size}: {slopes.predict('slice', size)}")
+            # It has hollow relays of its own and shares the registry.
+            group = ScaleFleet(folder / f"slice{n}", relays)
+            group.registries, group.destinations = fleet.registries, fleet.destinations
+            group.discovery_address = fleet.discovery_address
+            group.folder.mkdir()
             try:
-                await one.grow(relays, relays, size, SHARED, 0, SEED)
-                before = await one.hollow.counts(True)
-                started = await one.hollow.start(None, WITHIN)
-                await asyncio.sleep(plan.settle)
-                after = await one.hollow.counts(True)
+                await group.grow(relays, relays, size, SHARED_DESTINATIONS, 0, SEED)
+                before = await group.hollow.counts(True)
+                started = await group.hollow.start(None, CHANGE_TIMEOUT_S)
+                await asyncio.sleep(plan.settle_s)
+                after = await group.hollow.counts(True)
             finally:
-                await one.hollow.close()
+                await group.hollow.close()
             mb = (after.sum("mb") - before.sum("mb")) / relays
-            slopes.add("relay_mb", "slice", SLICE, size, mb)
-            say(f"slices of {size}: {mb:.3f} MB a relay, whole {started}")
+            slopes.add("relay_mb", "slice", SLICE_SIZE, size, mb)
+            log_progress(f"slices of {size}: {mb:.3f} MB a relay, slices resolved {started}")
 
 
-async def of_one(plan: Plan, folder: Path, slopes: Slopes) -> None:
-    """What needs no fleet of this size round it: memory by slices, and the relays' own datagrams."""
-    await slices(plan, folder, slopes)
-    await members(plan, folder, slopes)
+async def measure_single_relays(plan: Plan, folder: Path, slopes: Slopes) -> None:
+    """Measures what doesn't need the large fleet: memory by slice size, and gossip datagrams."""
+    await measure_slices(plan, folder, slopes)
+    await measure_members(plan, folder, slopes)
 
 
-async def steady(fleet: Fleet, seconds: float) -> dict[str, float]:
-    """What all use, each second, while nothing happens."""
+async def measure_steady_state(fleet: ScaleFleet, seconds: float) -> dict[str, float]:
+    """Returns the use of all relays and registries a second, without changes."""
     before, uses = await fleet.hollow.counts(), [r.use for r in fleet.registries]
     await asyncio.sleep(seconds)
     after = await fleet.hollow.counts()
     cpu, bytes_ = after.use.rate(before.use)
-    pieces = (after.sum("pieces") - before.sum("pieces")) / seconds
+    io_operations = (after.sum("pieces") - before.sum("pieces")) / seconds
     return {
         "hollow_cpu": cpu,
         "hollow_bytes_per_s": bytes_,
-        "hollow_pieces_per_s": pieces,
+        "hollow_pieces_per_s": io_operations,
         "registries_cpu": sum(r.use.rate(use)[0] for r, use in zip(fleet.registries, uses, strict=True)),
     }
 
 
-async def changes(fleet: Fleet, count: int, few: bool = False) -> tuple[InForce, InForce, float]:
-    """At the hollow ones, and at the real ones; and of the changes' medians at the hollow ones the least, for
-    other work on the machine only adds to it. `few`: of a destination that as many hollow ones serve as
-    there are real ones, in place of one that all do."""
-    hollow, real, medians = InForce(), InForce(), [WITHIN]
+async def measure_changes(
+    fleet: ScaleFleet, count: int, few: bool = False
+) -> tuple[ChangeLatency, ChangeLatency, float]:
+    """Makes changes and measures their latency.
+
+    With `few` they are of a destination that as many hollow relays serve as there are real relays, instead of
+    one that all serve.
+
+    Returns:
+        The latency at hollow relays, that at real relays, and the smallest of the changes' medians at hollow
+        relays, as other work on the machine only adds to it.
+    """
+    hollow, real, medians = ChangeLatency(), ChangeLatency(), [CHANGE_TIMEOUT_S]
     for n in range(count):
-        number, begun = await fleet.change(fleet.few_at if few else n % SHARED)
-        times, (seen, missing) = await asyncio.gather(
-            fleet.real_in_force(begun, WITHIN),
-            fleet.hollow.seen(number, fleet.few if few else None, WITHIN),
+        number, changed_at = await fleet.change(fleet.few_destination if few else n % SHARED_DESTINATIONS)
+        seconds_by_real, (applied_at, missing) = await asyncio.gather(
+            fleet.wait_for_real_relays(changed_at, CHANGE_TIMEOUT_S),
+            fleet.hollow.wait_for_change(number, fleet.few_relays if few else None, CHANGE_TIMEOUT_S),
         )
-        hollow.add(begun, seen, missing)
-        if seen:
-            medians.append(median(seen) - begun)
-        took = [begun + time for time in times if time is not None]
-        real.add(begun, took, len(times) - len(took))
+        hollow.add(changed_at, applied_at, missing)
+        if applied_at:
+            medians.append(median(applied_at) - changed_at)
+        real_applied_at = [changed_at + seconds for seconds in seconds_by_real if seconds is not None]
+        real.add(changed_at, real_applied_at, len(seconds_by_real) - len(real_applied_at))
     return hollow, real, min(medians)
 
 
-async def relays(plan: Plan, fleet: Fleet, slopes: Slopes) -> dict[str, Any]:
-    """What hollow relays cost by their number, up to the largest, where the real ones join them."""
-    told: dict[str, Any] = {}
+async def measure_relays(plan: Plan, fleet: ScaleFleet, slopes: Slopes) -> dict[str, Any]:
+    """Measures hollow relays by their number; returns the figures of the largest number."""
+    figures: dict[str, Any] = {}
     for n, count in enumerate(plan.relays):
-        last = n == len(plan.relays) - 1
-        if last:
-            say(f"predicted at {count} relays: {slopes.predict('relays', count)}")
-        old = fleet.hollow.relays
-        await fleet.grow(count, plan.relays[-1], SLICE, SHARED, plan.relays[-1] // plan.real, SEED)
-        started = await fleet.hollow.start(range(old, count), WITHIN, at_once=AT_ONCE)
-        await asyncio.sleep(plan.settle)
-        in_force, _, least = await changes(fleet, plan.changes)
-        await asyncio.sleep(plan.settle)
-        use = await steady(fleet, plan.steady)
+        is_last = n == len(plan.relays) - 1
+        if is_last:
+            log_progress(f"predicted at {count} relays: {slopes.predict('relays', count)}")
+        running = fleet.hollow.relays
+        await fleet.grow(
+            count, plan.relays[-1], SLICE_SIZE, SHARED_DESTINATIONS, plan.relays[-1] // plan.real_relays, SEED
+        )
+        started = await fleet.hollow.start(range(running, count), CHANGE_TIMEOUT_S, at_once=STARTS_AT_ONCE)
+        await asyncio.sleep(plan.settle_s)
+        latency, _, least_median = await measure_changes(fleet, plan.changes)
+        await asyncio.sleep(plan.settle_s)
+        use = await measure_steady_state(fleet, plan.steady_s)
         counts = await fleet.hollow.counts(True)
-        told = {
+        figures = {
             "started_s": started,
-            "in_force": in_force,
+            "in_force": latency,
             "use": use,
             "counts": counts,
-            "registries_mb": [registry.mb for registry in fleet.registries],
+            "registries_mb": [registry.memory_mb for registry in fleet.registries],
         }
         for name in ("hollow_cpu", "hollow_bytes_per_s", "registries_cpu"):
             slopes.add(name, "relays", RELAYS, count, use[name])
-        slopes.add("in_force_least_median_s", "relays", RELAYS, count, least)
-        say(
-            f"{count} relays: whole {started}, in force {in_force.figures()}, "
-            f"{rounded(use)}, refused {counts.sum('refused'):.0f}, log {counts.lines}"
+        slopes.add("in_force_least_median_s", "relays", RELAYS, count, least_median)
+        log_progress(
+            f"{count} relays: slices resolved {started}, changes applied {latency.figures()}, "
+            f"{round_figures(use)}, unresolved {counts.sum('refused'):.0f}, log {counts.log_lines}"
         )
-    return told
+    return figures
 
 
-async def members(plan: Plan, folder: Path, slopes: Slopes) -> None:
-    """The fleet's own datagrams by how many know each other: bytes both ways of hollow relays on sockets.
-    What hollow ones share, memory of who there is and turns of the loop, is measured at one by itself
-    (benchmarks/slope_cases.py)."""
+async def measure_members(plan: Plan, folder: Path, slopes: Slopes) -> None:
+    """Measures gossip by fleet size: bytes in both directions of hollow relays on sockets.
+
+    Memory of the member table and CPU time, which hollow relays share, are measured at a single relay
+    (benchmarks/slope_cases.py).
+    """
     *smaller, largest = plan.members or (0,)
     for sizes in (smaller, [largest] if smaller else []):
         if sizes == [largest]:
-            say(f"predicted at {largest} members: {slopes.predict('members', largest)}")
+            log_progress(f"predicted at {largest} members: {slopes.predict('members', largest)}")
         async with asyncio.TaskGroup() as group:
-            alone = [group.create_task(one_member(size)) for size in sizes]
-            told = [await datagrams(plan, folder, size) for size in sizes]
-        for size, (bytes_, known), task in zip(sizes, told, alone, strict=True):
+            tasks = [group.create_task(measure_single_member(size)) for size in sizes]
+            results = [await measure_datagrams(plan, folder, size) for size in sizes]
+        for size, (bytes_, known), task in zip(sizes, results, tasks, strict=True):
             cpu, mb = task.result()
             slopes.add("member_bytes_per_s", "members", RELAYS, size, bytes_, Law.LOG_N)
             slopes.add("member_cpu", "members", RELAYS, size, cpu)
             slopes.add("member_mb", "members", RELAYS, size, mb)
-            figures = rounded({"bytes_per_s": bytes_, "cpu": cpu, "mb": mb})
-            say(f"{size} members: {figures}, the least knows {known}")
+            figures = round_figures({"bytes_per_s": bytes_, "cpu": cpu, "mb": mb})
+            log_progress(f"{size} members: {figures}, at least {known} live peers known")
+
 
+async def measure_datagrams(plan: Plan, folder: Path, count: int) -> tuple[float, int]:
+    """Returns the bytes a second of one of `count` hollow relays, and the fewest live peers that one knows.
 
-async def datagrams(plan: Plan, folder: Path, count: int) -> tuple[float, int]:
-    """Bytes a second both ways of one of so many hollow relays (what is sent is heard, on one machine), and
-    how many others the one that knows the fewest holds to be alive."""
-    async with Fleet(folder / f"members{count}", -(-count // 4)) as fleet:
+    Bytes are of both directions; on one machine all that is sent is received.
+    """
+    async with ScaleFleet(folder / f"members{count}", -(-count // 4)) as fleet:
         await fleet.begin(1)
         await fleet.grow(count, count, 0, 0, 0, SEED)
-        joined = await fleet.hollow.ask("join")
-        everybody = [told for part in joined for told in part]
-        await fleet.hollow.all("acquaint", members=everybody)
-        await asyncio.sleep(1.0)  # answers to the first probes are on their way
+        joined = await fleet.hollow.call("join")
+        members = [description for part in joined for description in part]
+        await fleet.hollow.call_all("acquaint", members=members)
+        await asyncio.sleep(1.0)  # answers to the first probes are in transit by then
         before = await fleet.hollow.counts()
-        await asyncio.sleep(min(2 * plan.steady, 10.0))
+        await asyncio.sleep(min(2 * plan.steady_s, 10.0))
         after = await fleet.hollow.counts()
-        known = min(await fleet.hollow.all("known"))
+        known = min(await fleet.hollow.call_all("known"))
     sent = after.sum("datagram_bytes") - before.sum("datagram_bytes")
     return 2 * sent / count / (after.use.at - before.use.at), known
 
 
-async def one_member(count: int) -> tuple[float, float]:
-    """Cores and MB of one relay by itself in a fleet of so many."""
-    cpu = (await slope_case("sockets", count))["relay_ms_per_s"] / 1e3
-    return cpu, (await slope_case("member_memory", count))["view_bytes"] / 1e6
+async def measure_single_member(count: int) -> tuple[float, float]:
+    """Returns the cores and MB of one relay in its own process, in a fleet of `count`."""
+    cpu = (await run_slope_case("sockets", count))["relay_ms_per_s"] / 1e3
+    return cpu, (await run_slope_case("member_memory", count))["view_bytes"] / 1e6
 
 
-async def slope_case(name: str, size: int) -> dict[str, float]:
-    """In a process of its own."""
+async def run_slope_case(name: str, size: int) -> dict[str, float]:
+    """Runs a case of benchmarks.slope_cases in a process of its own; returns its figures."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -279,227 +295,250 @@
         stdout=asyncio.subprocess.PIPE,
     )
     try:
-        told, _ = await process.communicate()
+        output, _ = await process.communicate()
     finally:
         if process.returncode is None:
             process.terminate()
             await process.wait()
-    figures: dict[str, float] = json.loads(told)
+    figures: dict[str, float] = json.loads(output)
     return figures
 
 
-async def real_control(fleet: Fleet, plan: Plan, folder: Path) -> dict[str, float]:
-    """Of real relays with traffic: bytes with the registries, cores, beside one without registry."""
+async def measure_real_control(fleet: ScaleFleet, plan: Plan, folder: Path) -> dict[str, float]:
+    """Measures control bytes and cores of real relays with traffic, and cores of one without a registry."""
     alone = RealRelay(99, 1, folder / "alone")
     await alone.open_hosts()
     try:
         await alone.start(None, "")
-        await alone.world.submit_once_listed("first", alone.destination)
-        alone.begin_traffic()
-        await asyncio.sleep(plan.settle)
-        seconds = plan.steady
+        await alone.harness.submit_once_listed("first", alone.destination)
+        alone.start_traffic()
+        await asyncio.sleep(plan.settle_s)
+        seconds = plan.steady_s
         relays = [*fleet.real, alone]
         cpu = [-cpu_time(relay.pid) for relay in relays]
         bytes_ = sum(relay.control_bytes for relay in fleet.real)
-        began = time.monotonic()
+        started = time.monotonic()
         await asyncio.sleep(seconds)
-        took = time.monotonic() - began
-        cpu = [(was + cpu_time(relay.pid)) / took for was, relay in zip(cpu, relays, strict=True)]
+        elapsed = time.monotonic() - started
+        cpu = [(start + cpu_time(relay.pid)) / elapsed for start, relay in zip(cpu, relays, strict=True)]
         bytes_ = sum(relay.control_bytes for relay in fleet.real) - bytes_
     finally:
         await alone.close()
     return {
-        "bytes_per_s": bytes_ / took / len(fleet.real),
+        "bytes_per_s": bytes_ / elapsed / len(fleet.real),
         "cpu_with_registry": median(cpu[:-1]),
         "cpu_without": cpu[-1],
     }
 
 
-async def real_memory(fleet: Fleet, more: int, settle: float) -> float:
-    """MB that a real relay holds for each destination more that it serves, deliveries' side included."""
+async def measure_real_memory(fleet: ScaleFleet, additional: int, settle: float) -> float:
+    """Returns the MB of a real relay for each additional destination, with its connections."""
     relay = fleet.real[0]
     host = relay.hosts["a"].address
     first = fleet.destinations + 1_000
     rows = [
         {"destination": n, "name": f"y{n}", "phase": "Ready", "address": host}
-        for n in range(first, first + more)
+        for n in range(first, first + additional)
     ]
-    await fleet.discovery.ask("change", rows=rows)
-    before = relay.mb
+    await fleet.discovery.call("change", rows=rows)
+    before = relay.memory_mb
 
-    async def hand_in(start: int) -> None:
-        for n in range(start, first + more, CLIENTS):
-            await relay.world.submit_once_listed(f"more{n}", n)
+    async def submit(start: int) -> None:
+        for n in range(start, first + additional, CLIENTS):
+            await relay.harness.submit_once_listed(f"more{n}", n)
 
-    await asyncio.gather(*(hand_in(first + n) for n in range(CLIENTS)))
+    await asyncio.gather(*(submit(first + n) for n in range(CLIENTS)))
     await asyncio.sleep(settle)
-    return (relay.mb - before) / more
+    return (relay.memory_mb - before) / additional
 
 
-def change_costs(listed: Sequence[int], rounds: int = 15) -> list[float]:
-    """Seconds of the processor for one entry that changes, in modules with so many listed: the least of so
-    many rounds, for other work only adds to it, each beside a round of the others."""
+def measure_change_costs(entry_counts: Sequence[int], rounds: int = 15) -> list[float]:
+    """Measures the CPU seconds of a decision module for one changed entry, by the number of listed entries.
+
+    Returns the smallest value of the rounds, as other work only adds to it. Rounds of the sizes alternate.
+    """
 
     def entry(n: int, state: EndpointState = EndpointState.ACTIVE) -> EndpointEntry:
         return EndpointEntry(f"h{n}", n, state, "a", "plain", 1.0)
 
-    schedulers = [Scheduler(1, read_settings(dict(SETTINGS))) for _ in listed]
+    schedulers = [Scheduler(1, read_settings(dict(SETTINGS))) for _ in entry_counts]
     events = []
-    for scheduler, count in zip(schedulers, listed, strict=True):
+    for scheduler, count in zip(schedulers, entry_counts, strict=True):
         scheduler.handle_batch(
             0, [EndpointListReceived(EndpointListKind.FULL, tuple(entry(n) for n in range(count)))]
         )
         states = [EndpointState.ACTIVE, EndpointState.DRAINING]
-        rows = (entry(n * 7 % count, states[n % 2]) for n in range(CHANGES))
+        rows = (entry(n * 7 % count, states[n % 2]) for n in range(CHANGES_PER_ROUND))
         events.append([EndpointListReceived(EndpointListKind.DELTA, (row,)) for row in rows])
-    least = [math.inf for _ in listed]
+    least = [math.inf for _ in entry_counts]
     for n in range(rounds):
-        for at, scheduler in enumerate(schedulers):
-            began = time.process_time()
-            for event in events[at]:
+        for index, scheduler in enumerate(schedulers):
+            started = time.process_time()
+            for event in events[index]:
                 scheduler.handle_batch(1_000 * (n + 1), [event])
-            least[at] = min(least[at], (time.process_time() - began) / CHANGES)
+            least[index] = min(least[index], (time.process_time() - started) / CHANGES_PER_ROUND)
     return least
 
 
-def rounded(figures: dict[str, float]) -> dict[str, float]:
-    return {name: short(value) for name, value in figures.items()}
+def round_figures(figures: dict[str, float]) -> dict[str, float]:
+    return {name: round_digits(value) for name, value in figures.items()}
 
 
 async def measure(plan: Plan, plots: Path | None) -> dict[str, Any]:
-    """The fields of the last line."""
+    """Runs a plan; returns the fields of the result, and writes plots if a folder is given."""
     slopes = Slopes()
-    costs = change_costs((1_000, 50_000))
-    say(f"one entry that changes: {costs[0]:.2e} s with 1,000 listed, {costs[1]:.2e} with 50,000")
+    costs = measure_change_costs((1_000, 50_000))
+    log_progress(
+        f"CPU time of one changed entry: {costs[0]:.2e} s with 1,000 listed, {costs[1]:.2e} s with 50,000"
+    )
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        await destinations(plan, folder, slopes)
+        await measure_destinations(plan, folder, slopes)
         async with asyncio.TaskGroup() as group:
 
-            def beside() -> None:
-                group.create_task(of_one(plan, folder, slopes))
-
-            seen = await of_fleet(plan, folder, slopes, beside if plan.together else None)
-        if not plan.together:
-            await of_one(plan, folder, slopes)
-    line: dict[str, Any] = {"relays": plan.relays[-1], "destinations": plan.destinations[-1]}
-    line |= results(plan, slopes, seen, costs[1] / costs[0])
-    line["over_budget"] = accounts.over_budget(line)
+            def start_single_relays() -> None:
+                group.create_task(measure_single_relays(plan, folder, slopes))
+
+            measured = await measure_fleet(
+                plan, folder, slopes, start_single_relays if plan.concurrent else None
+            )
+        if not plan.concurrent:
+            await measure_single_relays(plan, folder, slopes)
+    result: dict[str, Any] = {"relays": plan.relays[-1], "destinations": plan.destinations[-1]}
+    result |= make_result(plan, slopes, measured, costs[1] / costs[0])
+    result["over_budget"] = accounts.find_exceeded_limits(result)
     if plots is not None:
         try:
             plot(slopes, plots)
         except (ImportError, OSError, ValueError) as error:
-            line["plots"] = f"failed: {error!r}"  # the figures are worth more than their pictures
-    return line
+            result["plots"] = f"failed: {error!r}"  # the figures are returned without plots
+    return result
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """Of the whole fleet at its largest."""
+class FleetMeasurement:
+    """Measurements of the whole fleet at its largest size."""
 
-    last: dict[str, Any]  # what `relays` gives
-    hollow: InForce  # changes that concern all, undisturbed
-    few: InForce  # and as many hollow ones as real ones
-    real: InForce
+    hollow_figures: dict[str, Any]  # of `measure_relays`
+    hollow: ChangeLatency  # of changes for all hollow relays, without faults
+    few: ChangeLatency  # of changes for as many hollow relays as there are real ones
+    real: ChangeLatency
     control: dict[str, float]
-    mb: float  # of a destination at a real relay
-    faults: Faults
+    destination_mb: float  # at a real relay
+    faults: FaultScenarios
     traffic: dict[str, Any]
     log: dict[str, int]
 
 
-async def of_fleet(plan: Plan, folder: Path, slopes: Slopes, beside: Callable[[], object] | None) -> Seen:
-    """`beside`: begun once the slopes of the fleet are measured."""
-    async with Fleet(folder / "fleet", plan.each) as fleet:
+async def measure_fleet(
+    plan: Plan, folder: Path, slopes: Slopes, on_slopes_measured: Callable[[], object] | None
+) -> FleetMeasurement:
+    """Measures the whole fleet; calls `on_slopes_measured` once the slopes are measured."""
+    async with ScaleFleet(folder / "fleet", plan.relays_per_worker) as fleet:
         await fleet.begin(plan.destinations[-1])
         await fleet.add_registries(plan.registries)
-        last = await relays(plan, fleet, slopes)
-        if beside is not None:
-            beside()
-        await fleet.add_real(plan.real)
-        hollow, _, _ = await changes(fleet, plan.changes)
-        few, real, _ = await changes(fleet, plan.changes, few=True)
-        say(
-            f"with {plan.real} real relays: in force {hollow.figures()}, at {plan.real} hollow ones "
-            f"{few.figures()}, real {real.figures()}"
+        hollow_figures = await measure_relays(plan, fleet, slopes)
+        if on_slopes_measured is not None:
+            on_slopes_measured()
+        await fleet.add_real(plan.real_relays)
+        hollow, _, _ = await measure_changes(fleet, plan.changes)
+        few, real, _ = await measure_changes(fleet, plan.changes, few=True)
+        log_progress(
+            f"with {plan.real_relays} real relays: changes applied at hollow relays {hollow.figures()}, "
+            f"at {plan.real_relays} of them {few.figures()}, at real relays {real.figures()}"
+        )
+        control = await measure_real_control(fleet, plan, folder)
+        destination_mb = await measure_real_memory(fleet, SLICE_SIZE, plan.settle_s)
+        log_progress(f"real relays: {round_figures(control)}, {destination_mb:.5f} MB a destination")
+        faults = FaultScenarios(
+            fleet, plan.fault_durations or FaultDurations(0, 0, 0, 0), CHANGE_TIMEOUT_S, log_progress
         )
-        control = await real_control(fleet, plan, folder)
-        mb = await real_memory(fleet, SLICE, plan.settle)
-        say(f"real relays: {rounded(control)}, {mb:.5f} MB a destination")
-        faults = Faults(fleet, plan.spans or Spans(0, 0, 0, 0), WITHIN, say)
-        if plan.spans is not None:
-            await faults.play()
+        if plan.fault_durations is not None:
+            await faults.run_all()
         traffic = {
-            "answers": [relay.answers for relay in fleet.real],
+            "answers": [relay.statuses for relay in fleet.real],
             "no_answer": sum(relay.failed for relay in fleet.real),
-            "faults_logged": sum(len(relay.world.internal_errors) for relay in fleet.real),
+            "faults_logged": sum(len(relay.harness.internal_errors) for relay in fleet.real),
         }
-        log = (await fleet.hollow.counts()).lines
-    return Seen(last, hollow, few, real, control, mb, faults, traffic, log)
-
-
-def results(plan: Plan, slopes: Slopes, seen: Seen, cost_ratio: float) -> dict[str, Any]:
-    """Each figure at the target as predicted, per relay, the parts of which it is made, and what is over."""
-    at = {name: slope.at_target() for name, slope in slopes.all.items()}
-    told, hollow, real, control = seen.last, seen.hollow, seen.real, seen.control
-    use, last = told["use"], plan.relays[-1]
-    part = {name: at.get(f"member_{name}") for name in ("cpu", "mb", "bytes_per_s")}
+        log = (await fleet.hollow.counts()).log_lines
+    return FleetMeasurement(hollow_figures, hollow, few, real, control, destination_mb, faults, traffic, log)
+
+
+def make_result(plan: Plan, slopes: Slopes, measured: FleetMeasurement, cost_ratio: float) -> dict[str, Any]:
+    """Returns each figure of a relay as predicted at the target size, with its parts."""
+    at_target = {name: slope.at_target() for name, slope in slopes.all.items()}
+    figures, hollow, real, control = (
+        measured.hollow_figures,
+        measured.hollow,
+        measured.real,
+        measured.control,
+    )
+    use, relay_count = figures["use"], plan.relays[-1]
+    member = {name: at_target.get(f"member_{name}") for name in ("cpu", "mb", "bytes_per_s")}
     parts = {
-        "control_cpu": (at["hollow_cpu"] / RELAYS, part["cpu"]),
-        "control_mb": (at["relay_mb"], part["mb"]),
-        "control_bytes_per_s": (at["hollow_bytes_per_s"] / RELAYS, part["bytes_per_s"]),
+        "control_cpu": (at_target["hollow_cpu"] / RELAYS, member["cpu"]),
+        "control_mb": (at_target["relay_mb"], member["mb"]),
+        "control_bytes_per_s": (at_target["hollow_bytes_per_s"] / RELAYS, member["bytes_per_s"]),
     }
-    line: dict[str, Any] = {
-        "prediction_error": None if slopes.worst is None else round(slopes.worst, 3),
-        "model_failed": slopes.failed(accounts.LIMITS[0].most),
-        "in_force_s": merge([told["in_force"], hollow, *seen.faults.in_force]).figures()
-        | {"steady": hollow.figures(), "few": seen.few.figures(), "real": real.figures()},
+    result: dict[str, Any] = {
+        "prediction_error": None if slopes.worst_error is None else round(slopes.worst_error, 3),
+        "model_failed": slopes.failed(accounts.LIMITS[0].maximum),
+        "in_force_s": merge_latencies([figures["in_force"], hollow, *measured.faults.latencies]).figures()
+        | {"steady": hollow.figures(), "few": measured.few.figures(), "real": real.figures()},
     }
     sizes = [int(size) for size, _ in slopes.all["member_cpu"].points] if "member_cpu" in slopes.all else []
     membership_from = f"sockets, members {sizes}"
-    for name, (slices_, membership) in parts.items():
-        line[name] = {
-            "predicted": short(slices_ + (membership or 0.0)),
-            "slices": short(slices_),
-            "membership": None if membership is None else short(membership),
+    for name, (slices, membership) in parts.items():
+        result[name] = {
+            "predicted": round_digits(slices + (membership or 0.0)),
+            "slices": round_digits(slices),
+            "membership": None if membership is None else round_digits(membership),
             "membership_from": membership_from if membership is not None else "not measured in this run",
         }
-    line["change_cost_ratio"] = round(cost_ratio, 3)
+    result["change_cost_ratio"] = round(cost_ratio, 3)
     pairs: dict[str, tuple[float, float, float]] = {
-        "bytes_per_s": (use["hollow_bytes_per_s"] / last, control["bytes_per_s"], 0.0),
+        "bytes_per_s": (use["hollow_bytes_per_s"] / relay_count, control["bytes_per_s"], 0.0),
     }
     for name in ("median", "worst"):
-        h, r = seen.few.figures()[name], real.figures()[name]
-        if h is not None and r is not None:
-            pairs[f"in_force_{name}_s"] = (h, r, RESOLUTION)
+        hollow_value, real_value = measured.few.figures()[name], real.figures()[name]
+        if hollow_value is not None and real_value is not None:
+            pairs[f"in_force_{name}_s"] = (hollow_value, real_value, RESOLUTION_S)
     compared = {
-        name: {"hollow": short(h), "real": short(r), "ratio": round(apart(h, r, least), 3)}
-        for name, (h, r, least) in pairs.items()
+        name: {
+            "hollow": round_digits(hollow_value),
+            "real": round_digits(real_value),
+            "ratio": round(disagreement_ratio(hollow_value, real_value, resolution), 3),
+        }
+        for name, (hollow_value, real_value, resolution) in pairs.items()
     }
-    line["agree"] = {
+    result["agree"] = {
         "worst": max(pair["ratio"] for pair in compared.values()),
         **compared,
-        "resolution_s": RESOLUTION,
+        "resolution_s": RESOLUTION_S,
     }
-    line["agree"]["beside_mb_per_destination"] = {
-        "hollow": short(slopes.all["relay_mb"].line.slope),
-        "real": short(seen.mb),
+    result["agree"]["beside_mb_per_destination"] = {
+        "hollow": round_digits(slopes.all["relay_mb"].fitted.slope),
+        "real": round_digits(measured.destination_mb),
         "why": "not in worst: a real one holds connections and the engine's rows for it besides",
     }
-    line["registry"] = {
+    result["registry"] = {
         "processes": plan.registries,
         "stand_for": REGISTRIES,
-        "mb_at_target": short(at["registry_mb"]),
-        "mb_with_relays": [short(value) for value in told["registries_mb"]],
-        "cpu_at_target_each": short(at["registries_cpu"] / REGISTRIES),
-        "bytes_per_s_at_target_each": short(at["hollow_bytes_per_s"] / REGISTRIES),
-        "start_cpu_s_at_target": short(at["registry_start_cpu_s"]),
-        "start_bytes_at_target": short(at["registry_start_bytes"]),
+        "mb_at_target": round_digits(at_target["registry_mb"]),
+        "mb_with_relays": [round_digits(value) for value in figures["registries_mb"]],
+        "cpu_at_target_each": round_digits(at_target["registries_cpu"] / REGISTRIES),
+        "bytes_per_s_at_target_each": round_digits(at_target["hollow_bytes_per_s"] / REGISTRIES),
+        "start_cpu_s_at_target": round_digits(at_target["registry_start_cpu_s"]),
+        "start_bytes_at_target": round_digits(at_target["registry_start_bytes"]),
+    }
+    result["start_all_slices_s"] = figures["started_s"]
+    result["pieces_per_s"] = round_digits(use["hollow_pieces_per_s"] / relay_count)
+    result["faults"] = measured.faults.results
+    result["slopes"] = {name: slope.figures() for name, slope in slopes.all.items()}
+    result["real"] = {
+        **round_figures(control),
+        "mb_per_destination": round_digits(measured.destination_mb),
+        **measured.traffic,
     }
-    line["start_all_slices_s"] = told["started_s"]
-    line["pieces_per_s"] = short(use["hollow_pieces_per_s"] / last)
-    line["faults"] = seen.faults.told
-    line["slopes"] = {name: slope.figures() for name, slope in slopes.all.items()}
-    line["real"] = {**rounded(control), "mb_per_destination": short(seen.mb), **seen.traffic}
-    line["log"] = seen.log
-    return line
+    result["log"] = measured.log
+    return result
