--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the relay on this machine: python -m benchmarks.NAME [--quick], one JSON line last."""
+"""Benchmarks of the relay on this machine: python -m benchmarks.NAME [--quick]; the last line is JSON."""
--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of hollow and real relays with its registries, in steps of size, through faults."""
+"""Scale benchmark: a fleet of hollow and real relays with registries, at growing sizes and with faults."""
--- a/benchmarks/scale/children.py
+++ b/benchmarks/scale/children.py
@@ -161,6 +161,7 @@
             self.process.send_signal(number)
 
     async def end(self, number: signal.Signals = signal.SIGTERM) -> None:
+        """Sends the signal and waits; kills the process after EXIT_TIMEOUT_S."""
         self.send_signal(signal.SIGCONT)  # a stopped process does not handle other signals
         self.send_signal(number)
         await _wait_or_kill(self.process)
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -108,6 +108,7 @@
         return {"in_force_s": hollow.figures(), "real_in_force_s": real.figures()}
 
     async def restart_relays(self) -> dict[str, Any]:
+        """Restarts one relay in twenty, spread over the fleet."""
         hollow = self.fleet.hollow
         await hollow.call("stop", self.restarted_relays)
         start_task = asyncio.create_task(hollow.start(self.restarted_relays, self.within, START_PACE))
@@ -115,6 +116,7 @@
         return {**change, "relays": len(self.restarted_relays), "whole_s": await start_task}
 
     async def lose_zone(self) -> dict[str, Any]:
+        """Stops all relays of a zone, and starts them again after a while."""
         hollow = self.fleet.hollow
         await hollow.call("stop", self.zone_relays)
         without_zone = await self.measure_change()
@@ -129,6 +131,7 @@
         }
 
     async def restart_region(self) -> dict[str, Any]:
+        """Stops all relays of a region and starts them again at once."""
         hollow = self.fleet.hollow
         await hollow.call("stop", self.region_relays)
         start_task = asyncio.create_task(hollow.start(self.region_relays, self.within, START_PACE))
@@ -140,6 +143,7 @@
         return self.fleet.registries[self.fleet.real[0].registry_number if self.fleet.real else 0]
 
     async def kill_registry(self) -> dict[str, Any]:
+        """Kills a registry and starts it again after a change."""
         registry = self._registry_of_real_relay()
         await registry.end(signal.SIGKILL)
         change = await self.measure_change()
@@ -191,6 +195,7 @@
         }
 
     async def lose_all_registries(self) -> dict[str, Any]:
+        """Kills all registries, makes a change meanwhile, and starts them again."""
         fleet = self.fleet
         await asyncio.gather(*(r.end(signal.SIGKILL) for r in fleet.registries))
         number, changed_at = await fleet.change()
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -1,4 +1,4 @@
-"""Processes of one scale run: discovery, registries, hundreds of hollow relays, real relays; resource limit.
+"""Child processes of one scale run (discovery, registries, hollow and real relays) and their resource limit.
 
 Registries reach discovery through forwarders, which count bytes and can be cut. All children are ended at the
 end of the context, also after an exception.
@@ -105,8 +105,8 @@
         return ResourceUse(time.monotonic(), cpu_time(self.pid), self.upstream.total)
 
 
-class HollowRelays:
-    """Workers with at most `each` hollow relays."""
+class HollowWorkers:
+    """Workers that run hollow relays, at most `each` in a worker."""
 
     def __init__(self, each: int) -> None:
         self.each = each
@@ -115,6 +115,7 @@
 
     @property
     def relays(self) -> int:
+        """The number of hollow relays."""
         return len(self.worker_by_relay)
 
     async def grow(self, relays: int, **arguments: Any) -> None:
@@ -186,7 +187,7 @@
 
     @property
     def log_lines(self) -> dict[str, int]:
-        """The most frequent lines of their logs, with their numbers."""
+        """The most frequent log lines and how often each was logged."""
         counts: dict[str, int] = {}
         for part in self.counts:
             for line, count in part["lines"].items():
@@ -199,7 +200,7 @@
 
     def __init__(self, folder: Path, each: int) -> None:
         self.folder = folder
-        self.hollow = HollowRelays(each)
+        self.hollow = HollowWorkers(each)
         self.registries: list[RegistryProcess] = []
         self.real: list[RealRelay] = []
         self.last_change = FIRST_CHANGE
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -84,8 +84,8 @@
         settings = replace(read_settings(dict(SETTINGS)), polls_endpoint_list=True, awaits_final_status=True)
         self.scheduler = Scheduler(self.number, settings)
         self.addresses: dict[str, Address] = {}
-        self.timer: asyncio.TimerHandle | None = None
-        self.timer_handles: set[asyncio.TimerHandle] = set()
+        self.scheduler_timer: asyncio.TimerHandle | None = None
+        self.delayed_calls: set[asyncio.TimerHandle] = set()
         self.is_running = True
         context = copy_context()  # inherited by the tasks of the relay
         context.run(self._start, pace)
@@ -111,18 +111,18 @@
         """Calls a function after a delay in seconds, unless the relay stops before."""
 
         def run() -> None:
-            self.timer_handles.discard(handle)
+            self.delayed_calls.discard(handle)
             function(*args)
 
         handle = asyncio.get_running_loop().call_later(delay, run)
-        self.timer_handles.add(handle)
+        self.delayed_calls.add(handle)
 
     def stop(self) -> None:
         self.is_running = False
         self.subscriber.close()
-        if self.timer is not None:
-            self.timer.cancel()
-        for handle in self.timer_handles:
+        if self.scheduler_timer is not None:
+            self.scheduler_timer.cancel()
+        for handle in self.delayed_calls:
             handle.cancel()
 
     # Callbacks of the subscriber
@@ -159,9 +159,11 @@
         loop = asyncio.get_running_loop()
         for action in self.scheduler.handle_batch(int(loop.time() * 1e6), events):
             if isinstance(action, SetTimer):
-                if self.timer is not None:
-                    self.timer.cancel()
-                self.timer = loop.call_later(action.delay / 1e6, self._handle, [TimerFired(action.token)])
+                if self.scheduler_timer is not None:
+                    self.scheduler_timer.cancel()
+                self.scheduler_timer = loop.call_later(
+                    action.delay / 1e6, self._handle, [TimerFired(action.token)]
+                )
             elif isinstance(action, WatchEndpointList):
                 self.subscriber.watch()
 
--- a/tests/benchmarks/test_scale.py
+++ b/tests/benchmarks/test_scale.py
@@ -40,18 +40,18 @@
 
 def test_make_slice_with_enough_destinations_shares_only_the_common_ones() -> None:
     slices = [make_slice(n, 10, 1_000, 50, shared=8, few_interval=5, seed=1) for n in range(10)]
-    assert all(len(cells) == len(set(cells)) == 50 for cells in slices)
-    assert all(set(range(8)) <= set(cells) for cells in slices)
-    assert [n for n, cells in enumerate(slices) if 8 in cells] == [0, 5]
-    own = [set(cells) - set(range(9)) for cells in slices]
-    assert sum(map(len, own)) == len(set().union(*own))
+    assert all(len(destinations) == len(set(destinations)) == 50 for destinations in slices)
+    assert all(set(range(8)) <= set(destinations) for destinations in slices)
+    assert [n for n, destinations in enumerate(slices) if 8 in destinations] == [0, 5]
+    exclusive = [set(destinations) - set(range(9)) for destinations in slices]
+    assert sum(map(len, exclusive)) == len(set().union(*exclusive))
     assert slices == [make_slice(n, 10, 1_000, 50, shared=8, few_interval=5, seed=1) for n in range(10)]
 
 
 def test_make_slice_beyond_its_share_is_random_and_beyond_the_list_is_the_list() -> None:
-    drawn = [make_slice(n, 10, 100, 50, shared=8, few_interval=0, seed=1) for n in range(2)]
-    assert all(len(set(cells)) == 50 and max(cells) < 100 for cells in drawn)
-    assert drawn[0] != drawn[1]
+    random_slices = [make_slice(n, 10, 100, 50, shared=8, few_interval=0, seed=1) for n in range(2)]
+    assert all(len(set(destinations)) == 50 and max(destinations) < 100 for destinations in random_slices)
+    assert random_slices[0] != random_slices[1]
     assert make_slice(0, 1, 5, 50, shared=8, few_interval=0, seed=1) == [0, 1, 2, 3, 4]
 
 
@@ -114,19 +114,19 @@
     catalog = EndpointCatalog(4_500)
     full_list = json.loads(b"".join(catalog.chunks()))
     assert (full_list["revision"], full_list["complete"], len(full_list["members"])) == (1, True, 4_500)
-    assert [row["cell"] for row in full_list["members"]] == list(range(4_500))
+    assert [entry["cell"] for entry in full_list["members"]] == list(range(4_500))
     assert catalog.change([{"destination": 7, "address": "127.0.0.1:1001"}]) == 2
     assert catalog.change([{"destination": 9_000, "name": "x", "phase": "Terminating"}]) == 3
     assert catalog.change([{"destination": 7, "address": "127.0.0.1:1002"}]) == 4
     encoded = b"".join(catalog.chunks())
     assert len(encoded) == catalog.length
-    entries = {row["id"]: row for row in json.loads(encoded)["members"]}
+    entries = {entry["id"]: entry for entry in json.loads(encoded)["members"]}
     assert len(entries) == 4_501
     assert (entries["h7"]["host_port"], entries["x"]["phase"]) == ("127.0.0.1:1002", "Terminating")
     changes = json.loads(catalog.changes_since(3))
     assert (changes["revision"], changes["complete"]) == (4, False)
-    assert [row["id"] for row in changes["members"]] == ["h7"]
-    assert {row["id"] for row in json.loads(catalog.changes_since(1))["members"]} == {"h7", "x"}
+    assert [entry["id"] for entry in changes["members"]] == ["h7"]
+    assert {entry["id"] for entry in json.loads(catalog.changes_since(1))["members"]} == {"h7", "x"}
     assert json.loads(catalog.changes_since(4))["members"] == []
     assert len(b"".join(EndpointCatalog(0).chunks())) == EndpointCatalog(0).length
 
