--- a/loftrelay/delivery/connection_pool/allocator.py
+++ b/loftrelay/delivery/connection_pool/allocator.py
@@ -19,7 +19,7 @@
 
 
 class ConnectionAllocator:
-    """Serves the waiting calls of a host in order; hosts take turns when the total limit is reached."""
+    """Serves the calls of a host oldest first; hosts take turns when the total limit is reached."""
 
     def __init__(self, table: ConnectionTable, trust: ResponseTrust) -> None:
         self.table = table
--- a/loftrelay/delivery/connection_pool/connect_limits.py
+++ b/loftrelay/delivery/connection_pool/connect_limits.py
@@ -11,7 +11,7 @@
 MAX_DOUBLINGS = 16
 MAX_NEW_RESETS = 3  # resets of new connections in a row, beside established ones, that show the capacity
 REGROW_INTERVAL_US = 5 * SECOND  # after a descriptor shortage, one more connection per interval
-REGROW_HEADROOM = 64  # the reduced limit is lifted once it exceeds the open connections by this
+REGROW_HEADROOM = 64  # without a configured limit: lifted this far above the open connections
 
 
 @dataclass(slots=True)
--- a/loftrelay/delivery/connection_pool/host.py
+++ b/loftrelay/delivery/connection_pool/host.py
@@ -28,7 +28,7 @@
 
     unsolicited_at: int | None = None
     max_duplicate_delay: int = 0  # longest time from a response to its duplicate
-    min_time: int = 0
+    min_time: int = 0  # shortest response time, microseconds
     count: int = 0
 
     def add(self, time: int) -> None:
--- a/loftrelay/delivery/connection_pool/idle_reset.py
+++ b/loftrelay/delivery/connection_pool/idle_reset.py
@@ -6,7 +6,7 @@
 
 from loftrelay.delivery.connection_pool.settings import SECOND
 
-MIN_LIMIT_US = SECOND // 8  # an earlier reset may have crossed a response
+MIN_LIMIT_US = SECOND // 8  # a reset after a shorter time may have crossed a response
 OCTAVE_COUNT = 16
 NO_TIME_US = float(1 << 62)
 DECAY_STEP = 1 / 16  # fraction of the memory after which counts are reduced
--- a/loftrelay/delivery/connection_pool/manager.py
+++ b/loftrelay/delivery/connection_pool/manager.py
@@ -195,7 +195,10 @@
         return self.table.actions
 
     def release_unused(self, number: int, now: int) -> list[Action]:
-        """Releases a connection whose call was abandoned before a byte was written."""
+        """Releases a connection whose call was abandoned before a byte was written.
+
+        The call does not count as carried, so the connection is as it was before.
+        """
         self.table.begin_event(now)
         connection = self.table.connections.get(number)
         if connection is None or connection.state is not ConnectionState.BUSY:
--- a/loftrelay/delivery/connection_pool/selection.py
+++ b/loftrelay/delivery/connection_pool/selection.py
@@ -52,7 +52,10 @@
     def _scan_candidates(
         self, call: WaitingCall, delay: int
     ) -> tuple[PooledConnection | None, PooledConnection | None]:
-        """Returns the best connection whose reuse delay is over, and the one whose delay ends next."""
+        """Returns the best connection whose reuse delay is over, and one whose delay is not.
+
+        The second one is the last examined: with NEWEST_FIRST, the one whose delay ends first.
+        """
         reusable: PooledConnection | None = None
         delayed: PooledConnection | None = None
         for connection in self._candidates(call.host):
@@ -80,7 +83,10 @@
         return bool(call.host.backoff.failures) or not self.can_open(call.host)
 
     def _prefers_new(self, call: WaitingCall, delay: int) -> bool:
-        """Whether the call waits for a new connection instead of one whose reuse delay is about to end."""
+        """Whether the call waits for a new connection instead of using one after the reuse delay alone.
+
+        At-most-once messages prefer a longer delay if `at_most_once_reuse_delay` exceeds the reuse delay.
+        """
         if not call.is_at_most_once or self.settings.at_most_once_reuse_delay <= delay:
             return False
         return not call.host.backoff.failures and self.can_open(call.host)
--- a/loftrelay/delivery/pool_driver.py
+++ b/loftrelay/delivery/pool_driver.py
@@ -212,7 +212,10 @@
         self.execute(self.pool.connection_lost(number, is_reset, now))
 
     async def close_unusable_connection(self, number: int) -> None:
-        """Closes a leased connection that proved unusable, after reading what has arrived on it."""
+        """Closes a leased connection that proved unusable.
+
+        Data that has arrived is read first, to tell an unsolicited response from a close by the host.
+        """
         if opened := self.connections.get(number):
             opened.is_in_call = False
         try:
--- a/loftrelay/discovery/client.py
+++ b/loftrelay/discovery/client.py
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 DEFAULT_POLL_INTERVAL_US = 10_000_000
-# The relay has to apply a change within 6 s after discovery has it (PROTOCOL). A watch without a response
+# The platform considers a change received 6 s after discovery has it (PROTOCOL). A watch without a response
 # times out after MAX_WATCH_WAIT_S + RESPONSE_TIMEOUT_S, and the decisions request the next within 2 s.
 MAX_WATCH_WAIT_S = 2.0  # for which discovery may hold a watch
 RESPONSE_TIMEOUT_S = 2.2  # beyond that wait; discovery rejects requests that have waited for 2 s
@@ -210,7 +210,7 @@
     async def _publish_segment(self, rows: list[Row]) -> None:
         if rows:
             if self.segments % SEGMENTS_PER_FREEZE == 0:
-                gc.collect(1)  # otherwise present garbage would be frozen, too
+                gc.collect(1)  # otherwise the current garbage would be frozen, too
                 gc.freeze()
             self.segments += 1
             self._publish(EndpointListKind.DELTA, rows)
--- a/loftrelay/discovery/registry_session.py
+++ b/loftrelay/discovery/registry_session.py
@@ -248,7 +248,7 @@
         self.calls.send_check(self.selection.registries[position].address, position)
 
     def check_response_received(self, now: float, response: SubscriptionResponse) -> None:
-        """Moves to the checked registry if its data is fresher or it is the preferred one."""
+        """Moves to the checked registry if its data is fresher, or if it is preferred and not stale."""
         position, age = self.calls.check_position, response.age_ms / 1000
         should_move = self.freshness.should_move_to(
             age, now - age, self.selection.current.synced_at, position == 0
--- a/loftrelay/net/http.py
+++ b/loftrelay/net/http.py
@@ -256,7 +256,7 @@
                 self._complete(response)
 
     def informational_received(self) -> None:
-        """Restarts the completion timeout when the final response begins."""
+        """Stops the completion timeout; it restarts with the final response, which may come later."""
         self._completion_timer.reset()
 
     def head_received(self, headers: Headers, body_bytes: int) -> None:
--- a/loftrelay/registry/client_connection.py
+++ b/loftrelay/registry/client_connection.py
@@ -33,7 +33,7 @@
         """Responds to a request, at once or later."""
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """Ends the watch of a client that disconnected."""
+        """Ends the watch of a client that reads no response to it any more."""
 
 
 class ClientConnection(asyncio.Protocol):
--- a/loftrelay/registry/server.py
+++ b/loftrelay/registry/server.py
@@ -216,7 +216,7 @@
             client.watch_timer = None
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """Ends the watch of a client that disconnected."""
+        """Ends the watch of a client that disconnected or is rejected: nobody reads its response."""
         if isinstance(client.watch, WaitingWatch):
             self.subscriptions.abandon_watch(client.watch, asyncio.get_running_loop().time())
         self._full_list_watches.pop(client, None)
--- a/loftrelay/registry/upstream.py
+++ b/loftrelay/registry/upstream.py
@@ -1,7 +1,7 @@
 """A registry's watch on discovery: stages responses as they arrive, and commits them in short turns.
 
-A change has to be received within 6 s after discovery has it and is reachable (PROTOCOL, "Figures"): a watch
-without a response times out after MAX_WATCH_WAIT_S + RESPONSE_TIMEOUT_S, and is repeated within
+The platform considers a change received 6 s after discovery has it and is reachable (PROTOCOL, "Figures"): a
+watch without a response times out after MAX_WATCH_WAIT_S + RESPONSE_TIMEOUT_S, and is repeated within
 MAX_RETRY_PAUSE_S + CONNECT_TIMEOUT_S.
 """
 
@@ -184,7 +184,7 @@
             except (OSError, ValueError, h11.RemoteProtocolError, asyncio.IncompleteReadError) as error:
                 pause = self._call_failed(f"{error or type(error).__name__}")
             except Exception:
-                # A fault of the program; without a further call no relay would learn of a change again.
+                # A bug: without a further call no relay would receive a change again.
                 log.exception("discovery: watch failed by a fault of the program, retrying")
                 pause = self._call_failed("a fault of the program")
             await asyncio.sleep(pause)
--- a/tests/delivery/test_connection_failures.py
+++ b/tests/delivery/test_connection_failures.py
@@ -249,7 +249,10 @@
 
 
 def test_lease_for_timed_out_call_is_returned_to_pool() -> None:
-    """Its future was cancelled but its task had not run since: no other call could use the connection."""
+    """The future of the call was cancelled, but its task had not run since.
+
+    Otherwise the connection stays leased, and no other call can use it.
+    """
 
     async def scenario(partner: Partner, harness: ClientHarness) -> None:
         client = harness.client
