--- a/loftrelay/delivery/settings.py
+++ b/loftrelay/delivery/settings.py
@@ -23,7 +23,7 @@
         "trust_after_s",
         3600.0,
         "s",
-        "until trust is restored after an unsolicited response; 0: never",
+        "until trust is restored after the last unsolicited response; 0: never",
         maximum=30 * DAY,
     ),
     Key("rest_ms", 10.0, "ms", "idle time after a response before a connection is reused", maximum=10_000),
--- a/loftrelay/registry/catalog.py
+++ b/loftrelay/registry/catalog.py
@@ -71,7 +71,8 @@
     The received list becomes current only with `Catalog.commit`.
 
     Attributes:
-        is_first: Whether no list was received before: entries are then added to the catalog directly.
+        is_first: Whether no list was received before: entries are then added to the catalog directly, which
+            is not loaded until the commit.
         changed: Entries that differ from the catalog, by endpoint.
         seen_slots: For each slot, whether its endpoint was received; None before the first one.
     """
--- a/loftrelay/registry/subscriptions.py
+++ b/loftrelay/registry/subscriptions.py
@@ -234,7 +234,7 @@
         return self._changes(subscription, watch.since_revision) or self.empty_update(subscription)
 
     def abandon_watch(self, watch: WaitingWatch, now: float) -> None:
-        """Ends a watch whose client disconnected."""
+        """Ends a watch whose client disconnected or is rejected."""
         watch.subscription.last_call_at = now
         self._stop_waiting(watch)
 
--- a/tests/delivery/test_retry_after_properties.py
+++ b/tests/delivery/test_retry_after_properties.py
@@ -1,7 +1,8 @@
 """Simulation of an engine in virtual time, with hosts that behave at random from a seed.
 
-No call is sent to a host while a Retry-After received before applies to it, and no message is lost, run twice
-at once or sent out of order.
+No call is sent to a host while a Retry-After received before applies to it. No message is lost, sent while
+another attempt of it is in progress, or sent out of order, and no at-most-once message is sent after it may
+have run.
 """
 
 from __future__ import annotations
@@ -102,7 +103,7 @@
         blocked_count: Number of attempts that were blocked by a Retry-After.
         in_progress: Ids of messages in calls in progress.
         executed: Ids of messages that may have run.
-        violations: Descriptions of messages run twice or sent out of order.
+        violations: Descriptions of messages sent during another attempt, again or out of order.
     """
 
     def __init__(self, folder: Path, seed: int, checks_retry_after: bool = True) -> None:
@@ -354,7 +355,7 @@
 def test_simulation_detects_calls_sent_while_retry_after_applies(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without the check between the decision and the first byte, the same simulations record violations."""
+    """Without the check between the decision and the first byte, the same simulations send blocked calls."""
     simulations = [
         run_simulation(tmp_path / str(seed), seed, monkeypatch, checks_retry_after=False) for seed in range(3)
     ]
