--- a/loftrelay/decisions/batching.py
+++ b/loftrelay/decisions/batching.py
@@ -23,12 +23,12 @@
     A probe carries one, because a failed probe costs each of its messages an attempt and starts its dedup
     window.
     """
-    gate, capacity = endpoint.gate, endpoint.max_batch_size
-    if gate.breaker.is_open:
+    limiter, capacity = endpoint.call_limiter, endpoint.max_batch_size
+    if limiter.breaker.is_open:
         return 1
-    if capacity > 1 and gate.slow_start.is_active:
-        budget = slow_start_budget(state, gate, endpoint.destination)
-        spare = budget - gate.slow_start.spent - 1
+    if capacity > 1 and limiter.slow_start.is_active:
+        budget = slow_start_budget(state, limiter, endpoint.destination)
+        spare = budget - limiter.slow_start.spent - 1
         capacity = int(min(capacity, 1 + max(0.0, spare) / EXTRA_MESSAGE_WEIGHT))
     return capacity
 
--- a/loftrelay/decisions/circuit_breaker.py
+++ b/loftrelay/decisions/circuit_breaker.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class CircuitBreaker:
-    """Circuit state and recent failures of the calls through one gate. Times are in microseconds."""
+    """Circuit state and recent failures of the calls under one call limiter. Times are in microseconds."""
 
     consecutive_failures: int = 0
     failing_since: int = 0
--- a/loftrelay/decisions/deadlines.py
+++ b/loftrelay/decisions/deadlines.py
@@ -14,7 +14,7 @@
 def latest_send_time(message: OpenMessage) -> int:
     """Returns the latest time at which a call of usual duration can start and still end by the deadline."""
     destination = message.destination
-    usual = destination.gate.call_times.smoothed or max(
+    usual = destination.call_limiter.call_times.smoothed or max(
         (endpoint.usual_call_time for endpoint in destination.endpoints), default=0
     )
     reserved = min(usual, (message.deadline - message.admitted_at) * MAX_RESERVED_SHARE)
--- a/loftrelay/decisions/demand.py
+++ b/loftrelay/decisions/demand.py
@@ -6,7 +6,7 @@
 
 from loftrelay.decisions.entities import Destination
 from loftrelay.decisions.estimators import DEMAND_SPAN_US
-from loftrelay.decisions.gate import Gate
+from loftrelay.decisions.gate import CallLimiter
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import SECOND_US
 
@@ -19,19 +19,19 @@
     return 1 - math.exp(-observed / DEMAND_SPAN_US)
 
 
-def demand_rate(state: DecisionState, gate: Gate, destination: Destination) -> float:
-    """Returns the messages per second that this relay receives for a gate.
+def demand_rate(state: DecisionState, limiter: CallLimiter, destination: Destination) -> float:
+    """Returns the messages per second that this relay receives for the endpoints of a call limiter.
 
     The rates of all relays add up to the total demand at any fleet size. If the rate limit of the destination
     is listed, the result is the mean of this relay's traffic and its share of that limit.
     """
     rate = destination.demand.read(state.now) / observed_fraction(state)
-    if gate is not destination.gate:
+    if limiter is not destination.call_limiter:
         available = [endpoint for endpoint in destination.endpoints if endpoint.is_available]
-        weights = [(endpoint.listed_rate or 1.0, endpoint.gate) for endpoint in available]
-        gate_weight = sum(weight for weight, endpoint_gate in weights if endpoint_gate is gate)
-        rate *= gate_weight / (sum(weight for weight, _ in weights) or 1.0)
-    return (rate + gate.listed_rate / state.limits.relay_count) / 2 if gate.listed_rate else rate
+        weights = [(endpoint.listed_rate or 1.0, endpoint.call_limiter) for endpoint in available]
+        limiter_weight = sum(weight for weight, endpoint_limiter in weights if endpoint_limiter is limiter)
+        rate *= limiter_weight / (sum(weight for weight, _ in weights) or 1.0)
+    return (rate + limiter.listed_rate / state.limits.relay_count) / 2 if limiter.listed_rate else rate
 
 
 def arrival_weight(age: int) -> float:
--- a/loftrelay/decisions/dispatch.py
+++ b/loftrelay/decisions/dispatch.py
@@ -55,7 +55,7 @@
     endpoints = available_endpoints(state, destination)
     if not endpoints:
         return None
-    is_probe = endpoints[0].gate.breaker.is_open
+    is_probe = endpoints[0].call_limiter.breaker.is_open
     first: tuple[float, OpenMessage, Endpoint] | None = None
     priorities: list[float] = []
     for message in destination.waiting.values():
@@ -146,10 +146,10 @@
 
 
 def _count_call(state: DecisionState, call: Call, messages: int) -> None:
-    gate, endpoint = call.endpoint.gate, call.endpoint
+    limiter, endpoint = call.endpoint.call_limiter, call.endpoint
     state.calls_in_flight += 1
-    gate.window.in_flight += 1
+    limiter.window.in_flight += 1
     endpoint.destination.in_flight += 1
     endpoint.in_flight += 1
-    gate.rate_limiter.record_call(state.now, state.random)
-    gate.slow_start.record_call(state.now, messages, state.limits)
+    limiter.rate_limiter.record_call(state.now, state.random)
+    limiter.slow_start.record_call(state.now, messages, state.limits)
--- a/loftrelay/decisions/endpoint_table.py
+++ b/loftrelay/decisions/endpoint_table.py
@@ -15,7 +15,7 @@
     EndpointListReceived,
     EndpointState,
 )
-from loftrelay.decisions.gate import Gate, GateSnapshot
+from loftrelay.decisions.gate import CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.limits import DEFAULT_POLL_INTERVAL_US
 from loftrelay.decisions.retry import backoff
 from loftrelay.decisions.settings import EndpointKind
@@ -58,7 +58,7 @@
     """Enables an endpoint that the operator has restarted.
 
     A restarted endpoint is cold, and earlier failures say nothing about it: they are cleared, and slow start
-    begins unless available siblings share its gate.
+    begins unless available siblings share its limiter.
     """
     if (endpoint := state.endpoints.get(name)) is not None and endpoint.is_disabled:
         _restart(state, endpoint)
@@ -74,7 +74,9 @@
     """Returns how many listed endpoints are avoided now: disabled by the operator, or failing."""
     return sum(
         endpoint.state is not EndpointState.REMOVED
-        and (endpoint.is_disabled or endpoint.gate.breaker.is_open or endpoint.avoid_until > state.now)
+        and (
+            endpoint.is_disabled or endpoint.call_limiter.breaker.is_open or endpoint.avoid_until > state.now
+        )
         for endpoint in state.endpoints.values()
     )
 
@@ -104,22 +106,22 @@
     else:
         state.removed_endpoints.pop(entry.endpoint, None)
     if entry.listed_rate and state.settings.listed_rate_kind in RATE_KINDS:
-        endpoint.listed_rate = endpoint.gate.listed_rate = entry.listed_rate
+        endpoint.listed_rate = endpoint.call_limiter.listed_rate = entry.listed_rate
 
 
 def _add_endpoint(state: DecisionState, entry: EndpointEntry) -> Endpoint:
     kind: EndpointKind | None = state.settings.endpoint_kinds.get(entry.kind or "")
-    has_own_gate = kind is not None and kind.has_endpoint_limits
+    has_own_call_limiter = kind is not None and kind.has_endpoint_limits
     destination = hibernation.get_or_create_destination(state, entry.destination)
     endpoint = Endpoint(
         name=entry.endpoint,
         destination=destination,
-        gate=Gate() if has_own_gate else destination.gate,
+        call_limiter=CallLimiter() if has_own_call_limiter else destination.call_limiter,
         state=entry.state,
         zone=entry.zone,
         kind_stats=state.kind_stats.setdefault(entry.kind, EndpointKindStats()),
         max_batch_size=max(1, (kind and kind.max_batch_size) or 1),
-        zone_cost=state.settings.zone_costs.get(entry.zone or "", 0.0) if has_own_gate else 0.0,
+        zone_cost=state.settings.zone_costs.get(entry.zone or "", 0.0) if has_own_call_limiter else 0.0,
         is_disabled=entry.endpoint in state.disabled_endpoints,
     )
     state.endpoints[entry.endpoint] = endpoint
@@ -131,11 +133,13 @@
 def _drop_if_unused(state: DecisionState, endpoint: Endpoint) -> None:
     """Drops a removed endpoint unless something still refers to it.
 
-    This may be a call, a Retry-After, or an open circuit or slow start of a gate of its own.
+    This may be a call, a Retry-After, or an open circuit or slow start of a call limiter of its own.
     """
-    gate, destination = endpoint.gate, endpoint.destination
-    is_failing = gate is not destination.gate and (gate.breaker.is_open or gate.slow_start.is_active)
-    if endpoint.in_flight or is_failing or gate.retry_after_until > state.now:
+    limiter, destination = endpoint.call_limiter, endpoint.destination
+    is_failing = limiter is not destination.call_limiter and (
+        limiter.breaker.is_open or limiter.slow_start.is_active
+    )
+    if endpoint.in_flight or is_failing or limiter.retry_after_until > state.now:
         state.removed_endpoints[endpoint.name] = endpoint  # moves to the end of the check order
         return
     del state.endpoints[endpoint.name]
@@ -146,15 +150,15 @@
     endpoint.is_disabled = False
     endpoint.consecutive_failures, endpoint.avoid_until = 0, 0
     siblings = [peer for peer in endpoint.available_peers if peer is not endpoint]
-    # The siblings behind a shared gate carry the load already; slow start would limit them, too.
-    if not any(sibling.gate is endpoint.gate for sibling in siblings):
-        endpoint.gate.restart(state.now)
+    # The siblings that share its call limiter carry the load already; slow start would limit them, too.
+    if not any(sibling.call_limiter is endpoint.call_limiter for sibling in siblings):
+        endpoint.call_limiter.restart(state.now)
 
 
 def _restart_hibernated(state: DecisionState, name: str) -> None:
-    gate = hibernation.gate_of(state, name)
-    if not isinstance(gate, GateSnapshot):
+    limiter = hibernation.find_call_limiter(state, name)
+    if not isinstance(limiter, CallLimiterSnapshot):
         return
-    gate.restart(state.now)  # siblings are unknown here: the destination is hibernated
+    limiter.restart(state.now)  # siblings are unknown here: the destination is hibernated
     record = state.hibernated[state.hibernated_endpoints[name]].endpoints[name]
     record.consecutive_failures, record.avoid_until = 0, 0
--- a/loftrelay/decisions/entities.py
+++ b/loftrelay/decisions/entities.py
@@ -7,7 +7,7 @@
 
 from loftrelay.decisions.estimators import DEMAND_SPAN_US, CallTimes, DecayingRate
 from loftrelay.decisions.events import EndpointState
-from loftrelay.decisions.gate import Gate, GateSnapshot
+from loftrelay.decisions.gate import CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass
 from loftrelay.decisions.units import NEVER
 
@@ -31,7 +31,7 @@
     """A destination with its endpoints and the messages that wait for it."""
 
     number: int
-    gate: Gate = field(default_factory=Gate)
+    call_limiter: CallLimiter = field(default_factory=CallLimiter)
     endpoints: list[Endpoint] = field(default_factory=list)
     waiting: dict[str, OpenMessage] = field(default_factory=dict)
     in_flight: int = 0
@@ -42,11 +42,11 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One address of a destination, limited by the gate of the destination or by its own."""
+    """One address of a destination, limited by the call limiter of the destination or by its own."""
 
     name: str
     destination: Destination
-    gate: Gate
+    call_limiter: CallLimiter
     state: EndpointState
     zone: str | None
     kind_stats: EndpointKindStats
@@ -63,13 +63,17 @@
 
     @property
     def is_available(self) -> bool:
-        """Whether new calls may be sent to it, regardless of its gate."""
+        """Whether new calls may be sent to it, regardless of its call limiter."""
         return self.state is EndpointState.ACTIVE and not self.is_disabled
 
     @property
     def call_times(self) -> CallTimes:
-        """Call times of its gate, or of its kind until a call through the gate has succeeded."""
-        return self.gate.call_times if self.gate.call_times.smoothed else self.kind_stats.call_times
+        """Call times of its call limiter, or of its kind until a call under that limiter has succeeded."""
+        return (
+            self.call_limiter.call_times
+            if self.call_limiter.call_times.smoothed
+            else self.kind_stats.call_times
+        )
 
     @property
     def available_peers(self) -> list[Endpoint]:
@@ -139,7 +143,7 @@
 class HibernatedEndpoint:
     """An endpoint of a hibernated destination."""
 
-    gate: GateSnapshot | None  # None: it shared the gate of its destination
+    call_limiter: CallLimiterSnapshot | None  # None: it shared the call limiter of its destination
     consecutive_failures: int
     avoid_until: int
 
@@ -149,7 +153,8 @@
     """What is kept of a released destination until it is listed again or no longer affects any decision."""
 
     number: int
-    gate: GateSnapshot | None  # None: the destination was restored, but not all of its endpoints
+    # None: the destination was restored, but not all of its endpoints.
+    call_limiter: CallLimiterSnapshot | None
     demand: float
     demand_updated_at: int
     endpoints: dict[str, HibernatedEndpoint]
--- a/loftrelay/decisions/gate.py
+++ b/loftrelay/decisions/gate.py
@@ -1,7 +1,7 @@
-"""Gate: all limits on calls to one destination, or to one endpoint that has its own limits.
+"""Call limiter: all limits on calls to one destination, or to one endpoint that has its own limits.
 
-A gate combines the concurrency window, the rate limiter, the circuit breaker, slow start and Retry-After (RFC
-9110, 10.2.3). `GateSnapshot` is the compact form kept for a hibernated destination.
+A call limiter combines the concurrency window, the rate limiter, the circuit breaker, slow start and
+Retry-After (RFC 9110, 10.2.3). `CallLimiterSnapshot` is the compact form kept for a hibernated destination.
 """
 
 from __future__ import annotations
@@ -19,11 +19,12 @@
 
 LEARNED_STATE_TTL_US = 600 * SECOND_US  # after the last call; an open circuit is kept without limit
 MIN_RELEVANT_ERROR_RATE = 0.01
-NO_CALL_TIMES = CallTimes()  # shared by all gates without a call, to save memory: most destinations are idle
+# Shared by all call limiters without a call, to save memory: most destinations are idle.
+NO_CALL_TIMES = CallTimes()
 
 
 @dataclass(slots=True)
-class Gate:
+class CallLimiter:
     """Limits on calls and the call times that they depend on. Times are in microseconds."""
 
     window: ConcurrencyWindow = field(default_factory=ConcurrencyWindow)
@@ -56,8 +57,8 @@
         self.window.allow_one_call()
         self.slow_start.started_at = now
 
-    def copy_learned_state(self, source: Gate) -> None:
-        """Copies the learned state of another gate, without its calls in flight and call times."""
+    def copy_learned_state(self, source: CallLimiter) -> None:
+        """Copies the learned state of another call limiter, without its calls in flight and call times."""
         self.window.size = source.window.size
         self.retry_after_until = source.retry_after_until
         self.next_attempt_at = source.next_attempt_at
@@ -69,8 +70,8 @@
 
 
 @dataclass(slots=True)
-class GateSnapshot:
-    """Learned state of a gate, without its calls in flight and call times."""
+class CallLimiterSnapshot:
+    """Learned state of a call limiter, without its calls in flight and call times."""
 
     window_size: float
     retry_after_until: int
@@ -91,14 +92,14 @@
     recent_calls: tuple[tuple[int, float], ...]  # of the last overload window
 
     @classmethod
-    def capture(cls, gate: Gate, now: int, limits: Limits) -> GateSnapshot:
-        """Returns a snapshot of the learned state of a gate."""
-        breaker, rate_limiter = gate.breaker, gate.rate_limiter
+    def capture(cls, call_limiter: CallLimiter, now: int, limits: Limits) -> CallLimiterSnapshot:
+        """Returns a snapshot of the learned state of a call limiter."""
+        breaker, rate_limiter = call_limiter.breaker, call_limiter.rate_limiter
         since = now - limits.overload_window
         return cls(
-            window_size=gate.window.size,
-            retry_after_until=gate.retry_after_until,
-            next_attempt_at=gate.next_attempt_at,
+            window_size=call_limiter.window.size,
+            retry_after_until=call_limiter.retry_after_until,
+            next_attempt_at=call_limiter.next_attempt_at,
             consecutive_failures=breaker.consecutive_failures,
             failing_since=breaker.failing_since,
             has_only_rejections=breaker.has_only_rejections,
@@ -106,21 +107,21 @@
             failed_at=breaker.failed_at,
             last_was_rejection=breaker.last_was_rejection,
             is_open=breaker.is_open,
-            slow_start_at=gate.slow_start.started_at,
+            slow_start_at=call_limiter.slow_start.started_at,
             connection_failures=breaker.connection_failures,
             calls_per_second=rate_limiter.calls_per_second,
             failure_rate_after_failure=rate_limiter.failure_rate_after_failure,
             jitter=rate_limiter.jitter,
             last_call_at=rate_limiter.last_call_at,
-            recent_calls=tuple(call for call in gate.slow_start.recent_calls if call[0] > since),
+            recent_calls=tuple(call for call in call_limiter.slow_start.recent_calls if call[0] > since),
         )
 
-    def restore(self, gate: Gate) -> None:
-        """Copies the snapshot back into a gate."""
-        gate.window.size = self.window_size
-        gate.retry_after_until = self.retry_after_until
-        gate.next_attempt_at = self.next_attempt_at
-        gate.breaker = CircuitBreaker(
+    def restore(self, call_limiter: CallLimiter) -> None:
+        """Copies the snapshot back into a call limiter."""
+        call_limiter.window.size = self.window_size
+        call_limiter.retry_after_until = self.retry_after_until
+        call_limiter.next_attempt_at = self.next_attempt_at
+        call_limiter.breaker = CircuitBreaker(
             consecutive_failures=self.consecutive_failures,
             failing_since=self.failing_since,
             has_only_rejections=self.has_only_rejections,
@@ -130,13 +131,13 @@
             is_open=self.is_open,
             connection_failures=self.connection_failures,
         )
-        gate.rate_limiter = RateLimiter(
+        call_limiter.rate_limiter = RateLimiter(
             calls_per_second=self.calls_per_second,
             failure_rate_after_failure=self.failure_rate_after_failure,
             jitter=self.jitter,
             last_call_at=self.last_call_at,
         )
-        gate.slow_start = SlowStart(self.slow_start_at, list(self.recent_calls) or None)
+        call_limiter.slow_start = SlowStart(self.slow_start_at, list(self.recent_calls) or None)
 
     def block_until(self, until: int) -> None:
         """Allows no call before a time, such as the end of a Retry-After. Never shortens an earlier block."""
--- a/loftrelay/decisions/hibernation.py
+++ b/loftrelay/decisions/hibernation.py
@@ -13,7 +13,7 @@
     HibernatedEndpoint,
 )
 from loftrelay.decisions.estimators import DEMAND_SPAN_US, DecayingRate
-from loftrelay.decisions.gate import LEARNED_STATE_TTL_US, Gate, GateSnapshot
+from loftrelay.decisions.gate import LEARNED_STATE_TTL_US, CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import NEVER
 
@@ -37,7 +37,7 @@
     earlier = state.hibernated.get(number)  # holds endpoints that have not been listed again
     record = HibernatedDestination(
         number=number,
-        gate=GateSnapshot.capture(destination.gate, state.now, state.limits),
+        call_limiter=CallLimiterSnapshot.capture(destination.call_limiter, state.now, state.limits),
         demand=destination.demand.value,
         demand_updated_at=destination.demand.updated_at,
         endpoints=earlier.endpoints if earlier is not None else {},
@@ -53,11 +53,11 @@
 def _hibernate_endpoint(state: DecisionState, record: HibernatedDestination, endpoint: Endpoint) -> None:
     del state.endpoints[endpoint.name]
     state.removed_endpoints.pop(endpoint.name, None)
-    gate = None
-    if endpoint.gate is not endpoint.destination.gate:
-        gate = GateSnapshot.capture(endpoint.gate, state.now, state.limits)
+    snapshot = None
+    if endpoint.call_limiter is not endpoint.destination.call_limiter:
+        snapshot = CallLimiterSnapshot.capture(endpoint.call_limiter, state.now, state.limits)
     record.endpoints[endpoint.name] = HibernatedEndpoint(
-        gate, endpoint.consecutive_failures, endpoint.avoid_until
+        snapshot, endpoint.consecutive_failures, endpoint.avoid_until
     )
     state.hibernated_endpoints[endpoint.name] = record.number
 
@@ -69,10 +69,10 @@
         return destination
     destination = state.destinations[number] = Destination(number)
     record = state.hibernated.get(number)
-    if record is not None and record.gate is not None:
-        record.gate.restore(destination.gate)
+    if record is not None and record.call_limiter is not None:
+        record.call_limiter.restore(destination.call_limiter)
         destination.demand = DecayingRate(DEMAND_SPAN_US, record.demand, record.demand_updated_at)
-        record.gate = None
+        record.call_limiter = None
         state.set_timer(state.now, record)
     return destination
 
@@ -84,25 +84,27 @@
     if record is None or (kept := record.endpoints.pop(endpoint.name, None)) is None:
         return
     endpoint.consecutive_failures, endpoint.avoid_until = kept.consecutive_failures, kept.avoid_until
-    if endpoint.gate is not destination.gate:
-        if kept.gate is not None:
-            kept.gate.restore(endpoint.gate)
+    if endpoint.call_limiter is not destination.call_limiter:
+        if kept.call_limiter is not None:
+            kept.call_limiter.restore(endpoint.call_limiter)
         else:
-            endpoint.gate.copy_learned_state(destination.gate)
-    elif kept.gate is not None:  # the settings have changed: it had its own limits before
-        endpoint.gate.block_until(kept.gate.retry_after_until)
+            endpoint.call_limiter.copy_learned_state(destination.call_limiter)
+    elif kept.call_limiter is not None:  # the settings have changed: it had its own limits before
+        endpoint.call_limiter.block_until(kept.call_limiter.retry_after_until)
     _forget_endpoint(state, endpoint.name, record)
     state.set_timer(state.now, record)
 
 
-def gate_of(state: DecisionState, name: str) -> Gate | GateSnapshot | None:
-    """Returns the gate of a listed or hibernated endpoint; None if it is unknown."""
+def find_call_limiter(state: DecisionState, name: str) -> CallLimiter | CallLimiterSnapshot | None:
+    """Returns the call limiter of a listed or hibernated endpoint; None if it is unknown."""
     if (endpoint := state.endpoints.get(name)) is not None:
-        return endpoint.gate
+        return endpoint.call_limiter
     if (number := state.hibernated_endpoints.get(name)) is None:
         return None
     record = state.hibernated[number]
-    return record.endpoints[name].gate or record.gate or state.destinations[number].gate
+    return (
+        record.endpoints[name].call_limiter or record.call_limiter or state.destinations[number].call_limiter
+    )
 
 
 def drop_if_irrelevant(state: DecisionState, record: HibernatedDestination) -> None:
@@ -122,8 +124,8 @@
     endpoints = record.endpoints.values()
     if any(name in state.disabled_endpoints for name in record.endpoints):
         return NEVER
-    gates = [gate for gate in (record.gate, *(endpoint.gate for endpoint in endpoints)) if gate is not None]
-    times = [gate.relevant_until(state.limits) for gate in gates]
+    snapshots = [record.call_limiter, *(endpoint.call_limiter for endpoint in endpoints)]
+    times = [snapshot.relevant_until(state.limits) for snapshot in snapshots if snapshot is not None]
     times += [
         endpoint.avoid_until + LEARNED_STATE_TTL_US for endpoint in endpoints if endpoint.consecutive_failures
     ]
--- a/loftrelay/decisions/load_shedding.py
+++ b/loftrelay/decisions/load_shedding.py
@@ -39,7 +39,9 @@
     """Ends messages that run out of time while a Retry-After still blocks all of their endpoints."""
     for destination in state.destinations_to_check.values():
         available = [endpoint for endpoint in destination.endpoints if endpoint.is_available]
-        retry_after_until = min((endpoint.gate.retry_after_until for endpoint in available), default=0)
+        retry_after_until = min(
+            (endpoint.call_limiter.retry_after_until for endpoint in available), default=0
+        )
         if retry_after_until <= state.now:
             continue
         retry_after = state.rejection_retry_after(retry_after_until - state.now)
@@ -64,8 +66,8 @@
 
 
 def _candidates(state: DecisionState, destination: Destination) -> list[ShedCandidate]:
-    gates = (endpoint.gate for endpoint in destination.endpoints)
-    allowed_at = min((blocked_until(state, gate, destination) for gate in gates), default=0)
+    limiters = (endpoint.call_limiter for endpoint in destination.endpoints)
+    allowed_at = min((blocked_until(state, limiter, destination) for limiter in limiters), default=0)
     wait = max(0, allowed_at - state.now) + len(destination.waiting) * SECOND_US // BACKLOG_DRAIN_RATE_PER_S
     if wait <= MIN_SHED_WAIT_US:
         return []
--- a/loftrelay/decisions/outcomes.py
+++ b/loftrelay/decisions/outcomes.py
@@ -41,9 +41,9 @@
         return
     if (endpoint := state.endpoints.get(endpoint_name)) is not None:
         state.destinations_to_check[endpoint.destination.number] = endpoint.destination
-    gate = hibernation.gate_of(state, endpoint_name)
-    if gate is not None:
-        gate.block_until(state.now + retry_after)
+    limiter = hibernation.find_call_limiter(state, endpoint_name)
+    if limiter is not None:
+        limiter.block_until(state.now + retry_after)
 
 
 def _release_slot(state: DecisionState, call: Call) -> None:
@@ -53,7 +53,7 @@
         return
     endpoint = call.endpoint
     state.calls_in_flight -= 1
-    endpoint.gate.window.in_flight -= 1
+    endpoint.call_limiter.window.in_flight -= 1
     endpoint.destination.in_flight -= 1
     endpoint.in_flight -= 1
     for key in call.uncertain_keys:
--- a/loftrelay/decisions/retry.py
+++ b/loftrelay/decisions/retry.py
@@ -56,14 +56,14 @@
 
 def attempt_timeout(state: DecisionState, message: OpenMessage, endpoint: Endpoint) -> int:
     """Returns the timeout of an attempt in microseconds, derived from the call times measured so far."""
-    gate, times, limits = endpoint.gate, endpoint.call_times, state.limits
+    limiter, times, limits = endpoint.call_limiter, endpoint.call_times, state.limits
     timeout = INITIAL_TIMEOUT_US
     if times.smoothed:
         is_last_slot = state.calls_in_flight >= limits.max_concurrent_calls - 1
         shortest = MIN_TIMEOUT_LAST_SLOT_US if is_last_slot else MIN_TIMEOUT_US
         timeout = int(max(shortest, times.smoothed + TIMEOUT_DEVIATIONS * times.deviation))
     has_idle_slots = state.calls_in_flight * 2 <= limits.max_concurrent_calls
-    if gate.breaker.consecutive_failures == 0 and has_idle_slots:
+    if limiter.breaker.consecutive_failures == 0 and has_idle_slots:
         timeout *= IDLE_SLOTS_TIMEOUT_FACTOR
     if not message.is_repeatable:
         timeout *= AT_MOST_ONCE_TIMEOUT_FACTOR
--- a/loftrelay/decisions/routing.py
+++ b/loftrelay/decisions/routing.py
@@ -24,7 +24,7 @@
     for endpoint in destination.endpoints:
         if not endpoint.is_available:
             continue
-        allowed_at = next_call_at(state, endpoint.gate, destination)
+        allowed_at = next_call_at(state, endpoint.call_limiter, destination)
         if allowed_at <= state.now:
             allowed.append(endpoint)
         else:
@@ -42,7 +42,7 @@
     """
     usual = endpoint.usual_call_time or endpoint.call_times.smoothed or DEFAULT_CALL_TIME_US
     weight = SECOND_US / (usual * (1 + endpoint.in_flight))
-    if endpoint.gate is not endpoint.destination.gate and endpoint.listed_rate:
+    if endpoint.call_limiter is not endpoint.destination.call_limiter and endpoint.listed_rate:
         weight *= endpoint.listed_rate
     else:
         weight *= weight  # prefers fast endpoints more strongly if their capacity is unknown
@@ -64,7 +64,7 @@
 
 def _is_healthy(state: DecisionState, endpoint: Endpoint) -> bool:
     """Returns whether an endpoint is healthy enough for a message that an unknown outcome would end."""
-    breaker = endpoint.gate.breaker
+    breaker = endpoint.call_limiter.breaker
     if breaker.error_rate >= RISKY_ERROR_RATE and state.now <= breaker.failed_at + RISKY_ERROR_MEMORY_US:
         return False
     if endpoint.consecutive_failures == 0:
--- a/loftrelay/decisions/scheduler.py
+++ b/loftrelay/decisions/scheduler.py
@@ -89,8 +89,8 @@
 
     def is_blocked(self, now: int, endpoint: str) -> bool:
         """Returns whether a Retry-After forbids a call. Check this before the first byte of each call."""
-        gate = hibernation.gate_of(self.state, endpoint)
-        return gate is not None and gate.retry_after_until > now
+        limiter = hibernation.find_call_limiter(self.state, endpoint)
+        return limiter is not None and limiter.retry_after_until > now
 
     def is_idle(self, now: int, destination: int) -> bool:
         """Returns whether a destination can be released, given all events so far."""
--- a/loftrelay/decisions/snapshot.py
+++ b/loftrelay/decisions/snapshot.py
@@ -27,7 +27,7 @@
 
 FORMAT_VERSION = 2
 # Renamed class or type alias -> its stored name, for the test that compares RECORDS with the classes.
-STORED_TYPE_NAMES: Mapping[str, str] = {}
+STORED_TYPE_NAMES: Mapping[str, str] = {"CallLimiter": "Gate", "CallLimiterSnapshot": "GateSnapshot"}
 
 RECORDS: Mapping[str, RecordFormat] = {**STATE_RECORDS, **EVENT_RECORDS}
 RECORD_NAMES = {record.type: name for name, record in RECORDS.items()}
--- a/loftrelay/decisions/snapshot_state_records.py
+++ b/loftrelay/decisions/snapshot_state_records.py
@@ -8,7 +8,7 @@
 from loftrelay.decisions.circuit_breaker import CircuitBreaker
 from loftrelay.decisions.concurrency import ConcurrencyWindow
 from loftrelay.decisions.estimators import CallTimes, DecayingRate
-from loftrelay.decisions.gate import Gate, GateSnapshot
+from loftrelay.decisions.gate import CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.rate_limit import RateLimiter
 from loftrelay.decisions.slow_start import SlowStart
 from loftrelay.decisions.snapshot_format import RecordFormat
@@ -142,6 +142,7 @@
             "unfinished": "int",
             "cooldown_until": "int",
         },
+        attributes={"gate": "call_limiter"},
     ),
     "endpoint": RecordFormat(
         entities.Endpoint,
@@ -163,6 +164,7 @@
             "last_used_at": "int",
             "is_disabled": "bool",
         },
+        attributes={"gate": "call_limiter"},
     ),
     "endpoint_kind_stats": RecordFormat(
         entities.EndpointKindStats,
@@ -220,6 +222,7 @@
             "demand_updated_at": "int",
             "endpoints": "dict[str, HibernatedEndpoint]",
         },
+        attributes={"gate": "call_limiter"},
     ),
     "hibernated_endpoint": RecordFormat(
         entities.HibernatedEndpoint,
@@ -228,9 +231,10 @@
             "consecutive_failures": "int",
             "avoid_until": "int",
         },
+        attributes={"gate": "call_limiter"},
     ),
     "gate": RecordFormat(
-        Gate,
+        CallLimiter,
         {
             "window": "ConcurrencyWindow",
             "rate_limiter": "RateLimiter",
@@ -243,7 +247,7 @@
         },
     ),
     "gate_snapshot": RecordFormat(
-        GateSnapshot,
+        CallLimiterSnapshot,
         {
             "window_size": "float",
             "retry_after_until": "int",
--- a/loftrelay/relay/attempts.py
+++ b/loftrelay/relay/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: begins the calls that the scheduler decided, once all gates allow them; handles their results.
+"""Attempts: begins the calls that the scheduler decided, once they are approved; handles their results.
 
 A call is one request to a host; it carries one attempt of each message in it.
 """
@@ -25,18 +25,18 @@
 
 log = logging.getLogger(__name__)
 
-# Longest wait for the gates: the state of the destination may change meanwhile and invalidate the decision.
-MAX_GATE_WAIT_S = 0.1
-MAX_GATE_WAIT_UNCHANGED_S = 1.0  # if no list entry, failure or Retry-After of the destination came since
+# Longest wait for approval: the state of the destination may change meanwhile and invalidate the decision.
+MAX_APPROVAL_WAIT_S = 0.1
+MAX_APPROVAL_WAIT_UNCHANGED_S = 1.0  # if no list entry, failure or Retry-After of the destination came since
 # A call times out this long before the earliest deadline in it, because later responses don't count.
 RESPONSE_MARGIN_US = 20_000
-MIN_GATE_RETRY_MS = 20  # shortest delay before an attempt that a gate did not allow is scheduled again
+MIN_APPROVAL_RETRY_MS = 20  # shortest delay before a call that was not approved is scheduled again
 LONG_RETRY_AFTER_US = 60_000_000  # from here on a Retry-After is logged, as a restart loses it
 
 
 @dataclass(frozen=True, slots=True)
-class GatedCall:
-    """A call that waits for the attempt gates."""
+class PendingCall:
+    """A call that waits for the approval of each attempt approver."""
 
     host: str
     messages: list[Message]
@@ -60,7 +60,7 @@
             message.attempts += 1
             self.context.message_states.begin_attempt(message.id, self.context.batch_loop.now)
         options = self._options(sends, messages, is_batch=is_batch)
-        self._request_gate(0, GatedCall(host, messages, options))
+        self._request_approval(0, PendingCall(host, messages, options))
 
     def _options(
         self, sends: Sequence[SendAttempt], messages: Sequence[Message], *, is_batch: bool
@@ -80,39 +80,41 @@
             send_within=min(send_limits, default=math.inf),
         )
 
-    def _request_gate(self, position: int, call: GatedCall) -> None:
-        """Asks the gate at a position and then the next ones; sends the call when all have allowed it."""
-        gates = self.context.attempt_gates
-        if position == len(gates):
+    def _request_approval(self, position: int, call: PendingCall) -> None:
+        """Asks the approver at a position, then the next ones; sends the call when all have approved it."""
+        approvers = self.context.attempt_approvers
+        if position == len(approvers):
             self.context.delivery.send_call(call.host, call.messages, call.options)
             return
         requested_at = asyncio.get_running_loop().time()
-        done = partial(self._gate_answered, position, call, requested_at)
-        gates[position].request_attempt(call.messages, call.host, done)
+        done = partial(self._approval_decided, position, call, requested_at)
+        approvers[position].request_attempt(call.messages, call.host, done)
 
-    def _gate_answered(self, position: int, call: GatedCall, requested_at: float, is_granted: bool) -> None:
+    def _approval_decided(
+        self, position: int, call: PendingCall, requested_at: float, is_approved: bool
+    ) -> None:
         waited = asyncio.get_running_loop().time() - requested_at
-        if is_granted and not self.context.is_stopping and self._is_still_valid(call, requested_at, waited):
+        if is_approved and not self.context.is_stopping and self._is_still_valid(call, requested_at, waited):
             options = replace(
                 call.options,
                 timeout=max(0.0, call.options.timeout - waited),
                 send_within=call.options.send_within - waited,
             )
-            self._request_gate(position + 1, replace(call, options=options))
+            self._request_approval(position + 1, replace(call, options=options))
         else:
             self._reschedule(position, call)
 
-    def _is_still_valid(self, call: GatedCall, requested_at: float, waited: float) -> bool:
+    def _is_still_valid(self, call: PendingCall, requested_at: float, waited: float) -> bool:
         changed_at = self.context.changed_at.get(call.messages[0].destination, 0.0)
-        return waited < (MAX_GATE_WAIT_UNCHANGED_S if changed_at < requested_at else MAX_GATE_WAIT_S)
+        return waited < (MAX_APPROVAL_WAIT_UNCHANGED_S if changed_at < requested_at else MAX_APPROVAL_WAIT_S)
 
-    def _reschedule(self, position: int, call: GatedCall) -> None:
-        """Reschedules a call that a gate refused or allowed too late. It does not count as an attempt."""
-        gates = self.context.attempt_gates
-        for gate in gates[: position + 1]:
+    def _reschedule(self, position: int, call: PendingCall) -> None:
+        """Reschedules a call that was refused or approved too late. It does not count as an attempt."""
+        approvers = self.context.attempt_approvers
+        for approver in approvers[: position + 1]:
             for message in call.messages:
-                gate.attempt_ended(message.id, AttemptStatus.NOT_SENT.value)
-        retry_ms = max(MIN_GATE_RETRY_MS, gates[position].retry_after_ms)
+                approver.attempt_ended(message.id, AttemptStatus.NOT_SENT.value)
+        retry_ms = max(MIN_APPROVAL_RETRY_MS, approvers[position].retry_after_ms)
         for message in call.messages:
             message.attempts -= 1
             self.context.message_states.end_attempt(message.id)
@@ -142,8 +144,8 @@
             self.final_statuses.message_delivered(message)
         else:
             context.journal.record_attempt_result(message, result.status)
-            for gate in context.attempt_gates:
-                gate.attempt_ended(message.id, result.status.value)
+            for approver in context.attempt_approvers:
+                approver.attempt_ended(message.id, result.status.value)
         for observer in context.observers:
             observer.attempt_ended(message, host, result)
         if not result.is_final or result.retry_after:
--- a/loftrelay/relay/context.py
+++ b/loftrelay/relay/context.py
@@ -15,7 +15,7 @@
 from loftrelay.relay.message_state import MessageStates, Stage
 from loftrelay.relay.message_terms import AcceptedClasses
 from loftrelay.relay.ports import (
-    AttemptGate,
+    AttemptApprover,
     Delivery,
     EndpointDirectory,
     Journal,
@@ -49,8 +49,8 @@
         self.metrics = Metrics(settings.classes)
         self.message_states = MessageStates(_log_invalid_transition)
         self.stall_detector = StallDetector()
-        # Besides the scheduler, each of these has to allow an attempt; they are asked in this order.
-        self.attempt_gates: list[AttemptGate] = [] if store is None else [store]
+        # Besides the scheduler, each of these has to approve an attempt; they are asked in this order.
+        self.attempt_approvers: list[AttemptApprover] = [] if store is None else [store]
         self.observers: list[RelayObserver] = []
         # Destination -> time of the last change (see note_change), in seconds of the event loop's clock.
         self.changed_at: dict[int, float] = {}
@@ -76,7 +76,7 @@
 
     def note_change(self, destination: int) -> None:
         """Notes a list entry, failure or Retry-After, which may invalidate decisions for a destination."""
-        if self.attempt_gates:
+        if self.attempt_approvers:
             self.changed_at[destination] = asyncio.get_running_loop().time()
 
     def messages_in_order(self) -> Sequence[Message]:
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -85,8 +85,8 @@
         """HTTP status of the response, if the message id is known; 0 for a new message, which is stored."""
 
 
-class AttemptGate(Protocol):
-    """Allows or refuses attempts, for instance a store that has to record the intent to send first.
+class AttemptApprover(Protocol):
+    """Approves or refuses attempts, for instance a store that has to record the intent to send first.
 
     It calls back from the event loop, immediately or later.
     """
@@ -96,7 +96,7 @@
         """Shortest delay before the next request after a refusal, in milliseconds."""
 
     def request_attempt(self, messages: Sequence[Message], host: str, done: Callable[[bool], None]) -> None:
-        """Requests permission for a call; calls `done` with whether it may begin."""
+        """Requests approval of a call; calls `done` with whether it may begin."""
 
     def attempt_ended(self, message_id: str, result: str) -> None:
         """Handles the result of a requested attempt that was not a delivery."""
@@ -126,7 +126,7 @@
     REPORT_AGAIN = auto()  # report its final status once more
 
 
-class MessageStore(AttemptGate, Protocol):
+class MessageStore(AttemptApprover, Protocol):
     """The store of record, if one is configured. It calls back from the event loop, immediately or later."""
 
     def admit(self, message: Message, done: Callable[[StoreDecision], None]) -> None:
--- a/tests/decisions/test_delivery.py
+++ b/tests/decisions/test_delivery.py
@@ -78,13 +78,13 @@
         driver.submit(f"y{driver.now}")
         driver.submit(f"z{driver.now}")
         assert driver.scheduler.state.calls_in_flight <= 6  # three quarters of 8
-    assert driver.scheduler.state.destinations[1].gate.window.size >= 6
+    assert driver.scheduler.state.destinations[1].call_limiter.window.size >= 6
 
 
 def test_degraded_destination_uses_at_most_half_of_slots() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls(12)
-    driver.scheduler.state.destinations[1].gate.slow_start.started_at = driver.now
+    driver.scheduler.state.destinations[1].call_limiter.slow_start.started_at = driver.now
     driver.scheduler.state.destinations[1].demand.value = 1000.0
     driver.run_batch(*[make_message(f"x{i}") for i in range(9)])
     assert driver.scheduler.state.calls_in_flight == 4
@@ -93,14 +93,14 @@
 def test_consecutive_rejections_lengthen_pause_of_destination() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    gate, pauses = driver.scheduler.state.destinations[1].gate, []
+    limiter, pauses = driver.scheduler.state.destinations[1].call_limiter, []
     for i in range(4):
         assert sent_messages(driver.submit(f"m{i}")) == [f"m{i}"]
         driver.end_attempt(f"m{i}", AttemptStatus.REJECTED)
-        pauses.append(gate.next_attempt_at - driver.now)
+        pauses.append(limiter.next_attempt_at - driver.now)
         assert not sent_messages(driver.submit(f"n{i}"))  # a new message has to wait, too
         driver.run_batch(MessageCancelled(f"m{i}"), MessageCancelled(f"n{i}"))
-        driver.now = max(gate.next_attempt_at, driver.now + 5 * SECOND_US)
+        driver.now = max(limiter.next_attempt_at, driver.now + 5 * SECOND_US)
     assert pauses[0] >= SECOND_US // 2
     assert all(later > 1.5 * earlier for earlier, later in pairwise(pauses))
 
@@ -166,8 +166,8 @@
 def test_resets_of_reused_connection_count_against_destination_only_after_three_in_a_row() -> None:
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    gate = driver.scheduler.state.destinations[1].gate
-    window = gate.window.size
+    limiter = driver.scheduler.state.destinations[1].call_limiter
+    window = limiter.window.size
     for i in range(3):
         driver.submit(f"m{i}", "at_most_once")
         driver.run_batch(
@@ -176,15 +176,15 @@
                 connection_idle=20 * MILLISECOND_US,
             )
         )
-        assert (gate.window.size == window) == (i < 2)  # three in a row count against the destination
+        assert (limiter.window.size == window) == (i < 2)  # three in a row count against the destination
     driver.advance_clock(20 * SECOND_US)
     driver.run_successful_calls()
-    window = gate.window.size
+    window = limiter.window.size
     driver.submit("new", "at_most_once")
     driver.run_batch(
         replace(driver.make_attempt_ended("new", AttemptStatus.CONNECTION_LOST), connection_idle=0)
     )
-    assert gate.window.size < window
+    assert limiter.window.size < window
 
 
 def test_resets_shortly_after_response_set_no_idle_limit() -> None:
@@ -251,8 +251,8 @@
 def test_batch_cut_off_by_one_deadline_does_not_count_against_endpoint(status: AttemptStatus) -> None:
     """The call is cut off at the earliest deadline: 140 such calls in 5 s were counted against endpoints."""
     driver = make_batching_driver()
-    gate = driver.scheduler.state.endpoints["a"].gate
-    window, action_count = gate.window.size, len(driver.actions)
+    limiter = driver.scheduler.state.endpoints["a"].call_limiter
+    window, action_count = limiter.window.size, len(driver.actions)
     set_endpoint_state(driver, EndpointState.DRAINING)
     driver.submit("short", time_remaining=SECOND_US // 2)
     driver.scheduler.state.messages["short"].priority_weight = 9.0
@@ -262,8 +262,8 @@
         *(driver.make_attempt_ended(m, status, after=100 * MILLISECOND_US) for m in ("short", "update")),
         after=100 * MILLISECOND_US,
     )
-    assert gate.window.size == window
-    assert gate.breaker.consecutive_failures == 0
+    assert limiter.window.size == window
+    assert limiter.breaker.consecutive_failures == 0
     assert not any(isinstance(action, CloseIdleConnections) for action in driver.actions[action_count:])
 
 
--- a/tests/decisions/test_disabled_endpoints.py
+++ b/tests/decisions/test_disabled_endpoints.py
@@ -142,12 +142,12 @@
 
 def test_enabled_endpoint_with_available_siblings_gets_no_slow_start() -> None:
     """Its siblings carried the load without it; a slow start budget for all of them would be below that."""
-    driver = SchedulerDriver(make_entry("a"), make_entry("b"))  # one gate for both
+    driver = SchedulerDriver(make_entry("a"), make_entry("b"))  # one call limiter for both
     driver.run_batch(EndpointDisabled("a"))
     driver.run_batch(EndpointEnabled("a"), after=5 * SECOND_US)
-    assert driver.scheduler.state.endpoints["b"].gate.slow_start.started_at is None
+    assert driver.scheduler.state.endpoints["b"].call_limiter.slow_start.started_at is None
     driver.run_batch(EndpointDisabled("a"), EndpointDisabled("b"))
     driver.run_batch(EndpointEnabled("a"), after=5 * SECOND_US)
-    assert driver.scheduler.state.endpoints["b"].gate.slow_start.started_at == driver.now
+    assert driver.scheduler.state.endpoints["b"].call_limiter.slow_start.started_at == driver.now
     driver.run_batch(EndpointEnabled("b"), after=SECOND_US)
-    assert driver.scheduler.state.endpoints["b"].gate.slow_start.started_at == driver.now - SECOND_US
+    assert driver.scheduler.state.endpoints["b"].call_limiter.slow_start.started_at == driver.now - SECOND_US
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -117,7 +117,7 @@
         names = [f"h{i}" for i in range(size)]
         driver = SchedulerDriver(*(make_entry(name, i, kind="own_limits") for i, name in enumerate(names)))
         for name in names:
-            driver.scheduler.state.endpoints[name].gate.breaker.is_open = True
+            driver.scheduler.state.endpoints[name].call_limiter.breaker.is_open = True
         driver.run_batch(
             EndpointListReceived(
                 EndpointListKind.DELTA,
@@ -127,7 +127,7 @@
         assert len(driver.scheduler.state.removed_endpoints) == size
         costs.append(count_change_steps(driver.scheduler))
         for endpoint in driver.scheduler.state.endpoints.values():
-            endpoint.gate.breaker.is_open = False
+            endpoint.call_limiter.breaker.is_open = False
         for _ in range(size // MIN_REMOVAL_CHECKS):
             driver.run_batch(EndpointListReceived(EndpointListKind.DELTA, ()))
         assert not driver.scheduler.state.endpoints
--- a/tests/decisions/test_hibernation.py
+++ b/tests/decisions/test_hibernation.py
@@ -34,7 +34,7 @@
     MessageRecovered,
     TimerFired,
 )
-from loftrelay.decisions.gate import LEARNED_STATE_TTL_US, GateSnapshot
+from loftrelay.decisions.gate import LEARNED_STATE_TTL_US, CallLimiterSnapshot
 from loftrelay.decisions.ordering import is_next
 from loftrelay.decisions.routing import may_attempt
 from loftrelay.decisions.scheduler import Scheduler
@@ -230,7 +230,7 @@
     assert not driver.scheduler.is_blocked(driver.now + 4 * SECOND_US, "a")
 
 
-def test_retry_after_is_kept_when_endpoint_kind_changes_its_gate() -> None:
+def test_retry_after_is_kept_when_endpoint_kind_changes_its_call_limiter() -> None:
     for was, now in (("own_limits", "shared_limits"), ("shared_limits", "own_limits")):
         driver = SchedulerDriver(make_entry("a", kind=was))
         driver.scheduler.apply_retry_after(driver.now, "a", 5 * SECOND_US)
@@ -247,8 +247,8 @@
     run_outage(driver)
     for name in list(driver.scheduler.state.messages):
         driver.run_batch(MessageCancelled(name))
-    assert driver.scheduler.state.endpoints["a"].gate.breaker.is_open
-    pause = driver.scheduler.state.endpoints["a"].gate.next_attempt_at
+    assert driver.scheduler.state.endpoints["a"].call_limiter.breaker.is_open
+    pause = driver.scheduler.state.endpoints["a"].call_limiter.next_attempt_at
     release_destination(driver)
     apply_delta(driver, make_entry("a", kind=kind))
     driver.run_batch(*[make_message(f"m{i}") for i in range(9)])
@@ -263,10 +263,10 @@
     driver.run_batch(after=30 * 24 * 3600 * SECOND_US)
     assert driver.scheduler.state.hibernated  # an open circuit is kept until a call succeeds
     apply_delta(driver, make_entry("a", kind=kind))
-    assert driver.scheduler.state.endpoints["a"].gate.breaker.is_open
+    assert driver.scheduler.state.endpoints["a"].call_limiter.breaker.is_open
     driver.submit("n")
     driver.end_attempt("n", AttemptStatus.OK)
-    assert driver.scheduler.state.endpoints["a"].gate.slow_start.started_at == driver.now
+    assert driver.scheduler.state.endpoints["a"].call_limiter.slow_start.started_at == driver.now
 
 
 def run_outage_and_recovery(driver: SchedulerDriver) -> None:
@@ -276,7 +276,7 @@
         driver.end_attempt(f"w{i}", AttemptStatus.OK)
     run_outage(driver, AttemptStatus.ERROR, seconds=12)
     driver.submit("back")
-    while driver.scheduler.state.endpoints["a"].gate.breaker.is_open:
+    while driver.scheduler.state.endpoints["a"].call_limiter.breaker.is_open:
         for name in driver.messages_in_flight():
             driver.end_attempt(name, AttemptStatus.OK, after=5 * MILLISECOND_US)
         driver.advance_clock(SECOND_US)
@@ -291,17 +291,19 @@
     """No overload window of two seconds gets more calls than the budget, however often it is released."""
     driver = SchedulerDriver(make_entry("a", kind=kind))
     run_outage_and_recovery(driver)
-    slow_start_at = driver.scheduler.state.endpoints["a"].gate.slow_start.started_at
+    slow_start_at = driver.scheduler.state.endpoints["a"].call_limiter.slow_start.started_at
     assert slow_start_at is not None
     destination = driver.scheduler.state.destinations[1]
-    rate = demand_rate(driver.scheduler.state, destination.endpoints[0].gate, destination)
+    rate = demand_rate(driver.scheduler.state, destination.endpoints[0].call_limiter, destination)
     for i in range(400):
         if driver.scheduler.is_idle(driver.now, 1):
             release_destination(driver)
             apply_delta(driver, make_entry("a", kind=kind))
         driver.submit(f"n{i}", after=20 * MILLISECOND_US)
         destination = driver.scheduler.state.destinations[1]
-        rate = max(rate, demand_rate(driver.scheduler.state, destination.endpoints[0].gate, destination))
+        rate = max(
+            rate, demand_rate(driver.scheduler.state, destination.endpoints[0].call_limiter, destination)
+        )
         for name in driver.messages_in_flight():
             driver.end_attempt(name, AttemptStatus.OK, after=MILLISECOND_US)
         for name in list(driver.scheduler.state.messages):
@@ -317,11 +319,11 @@
 def test_slow_start_ends_on_time_across_release() -> None:
     driver = SchedulerDriver(make_entry("a"))
     run_outage_and_recovery(driver)
-    slow_start_at = driver.scheduler.state.endpoints["a"].gate.slow_start.started_at
+    slow_start_at = driver.scheduler.state.endpoints["a"].call_limiter.slow_start.started_at
     assert slow_start_at is not None
     release_destination(driver)
     apply_delta(driver, make_entry("a"), after=slow_start_at + 9 * SECOND_US - driver.now)
-    assert driver.scheduler.state.endpoints["a"].gate.slow_start.started_at == slow_start_at
+    assert driver.scheduler.state.endpoints["a"].call_limiter.slow_start.started_at == slow_start_at
     release_destination(driver)
     driver.run_batch(after=LEARNED_STATE_TTL_US)
     assert not driver.scheduler.state.hibernated
@@ -336,19 +338,19 @@
         make_entry("c", kind="own_limits"),
     )
     driver.scheduler.apply_retry_after(driver.now, "a", 50 * SECOND_US)
-    driver.scheduler.state.endpoints["b"].gate.breaker.is_open = True
+    driver.scheduler.state.endpoints["b"].call_limiter.breaker.is_open = True
     until = driver.now + 50 * SECOND_US
     release_destination(driver)
     apply_delta(driver, make_entry("c", kind="own_limits"), after=SECOND_US)
     assert driver.scheduler.is_blocked(driver.now, "a")
     assert not driver.scheduler.is_blocked(driver.now, "c")
     apply_delta(driver, make_entry("b", kind="own_limits"), after=SECOND_US)
-    assert driver.scheduler.state.endpoints["b"].gate.breaker.is_open
-    assert not driver.scheduler.state.endpoints["c"].gate.breaker.is_open
+    assert driver.scheduler.state.endpoints["b"].call_limiter.breaker.is_open
+    assert not driver.scheduler.state.endpoints["c"].call_limiter.breaker.is_open
     release_destination(driver)
     apply_delta(driver, *(make_entry(name, kind="own_limits") for name in "abc"), after=SECOND_US)
-    assert driver.scheduler.state.endpoints["b"].gate.breaker.is_open
-    assert not driver.scheduler.state.endpoints["c"].gate.breaker.is_open
+    assert driver.scheduler.state.endpoints["b"].call_limiter.breaker.is_open
+    assert not driver.scheduler.state.endpoints["c"].call_limiter.breaker.is_open
     assert driver.scheduler.is_blocked(until - 1, "a")
     assert not driver.scheduler.is_blocked(until, "a")
     assert not driver.scheduler.state.hibernated
@@ -362,20 +364,20 @@
         driver.submit(f"m{i}", after=10 * SECOND_US)
         driver.end_attempt(f"m{i}", AttemptStatus.REJECTED)
         driver.run_batch(MessageCancelled(f"m{i}"))
-    gate = driver.scheduler.state.endpoints["a"].gate
-    rate, next_call_time = gate.rate_limiter.calls_per_second, gate.next_attempt_at
+    limiter = driver.scheduler.state.endpoints["a"].call_limiter
+    rate, next_call_time = limiter.rate_limiter.calls_per_second, limiter.next_attempt_at
     assert rate < 10
     release_destination(driver)
     apply_delta(driver, make_entry("a"))
-    assert driver.scheduler.state.endpoints["a"].gate is not gate
-    assert driver.scheduler.state.endpoints["a"].gate.rate_limiter.calls_per_second == rate
+    assert driver.scheduler.state.endpoints["a"].call_limiter is not limiter
+    assert driver.scheduler.state.endpoints["a"].call_limiter.rate_limiter.calls_per_second == rate
     driver.submit("n")
     assert first_sent_at(driver, "n") >= next_call_time
     sent = driver.now
     driver.end_attempt("n", AttemptStatus.OK)
     release_destination(driver)
     apply_delta(driver, make_entry("a"))
-    restored = driver.scheduler.state.endpoints["a"].gate
+    restored = driver.scheduler.state.endpoints["a"].call_limiter
     next_call_time = sent + restored.rate_limiter.interval(
         restored.rate_limiter.calls_per_second, driver.scheduler.state.limits
     )
@@ -386,10 +388,10 @@
 
 
 @pytest.mark.parametrize("kind", ["shared_limits", "own_limits"])
-def test_all_learned_state_of_gate_is_restored(kind: str) -> None:
+def test_all_learned_state_of_call_limiter_is_restored(kind: str) -> None:
     driver = SchedulerDriver(make_entry("a", kind=kind))
-    gate = driver.scheduler.state.endpoints["a"].gate
-    learned = GateSnapshot(
+    limiter = driver.scheduler.state.endpoints["a"].call_limiter
+    learned = CallLimiterSnapshot(
         window_size=0.25,
         retry_after_until=driver.now + 9 * SECOND_US,
         next_attempt_at=driver.now + SECOND_US,
@@ -409,25 +411,25 @@
         recent_calls=(),
     )
     limits = driver.scheduler.state.limits
-    fresh = asdict(GateSnapshot.capture(gate, driver.now, limits))
+    fresh = asdict(CallLimiterSnapshot.capture(limiter, driver.now, limits))
     different = {name for name, value in asdict(learned).items() if fresh[name] != value}
     assert different == set(fresh) - {"recent_calls"}
-    learned.restore(gate)
-    assert gate.breaker.is_open
-    assert gate.rate_limiter.calls_per_second == 7.5
-    assert gate.window.size == 0.25
-    assert gate.slow_start.started_at == driver.now
-    gate.slow_start.calls = [
+    learned.restore(limiter)
+    assert limiter.breaker.is_open
+    assert limiter.rate_limiter.calls_per_second == 7.5
+    assert limiter.window.size == 0.25
+    assert limiter.slow_start.started_at == driver.now
+    limiter.slow_start.calls = [
         (driver.now - 3 * SECOND_US, 1.0),
         (driver.now - SECOND_US, 1.25),
         (driver.now - 1, 1.0),
     ]
     release_destination(driver)
     apply_delta(driver, make_entry("a", kind=kind))
-    other = driver.scheduler.state.endpoints["a"].gate
-    assert other is not gate
+    other = driver.scheduler.state.endpoints["a"].call_limiter
+    assert other is not limiter
     calls = ((driver.now - SECOND_US, 1.25), (driver.now - 1, 1.0))
-    assert GateSnapshot.capture(other, driver.now, limits) == replace(learned, recent_calls=calls)
+    assert CallLimiterSnapshot.capture(other, driver.now, limits) == replace(learned, recent_calls=calls)
     assert list(other.slow_start.recent_calls) == list(calls)
 
 
@@ -461,7 +463,7 @@
         driver.run_batch(*operator_events)
         enabled_at = driver.now
         apply_delta(driver, make_entry("a"), after=SECOND_US)
-        assert driver.scheduler.state.endpoints["a"].gate.slow_start.started_at == enabled_at
+        assert driver.scheduler.state.endpoints["a"].call_limiter.slow_start.started_at == enabled_at
         assert driver.scheduler.state.endpoints["a"].is_available
 
 
@@ -476,7 +478,7 @@
 def test_hibernated_destinations_survive_handover() -> None:
     driver = SchedulerDriver(make_entry("a", kind="own_limits"), make_entry("b", 2))
     driver.scheduler.apply_retry_after(driver.now, "a", 50 * SECOND_US)
-    driver.scheduler.state.endpoints["b"].gate.breaker.is_open = True
+    driver.scheduler.state.endpoints["b"].call_limiter.breaker.is_open = True
     until = driver.now + 50 * SECOND_US
     release_destination(driver)
     release_destination(driver, number=2)
@@ -489,7 +491,7 @@
     apply_delta(driver, make_entry("a", kind="own_limits"), make_entry("b", 2))
     assert driver.scheduler.is_blocked(until - 1, "a")
     assert not driver.scheduler.is_blocked(until, "a")
-    assert driver.scheduler.state.endpoints["b"].gate.breaker.is_open
+    assert driver.scheduler.state.endpoints["b"].call_limiter.breaker.is_open
 
 
 # Cost of hibernated destinations
@@ -504,7 +506,7 @@
     driver.submit("m", destination=3)
     driver.end_attempt("m", AttemptStatus.REJECTED)
     driver.run_batch(MessageCancelled("m"))
-    driver.scheduler.state.endpoints["down"].gate.breaker.is_open = True
+    driver.scheduler.state.endpoints["down"].call_limiter.breaker.is_open = True
     driver.run_batch(DestinationsReleased((1, 2, 3, 4)))
     driver.run_batch(after=10 * SECOND_US)
     assert set(driver.scheduler.state.hibernated) == {2, 3, 4}
@@ -532,7 +534,7 @@
             ],
         )
         for endpoint in scheduler.state.endpoints.values():
-            endpoint.gate.breaker.is_open = True
+            endpoint.call_limiter.breaker.is_open = True
         scheduler.handle_batch(START, [DestinationsReleased(tuple(range(size)))])
         scheduler.handle_batch(START + 60 * SECOND_US, [TimerFired(0)])
         assert len(scheduler.state.hibernated) == size
@@ -566,19 +568,19 @@
         [EndpointListReceived(EndpointListKind.FULL, tuple(make_entry(f"h{i}", i) for i in range(size)))],
     )
     for number, endpoint in enumerate(scheduler.state.endpoints.values()):
-        gate = endpoint.gate
-        gate.retry_after_until = START + 99 * SECOND_US + number
-        gate.next_attempt_at = START + number
-        gate.window.size = number / 7e6
-        gate.breaker.is_open = True
-        gate.breaker.consecutive_failures = 3
-        gate.breaker.error_rate = number / 7e6 + 0.7
-        gate.breaker.failed_at = START + 9 + number
-        gate.breaker.failing_since = START - number
-        gate.rate_limiter.last_call_at = START - 2 * number
-        gate.rate_limiter.calls_per_second = number / 9e3 + 1.1
-        gate.rate_limiter.failure_rate_after_failure = number / 9e4
-        gate.rate_limiter.jitter = number / 8e4 + 1.1
+        limiter = endpoint.call_limiter
+        limiter.retry_after_until = START + 99 * SECOND_US + number
+        limiter.next_attempt_at = START + number
+        limiter.window.size = number / 7e6
+        limiter.breaker.is_open = True
+        limiter.breaker.consecutive_failures = 3
+        limiter.breaker.error_rate = number / 7e6 + 0.7
+        limiter.breaker.failed_at = START + 9 + number
+        limiter.breaker.failing_since = START - number
+        limiter.rate_limiter.last_call_at = START - 2 * number
+        limiter.rate_limiter.calls_per_second = number / 9e3 + 1.1
+        limiter.rate_limiter.failure_rate_after_failure = number / 9e4
+        limiter.rate_limiter.jitter = number / 8e4 + 1.1
     gc.collect()
     tracemalloc.start()
     try:
@@ -626,8 +628,8 @@
                 self.state.endpoints[attempt.endpoint],
             )
             assert may_attempt(self.state, message, endpoint) and is_next(self.state, message), attempt
-            allowed_at = next_call_at(self.state, endpoint.gate, endpoint.destination)
-            assert allowed_at <= self.state.now, (attempt, allowed_at - self.state.now, endpoint.gate)
+            allowed_at = next_call_at(self.state, endpoint.call_limiter, endpoint.destination)
+            assert allowed_at <= self.state.now, (attempt, allowed_at - self.state.now, endpoint.call_limiter)
             send_call(self.state, message, endpoint)
 
 
@@ -682,7 +684,7 @@
         self.reference.handle_batch(self.now, events if reference_events is None else reference_events)
         self.in_flight |= {attempt.message_id: attempt for attempt in self.reference.attempts}
         self.call_count += len(self.reference.attempts)
-        # Ends in both what has ended in one: only the gates are compared.
+        # Ends in both what has ended in one: only the call limiters are compared.
         ended = self.reference.state.messages.keys() ^ self.scheduler.state.messages.keys()
         for name in ended:
             for scheduler in (self.reference, self.scheduler):
@@ -755,7 +757,7 @@
 def test_released_destinations_send_no_call_that_reference_forbids(
     steps_to_run: list[tuple[str, int, int, AttemptStatus]], relays: int
 ) -> None:
-    """Covers Retry-After, pauses, rate limits, open circuits and slow start on all gates.
+    """Covers Retry-After, pauses, rate limits, open circuits and slow start on all call limiters.
 
     All calls take the same time, so that no window is narrowed for slow calls: call times are not kept.
     """
@@ -801,8 +803,10 @@
                 ]
             )
             comparison.run_step(rng.choice(STEP_CHOICES), rng.randrange(100), delay, status)
-            hibernated_gates = [record.gate for record in comparison.scheduler.state.hibernated.values()]
-            outages += any(gate is not None and gate.is_open for gate in hibernated_gates)
+            hibernated_limiters = [
+                record.call_limiter for record in comparison.scheduler.state.hibernated.values()
+            ]
+            outages += any(limiter is not None and limiter.is_open for limiter in hibernated_limiters)
         restored_count += comparison.restored_count
         call_count += comparison.call_count
     assert restored_count > 500 and call_count > 1_000 and outages > 100, (
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -90,8 +90,8 @@
 def test_postponed_attempt_changes_neither_attempt_count_nor_feedback() -> None:
     driver = SchedulerDriver(make_entry("a"), max_attempts=1)
     driver.run_successful_calls()
-    gate = driver.scheduler.state.endpoints["a"].gate
-    gate.breaker.connection_failures, gate.breaker.consecutive_failures, gate.breaker.failed_at = (
+    limiter = driver.scheduler.state.endpoints["a"].call_limiter
+    limiter.breaker.connection_failures, limiter.breaker.consecutive_failures, limiter.breaker.failed_at = (
         2,
         1,
         driver.now - 1,
@@ -102,11 +102,11 @@
     driver.scheduler.apply_retry_after(driver.now, "a", SECOND_US)
     event = replace(driver.make_attempt_ended("m", AttemptStatus.NOT_SENT, is_final=False), postponed_for=1)
     assert not ended_messages(driver.run_batch(event))
-    assert gate.window.in_flight == 0
+    assert limiter.window.in_flight == 0
     assert driver.scheduler.state.calls_in_flight == 0
     assert (
-        gate.breaker.connection_failures,
-        gate.breaker.consecutive_failures,
+        limiter.breaker.connection_failures,
+        limiter.breaker.consecutive_failures,
         driver.scheduler.state.endpoints["a"].kind_stats.success_rate_after_failure,
     ) == (2, 1, success_rates)
     blocked_at = driver.now
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -294,13 +294,13 @@
         driver.end_attempt(f"w{i}", AttemptStatus.OK)
     destination = driver.scheduler.state.destinations[1]
     run_outage(driver, status, seconds=12)
-    assert destination.gate.breaker.is_open
+    assert destination.call_limiter.breaker.is_open
     driver.run_batch(*[make_message(f"b{i}") for i in range(60)])
     recovered_at: int | None = None
-    rate = demand_rate(driver.scheduler.state, destination.gate, destination)
+    rate = demand_rate(driver.scheduler.state, destination.call_limiter, destination)
     times = []
     for _ in range(3000):
-        rate = max(rate, demand_rate(driver.scheduler.state, destination.gate, destination))
+        rate = max(rate, demand_rate(driver.scheduler.state, destination.call_limiter, destination))
         for name in driver.messages_in_flight():
             driver.end_attempt(name, AttemptStatus.OK, after=5 * MILLISECOND_US)
             recovered_at = recovered_at or driver.now
@@ -329,7 +329,7 @@
 def test_probe_uses_message_with_latest_deadline() -> None:
     driver = SchedulerDriver(make_entry("a"))
     run_outage(driver, AttemptStatus.CONNECT_FAILED, seconds=8)
-    assert driver.scheduler.state.destinations[1].gate.breaker.is_open
+    assert driver.scheduler.state.destinations[1].call_limiter.breaker.is_open
     driver.run_batch(*[MessageCancelled(name) for name in driver.scheduler.state.messages])
     driver.submit("short", time_remaining=9 * SECOND_US)
     driver.submit("long", time_remaining=18 * SECOND_US)
@@ -341,8 +341,8 @@
 def test_probe_of_batching_endpoint_carries_one_message() -> None:
     """Guards against probe batches that cost many messages an attempt and dedup window during a hang."""
     driver = SchedulerDriver(make_entry("a", kind="batching"))
-    gate = next(iter(driver.scheduler.state.endpoints.values())).gate
-    gate.breaker.is_open, gate.window.size = True, 0.5
+    limiter = next(iter(driver.scheduler.state.endpoints.values())).call_limiter
+    limiter.breaker.is_open, limiter.window.size = True, 0.5
     assert len(sent_messages(driver.run_batch(*[make_message(f"x{i}") for i in range(4)]))) == 1
 
 
@@ -350,13 +350,13 @@
     """Incident i716ca5: relays that all return when a Retry-After ends keep a rate limit exhausted."""
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    gate, pauses = driver.scheduler.state.destinations[1].gate, []
+    limiter, pauses = driver.scheduler.state.destinations[1].call_limiter, []
     for i in range(6):
-        driver.now = max(gate.next_attempt_at, gate.retry_after_until, driver.now + 3 * SECOND_US)
+        driver.now = max(limiter.next_attempt_at, limiter.retry_after_until, driver.now + 3 * SECOND_US)
         if not sent_messages(driver.submit(f"m{i}")):
             assert sent_messages(driver.advance_clock(20 * SECOND_US)) == [f"m{i}"]
         driver.end_attempt(f"m{i}", AttemptStatus.REJECTED, retry_after=2 * SECOND_US)
-        pauses.append(max(gate.next_attempt_at, gate.retry_after_until) - driver.now)
+        pauses.append(max(limiter.next_attempt_at, limiter.retry_after_until) - driver.now)
         driver.run_batch(MessageCancelled(f"m{i}"))
     assert pauses[0] < 4 * SECOND_US
     assert pauses[5] > 5 * SECOND_US
@@ -388,14 +388,14 @@
     """Incident i65fbf5: two consecutive lost calls were taken for an outage, followed by slow start."""
     driver = SchedulerDriver(make_entry("a"))
     driver.run_successful_calls()
-    gate = driver.scheduler.state.destinations[1].gate
+    limiter = driver.scheduler.state.destinations[1].call_limiter
     for i in range(8):
         status = AttemptStatus.OK if i % 3 else AttemptStatus.TIMEOUT
         driver.submit(f"m{i}", after=2 * SECOND_US)
         driver.end_attempt(f"m{i}", status, after=300 * MILLISECOND_US)
         driver.run_batch(MessageCancelled(f"m{i}"))
-        assert not gate.breaker.is_open
-        assert gate.slow_start.started_at is None
+        assert not limiter.breaker.is_open
+        assert limiter.slow_start.started_at is None
 
 
 def test_deduplicated_message_has_same_timeout_as_idempotent_one() -> None:
@@ -415,21 +415,21 @@
     for backlog in (0, 15):
         driver = SchedulerDriver(make_entry("a"))
         driver.run_successful_calls()
-        gate = driver.scheduler.state.destinations[1].gate
+        limiter = driver.scheduler.state.destinations[1].call_limiter
         driver.run_batch(*[make_message(f"b{i}") for i in range(backlog)])
-        gate.rate_limiter.calls_per_second = 0.5
+        limiter.rate_limiter.calls_per_second = 0.5
         for i in range(5):
             driver.submit(f"m{i}", after=3 * SECOND_US)
             for name in driver.messages_in_flight():
                 driver.end_attempt(name, AttemptStatus.OK)
-        rates[backlog] = gate.rate_limiter.calls_per_second
+        rates[backlog] = limiter.rate_limiter.calls_per_second
     assert 0.5 < rates[0] < rates[15]
 
 
 def test_rejections_lower_rate_limit_of_full_batches() -> None:
     """The limit in calls per second was compared with messages per second, so a rejected batch raised it."""
     driver = SchedulerDriver(make_entry("a", kind="batching"))
-    gate = driver.scheduler.state.endpoints["a"].gate
+    limiter = driver.scheduler.state.endpoints["a"].call_limiter
     for i in range(6):
         driver.run_batch(
             *[make_message(f"m{i}-{k}") for k in range(50)],
@@ -440,7 +440,7 @@
         in_flight = driver.messages_in_flight()
         driver.run_batch(*[driver.make_attempt_ended(name, AttemptStatus.REJECTED) for name in in_flight])
     # Full batches need this many calls per second for the demand.
-    assert gate.rate_limiter.calls_per_second < 50 / 5
+    assert limiter.rate_limiter.calls_per_second < 50 / 5
 
 
 def test_timeout_is_doubled_while_half_of_slots_are_free() -> None:
--- a/tests/decisions/test_snapshot.py
+++ b/tests/decisions/test_snapshot.py
@@ -131,9 +131,9 @@
     )
     restored, _ = snapshot.read(snapshot.write(scheduler), 1)
     assert (
-        restored.state.endpoints["a1"].gate
-        is restored.state.endpoints["a2"].gate
-        is restored.state.destinations[1].gate
+        restored.state.endpoints["a1"].call_limiter
+        is restored.state.endpoints["a2"].call_limiter
+        is restored.state.destinations[1].call_limiter
     )
     assert (
         restored.state.messages["m1"].ordering_key
--- a/tests/decisions/test_snapshot_b94bb80.py
+++ b/tests/decisions/test_snapshot_b94bb80.py
@@ -53,14 +53,18 @@
     assert [type(event).__name__ for event in pending] == EXPECTED["events"]
     assert state.disabled_endpoints == {"d1"}
     open_circuits = [
-        number for number, destination in state.destinations.items() if destination.gate.breaker.is_open
+        number
+        for number, destination in state.destinations.items()
+        if destination.call_limiter.breaker.is_open
     ]
     assert open_circuits == EXPECTED["open_circuits"]
     cooldowns = {name: key.cooldown_until for name, key in state.ordering_keys.items()}
     assert cooldowns == EXPECTED["cooldowns"]
-    assert state.destinations[7].gate.retry_after_until == EXPECTED["retry_after_until"]
-    gates = [endpoint.gate for endpoint in state.hibernated[6].endpoints.values()]
-    assert [gate.retry_after_until for gate in gates if gate] == [EXPECTED["hibernated_retry_after_until"]]
+    assert state.destinations[7].call_limiter.retry_after_until == EXPECTED["retry_after_until"]
+    limiters = [endpoint.call_limiter for endpoint in state.hibernated[6].endpoints.values()]
+    assert [limiter.retry_after_until for limiter in limiters if limiter] == [
+        EXPECTED["hibernated_retry_after_until"]
+    ]
 
 
 def test_restored_scheduler_waits_until_the_end_of_the_retry_after() -> None:
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -15,7 +15,7 @@
 from loftrelay.decisions.actions import SendAttempt
 from loftrelay.decisions.events import AttemptEnded, AttemptStatus
 from loftrelay.decisions.simulator import read_settings
-from loftrelay.relay.attempts import GatedCall
+from loftrelay.relay.attempts import PendingCall
 from loftrelay.relay.clock import wall_clock
 from loftrelay.relay.engine import Engine
 from loftrelay.relay.events import submission_event
@@ -210,7 +210,7 @@
 
 
 @pytest.mark.parametrize(
-    ("waited_s", "is_granted", "has_changed", "is_sent"),
+    ("waited_s", "is_approved", "has_changed", "is_sent"),
     [
         (0.05, True, True, True),  # a short wait: sent even after a change
         (0.5, True, False, True),  # a longer wait without a change of the destination
@@ -219,8 +219,8 @@
         (0.05, False, False, False),  # the store has not recorded the intent
     ],
 )
-def test_call_after_gate_wait_is_sent_only_if_decision_is_still_valid(
-    tmp_path: Path, waited_s: float, is_granted: bool, has_changed: bool, is_sent: bool
+def test_call_after_approval_wait_is_sent_only_if_decision_is_still_valid(
+    tmp_path: Path, waited_s: float, is_approved: bool, has_changed: bool, is_sent: bool
 ) -> None:
     """A call that is not sent is postponed and does not count as an attempt."""
 
@@ -236,12 +236,12 @@
         assert sent == ["h"]
         assert message.attempts == 1
         sent.clear()
-        engine.context.attempt_gates = [StubStore()]
+        engine.context.attempt_approvers = [StubStore()]
         requested_at = asyncio.get_running_loop().time() - waited_s
         if has_changed:
             engine.context.note_change(1)
-        call = GatedCall("h", [message], CallOptions(3.0, False, True, None))
-        engine.attempts._gate_answered(0, call, requested_at, is_granted)
+        call = PendingCall("h", [message], CallOptions(3.0, False, True, None))
+        engine.attempts._approval_decided(0, call, requested_at, is_approved)
         assert sent == (["h"] if is_sent else [])
         assert message.attempts == (1 if is_sent else 0)
         postponed = [event for event in engine.context.batch_loop.events if isinstance(event, AttemptEnded)]
