--- a/loftrelay/decisions/entities.py
+++ b/loftrelay/decisions/entities.py
@@ -120,8 +120,8 @@
     not_before: int = 0  # earliest time of the next attempt
     call: Call | None = None
     is_ended: bool = False
-    first_attempt_at: int | None = None  # when the first attempt that may have run was sent
-    first_attempt_endpoint: Endpoint | None = None
+    first_uncertain_attempt_at: int | None = None  # when the first attempt that may have run was sent
+    first_uncertain_attempt_endpoint: Endpoint | None = None
 
     @property
     def is_repeatable(self) -> bool:
@@ -131,7 +131,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether an attempt may have taken effect."""
-        return self.first_attempt_at is not None
+        return self.first_uncertain_attempt_at is not None
 
     @property
     def is_deduplicated(self) -> bool:
--- a/loftrelay/decisions/events.py
+++ b/loftrelay/decisions/events.py
@@ -83,8 +83,9 @@
     submission: MessageSubmitted
     age: int
     attempts: int
-    first_attempt_age: int | None  # since the first attempt that may have taken effect; None: there was none
-    first_attempt_endpoint: str | None
+    # Time since the first attempt that may have taken effect; None: there was none.
+    first_uncertain_attempt_age: int | None
+    first_uncertain_attempt_endpoint: str | None
     is_ended: bool  # its end was decided; only FinalStatusReported is outstanding
 
 
--- a/loftrelay/decisions/idempotency.py
+++ b/loftrelay/decisions/idempotency.py
@@ -29,11 +29,11 @@
 
 def dedup_window_end(state: DecisionState, message: OpenMessage) -> int:
     """Returns until when the destination is certain to drop a duplicate; NEVER if no window applies."""
-    if message.first_attempt_at is None or not message.is_deduplicated:
+    if message.first_uncertain_attempt_at is None or not message.is_deduplicated:
         return NEVER
     window = message.message_class.dedup_window or 0
     margin = min(WINDOW_MARGIN_US, window // WINDOW_MARGIN_DIVISOR)
-    return message.first_attempt_at + window - margin - 2 * (state.settings.batch_interval or 0) - 1
+    return message.first_uncertain_attempt_at + window - margin - 2 * (state.settings.batch_interval or 0) - 1
 
 
 def may_repeat_at(state: DecisionState, message: OpenMessage, endpoint: Endpoint) -> bool:
@@ -42,7 +42,7 @@
         return True
     if not message.is_deduplicated or state.now >= dedup_window_end(state, message):
         return False
-    scope, first = message.message_class.dedup_scope, message.first_attempt_endpoint
+    scope, first = message.message_class.dedup_scope, message.first_uncertain_attempt_endpoint
     if scope == GLOBAL_SCOPE or first is endpoint:
         return True
     return scope == ZONE_SCOPE and first is not None and endpoint.zone == first.zone
@@ -60,6 +60,6 @@
 
 def record_uncertain_attempt(message: OpenMessage, sent_at: int, endpoint: Endpoint | None) -> None:
     """Records the time and endpoint of the first attempt that may have run; ignores later ones."""
-    if message.first_attempt_at is None:
-        message.first_attempt_at = sent_at
-        message.first_attempt_endpoint = endpoint
+    if message.first_uncertain_attempt_at is None:
+        message.first_uncertain_attempt_at = sent_at
+        message.first_uncertain_attempt_endpoint = endpoint
--- a/loftrelay/decisions/lifecycle.py
+++ b/loftrelay/decisions/lifecycle.py
@@ -72,9 +72,11 @@
     message.admitted_at = state.now - event.age
     message.attempts = event.attempts
     message.not_before = state.now
-    if event.first_attempt_age is not None:
-        message.first_attempt_at = state.now - event.first_attempt_age
-        message.first_attempt_endpoint = state.endpoints.get(event.first_attempt_endpoint or "")
+    if event.first_uncertain_attempt_age is not None:
+        message.first_uncertain_attempt_at = state.now - event.first_uncertain_attempt_age
+        message.first_uncertain_attempt_endpoint = state.endpoints.get(
+            event.first_uncertain_attempt_endpoint or ""
+        )
     message.destination.waiting.pop(message.name)
     if event.is_ended:
         message.is_ended = True
--- a/loftrelay/decisions/snapshot_event_records.py
+++ b/loftrelay/decisions/snapshot_event_records.py
@@ -48,6 +48,10 @@
             "first_attempt_endpoint": "str | None",
             "is_ended": "bool",
         },
+        attributes={
+            "first_attempt_age": "first_uncertain_attempt_age",
+            "first_attempt_endpoint": "first_uncertain_attempt_endpoint",
+        },
     ),
     "ordering_key_cooldown": RecordFormat(
         events.OrderingKeyCooldown,
--- a/loftrelay/decisions/snapshot_state_records.py
+++ b/loftrelay/decisions/snapshot_state_records.py
@@ -212,6 +212,10 @@
             "first_attempt_at": "int | None",
             "first_attempt_endpoint": "Endpoint | None",
         },
+        attributes={
+            "first_attempt_at": "first_uncertain_attempt_at",
+            "first_attempt_endpoint": "first_uncertain_attempt_endpoint",
+        },
     ),
     "hibernated_destination": RecordFormat(
         entities.HibernatedDestination,
--- a/loftrelay/journal/index.py
+++ b/loftrelay/journal/index.py
@@ -120,9 +120,9 @@
         """Applies the result of an attempt, which may make the ordering key of its message uncertain."""
         message.attempts = record.attempts
         if record.status in UNCERTAIN_STATUSES:
-            if message.first_attempt_at is None:
-                message.first_attempt_at = message.attempt_started_at
-                message.first_attempt_host = message.attempt_host
+            if message.first_uncertain_attempt_at is None:
+                message.first_uncertain_attempt_at = message.attempt_started_at
+                message.first_uncertain_attempt_host = message.attempt_host
             if record.status is not AttemptStatus.ERROR and message.ordering_key is not None:
                 self._mark_uncertain(message.ordering_key, record.ended_at)
         message.attempt_started_at = message.attempt_host = None
@@ -176,8 +176,11 @@
             case AttemptEnded():
                 self.open.attempt_ended(message, record)
             case OutcomeDisputed():
-                if message.first_attempt_at is None:
-                    message.first_attempt_at, message.first_attempt_host = record.started_at, record.host
+                if message.first_uncertain_attempt_at is None:
+                    message.first_uncertain_attempt_at, message.first_uncertain_attempt_host = (
+                        record.started_at,
+                        record.host,
+                    )
             case FinalStatusDecided():
                 message.final_status, message.body = record.final_status, b""
             case MessageCompleted():
--- a/loftrelay/relay/events.py
+++ b/loftrelay/relay/events.py
@@ -27,13 +27,13 @@
 
 def recovery_event(message: Message, now: int) -> MessageRecovered:
     """Returns the recovery event of a message; `now` is in wall-clock microseconds."""
-    first_attempt_at = message.first_attempt_at
+    sent_at = message.first_uncertain_attempt_at
     return MessageRecovered(
         submission=submission_event(message),
         age=max(0, now - message.admitted_at),
         attempts=message.attempts,
-        first_attempt_age=None if first_attempt_at is None else max(0, now - first_attempt_at),
-        first_attempt_endpoint=message.first_attempt_host,
+        first_uncertain_attempt_age=None if sent_at is None else max(0, now - sent_at),
+        first_uncertain_attempt_endpoint=message.first_uncertain_attempt_host,
         is_ended=message.final_status is not None,
     )
 
--- a/loftrelay/relay/message.py
+++ b/loftrelay/relay/message.py
@@ -34,8 +34,8 @@
     attempts: int = 0
     attempt_started_at: int | None = None  # start of the attempt whose result is not known yet
     attempt_host: str | None = None
-    first_attempt_at: int | None = None  # start of the first attempt that may have run
-    first_attempt_host: str | None = None
+    first_uncertain_attempt_at: int | None = None  # start of the first attempt that may have run
+    first_uncertain_attempt_host: str | None = None
     final_status: dict[str, Any] | None = None  # set until the platform has acknowledged it
     packed_terms: Sequence[Any] | None = None  # see message_terms; None: admitted by an older version
     idempotency_key: str | None = None  # the host uses it to drop duplicates; forwarded unchanged
--- a/loftrelay/relay/recovery.py
+++ b/loftrelay/relay/recovery.py
@@ -129,7 +129,7 @@
         if action is RecoveryAction.REPORT_AGAIN and message.final_status is None:
             self.context.journal.record_final_status(message.id, final_status_of_answer(recorded_answer))
         # Recorded as a possible run, so that the scheduler fails the message: it must not run twice.
-        if action is RecoveryAction.FAIL and message.first_attempt_at is None:
+        if action is RecoveryAction.FAIL and message.first_uncertain_attempt_at is None:
             self.context.journal.record_dispute(message, message.attempt_host or "", wall_clock())
         return True
 
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -72,7 +72,7 @@
         return JournalState.DELIVERED if is_delivered else JournalState.DECIDED
     if message.attempt_started_at is not None:
         return JournalState.IN_FLIGHT
-    if message.first_attempt_at is not None:
+    if message.first_uncertain_attempt_at is not None:
         return JournalState.MAY_HAVE_RUN
     return JournalState.NOT_EXECUTED if message.attempts else JournalState.ADMITTED
 
@@ -181,7 +181,7 @@
                     message_id,
                     position,
                     ChangeKind.BEGIN_ATTEMPT,
-                    host=message.attempt_host or message.first_attempt_host,
+                    host=message.attempt_host or message.first_uncertain_attempt_host,
                 )
                 if journal is not JournalState.DELIVERED:
                     self.attempt_ended(
--- a/tests/decisions/test_recorded_decisions.py
+++ b/tests/decisions/test_recorded_decisions.py
@@ -285,15 +285,13 @@
 
     def _draw_recovery(self) -> Event:
         submit = self._draw_submission(self.rng.choice((500 * MILLISECOND_US, 9 * SECOND_US)))
-        first_attempt_age = self.rng.choice((None, 50 * MILLISECOND_US, 3 * SECOND_US))
-        first_attempt_endpoint = None if first_attempt_age is None else f"host-{self.rng.randrange(12)}"
+        uncertain_age = self.rng.choice((None, 50 * MILLISECOND_US, 3 * SECOND_US))
+        uncertain_endpoint = None if uncertain_age is None else f"host-{self.rng.randrange(12)}"
         ended = self.rng.random() < 0.2
         if ended:
             self.unreported.append(submit.message_id)
         age = self.rng.randrange(1, 8 * SECOND_US)
-        return MessageRecovered(
-            submit, age, self.rng.randrange(3), first_attempt_age, first_attempt_endpoint, ended
-        )
+        return MessageRecovered(submit, age, self.rng.randrange(3), uncertain_age, uncertain_endpoint, ended)
 
     def _draw_key_cooldown(self) -> Event:
         return OrderingKeyCooldown(f"key-{self.rng.randrange(4)}", self.rng.randrange(400 * MILLISECOND_US))
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -133,7 +133,7 @@
     assert "m" in driver.scheduler.state.messages
     if may_have_run:
         message = driver.scheduler.state.messages["m"]
-        message.first_attempt_at = driver.now
+        message.first_uncertain_attempt_at = driver.now
         # Only its zone would drop a duplicate.
         message.message_class = replace(message.message_class, dedup_scope="zone")
     driver.scheduler.apply_retry_after(driver.now, "a", 60 * SECOND_US)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -486,7 +486,7 @@
     driver.submit("m", class_name)
     driver.end_attempt("m", AttemptStatus.REJECTED)
     assert not ended_messages(driver.run_batch(OutcomeDisputed("m", "a", 60 * MILLISECOND_US)))
-    ran_at = driver.scheduler.state.messages["m"].first_attempt_at
+    ran_at = driver.scheduler.state.messages["m"].first_uncertain_attempt_at
     assert ran_at == driver.now - 60 * MILLISECOND_US  # start of the dedup window
     again = driver.advance_clock(30 * SECOND_US)
     assert sent_messages(again) == ["m"]
--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -56,8 +56,8 @@
     assert journal.messages == messages_before
     assert list(uncertain_keys) == ["k"]
     assert journal.messages["attempted"].attempt_host == "h1"
-    assert journal.messages["timed out"].first_attempt_host == "h1"
-    assert journal.messages["rejected"].first_attempt_at is None
+    assert journal.messages["timed out"].first_uncertain_attempt_host == "h1"
+    assert journal.messages["rejected"].first_uncertain_attempt_at is None
     assert journal.messages["rejected"].attempts == 1
     journal.admit(make_message("later"))
     assert journal.messages["later"].sequence == 7  # numbering continues after a restart
@@ -187,9 +187,12 @@
     journal.messages["m"].attempts = 1
     journal.record_attempt(journal.messages["m"], "h1")
     journal.record_attempt_result(journal.messages["m"], AttemptStatus.REJECTED)
-    assert journal.messages["m"].first_attempt_at is None
+    assert journal.messages["m"].first_uncertain_attempt_at is None
     journal.record_dispute(journal.messages["m"], "h1", 77)
-    assert (reopen(journal).messages["m"].first_attempt_at, journal.messages["m"].first_attempt_host) == (
+    assert (
+        reopen(journal).messages["m"].first_uncertain_attempt_at,
+        journal.messages["m"].first_uncertain_attempt_host,
+    ) == (
         77,
         "h1",
     )
--- a/tests/program/test_stored_state.py
+++ b/tests/program/test_stored_state.py
@@ -37,8 +37,8 @@
     "taken_at": "admitted_at",
     "tried_at": "attempt_started_at",
     "tried_on": "attempt_host",
-    "ran_at": "first_attempt_at",
-    "ran_on": "first_attempt_host",
+    "ran_at": "first_uncertain_attempt_at",
+    "ran_on": "first_uncertain_attempt_host",
     "notice": "final_status",
     "terms": "packed_terms",
 }  # name in the records of 32c0038 -> field of Message; the others have the same name
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -100,7 +100,7 @@
         engine.attempts.outcome_disputed("unknown", "h", now)
         engine.context.batch_loop.run_due_batch()
         assert engine.intake.open_messages == 0
-        assert engine.context.journal.messages["m"].first_attempt_at == now
+        assert engine.context.journal.messages["m"].first_uncertain_attempt_at == now
         engine.context.status_reporter.close()
         engine.context.delivery.close()
 
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -329,7 +329,7 @@
         engine.context.batch_loop.run_due_batch()
         assert list(engine.context.scheduler.state.messages) == ["a", "b", "c"]
         assert not engine.context.scheduler.state.unreported
-        endpoint = engine.context.scheduler.state.messages["a"].first_attempt_endpoint
+        endpoint = engine.context.scheduler.state.messages["a"].first_uncertain_attempt_endpoint
         assert endpoint is not None
         assert endpoint.name == "h1"
         close_engine(engine)
