--- a/loftrelay/relay/final_statuses.py
+++ b/loftrelay/relay/final_statuses.py
@@ -26,7 +26,7 @@
     STORED_REJECTED,
     FinalStatusRecord,
     final_status_record,
-    stored_answer_of,
+    stored_status_of,
 )
 
 
@@ -64,8 +64,8 @@
         if self.context.store is None:
             done()
             return
-        stored = STORED_FAILED if status == FAILED else STORED_REJECTED
-        self.context.store.record_final_status(message_id, stored, None, done)
+        stored_status = STORED_FAILED if status == FAILED else STORED_REJECTED
+        self.context.store.record_final_status(message_id, stored_status, None, done)
 
     def _finish_response(
         self, message_id: str, respond: ResponseCallback, status: int, retry_after_ms: int
@@ -90,7 +90,7 @@
             return
         context.message_states.begin_recording_final_status(message_id, final_status)
         done = partial(self._report_recorded, message_id)
-        context.store.record_final_status(message_id, stored_answer_of(final_status), None, done)
+        context.store.record_final_status(message_id, stored_status_of(final_status), None, done)
 
     def _report_recorded(self, message_id: str) -> None:
         fault_point("tell")
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -133,15 +133,22 @@
         """Stores a new message, or looks up a known id; calls `done` with the decision."""
 
     def record_final_status(
-        self, message_id: str, answer: str, result: str | None, done: Callable[[], None]
+        self, message_id: str, stored_status: str, result: str | None, done: Callable[[], None]
     ) -> None:
-        """Records the final status of a message; calls `done` once it is recorded."""
+        """Records the final status of a message; calls `done` once it is recorded.
+
+        Args:
+            message_id: id of the message.
+            stored_status: STORED_DELIVERED, STORED_REJECTED or STORED_FAILED (see `statuses`).
+            result: status of the last attempt; None if the message was not delivered.
+            done: called without arguments, immediately or later.
+        """
 
     def final_status_reported(self, message_id: str) -> None:
         """Records that the client or the platform has received the final status of a message."""
 
-    def recorded_final_status(self, message_id: str) -> str | None:
-        """Returns the final status of a message as stored before a restart; None if it has none."""
+    def stored_final_status(self, message_id: str) -> str | None:
+        """Returns the stored status of a message, as it was before a restart; None if it has none."""
 
     def recover(self, message: Message | None, message_id: str, is_at_most_once: bool) -> RecoveryAction:
         """Reconciles the record of a message with the journal; returns the action that is required.
--- a/loftrelay/relay/recovery.py
+++ b/loftrelay/relay/recovery.py
@@ -24,7 +24,7 @@
     STATUS_DELIVERED,
     STORED_DELIVERED,
     STORED_FAILED,
-    final_status_of_answer,
+    final_status_from_stored,
 )
 
 log = logging.getLogger(__name__)
@@ -114,29 +114,29 @@
         store = self.context.store
         if store is None:
             return True
-        recorded_answer = store.recorded_final_status(message.id)
+        stored_status = store.stored_final_status(message.id)
         action = store.recover(message, message.id, not is_repeatable(message.packed_terms))
         if action in (RecoveryAction.COMPLETE, RecoveryAction.DISCARD):
-            self._drop_completed(message, recorded_answer)
+            self._drop_completed(message, stored_status)
             return False
         if action is RecoveryAction.UPDATE_STORE and message.final_status is None:
-            recorded_answer = STORED_DELIVERED
+            stored_status = STORED_DELIVERED
         final_status = message.final_status
         is_delivered = final_status is not None and final_status["status"] == STATUS_DELIVERED
-        if is_delivered or recorded_answer == STORED_DELIVERED:
+        if is_delivered or stored_status == STORED_DELIVERED:
             self.final_statuses.message_delivered(message)
             return False
         if action is RecoveryAction.REPORT_AGAIN and message.final_status is None:
-            self.context.journal.record_final_status(message.id, final_status_of_answer(recorded_answer))
+            self.context.journal.record_final_status(message.id, final_status_from_stored(stored_status))
         # Recorded as a possible run, so that the scheduler fails the message: it must not run twice.
         if action is RecoveryAction.FAIL and message.first_uncertain_attempt_at is None:
             self.context.journal.record_dispute(message, message.attempt_host or "", wall_clock())
         return True
 
-    def _drop_completed(self, message: Message, recorded_answer: str | None) -> None:
+    def _drop_completed(self, message: Message, stored_status: str | None) -> None:
         """Drops a message that is complete in the store; if it must not run again, its id is remembered."""
         statuses = {STORED_DELIVERED: DELIVERED, STORED_FAILED: FAILED}
-        status = 0 if is_idempotent(message.packed_terms) else statuses.get(recorded_answer or "", 0)
+        status = 0 if is_idempotent(message.packed_terms) else statuses.get(stored_status or "", 0)
         self.context.journal.complete(message.id, status)
 
     def _end_lost_messages(self) -> None:
@@ -148,9 +148,9 @@
             self._end_lost_message(store, message_id)
 
     def _end_lost_message(self, store: MessageStore, message_id: str) -> None:
-        recorded_answer = store.recorded_final_status(message_id)
+        stored_status = store.stored_final_status(message_id)
         store.recover(None, message_id, True)
-        if recorded_answer == STORED_DELIVERED:
+        if stored_status == STORED_DELIVERED:
             store.final_status_reported(message_id)
         else:
-            self.final_statuses.report(message_id, final_status_of_answer(recorded_answer))
+            self.final_statuses.report(message_id, final_status_from_stored(stored_status))
--- a/loftrelay/relay/statuses.py
+++ b/loftrelay/relay/statuses.py
@@ -32,11 +32,11 @@
     return record
 
 
-def final_status_of_answer(stored_answer: str | None) -> FinalStatusRecord:
-    """Returns the final status of a message by its answer in the store; failed if that has none."""
-    return {"status": STATUS_REJECTED if stored_answer == STORED_REJECTED else STATUS_FAILED}
+def final_status_from_stored(stored_status: str | None) -> FinalStatusRecord:
+    """Returns the final status to report for a stored status; failed if the store has none."""
+    return {"status": STATUS_REJECTED if stored_status == STORED_REJECTED else STATUS_FAILED}
 
 
-def stored_answer_of(final_status: FinalStatusRecord) -> str:
-    """Returns the store's name of a final status that is reported to the platform."""
+def stored_status_of(final_status: FinalStatusRecord) -> str:
+    """Returns the name under which the store keeps a final status that is reported to the platform."""
     return STORED_FAILED if final_status["status"] == STATUS_FAILED else STORED_REJECTED
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -192,7 +192,7 @@
             self.attempt_ended(message_id, "BROKEN")
         return action
 
-    def recorded_final_status(self, message_id: str) -> str | None:
+    def stored_final_status(self, message_id: str) -> str | None:
         """Returns the final status of a message in the store at the start, or None."""
         record = self.records_at_start.get(message_id)
         return record.final_status.value if record is not None and record.final_status is not None else None
@@ -361,7 +361,7 @@
             self._post(message_id, position, ChangeKind.END_ATTEMPT, result=result)
 
     def record_final_status(
-        self, message_id: str, status: str, result: str | None, done: Callable[[], None]
+        self, message_id: str, stored_status: str, result: str | None, done: Callable[[], None]
     ) -> None:
         """Records the final status of a message; calls `done` after the commit.
 
@@ -369,7 +369,7 @@
         recorded. A delivery is always committed first: the journal keeps it until then, and no client or
         platform waits for it.
         """
-        position, final_status = self.positions.get(message_id), StoredFinalStatus(status)
+        position, final_status = self.positions.get(message_id), StoredFinalStatus(stored_status)
         if position is None:
             done()
             return
--- a/tests/relay/test_engine.py
+++ b/tests/relay/test_engine.py
@@ -266,13 +266,13 @@
     def attempt_ended(self, message_id: str, result: str) -> None: ...
 
     def record_final_status(
-        self, message_id: str, answer: str, result: str | None, done: Callable[[], None]
+        self, message_id: str, stored_status: str, result: str | None, done: Callable[[], None]
     ) -> None:
         done()
 
     def final_status_reported(self, message_id: str) -> None: ...
 
-    def recorded_final_status(self, message_id: str) -> str | None:
+    def stored_final_status(self, message_id: str) -> str | None:
         return None
 
     def recover(self, message: Message | None, message_id: str, is_at_most_once: bool) -> RecoveryAction:
