--- a/loftrelay/journal/compaction.py
+++ b/loftrelay/journal/compaction.py
@@ -71,16 +71,16 @@
                     "journal segment %d can't be compacted and deleted, keeping it: %r", number, error
                 )
                 return
-            self._index.open.by_segment.pop(number, None)
+            self._index.open_messages.by_segment.pop(number, None)
             self._index.completed.by_segment.pop(number, None)
 
     def _copy_entries(self, number: int, limit: int | None) -> bool:
         """Writes the live entries of a segment again; returns False if the limit was reached first."""
-        messages = self._index.open.by_segment.get(number, {})
+        messages = self._index.open_messages.by_segment.get(number, {})
         while messages:  # each write moves an entry to the current segment
             if self._exceeds(limit):
                 return False
-            message = self._index.open.messages[next(iter(messages))]
+            message = self._index.open_messages.messages[next(iter(messages))]
             self._write(MessageAdmitted.copy_of(message))
         self._index.completed.remove_expired()
         completed = self._index.completed.by_segment.get(number, set())
--- a/loftrelay/journal/index.py
+++ b/loftrelay/journal/index.py
@@ -145,13 +145,13 @@
 
     def __init__(self, clock: Callable[[], int]) -> None:
         """Creates an empty index; `clock` returns the time in wall-clock microseconds."""
-        self.open = MessageIndex()
+        self.open_messages = MessageIndex()
         self.completed = CompletedIndex(clock)
 
     @property
     def live_bytes(self) -> int:
         """Bytes that copies of all entries would take: the part of the journal that compaction can't free."""
-        return self.open.record_bytes + self.completed.record_bytes
+        return self.open_messages.record_bytes + self.completed.record_bytes
 
     def apply(self, record: Record, segment: int, size: int) -> None:
         """Applies a record.
@@ -162,11 +162,11 @@
             size: its size there in bytes; 0 if it could not be written because the disk is full.
         """
         if isinstance(record, MessageAdmitted):
-            self.open.add(record.message, Location(segment, size + STATE_BYTES))
+            self.open_messages.add(record.message, Location(segment, size + STATE_BYTES))
             return
         if isinstance(record, _COMPLETION_RECORDS) and record.completed is not None:
             self.completed.add(record.message_id, record.completed, Location(segment, size))
-        message = self.open.messages.get(record.message_id)
+        message = self.open_messages.messages.get(record.message_id)
         if message is None:
             return  # it is complete, and the segment with its admission has been deleted
         match record:
@@ -174,7 +174,7 @@
                 message.attempts = record.attempts
                 message.attempt_started_at, message.attempt_host = record.started_at, record.host
             case AttemptEnded():
-                self.open.attempt_ended(message, record)
+                self.open_messages.attempt_ended(message, record)
             case OutcomeDisputed():
                 if message.first_uncertain_attempt_at is None:
                     message.first_uncertain_attempt_at, message.first_uncertain_attempt_host = (
@@ -184,4 +184,4 @@
             case FinalStatusDecided():
                 message.final_status, message.body = record.final_status, b""
             case MessageCompleted():
-                self.open.remove(message.id)
+                self.open_messages.remove(message.id)
--- a/loftrelay/journal/journal.py
+++ b/loftrelay/journal/journal.py
@@ -107,8 +107,8 @@
         Raises:
             JournalFullError: there is no space, and nothing is stored.
         """
-        self.index.open.last_sequence += 1
-        message.sequence = self.index.open.last_sequence
+        self.index.open_messages.last_sequence += 1
+        message.sequence = self.index.open_messages.last_sequence
         self.index.completed.remove_expired()
         # Half of the budget is for live entries, the other half for later records and for copies.
         if self.index.live_bytes + len(message.body) + 2 * STATE_BYTES > self.disk_bytes // 2:
@@ -158,8 +158,9 @@
     def _read(self, is_read_only: bool) -> None:
         self.files = SegmentFiles(self.folder, self.disk_bytes)
         self.index = JournalIndex(self._clock)
-        self.messages = self.index.open.messages  # message id -> message, in the order of their records
-        self.uncertain_keys = self.index.open.uncertain_keys  # see MessageIndex
+        # Message id -> message, in the order of their records.
+        self.messages = self.index.open_messages.messages
+        self.uncertain_keys = self.index.open_messages.uncertain_keys  # see MessageIndex
         self._compactor = Compactor(self.files, self.index, self._write)
         read_segments(self.files, self.index, is_read_only)
 
--- a/loftrelay/relay/context.py
+++ b/loftrelay/relay/context.py
@@ -55,20 +55,26 @@
         # Destination -> time of the last change (see note_change), in seconds of the event loop's clock.
         self.changed_at: dict[int, float] = {}
         self.batch_loop = BatchLoop(self.stall_detector, settings.batch_interval)
-        self.is_stopping = False  # no batches run; new messages are kept in the journal for the next start
-        # Set while another process makes the decisions, or is about to.
+        # The process is ending, paused for a handover or not: no batches run; new messages are kept in the
+        # journal for the next start.
+        self.is_stopping = False
+        # Set while another process makes the decisions, or is about to; see is_paused_for_handover.
         self.outcome_forwarder: OutcomeForwarder | None = None
-        self.is_handed_over = False  # another process owns all messages
+        # Another process owns all messages, for good. Implies is_paused_for_handover, which begins earlier.
+        self.is_handed_over = False
 
     @property
-    def is_paused(self) -> bool:
-        """Whether another process makes the decisions, or is about to."""
+    def is_paused_for_handover(self) -> bool:
+        """Whether another process makes the decisions, or is about to.
+
+        Ends if the handover is cancelled; stays true once is_handed_over is set.
+        """
         return self.outcome_forwarder is not None
 
     @property
     def is_deciding(self) -> bool:
-        """Whether this process makes the decisions and runs batches."""
-        return not self.is_stopping and not self.is_paused
+        """Whether this process makes the decisions and runs batches: neither stopping nor paused."""
+        return not self.is_stopping and not self.is_paused_for_handover
 
     def post(self, event: Event) -> None:
         """Adds an event to the next batch, and schedules the batch."""
--- a/loftrelay/relay/endpoints.py
+++ b/loftrelay/relay/endpoints.py
@@ -30,11 +30,12 @@
     def __init__(self, context: RelayContext) -> None:
         self.context = context
         self.entries: dict[str, tuple[EndpointEntry, Address]] = {}  # by host, as listed
-        self.batch_sizes: dict[str, int] = {}  # by host: most messages in one call
+        # Most messages in one call, by host. Its keys are the known hosts, the same as in `entries`.
+        self.max_batch_size_by_host: dict[str, int] = {}
         self.destinations: set[int] = set()  # destinations with an entry in the list
         self.disabled: set[str] = set()  # hosts disabled by the operator
         # The first list was rejected as too long and no earlier one exists, so no client is served.
-        self.has_no_list = False
+        self.lacks_usable_list = False
 
     def list_received(self, update: EndpointListReceived, addresses: Mapping[str, Address]) -> None:
         """Applies an endpoint list or a change of it.
@@ -43,9 +44,9 @@
             update: the list or the change.
             addresses: address of each host in it that is not removed.
         """
-        self.has_no_list = self.has_no_list and update.kind is EndpointListKind.FAILED
+        self.lacks_usable_list = self.lacks_usable_list and update.kind is EndpointListKind.FAILED
         if update.kind is EndpointListKind.FULL:
-            for host in set(self.batch_sizes) - set(addresses):
+            for host in set(self.max_batch_size_by_host) - set(addresses):
                 self.remove(host)
         for entry in update.entries:
             self.destinations.add(entry.destination)
@@ -59,7 +60,7 @@
     def list_rejected(self) -> None:
         """Counts a list that was rejected as too long. The current list stays in use."""
         self.context.metrics.lists_rejected += 1
-        self.has_no_list = not self.destinations
+        self.lacks_usable_list = not self.destinations
 
     def add(self, entry: EndpointEntry, address: Address) -> None:
         """Adds a host, or updates its entry and address."""
@@ -69,17 +70,17 @@
         if entry.state is EndpointState.DRAINING or host in self.disabled:
             self.context.delivery.drain_host(host)
         kind = self.context.settings.endpoint_kinds.get(entry.kind or "")
-        self.batch_sizes[host] = (kind and kind.max_batch_size) or 1
+        self.max_batch_size_by_host[host] = (kind and kind.max_batch_size) or 1
 
     def remove(self, host: str) -> None:
         """Removes a host that the list no longer contains."""
         self.context.delivery.remove_host(host)
-        self.batch_sizes.pop(host, None)
+        self.max_batch_size_by_host.pop(host, None)
         self.entries.pop(host, None)
 
     def is_known(self, host: str) -> bool:
         """Returns whether a host is listed or disabled."""
-        return host in self.batch_sizes or host in self.disabled
+        return host in self.max_batch_size_by_host or host in self.disabled
 
     def disable(self, host: str) -> None:
         """Takes a host out of service at the operator's request, whatever the list says, until `enable`."""
--- a/loftrelay/relay/engine.py
+++ b/loftrelay/relay/engine.py
@@ -174,7 +174,9 @@
         delivered = context.message_states.counts[Stage.RECORDING_DELIVERY]
         outstanding = 0 if context.is_handed_over else len(context.journal.messages) - delivered
         gauges = Gauges(
-            outstanding, len(self.endpoints.batch_sizes), context.scheduler.avoided_endpoint_count()
+            outstanding,
+            len(self.endpoints.max_batch_size_by_host),
+            context.scheduler.avoided_endpoint_count(),
         )
         return context.metrics.lines(gauges)
 
@@ -209,6 +211,6 @@
                 log.error("internal error: the engine does not support the scheduler's action %s", action)
 
     def _begin_calls(self, host: str, sends: list[SendAttempt]) -> None:
-        size = self.endpoints.batch_sizes.get(host, 1)
+        size = self.endpoints.max_batch_size_by_host.get(host, 1)
         for first in range(0, len(sends), size):
             self.attempts.begin(host, sends[first : first + size], is_batch=size > 1)
--- a/loftrelay/server/http/connection.py
+++ b/loftrelay/server/http/connection.py
@@ -191,7 +191,7 @@
             return
         if request.method not in (b"GET", b"HEAD"):
             raise RequestError(405, "only GET and HEAD")
-        self._respond(503 if self.server.engine.endpoints.has_no_list else 200)
+        self._respond(503 if self.server.engine.endpoints.lacks_usable_list else 200)
 
     def _submit(self, request: h11.Request) -> None:
         engine = self.server.engine
--- a/loftrelay/service/lifecycle.py
+++ b/loftrelay/service/lifecycle.py
@@ -113,7 +113,7 @@
     def reload(self) -> None:
         """Handles SIGHUP: reloads the configuration, now or once this process makes the decisions."""
         engine = self.admin.engine
-        if engine is not None and not engine.context.is_paused:
+        if engine is not None and not engine.context.is_paused_for_handover:
             self.configuration.reload(engine)
             return
         self.is_reload_pending = True
--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -113,7 +113,7 @@
         completed += 1
     assert max_written < MIN_STEP_BYTES + STEP_BYTES_PER_WRITTEN_BYTE * 3000
     assert disk_usage(tmp_path) <= disk_bytes
-    not_copied = journal.index.open.by_segment[min(journal.files.segments)]
+    not_copied = journal.index.open_messages.by_segment[min(journal.files.segments)]
     assert 0 < len(not_copied) < 2000
     assert set(reopen(journal, disk_bytes).messages) == {f"stays{i}" for i in range(2000)}
 
@@ -153,7 +153,7 @@
     journal = reopen(journal)
     assert {name: message.body for name, message in journal.messages.items()} == expected_bodies
     assert journal.index.live_bytes == sum(
-        location.size for location in journal.index.open.locations.values()
+        location.size for location in journal.index.open_messages.locations.values()
     )
 
 
--- a/tests/relay/test_endpoint_list_cost.py
+++ b/tests/relay/test_endpoint_list_cost.py
@@ -63,9 +63,9 @@
             apply_list(engine, EndpointListKind.FULL, *(make_entry(f"h{i}", i) for i in range(size)))
             assert len(engine.endpoints.entries) == size
             scheduler = engine.context.scheduler
-            engine.endpoints.entries, engine.endpoints.batch_sizes = (
+            engine.endpoints.entries, engine.endpoints.max_batch_size_by_host = (
                 IterationCountingDict(engine.endpoints.entries),
-                IterationCountingDict(engine.endpoints.batch_sizes),
+                IterationCountingDict(engine.endpoints.max_batch_size_by_host),
             )
             scheduler.state.endpoints, scheduler.state.destinations = (
                 IterationCountingDict(scheduler.state.endpoints),
@@ -74,7 +74,7 @@
             costs.append(count_instructions(partial(apply_list, engine, EndpointListKind.DELTA, change)))
             for table in (
                 engine.endpoints.entries,
-                engine.endpoints.batch_sizes,
+                engine.endpoints.max_batch_size_by_host,
                 scheduler.state.endpoints,
                 scheduler.state.destinations,
             ):
--- a/tests/relay/test_slices.py
+++ b/tests/relay/test_slices.py
@@ -363,7 +363,7 @@
         assert engine.release_destinations([1, 2, 3, 4, 5, 6, 7]) == [1, 7]
         assert 1 not in engine.endpoints.destinations
         assert set(engine.endpoints.entries) == {"h2", "h3", "h4", "h5"}
-        assert set(engine.endpoints.batch_sizes) == set(engine.endpoints.entries)
+        assert set(engine.endpoints.max_batch_size_by_host) == set(engine.endpoints.entries)
         assert engine.context.batch_loop.events[-1] == DestinationsReleased((1, 7))
         engine.context.batch_loop.run_due_batch()
         assert "h1" not in engine.context.scheduler.state.endpoints
