--- a/loftrelay/relay/context.py
+++ b/loftrelay/relay/context.py
@@ -15,7 +15,7 @@
 from loftrelay.relay.message_state import MessageStates, Stage
 from loftrelay.relay.message_terms import AcceptedClasses
 from loftrelay.relay.ports import (
-    AttemptGate,
+    AttemptApprover,
     Delivery,
     EndpointDirectory,
     Journal,
@@ -49,26 +49,32 @@
         self.metrics = Metrics(settings.classes)
         self.message_states = MessageStates(_log_invalid_transition)
         self.stall_detector = StallDetector()
-        # Besides the scheduler, each of these has to allow an attempt; they are asked in this order.
-        self.attempt_gates: list[AttemptGate] = [] if store is None else [store]
+        # Besides the scheduler, each of these has to approve an attempt; they are asked in this order.
+        self.attempt_approvers: list[AttemptApprover] = [] if store is None else [store]
         self.observers: list[RelayObserver] = []
         # Destination -> time of the last change (see note_change), in seconds of the event loop's clock.
         self.changed_at: dict[int, float] = {}
         self.batch_loop = BatchLoop(self.stall_detector, settings.batch_interval)
-        self.is_stopping = False  # no batches run; new messages are kept in the journal for the next start
-        # Set while another process makes the decisions, or is about to.
+        # The process is ending, paused for a handover or not: no batches run; new messages are kept in the
+        # journal for the next start.
+        self.is_stopping = False
+        # Set while another process makes the decisions, or is about to; see is_paused_for_handover.
         self.outcome_forwarder: OutcomeForwarder | None = None
-        self.is_handed_over = False  # another process owns all messages
+        # Another process owns all messages, for good. Implies is_paused_for_handover, which begins earlier.
+        self.is_handed_over = False
 
     @property
-    def is_paused(self) -> bool:
-        """Whether another process makes the decisions, or is about to."""
+    def is_paused_for_handover(self) -> bool:
+        """Whether another process makes the decisions, or is about to.
+
+        Ends if the handover is cancelled; stays true once is_handed_over is set.
+        """
         return self.outcome_forwarder is not None
 
     @property
     def is_deciding(self) -> bool:
-        """Whether this process makes the decisions and runs batches."""
-        return not self.is_stopping and not self.is_paused
+        """Whether this process makes the decisions and runs batches: neither stopping nor paused."""
+        return not self.is_stopping and not self.is_paused_for_handover
 
     def post(self, event: Event) -> None:
         """Adds an event to the next batch, and schedules the batch."""
@@ -76,7 +82,7 @@
 
     def note_change(self, destination: int) -> None:
         """Notes a list entry, failure or Retry-After, which may invalidate decisions for a destination."""
-        if self.attempt_gates:
+        if self.attempt_approvers:
             self.changed_at[destination] = asyncio.get_running_loop().time()
 
     def messages_in_order(self) -> Sequence[Message]:
--- a/loftrelay/relay/ports.py
+++ b/loftrelay/relay/ports.py
@@ -85,8 +85,8 @@
         """HTTP status of the response, if the message id is known; 0 for a new message, which is stored."""
 
 
-class AttemptGate(Protocol):
-    """Allows or refuses attempts, for instance a store that has to record the intent to send first.
+class AttemptApprover(Protocol):
+    """Approves or refuses attempts, for instance a store that has to record the intent to send first.
 
     It calls back from the event loop, immediately or later.
     """
@@ -96,7 +96,7 @@
         """Shortest delay before the next request after a refusal, in milliseconds."""
 
     def request_attempt(self, messages: Sequence[Message], host: str, done: Callable[[bool], None]) -> None:
-        """Requests permission for a call; calls `done` with whether it may begin."""
+        """Requests approval of a call; calls `done` with whether it may begin."""
 
     def attempt_ended(self, message_id: str, result: str) -> None:
         """Handles the result of a requested attempt that was not a delivery."""
@@ -126,22 +126,29 @@
     REPORT_AGAIN = auto()  # report its final status once more
 
 
-class MessageStore(AttemptGate, Protocol):
+class MessageStore(AttemptApprover, Protocol):
     """The store of record, if one is configured. It calls back from the event loop, immediately or later."""
 
     def admit(self, message: Message, done: Callable[[StoreDecision], None]) -> None:
         """Stores a new message, or looks up a known id; calls `done` with the decision."""
 
     def record_final_status(
-        self, message_id: str, answer: str, result: str | None, done: Callable[[], None]
+        self, message_id: str, stored_status: str, result: str | None, done: Callable[[], None]
     ) -> None:
-        """Records the final status of a message; calls `done` once it is recorded."""
+        """Records the final status of a message; calls `done` once it is recorded.
+
+        Args:
+            message_id: id of the message.
+            stored_status: STORED_DELIVERED, STORED_REJECTED or STORED_FAILED (see `statuses`).
+            result: status of the last attempt; None if the message was not delivered.
+            done: called without arguments, immediately or later.
+        """
 
     def final_status_reported(self, message_id: str) -> None:
         """Records that the client or the platform has received the final status of a message."""
 
-    def recorded_final_status(self, message_id: str) -> str | None:
-        """Returns the final status of a message as stored before a restart; None if it has none."""
+    def stored_final_status(self, message_id: str) -> str | None:
+        """Returns the stored status of a message, as it was before a restart; None if it has none."""
 
     def recover(self, message: Message | None, message_id: str, is_at_most_once: bool) -> RecoveryAction:
         """Reconciles the record of a message with the journal; returns the action that is required.
--- a/loftrelay/store/recorder.py
+++ b/loftrelay/store/recorder.py
@@ -72,7 +72,7 @@
         return JournalState.DELIVERED if is_delivered else JournalState.DECIDED
     if message.attempt_started_at is not None:
         return JournalState.IN_FLIGHT
-    if message.first_attempt_at is not None:
+    if message.first_uncertain_attempt_at is not None:
         return JournalState.MAY_HAVE_RUN
     return JournalState.NOT_EXECUTED if message.attempts else JournalState.ADMITTED
 
@@ -181,7 +181,7 @@
                     message_id,
                     position,
                     ChangeKind.BEGIN_ATTEMPT,
-                    host=message.attempt_host or message.first_attempt_host,
+                    host=message.attempt_host or message.first_uncertain_attempt_host,
                 )
                 if journal is not JournalState.DELIVERED:
                     self.attempt_ended(
@@ -192,7 +192,7 @@
             self.attempt_ended(message_id, "BROKEN")
         return action
 
-    def recorded_final_status(self, message_id: str) -> str | None:
+    def stored_final_status(self, message_id: str) -> str | None:
         """Returns the final status of a message in the store at the start, or None."""
         record = self.records_at_start.get(message_id)
         return record.final_status.value if record is not None and record.final_status is not None else None
@@ -361,7 +361,7 @@
             self._post(message_id, position, ChangeKind.END_ATTEMPT, result=result)
 
     def record_final_status(
-        self, message_id: str, status: str, result: str | None, done: Callable[[], None]
+        self, message_id: str, stored_status: str, result: str | None, done: Callable[[], None]
     ) -> None:
         """Records the final status of a message; calls `done` after the commit.
 
@@ -369,7 +369,7 @@
         recorded. A delivery is always committed first: the journal keeps it until then, and no client or
         platform waits for it.
         """
-        position, final_status = self.positions.get(message_id), StoredFinalStatus(status)
+        position, final_status = self.positions.get(message_id), StoredFinalStatus(stored_status)
         if position is None:
             done()
             return
--- a/tests/journal/test_journal.py
+++ b/tests/journal/test_journal.py
@@ -56,8 +56,8 @@
     assert journal.messages == messages_before
     assert list(uncertain_keys) == ["k"]
     assert journal.messages["attempted"].attempt_host == "h1"
-    assert journal.messages["timed out"].first_attempt_host == "h1"
-    assert journal.messages["rejected"].first_attempt_at is None
+    assert journal.messages["timed out"].first_uncertain_attempt_host == "h1"
+    assert journal.messages["rejected"].first_uncertain_attempt_at is None
     assert journal.messages["rejected"].attempts == 1
     journal.admit(make_message("later"))
     assert journal.messages["later"].sequence == 7  # numbering continues after a restart
@@ -113,7 +113,7 @@
         completed += 1
     assert max_written < MIN_STEP_BYTES + STEP_BYTES_PER_WRITTEN_BYTE * 3000
     assert disk_usage(tmp_path) <= disk_bytes
-    not_copied = journal.index.open.by_segment[min(journal.files.segments)]
+    not_copied = journal.index.open_messages.by_segment[min(journal.files.segments)]
     assert 0 < len(not_copied) < 2000
     assert set(reopen(journal, disk_bytes).messages) == {f"stays{i}" for i in range(2000)}
 
@@ -153,7 +153,7 @@
     journal = reopen(journal)
     assert {name: message.body for name, message in journal.messages.items()} == expected_bodies
     assert journal.index.live_bytes == sum(
-        location.size for location in journal.index.open.locations.values()
+        location.size for location in journal.index.open_messages.locations.values()
     )
 
 
@@ -187,9 +187,12 @@
     journal.messages["m"].attempts = 1
     journal.record_attempt(journal.messages["m"], "h1")
     journal.record_attempt_result(journal.messages["m"], AttemptStatus.REJECTED)
-    assert journal.messages["m"].first_attempt_at is None
+    assert journal.messages["m"].first_uncertain_attempt_at is None
     journal.record_dispute(journal.messages["m"], "h1", 77)
-    assert (reopen(journal).messages["m"].first_attempt_at, journal.messages["m"].first_attempt_host) == (
+    assert (
+        reopen(journal).messages["m"].first_uncertain_attempt_at,
+        journal.messages["m"].first_uncertain_attempt_host,
+    ) == (
         77,
         "h1",
     )
