--- a/loftrelay/discovery/subscriber.py
+++ b/loftrelay/discovery/subscriber.py
@@ -177,7 +177,10 @@
                         self._process_action(action)
                     except Exception:
                         # A bug; pending lookups still have to end.
-                        log.exception("subscription: %s failed, synchronizing again", type(action).__name__)
+                        log.exception(
+                            "subscription: %s failed by an internal error, synchronizing again",
+                            type(action).__name__,
+                        )
                         self.subscription.processing_failed(self._now())
         finally:
             self.is_processing = False
@@ -245,7 +248,9 @@
             self.subscription.call_failed(self._now(), call.call_id, f"sent a malformed response: {error}")
         except Exception:
             # A bug: without a further call the relay would never receive a drain again.
-            log.exception("subscription: processing a response failed, synchronizing again")
+            log.exception(
+                "subscription: processing a response failed by an internal error, synchronizing again"
+            )
             self.subscription.processing_failed(self._now())
         self._process_actions()
 
--- a/loftrelay/registry/upstream.py
+++ b/loftrelay/registry/upstream.py
@@ -185,8 +185,8 @@
                 pause = self._call_failed(f"{error or type(error).__name__}")
             except Exception:
                 # A bug: without a further call no relay would receive a change again.
-                log.exception("discovery: watch failed by a fault of the program, retrying")
-                pause = self._call_failed("a fault of the program")
+                log.exception("discovery: watch failed by an internal error, retrying")
+                pause = self._call_failed("internal error")
             await asyncio.sleep(pause)
 
     def _call_failed(self, reason: str) -> float:
--- a/tests/standins/harness.py
+++ b/tests/standins/harness.py
@@ -368,7 +368,7 @@
         assert process.stderr is not None
         while line := await process.stderr.readline():
             self.log.append(line.decode().strip())
-            self.internal_errors += [self.log[-1]] * ("a fault of the program" in self.log[-1])
+            self.internal_errors += [self.log[-1]] * ("internal error" in self.log[-1])
             self.notify_changed()
         await process.wait()
         self.notify_changed()
--- a/tests/standins/registry.py
+++ b/tests/standins/registry.py
@@ -106,7 +106,7 @@
             self.process.kill()
         await self.process.wait()
         await self._reading
-        assert not any("a fault of the program" in line or "Traceback" in line for line in self.log), self.log
+        assert not any("internal error" in line or "Traceback" in line for line in self.log), self.log
 
     async def start(self, listens: bool = True) -> None:
         """Starts the process; waits until it listens, unless told not to."""
