--- a/tests/standins/harness.py
+++ b/tests/standins/harness.py
@@ -106,12 +106,12 @@
 
     transport: asyncio.Transport
 
-    def __init__(self, peer: StubServer) -> None:
-        self.server = peer
+    def __init__(self, server: StubServer) -> None:
+        self.server = server
         self.data = b""
         self.task: asyncio.Task[None] | None = None
-        peer.connections.append(self)
-        self.number = len(peer.connections)
+        server.connections.append(self)
+        self.number = len(server.connections)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -194,10 +194,10 @@
                 await process.wait()
         if self.listener is not None:
             self.listener.close()
-        for peer in self.servers:
-            assert peer.server is not None
-            peer.server.close()
-            peer.close_connections()
+        for server in self.servers:
+            assert server.server is not None
+            server.server.close()
+            server.close_connections()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -205,18 +205,18 @@
 
     async def start_server(self, handler: RequestHandler) -> StubServer:
         """Starts a stub server that is closed with the harness."""
-        peer = StubServer(self, handler)
-        await peer.start()
-        self.servers.append(peer)
-        return peer
+        server = StubServer(self, handler)
+        await server.start()
+        self.servers.append(server)
+        return server
 
     async def start_host(
         self, handler: RequestHandler, destination: int = 1, flavor: str = "plain"
     ) -> StubServer:
         """Starts a host and lists it in the known list of the configuration and in discovery's responses."""
-        peer = await self.start_server(handler)
-        self.add_endpoint(destination, flavor, "Ready", peer.address)
-        return peer
+        server = await self.start_server(handler)
+        self.add_endpoint(destination, flavor, "Ready", server.address)
+        return server
 
     def add_endpoint(self, destination: int, flavor: str, phase: str, address: str) -> None:
         """Adds an endpoint to the list, under a new revision."""
@@ -498,8 +498,8 @@
     """Runs a scenario in a new event loop, with a harness in `folder`."""
 
     async def main() -> None:
-        async with RelayHarness(folder, **settings) as world:
-            await scenario(world)
+        async with RelayHarness(folder, **settings) as harness:
+            await scenario(harness)
 
     asyncio.run(main())
 
--- a/tests/standins/registry.py
+++ b/tests/standins/registry.py
@@ -98,8 +98,8 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for line in self.connections:
-            line.close()
+        for connection in self.connections:
+            connection.close()
         assert self.process is not None
         assert self._reading is not None
         if self.process.returncode is None:
@@ -155,17 +155,17 @@
             return await self.process.wait()
 
     async def connect(self) -> RegistryConnection:
-        line = RegistryConnection(*await asyncio.open_connection(*self.address, limit=1 << 24))
-        self.connections.append(line)
-        return line
+        connection = RegistryConnection(*await asyncio.open_connection(*self.address, limit=1 << 24))
+        self.connections.append(connection)
+        return connection
 
     async def metrics(self) -> dict[str, float]:
         """Reads all metrics."""
-        line = await self.connect()
-        status, body = await line.request("/figures")
-        line.close()
+        connection = await self.connect()
+        status, body = await connection.request("/figures")
+        connection.close()
         assert status == 200
-        return {name: float(value) for name, value in (told.split() for told in body.splitlines())}
+        return {name: float(value) for name, value in (line.split() for line in body.splitlines())}
 
     async def wait_for_metrics(self, condition: Callable[[dict[str, float]], bool]) -> dict[str, float]:
         """Waits until the metrics fulfil a condition; returns them."""
@@ -176,7 +176,7 @@
 
     async def wait_until_ready(self) -> None:
         """Waits until it has an endpoint list."""
-        await self.wait_for_metrics(lambda figures: figures["revision"] > 0)
+        await self.wait_for_metrics(lambda metrics: metrics["revision"] > 0)
 
 
 def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
--- a/tests/standins/wire.py
+++ b/tests/standins/wire.py
@@ -78,10 +78,10 @@
     """A harness whose servers record the bytes of each request."""
 
     async def start_server(self, handler: Callable[[Request], Awaitable[bytes | None]]) -> RecordingServer:
-        peer = RecordingServer(self, handler)
-        await peer.start()
-        self.servers.append(peer)
-        return peer
+        server = RecordingServer(self, handler)
+        await server.start()
+        self.servers.append(server)
+        return server
 
 
 def recorded_requests(server: StubServer) -> list[str]:
