--- a/loftrelay/decisions/availability.py
+++ b/loftrelay/decisions/availability.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
+from loftrelay.decisions.call_limiter import CallLimiter
 from loftrelay.decisions.concurrency import DEGRADED_SLOT_SHARE, HEALTHY_SLOT_SHARE
 from loftrelay.decisions.demand import demand_rate
 from loftrelay.decisions.entities import Destination
-from loftrelay.decisions.gate import CallLimiter
 from loftrelay.decisions.retry import MAX_PROBE_INTERVAL_US
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import NEVER
--- a/loftrelay/decisions/demand.py
+++ b/loftrelay/decisions/demand.py
@@ -4,9 +4,9 @@
 
 import math
 
+from loftrelay.decisions.call_limiter import CallLimiter
 from loftrelay.decisions.entities import Destination
 from loftrelay.decisions.estimators import DEMAND_SPAN_US
-from loftrelay.decisions.gate import CallLimiter
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import SECOND_US
 
--- a/loftrelay/decisions/endpoint_table.py
+++ b/loftrelay/decisions/endpoint_table.py
@@ -8,6 +8,7 @@
 from itertools import islice
 
 from loftrelay.decisions import hibernation
+from loftrelay.decisions.call_limiter import CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.entities import Endpoint, EndpointKindStats
 from loftrelay.decisions.events import (
     EndpointEntry,
@@ -15,7 +16,6 @@
     EndpointListReceived,
     EndpointState,
 )
-from loftrelay.decisions.gate import CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.limits import DEFAULT_POLL_INTERVAL_US
 from loftrelay.decisions.retry import backoff
 from loftrelay.decisions.settings import EndpointKind
--- a/loftrelay/decisions/entities.py
+++ b/loftrelay/decisions/entities.py
@@ -5,9 +5,9 @@
 from collections import deque
 from dataclasses import dataclass, field
 
+from loftrelay.decisions.call_limiter import CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.estimators import DEMAND_SPAN_US, CallTimes, DecayingRate
 from loftrelay.decisions.events import EndpointState
-from loftrelay.decisions.gate import CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.settings import DeliverySemantics, MessageClass
 from loftrelay.decisions.units import NEVER
 
--- a/loftrelay/decisions/feedback.py
+++ b/loftrelay/decisions/feedback.py
@@ -4,10 +4,10 @@
 
 from loftrelay.decisions import idle_connections
 from loftrelay.decisions.actions import WriteLog
+from loftrelay.decisions.call_limiter import CallLimiter
 from loftrelay.decisions.demand import demand_rate
 from loftrelay.decisions.entities import Call, Endpoint
 from loftrelay.decisions.events import AttemptEnded, AttemptStatus
-from loftrelay.decisions.gate import CallLimiter
 from loftrelay.decisions.retry import BACKOFF_BASE_US, MAX_PROBE_INTERVAL_US, backoff, with_jitter
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import SECOND_US
--- a/loftrelay/decisions/hibernation.py
+++ b/loftrelay/decisions/hibernation.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from loftrelay.decisions.call_limiter import LEARNED_STATE_TTL_US, CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.entities import (
     Destination,
     Endpoint,
@@ -13,7 +14,6 @@
     HibernatedEndpoint,
 )
 from loftrelay.decisions.estimators import DEMAND_SPAN_US, DecayingRate
-from loftrelay.decisions.gate import LEARNED_STATE_TTL_US, CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.state import DecisionState
 from loftrelay.decisions.units import NEVER
 
--- a/loftrelay/decisions/snapshot_state_records.py
+++ b/loftrelay/decisions/snapshot_state_records.py
@@ -5,10 +5,10 @@
 from collections.abc import Mapping
 
 from loftrelay.decisions import entities, limits, settings
+from loftrelay.decisions.call_limiter import CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.circuit_breaker import CircuitBreaker
 from loftrelay.decisions.concurrency import ConcurrencyWindow
 from loftrelay.decisions.estimators import CallTimes, DecayingRate
-from loftrelay.decisions.gate import CallLimiter, CallLimiterSnapshot
 from loftrelay.decisions.rate_limit import RateLimiter
 from loftrelay.decisions.slow_start import SlowStart
 from loftrelay.decisions.snapshot_format import RecordFormat
--- a/tests/decisions/test_hibernation.py
+++ b/tests/decisions/test_hibernation.py
@@ -17,6 +17,7 @@
 from loftrelay.decisions import lifecycle, snapshot
 from loftrelay.decisions.actions import FailMessage, SendAttempt, SetTimer
 from loftrelay.decisions.availability import next_call_at
+from loftrelay.decisions.call_limiter import LEARNED_STATE_TTL_US, CallLimiterSnapshot
 from loftrelay.decisions.demand import demand_rate
 from loftrelay.decisions.dispatch import send_call
 from loftrelay.decisions.events import (
@@ -34,7 +35,6 @@
     MessageRecovered,
     TimerFired,
 )
-from loftrelay.decisions.gate import LEARNED_STATE_TTL_US, CallLimiterSnapshot
 from loftrelay.decisions.ordering import is_next
 from loftrelay.decisions.routing import may_attempt
 from loftrelay.decisions.scheduler import Scheduler
